--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -115,10 +115,10 @@
                         list.iter().map(wire::Element::entry).collect::<Result<_, _>>()?
                     }
                 };
-                Event::Members { kind, entries }
+                Event::ServerList { kind, entries }
             }
             "ALARM" => Event::Timer,
-            "PROBED" => Event::Probed {
+            "PROBED" => Event::HealthChecked {
                 server: ServerId(need(input.host, verb, "host")?),
                 outcome: wire::outcome(&need(input.result, verb, "result")?),
                 load: input.stats.map(|s| s.load()).unwrap_or_default(),
@@ -163,7 +163,7 @@
                         if let Some(name) = instance.names.get_mut(&call) {
                             name.ended = true;
                         }
-                        Event::Gone { call }
+                        Event::Cancelled { call }
                     }
                 }
             }
@@ -208,12 +208,12 @@
         Action::Cancel { call, attempt } => {
             Command::DropAttempt { proxy, call: word(call, &instance.names)?, seq_no: attempt }
         }
-        Action::Probe { server } => Command::Test { proxy, host: server.0 },
-        Action::Wake { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
+        Action::HealthCheck { server } => Command::Test { proxy, host: server.0 },
+        Action::SetTimer { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
         Action::Subscribe => Command::Listen { proxy, enable: true },
         Action::Log { text } => Command::Trace { proxy, note_text: text },
         // Only where several balancers of one process share their room.
-        Action::Tell { .. } => return None,
+        Action::ShareObservation { .. } => return None,
     })
 }
 
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Messages of the wire, as they are read and written.
 
-use nettleworks_policy::{CellId, Entry, Load, Outcome, ServerId, State};
+use nettleworks_policy::{CellId, Entry, Load, Outcome, ServerId, ServerState};
 use nettleworks_settings::zone;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -51,7 +51,7 @@
 
 impl Stats {
     pub fn load(&self) -> Load {
-        Load { in_hand: self.active, waiting: self.waiting, busy: self.cpu }
+        Load { active: self.active, waiting: self.waiting, cpu: self.cpu }
     }
 }
 
@@ -72,9 +72,9 @@
 impl Element {
     pub fn entry(&self) -> Result<Entry, String> {
         let state = match self.state {
-            0 => State::Draining,
-            1 => State::Ready,
-            2 => State::Gone,
+            0 => ServerState::Draining,
+            1 => ServerState::Ready,
+            2 => ServerState::Removed,
             other => return Err(format!("host {} in unknown state {other}", self.host)),
         };
         Ok(Entry {
--- a/engine/src/driver/attempts.rs
+++ b/engine/src/driver/attempts.rs
@@ -29,17 +29,17 @@
                 self.answer(call, Reply::Failed);
             }
             Action::Cancel { call, attempt } => self.cancel(call, attempt),
-            Action::Wake { after } => {
+            Action::SetTimer { after } => {
                 self.wake = Some(Instant::now() + Duration::from_micros(after));
                 self.desk.woken.notify_one();
             }
             Action::Subscribe => self.subscribe(handle),
             Action::Log { text } => self.desk.log(&text),
-            Action::Tell { server, news } => {
-                self.desk.group.iter_mut().for_each(|group| group.tell(server, news));
+            Action::ShareObservation { server, observation } => {
+                self.desk.group.iter_mut().for_each(|group| group.tell(server, observation));
             }
             // The module asks for none where the settings allow none, and this program has none to offer.
-            Action::Probe { .. } => {}
+            Action::HealthCheck { .. } => {}
         }
     }
 
--- a/engine/src/driver/group.rs
+++ b/engine/src/driver/group.rs
@@ -5,7 +5,7 @@
 use crate::calls::Ask;
 use crate::list::List;
 use crate::protocol::Protocol;
-use nettleworks_policy::{Event, News, ServerId};
+use nettleworks_policy::{Event, Observation, ServerId};
 use std::time::Duration;
 
 impl<P: Protocol> Driver<P> {
@@ -36,11 +36,11 @@
     }
 
     /// Another engine has learned something of a host, so long ago.
-    pub fn heard(&self, host: &str, news: News, age: Duration) {
+    pub fn heard(&self, host: &str, observation: Observation, age: Duration) {
         let server: Option<ServerId> = self.0.borrow().hosts.names.get(host).copied();
         if let Some(server) = server {
             let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
-            self.run([Event::Heard { server, news, age }]);
+            self.run([Event::Observed { server, observation, age }]);
         }
     }
 
--- a/engine/src/driver/members.rs
+++ b/engine/src/driver/members.rs
@@ -134,9 +134,9 @@
         for entry in &list.hosts {
             let server = driver.intern(entry);
             let state = match entry.health {
-                Health::Ready => policy::State::Ready,
-                Health::Terminating => policy::State::Draining,
-                Health::Gone => policy::State::Gone,
+                Health::Ready => policy::ServerState::Ready,
+                Health::Terminating => policy::ServerState::Draining,
+                Health::Gone => policy::ServerState::Removed,
             };
             let (zone, cell) = (nettleworks_settings::zone(&entry.site), CellId(entry.block));
             let started = entry.born_ms.saturating_mul(1_000);
@@ -145,7 +145,7 @@
         driver.log_list(&list, kind);
         driver.log_leaving(&ready_before);
         // The module hears of the list before it hears of what the list undoes.
-        driver.desk.events.push_back(Event::Members { kind, entries });
+        driver.desk.events.push_back(Event::ServerList { kind, entries });
         driver.withdraw();
         let hosts = &mut driver.hosts;
         hosts.by_number.retain(|_, host| host.health != Health::Gone);
--- a/engine/src/driver/mod.rs
+++ b/engine/src/driver/mod.rs
@@ -126,7 +126,7 @@
     }
 
     /// The same for one of several engines that serve as one. Its module must know that room is shared
-    /// ([`nettleworks_policy::Settings::shared`]).
+    /// ([`nettleworks_policy::Settings::shares_capacity`]).
     pub fn start_in(
         group: Option<Box<dyn Group<P>>>,
         fresh: Fresh,
@@ -172,7 +172,7 @@
             handle.members(known, Source::Known);
             handle.list_is_from_before();
         }
-        if !config.settings.ask {
+        if !config.settings.pull_list {
             handle.0.borrow_mut().subscribe(&handle);
         }
         spawn_local(handle.clone().timer());
@@ -233,7 +233,7 @@
         if moved {
             driver.subscribe(self);
             drop(driver);
-            self.run([Event::Freshness(Freshness::DiscoveryMoved)]);
+            self.run([Event::Freshness(Freshness::DiscoveryChanged)]);
         }
     }
 
--- a/engine/src/driver/shown.rs
+++ b/engine/src/driver/shown.rs
@@ -3,7 +3,7 @@
 use super::Driver;
 use crate::protocol::Protocol;
 use crate::state::{HostState, State};
-use nettleworks_policy::{GivenUp, Outcome, ServerId};
+use nettleworks_policy::{FailureReason, Outcome, ServerId};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
     pub attempts: u64,
     pub outcomes: BTreeMap<Outcome, u64>,
     /// Calls that the module has refused, and those that it has failed, by its reason.
-    pub refused: BTreeMap<GivenUp, u64>,
-    pub failed: BTreeMap<GivenUp, u64>,
+    pub refused: BTreeMap<FailureReason, u64>,
+    pub failed: BTreeMap<FailureReason, u64>,
     /// Attempts that were taken back unwritten, as a list did not name their server ready any more.
     pub withdrawn: u64,
     /// Attempts begun while no watch verified the list.
--- a/engine/src/driver/watch.rs
+++ b/engine/src/driver/watch.rs
@@ -126,7 +126,7 @@
         }
         let (handle, discovery, since) = (handle.clone(), self.desk.config.discovery, self.hosts.seq);
         let last_look = self.fresh.last_look();
-        let pushed = !self.desk.config.settings.ask;
+        let pushed = !self.desk.config.settings.pull_list;
         self.watch.number += 1;
         self.watch.opened = Instant::now();
         self.watch.beats = 0;
@@ -190,7 +190,7 @@
         self.watch.alive = self.watch.alive.max(lease.alive);
         let at = lease.expires.map(|at| self.desk.clock.at(at));
         // Where the list is pushed its lease has no end.
-        if !watches && self.desk.config.settings.ask && at != self.balancer.list_expires_at() {
+        if !watches && self.desk.config.settings.pull_list && at != self.balancer.list_expires_at() {
             self.desk.events.push_front(Event::Freshness(Freshness::Expires { at }));
         }
     }
@@ -267,7 +267,7 @@
             Sign::AliveLately => self.unverified(0),
             Sign::Partial(since) => {
                 let since = self.0.borrow().desk.clock.at(since);
-                self.run([Event::Freshness(Freshness::Withheld { since })]);
+                self.run([Event::Freshness(Freshness::Incomplete { since })]);
             }
             Sign::List(list) => {
                 self.members(list, Source::Watch(number));
@@ -302,14 +302,14 @@
             }
             Verdict::Unknown => match end {
                 End::Ended { at, .. } => Some(Freshness::Ended { at: clock.at(at) }),
-                _ => end.withheld_since().map(|since| Freshness::Withheld { since: clock.at(since) }),
+                _ => end.withheld_since().map(|since| Freshness::Incomplete { since: clock.at(since) }),
             },
         };
         let told_soon = matches!(end, End::Silent) || end.withheld_since().is_some();
         let kind = if told_soon { ListKind::Silent } else { ListKind::Failed };
         drop(driver);
         let freshness = std::iter::once(Freshness::Unverified { since }).chain(more);
-        self.run(freshness.map(Event::Freshness).chain([Event::Members { kind, entries: Vec::new() }]));
+        self.run(freshness.map(Event::Freshness).chain([Event::ServerList { kind, entries: Vec::new() }]));
         Some(retry)
     }
 }
--- a/engine/src/driver/way.rs
+++ b/engine/src/driver/way.rs
@@ -6,7 +6,7 @@
 use crate::meter::Repeats;
 use crate::protocol::Protocol;
 use crate::station::{Step, Told};
-use nettleworks_policy::{CallId, Event, Micros, Repeat};
+use nettleworks_policy::{CallId, Event, Idempotency, Micros};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,8 +38,8 @@
         let limit = outlives.map(|Outlives { until, .. }| Rc::new(Cell::new(until.max(deadline))));
         let past_aim = outlives.is_some_and(|outlives| outlives.past_aim);
         let (owner, late, attempts, lingers, may_have_run) = (Some(owner), None, Vec::new(), false, false);
-        let within = match self.desk.config.settings.classes.get(class.0).map(|class| class.repeat) {
-            Some(Repeat::Guarded { window, .. }) => Some(Duration::from_micros(window)),
+        let within = match self.desk.config.settings.classes.get(class.0).map(|class| class.idempotency) {
+            Some(Idempotency::Guarded { window, .. }) => Some(Duration::from_micros(window)),
             _ => None,
         };
         let repeats = Repeats::new(within);
@@ -98,7 +98,7 @@
         if self.desk.calls.get_mut(&id).and_then(|call| call.owner.take_if(plain)).is_none() {
             return false;
         }
-        self.desk.events.push_back(Event::Gone { call: id });
+        self.desk.events.push_back(Event::Cancelled { call: id });
         self.desk.tidy(id);
         true
     }
--- a/engine/src/group.rs
+++ b/engine/src/group.rs
@@ -6,7 +6,7 @@
 
 use crate::list::List;
 use crate::protocol::Protocol;
-use nettleworks_policy::{Balancer, Event, Load, Micros, News, ServerId};
+use nettleworks_policy::{Balancer, Event, Load, Micros, Observation, ServerId};
 use std::any::Any;
 use std::collections::VecDeque;
 use tokio::time::Instant;
@@ -64,7 +64,7 @@
     fn reported(&mut self, server: ServerId, load: Load);
 
     /// The module has learned something that the others are to hear.
-    fn tell(&mut self, server: ServerId, news: News);
+    fn tell(&mut self, server: ServerId, observation: Observation);
 
     /// Comes before each event of the module, and after the last. What the module is to hear first goes to the front of
     /// `events`.
--- a/engine/src/http1/exchange.rs
+++ b/engine/src/http1/exchange.rs
@@ -183,9 +183,9 @@
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
         let (place, most) = match name.trim() {
-            "active" => (&mut load.in_hand, LOAD_MOST),
+            "active" => (&mut load.active, LOAD_MOST),
             "waiting" => (&mut load.waiting, LOAD_MOST),
-            "cpu" => (&mut load.busy, 1.0),
+            "cpu" => (&mut load.cpu, 1.0),
             _ => continue,
         };
         let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=most).contains(v))?;
@@ -203,7 +203,7 @@
     #[test]
     fn a_load_report_is_read_under_the_names_of_the_settings() {
         let read = load("active=7.5,waiting=2,avg_ms=14.766, cpu = 0.5");
-        assert_eq!(read, Some(Load { in_hand: Some(7.5), waiting: Some(2.0), busy: Some(0.5) }));
+        assert_eq!(read, Some(Load { active: Some(7.5), waiting: Some(2.0), cpu: Some(0.5) }));
     }
 
     #[test]
@@ -234,7 +234,7 @@
         let mut headers = HeaderMap::new();
         headers.append("x-load-report", "{".parse().expect("a value"));
         headers.append("x-load-report", "active=1,waiting=0".parse().expect("a value"));
-        assert_eq!(report(&headers).in_hand, Some(1.0));
+        assert_eq!(report(&headers).active, Some(1.0));
     }
 }
 
--- a/engine/src/station.rs
+++ b/engine/src/station.rs
@@ -262,7 +262,7 @@
     /// end is told as any.
     pub fn linger(&mut self, id: CallId) {
         // The module hears that nobody waits before it hears what comes of that.
-        self.events.push_back(Event::Lingers { call: id });
+        self.events.push_back(Event::Detached { call: id });
         let cancel = self.config.settings.limits.cancel;
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.lingers = true;
@@ -306,7 +306,7 @@
             call.late = Some(at);
         }
         call.lingers = false;
-        self.events.push_back(Event::Gone { call: id });
+        self.events.push_back(Event::Cancelled { call: id });
         self.tidy(id);
         Some(may_have_run)
     }
--- a/keys/station/src/lib.rs
+++ b/keys/station/src/lib.rs
@@ -16,7 +16,7 @@
 use nettleworks_engine::protocol::Protocol;
 use nettleworks_engine::station::{Desk, Ended, Station, Step, Taken};
 use nettleworks_keys::{Arrival, Counts, End, KeyState, Kind, Known, Left, Request, Slot, Store, WaiterId};
-use nettleworks_policy::{CallId, ClassId, Micros, Repeat};
+use nettleworks_policy::{CallId, ClassId, Idempotency, Micros};
 use rustc_hash::FxHashMap;
 use std::any::Any;
 use std::rc::Rc;
@@ -104,7 +104,7 @@
         self.linger(class)?;
         let spec = desk.config().settings.classes.get(class.0)?;
         let end = Instant::now().checked_add(Duration::from_micros(spec.deadline))?;
-        Some(Outlives { until: end.max(deadline), past_aim: spec.repeat == Repeat::SingleShot })
+        Some(Outlives { until: end.max(deadline), past_aim: spec.idempotency == Idempotency::SingleShot })
     }
 
     /// When one that waits is told that its time is up.
@@ -237,8 +237,12 @@
         let Some(key) = &ask.key else { return Step::Pass(guest) };
         let (class, deadline, number) = (ask.class, ask.deadline, guest.number());
         let at = self.told_at(class, deadline);
-        let unsafe_class =
-            desk.config().settings.classes.get(class.0).is_none_or(|c| c.repeat == Repeat::SingleShot);
+        let unsafe_class = desk
+            .config()
+            .settings
+            .classes
+            .get(class.0)
+            .is_none_or(|c| c.idempotency == Idempotency::SingleShot);
         let held = Request {
             tenant: ask.tenant.and_then(|tenant| u32::try_from(tenant.0).ok()),
             class: u32::try_from(class.0).unwrap_or(u32::MAX),
--- a/lab/src/baseline/mod.rs
+++ b/lab/src/baseline/mod.rs
@@ -8,7 +8,8 @@
 use choice::{Choice, Picker};
 use envoy::{Ejections, RetryBudget};
 use nettleworks_policy::{
-    self as policy, Action, Balancer, CallId, Event, GivenUp, ListKind, Outcome, Repeat, ServerId, State,
+    self as policy, Action, Balancer, CallId, Event, FailureReason, Idempotency, ListKind, Outcome, ServerId,
+    ServerState,
 };
 use policy::Micros;
 use serde::{Deserialize, Serialize};
@@ -82,7 +83,7 @@
 const TRIES: usize = 3;
 
 struct Call {
-    repeat: Repeat,
+    idempotency: Idempotency,
     deadline: Micros,
     attempts: Vec<(ServerId, Option<Outcome>)>,
     /// It waits to be tried again.
@@ -151,8 +152,8 @@
         let Some(call) = self.forget(id) else { return };
         let never = call.attempts.iter().all(|(_, outcome)| outcome.is_some_and(Outcome::never_ran));
         actions.push(match never {
-            true => Action::Refuse { call: id, retry_after: COME_BACK, reason: GivenUp::NoRetry },
-            false => Action::Fail { call: id, reason: GivenUp::NoRetry },
+            true => Action::Refuse { call: id, retry_after: COME_BACK, reason: FailureReason::NoRetry },
+            false => Action::Fail { call: id, reason: FailureReason::NoRetry },
         });
     }
 
@@ -179,7 +180,7 @@
         if call.out() {
             return;
         }
-        let again = outcome.never_ran() || call.repeat != Repeat::SingleShot;
+        let again = outcome.never_ran() || call.idempotency != Idempotency::SingleShot;
         let tries = call.attempts.len();
         let active = self.calls.len();
         let pause = match &mut self.envoy {
@@ -217,7 +218,7 @@
     fn wake(&self, now: Micros, actions: &mut Vec<Action>) {
         let later = self.later.first().map(|&(at, _)| at);
         if let Some(at) = later.into_iter().chain(self.subscribe_at).min() {
-            actions.push(Action::Wake { after: at.saturating_sub(now).max(1) });
+            actions.push(Action::SetTimer { after: at.saturating_sub(now).max(1) });
         }
     }
 }
@@ -225,24 +226,27 @@
 impl Decide for Plain {
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Start if self.settings.ask => actions.push(Action::Subscribe),
+            Event::Start if self.settings.pull_list => actions.push(Action::Subscribe),
             // Where the list is pushed, whoever carries this watches again by itself.
-            Event::Members { kind: ListKind::Failed | ListKind::Silent, .. } => {
-                self.subscribe_at = self.settings.ask.then_some(now + ASK_AGAIN);
+            Event::ServerList { kind: ListKind::Failed | ListKind::Silent, .. } => {
+                self.subscribe_at = self.settings.pull_list.then_some(now + ASK_AGAIN);
             }
-            Event::Members { kind, entries } => {
+            Event::ServerList { kind, entries } => {
                 if kind != ListKind::Delta {
                     self.picker.clear();
                 }
                 for entry in entries {
-                    self.picker.list(entry.server, entry.state == State::Ready);
+                    self.picker.list(entry.server, entry.state == ServerState::Ready);
                 }
             }
             Event::Request { call, class, time_left, .. } => {
-                let repeat =
-                    self.settings.classes.get(class.0).map_or(Repeat::SingleShot, |class| class.repeat);
+                let idempotency = self
+                    .settings
+                    .classes
+                    .get(class.0)
+                    .map_or(Idempotency::SingleShot, |class| class.idempotency);
                 let call_of = Call {
-                    repeat,
+                    idempotency,
                     deadline: now + time_left,
                     attempts: Vec::new(),
                     waits: false,
@@ -252,7 +256,7 @@
                 self.try_call(now, call, actions);
             }
             Event::Outcome { .. } => self.outcome(now, &event, actions),
-            Event::Gone { call } => {
+            Event::Cancelled { call } => {
                 if let Some(gone) = self.forget(call) {
                     for (attempt, (server, outcome)) in (0..).zip(gone.attempts) {
                         if outcome.is_none() {
@@ -284,12 +288,17 @@
 
     impl Plays {
         fn new(picks: Picks, hosts: u32) -> Plays {
-            let class = |repeat| Class { aim: 500 * MS, deadline: 2_000 * MS, repeat, ..Class::default() };
-            let classes = vec![class(Repeat::Free), class(Repeat::SingleShot)];
-            let settings = Settings { classes, ask: true, ..Settings::default() };
+            let class = |idempotency| Class {
+                latency_target: 500 * MS,
+                deadline: 2_000 * MS,
+                idempotency,
+                ..Class::default()
+            };
+            let classes = vec![class(Idempotency::Free), class(Idempotency::SingleShot)];
+            let settings = Settings { classes, pull_list: true, ..Settings::default() };
             let mut plays = Plays { decide: picks.make(3, settings), now: 0, next: 0 };
             assert_eq!(plays.event(Event::Start)[0], Action::Subscribe);
-            plays.list(ListKind::Full, (1..=hosts).map(|id| (id, State::Ready)));
+            plays.list(ListKind::Full, (1..=hosts).map(|id| (id, ServerState::Ready)));
             plays
         }
 
@@ -299,9 +308,9 @@
             actions
         }
 
-        fn list(&mut self, kind: ListKind, hosts: impl Iterator<Item = (u32, State)>) -> Vec<Action> {
+        fn list(&mut self, kind: ListKind, hosts: impl Iterator<Item = (u32, ServerState)>) -> Vec<Action> {
             let entry = |(id, state)| Entry { server: ServerId(id), state, ..Entry::default() };
-            self.event(Event::Members { kind, entries: hosts.map(entry).collect() })
+            self.event(Event::ServerList { kind, entries: hosts.map(entry).collect() })
         }
 
         fn ask(&mut self, class: usize) -> (CallId, Vec<Action>) {
@@ -349,7 +358,7 @@
     fn calls_go_to_ready_hosts_alone() {
         for picks in PLAIN {
             let mut plays = Plays::new(picks, 4);
-            plays.list(ListKind::Delta, [(2, State::Draining), (3, State::Gone)].into_iter());
+            plays.list(ListKind::Delta, [(2, ServerState::Draining), (3, ServerState::Removed)].into_iter());
             let mut counts = [0; 5];
             (0..400).for_each(|_| counts[plays.serve(|_| 5 * MS) as usize] += 1);
             assert!(
@@ -357,7 +366,7 @@
                 "{picks:?} {counts:?}"
             );
             // A whole list without them takes the others away, too.
-            plays.list(ListKind::Full, [(3, State::Ready)].into_iter());
+            plays.list(ListKind::Full, [(3, ServerState::Ready)].into_iter());
             assert_eq!(plays.serve(|_| MS), 3, "{picks:?}");
             plays.list(ListKind::Full, std::iter::empty());
             assert!(refused(&plays.ask(1).1), "{picks:?}");
@@ -444,10 +453,10 @@
         for picks in PLAIN {
             let mut plays = Plays::new(picks, 2);
             let (call, _) = plays.ask(0);
-            let actions = plays.event(Event::Gone { call });
+            let actions = plays.event(Event::Cancelled { call });
             assert!(actions.contains(&Action::Cancel { call, attempt: 0 }), "{picks:?} {actions:?}");
             let actions = plays.list(ListKind::Failed, std::iter::empty());
-            assert!(actions.iter().any(|action| matches!(action, Action::Wake { .. })), "{picks:?}");
+            assert!(actions.iter().any(|action| matches!(action, Action::SetTimer { .. })), "{picks:?}");
             plays.now += ASK_AGAIN;
             assert!(plays.event(Event::Timer).contains(&Action::Subscribe), "{picks:?}");
             assert!(!plays.event(Event::Timer).contains(&Action::Subscribe), "{picks:?}: once");
@@ -465,7 +474,7 @@
             let actions = plays.event(Event::Timer);
             assert!(sent(&actions).is_some(), "{round}: a retry is granted");
             match round % 3 {
-                0 => drop(plays.event(Event::Gone { call })),
+                0 => drop(plays.event(Event::Cancelled { call })),
                 1 => drop(plays.end(call, 1, Outcome::Served, MS)),
                 _ => drop(plays.end(call, 1, Outcome::Reset, MS)),
             }
--- a/lab/src/fleet/exchange.rs
+++ b/lab/src/fleet/exchange.rs
@@ -293,9 +293,9 @@
             self.model.answered(at.call, Answer::Served, now, &mut self.queue);
         }
         let load = load.map_or_else(Load::default, |(in_hand, waiting)| Load {
-            in_hand: Some(in_hand.into()),
+            active: Some(in_hand.into()),
             waiting: Some(waiting.into()),
-            busy: None,
+            cpu: None,
         });
         self.outcome(at.proxy, at.call, at.attempt, outcome, now - at.sent, closed, load);
         self.proxies[at.proxy].tidy(at.call);
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -125,7 +125,7 @@
 
     fn decide(&self, proxy: usize, epoch: u32) -> Box<dyn Decide> {
         let seed = crate::draw::name(self.model.seed, "proxy", proxy as u64) ^ u64::from(epoch);
-        let settings = policy::Settings { me: proxy as u32, ..self.site.config.settings.clone() };
+        let settings = policy::Settings { balancer_index: proxy as u32, ..self.site.config.settings.clone() };
         self.picks.make(seed, settings)
     }
 
@@ -209,7 +209,7 @@
         let proxy = self.model.call(call).proxy as usize;
         if let Some(open) = self.proxies[proxy].calls.get_mut(&call) {
             open.answered = true;
-            self.module(proxy, policy::Event::Gone { call: policy::CallId(call.into()) });
+            self.module(proxy, policy::Event::Cancelled { call: policy::CallId(call.into()) });
             self.proxies[proxy].tidy(call);
         }
     }
@@ -256,14 +256,14 @@
             }
             Action::Fail { call, .. } => self.answer(call.0 as u32, Answer::Failed),
             Action::Cancel { call, attempt } => self.cancel(proxy, call.0 as u32, attempt),
-            Action::Wake { after } => {
+            Action::SetTimer { after } => {
                 let at = &mut self.proxies[proxy];
                 at.wake += 1;
                 let (epoch, number) = (at.epoch, at.wake);
                 self.queue.put(self.model.now + after.max(1), Ev::Wake { proxy, epoch, number });
             }
             Action::Subscribe => self.subscribe(proxy),
-            Action::Log { .. } | Action::Tell { .. } | Action::Probe { .. } => {}
+            Action::Log { .. } | Action::ShareObservation { .. } | Action::HealthCheck { .. } => {}
         }
     }
 
--- a/lab/src/fleet/proxy.rs
+++ b/lab/src/fleet/proxy.rs
@@ -6,7 +6,7 @@
 use crate::model::registry::{Listed, News, Turn};
 use crate::Micros;
 use nettleworks_policy as policy;
-use policy::{CellId, Entry, Event, ListKind, ServerId, State, ZoneId};
+use policy::{CellId, Entry, Event, ListKind, ServerId, ServerState, ZoneId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A watch that is silent for so long is taken for dead, as in the engine.
@@ -138,7 +138,7 @@
                     Watch::Silent => (ListKind::Silent, 0),
                     _ => (ListKind::Failed, PUSH_RETRY),
                 };
-                self.module(proxy, Event::Members { kind, entries: Vec::new() });
+                self.module(proxy, Event::ServerList { kind, entries: Vec::new() });
                 if !self.model.scenario.discovery.asked {
                     self.put_watch(proxy, retry, Watch::Retries);
                 }
@@ -192,9 +192,9 @@
         for entry in &news.entries {
             at.ready[entry.host] = entry.listed == Listed::Ready;
             let state = match entry.listed {
-                Listed::Ready => State::Ready,
-                Listed::Terminating => State::Draining,
-                Listed::Gone => State::Gone,
+                Listed::Ready => ServerState::Ready,
+                Listed::Terminating => ServerState::Draining,
+                Listed::Gone => ServerState::Removed,
             };
             let started =
                 if entry.started == 0 { 0 } else { (entry.started / 1_000 * 1_000).max(1) + super::EPOCH };
@@ -207,7 +207,7 @@
                 weight: 1.0,
             });
         }
-        self.proxies[proxy].events.push_back(Event::Members { kind, entries });
+        self.proxies[proxy].events.push_back(Event::ServerList { kind, entries });
         self.withdraw(proxy);
         self.run(proxy);
     }
--- a/measure/src/fleet.rs
+++ b/measure/src/fleet.rs
@@ -3,8 +3,8 @@
 
 use crate::report::{median, Bound, Report};
 use nettleworks_policy::{
-    Action, Balancer, CallId, Class, ClassId, Entry, Event, ListKind, Load, Micros, Outcome, Repeat,
-    ServerId, Settings, State, ZoneId,
+    Action, Balancer, CallId, Class, ClassId, Entry, Event, Idempotency, ListKind, Load, Micros, Outcome,
+    ServerId, ServerState, Settings, ZoneId,
 };
 use serde_json::json;
 use std::time::Instant;
@@ -16,21 +16,25 @@
 /// Microseconds of processor time for each call, the middle of so many rounds.
 fn of_a_call(hosts: u32, rounds: usize) -> f64 {
     let class = Class {
-        aim: 861 * MS,
+        latency_target: 861 * MS,
         deadline: 2_066 * MS,
-        worth: 1.0,
+        value: 1.0,
         late_value: 0.0,
-        repeat: Repeat::SingleShot,
+        idempotency: Idempotency::SingleShot,
     };
     let settings = Settings { classes: vec![class], balancers: 100, ..Settings::default() };
     let mut balancer = Balancer::new(7, settings);
     let mut actions = Vec::new();
     let mut now = 1_000_000;
     balancer.handle(now, Event::Start, &mut actions);
-    let entry =
-        |i: u32| Entry { server: ServerId(i), state: State::Ready, zone: ZoneId(i % 3), ..Entry::default() };
+    let entry = |i: u32| Entry {
+        server: ServerId(i),
+        state: ServerState::Ready,
+        zone: ZoneId(i % 3),
+        ..Entry::default()
+    };
     let entries = (1..=hosts).map(entry).collect();
-    balancer.handle(now, Event::Members { kind: ListKind::Full, entries }, &mut actions);
+    balancer.handle(now, Event::ServerList { kind: ListKind::Full, entries }, &mut actions);
     let mut next = 0;
     let mut round = || {
         let began = Instant::now();
@@ -43,7 +47,7 @@
             balancer.handle(now, asked, &mut actions);
             if actions.iter().any(|a| matches!(a, Action::Send { .. })) {
                 now += 10 * MS;
-                let load = Load { in_hand: Some(4.0), waiting: Some(1.0), busy: None };
+                let load = Load { active: Some(4.0), waiting: Some(1.0), cpu: None };
                 let (outcome, elapsed) = (Outcome::Served, 10 * MS);
                 let end = Event::Outcome { call, attempt: 0, outcome, elapsed, closed: true, load };
                 balancer.handle(now, end, &mut actions);
--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -29,7 +29,7 @@
 
 /// Which servers drop repeats of a guarded call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -40,13 +40,13 @@
 
 /// Whether a call of a class may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Harmless.
     Free,
     /// Harmless on the servers of `scope`, within `window` of the first attempt that may have run.
     Guarded {
         /// Who drops repeats.
-        scope: Scope,
+        scope: DedupScope,
         /// For how long.
         window: Micros,
     },
@@ -58,21 +58,27 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// How long a client waits in all.
     pub deadline: Micros,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth for an answer between aim and deadline.
     pub late_value: f64,
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
 }
 
 impl Default for Class {
     /// Never repeated, without a time or a worth.
     fn default() -> Self {
-        Class { aim: 0, deadline: 0, worth: 0.0, late_value: 0.0, repeat: Repeat::SingleShot }
+        Class {
+            latency_target: 0,
+            deadline: 0,
+            value: 0.0,
+            late_value: 0.0,
+            idempotency: Idempotency::SingleShot,
+        }
     }
 }
 
@@ -89,9 +95,9 @@
     /// Attempts may be called off.
     pub cancel: bool,
     /// Servers may be probed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// A call may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Most attempts for a call.
     pub max_attempts: u32,
     /// Longest advice that a client heeds; 0: it is given none.
@@ -102,22 +108,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
     /// How many times what it can do a cold server bears: above 0.
-    pub bears: f64,
+    pub cold_overload_limit: f64,
     /// A server starts at this share of its capacity or more.
     pub cold_share: f64,
     /// And is warm after this at the latest.
     pub cold_time: Micros,
     /// Longest that a proxy may go without asking for the list.
-    pub ask_every: Micros,
+    pub list_refresh_interval: Micros,
     /// For so long after a drain was notified new requests may still go to the server.
     pub drain_grace: Micros,
 }
 
 /// Weights of the parts of the goal.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Goal {
+pub struct ScoreWeights {
     /// All calls together.
-    pub whole: f64,
+    pub overall: f64,
     /// The worst-served class.
     pub worst_class: f64,
 }
@@ -128,14 +134,14 @@
     /// How many balancers send to these servers, this one included.
     pub balancers: u32,
     /// This balancer's number among them, from 0.
-    pub me: u32,
+    pub balancer_index: u32,
     /// Smallest step of the proxy's clock.
     pub tick: Micros,
     /// Whether news of the server list must be asked for.
-    pub ask: bool,
-    /// Whether other balancers of the same process send to the same servers: room there is told by [`Event::Rooms`],
-    /// and until it is told there is none.
-    pub shared: bool,
+    pub pull_list: bool,
+    /// Whether other balancers of the same process send to the same servers: room there is told by
+    /// [`Event::Allocations`], and until it is told there is none.
+    pub shares_capacity: bool,
     /// Classes of calls.
     pub classes: Vec<Class>,
     /// Tenants, if there are any.
@@ -145,50 +151,56 @@
     /// Figures of the rules.
     pub rules: Rules,
     /// Weights of the goal.
-    pub goal: Goal,
+    pub score_weights: ScoreWeights,
 }
 
 impl Default for Settings {
     /// One balancer, a pushed list, one class of calls that are wanted in half a second and never repeated.
     fn default() -> Self {
-        let repeat = Repeat::SingleShot;
+        let idempotency = Idempotency::SingleShot;
         Settings {
             balancers: 1,
-            me: 0,
+            balancer_index: 0,
             tick: 1_000,
-            ask: false,
-            shared: false,
-            classes: vec![Class { aim: 500_000, deadline: 1_000_000, worth: 1.0, late_value: 0.0, repeat }],
+            pull_list: false,
+            shares_capacity: false,
+            classes: vec![Class {
+                latency_target: 500_000,
+                deadline: 1_000_000,
+                value: 1.0,
+                late_value: 0.0,
+                idempotency,
+            }],
             tenants: Vec::new(),
             limits: Limits {
                 cancel: true,
-                probes: false,
-                second_copies: false,
+                health_checks: false,
+                hedging: false,
                 max_attempts: 3,
                 max_retry_after: 1_000_000,
             },
             rules: Rules {
-                bears: 2.0,
+                cold_overload_limit: 2.0,
                 cold_share: 0.1,
                 cold_time: 20_000_000,
-                ask_every: 10_000_000,
+                list_refresh_interval: 10_000_000,
                 drain_grace: 1_000_000,
             },
-            goal: Goal { whole: 1.0, worst_class: 0.0 },
+            score_weights: ScoreWeights { overall: 1.0, worst_class: 0.0 },
         }
     }
 }
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum ServerState {
     /// It takes calls.
     #[default]
     Ready,
     /// It finishes its work and takes no more.
     Draining,
     /// It has been removed.
-    Gone,
+    Removed,
 }
 
 /// An entry of the server list.
@@ -197,7 +209,7 @@
     /// Which server.
     pub server: ServerId,
     /// What it does.
-    pub state: State,
+    pub state: ServerState,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
@@ -255,7 +267,7 @@
         at: Micros,
     },
     /// A list was on its way from this moment on, and has not arrived whole. What was written counts as notified then.
-    Withheld {
+    Incomplete {
         /// That moment.
         since: Micros,
     },
@@ -267,7 +279,7 @@
     /// Discovery refuses calls, and what seemed to prove that it is down did not.
     Reachable,
     /// From now on another discovery is watched, of which nothing is known.
-    DiscoveryMoved,
+    DiscoveryChanged,
     /// The balancer that watches for the whole process has found that the list expires then.
     Expires {
         /// `None`: the list is verified.
@@ -310,7 +322,7 @@
     }
 
     /// Whether this says nothing of the server's health: the proxy, the request or one connection was the cause.
-    pub(crate) fn says_nothing(self) -> bool {
+    pub(crate) fn is_inconclusive(self) -> bool {
         matches!(self, Outcome::CalledOff | Outcome::NotSent | Outcome::Stale | Outcome::Unusable)
     }
 }
@@ -319,48 +331,48 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// Requests in hand.
-    pub in_hand: Option<f64>,
+    pub active: Option<f64>,
     /// Requests waiting.
     pub waiting: Option<f64>,
     /// Share of its cores that is busy.
-    pub busy: Option<f64>,
+    pub cpu: Option<f64>,
 }
 
 /// What one balancer of a process has learned of a server and the others are told, as none sees all that comes back.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum Observation {
     /// Its last report.
     Load(Load),
     /// It is set aside.
-    SetAside,
+    Ejected,
     /// A trial call has brought it back.
-    TakenBack,
+    Reinstated,
     /// A trial call beyond its budget was served.
-    Grown,
+    LimitRaised,
 }
 
 /// A balancer's room at a server that others of its process send to as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct Allocation {
     /// Which server.
     pub server: ServerId,
     /// So many calls of this balancer may be in flight there.
-    pub room: u32,
+    pub concurrency: u32,
     /// Whether one more may go, as a trial.
-    pub trial: bool,
+    pub probe: bool,
 }
 
-/// A server that would be sent more if it might ([`crate::Balancer::short`]).
+/// A server that would be sent more if it might ([`crate::Balancer::capacity_demands`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Short {
+pub struct CapacityDemand {
     /// Which.
     pub server: ServerId,
     /// There is no room there.
-    pub room: bool,
+    pub full: bool,
     /// A trial would go there, if it might.
-    pub trial: bool,
+    pub probe: bool,
     /// Its answers take longer than they should: others come first.
-    pub strained: bool,
+    pub overloaded: bool,
 }
 
 /// What the proxy tells the balancer.
@@ -369,13 +381,14 @@
     /// The proxy comes up. Its saved list, if any, comes next.
     Start,
     /// News of the server list.
-    Members {
+    ServerList {
         /// How much of it.
         kind: ListKind,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// What has become of the watch that brings the list. It comes before a [`Event::Members`] that tells of a failure.
+    /// What has become of the watch that brings the list. It comes before a [`Event::ServerList`] that tells of a
+    /// failure.
     Freshness(Freshness),
     /// A call has come in.
     Request {
@@ -413,7 +426,7 @@
         attempt: u32,
     },
     /// A probe was answered.
-    Probed {
+    HealthChecked {
         /// By which server.
         server: ServerId,
         /// How it ended.
@@ -423,7 +436,7 @@
     },
     /// Nobody waits for this call any more, but what is out of it goes on: it is not called off, nothing new is sent
     /// for it, and it is in flight until it ends.
-    Lingers {
+    Detached {
         /// Which.
         call: CallId,
     },
@@ -436,32 +449,32 @@
         time_left: Micros,
     },
     /// Nobody waits for this call any more.
-    Gone {
+    Cancelled {
         /// Which.
         call: CallId,
     },
-    /// Room at servers, where it is shared ([`Settings::shared`]): it stands in the place of this balancer's own budget
-    /// there. All of it holds at once: less at one server may have come with more at another.
-    Rooms {
+    /// Room at servers, where it is shared ([`Settings::shares_capacity`]): it stands in the place of this balancer's
+    /// own budget there. All of it holds at once: less at one server may have come with more at another.
+    Allocations {
         /// The servers where it has changed.
-        rooms: Vec<Room>,
+        allocations: Vec<Allocation>,
     },
     /// Another balancer of the process has learned something of a server.
-    Heard {
+    Observed {
         /// Which server.
         server: ServerId,
         /// What.
-        news: News,
+        observation: Observation,
         /// How long ago.
         age: Micros,
     },
-    /// A time asked for by [`Action::Wake`] has come.
+    /// A time asked for by [`Action::SetTimer`] has come.
     Timer,
 }
 
 /// Why the balancer ends a call unserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum GivenUp {
+pub enum FailureReason {
     /// Those that wait already would keep it waiting for too long.
     QueueFull,
     /// It has waited for as long as an answer could still come in time.
@@ -495,14 +508,14 @@
         /// Advice when.
         retry_after: Micros,
         /// Why it is not served.
-        reason: GivenUp,
+        reason: FailureReason,
     },
     /// End the call with an error that promises nothing.
     Fail {
         /// Which call.
         call: CallId,
         /// Why it is not served.
-        reason: GivenUp,
+        reason: FailureReason,
     },
     /// Call off an attempt.
     Cancel {
@@ -512,23 +525,23 @@
         attempt: u32,
     },
     /// Send a health check.
-    Probe {
+    HealthCheck {
         /// To which server.
         server: ServerId,
     },
     /// Send [`Event::Timer`] after this time. It takes the place of the one asked for before.
-    Wake {
+    SetTimer {
         /// How long from now.
         after: Micros,
     },
     /// Subscribe to the server list.
     Subscribe,
     /// Tell the other balancers of the process; only where room is shared.
-    Tell {
+    ShareObservation {
         /// Of which server.
         server: ServerId,
         /// What.
-        news: News,
+        observation: Observation,
     },
     /// A line for whoever is on call.
     Log {
--- a/policy/src/balance.rs
+++ b/policy/src/balance.rs
@@ -6,20 +6,20 @@
 //! all are full, may pass one as the trial that can raise it, and is refused when no server is up.
 
 use crate::api::*;
-use crate::budget::{enough, Budget, RATE_MEMORY, SMOOTHING};
-use crate::freshness::ListLease;
+use crate::call::{Attempt, Call, Pace, Route, Trial};
+use crate::concurrency_limit::{enough, Budget, RATE_MEMORY, SMOOTHING};
+use crate::list_lease::ListLease;
 use crate::shared_limit::{SharedLimit, LATE_TIMES};
-use crate::state::{Attempt, Call, Pace, Route, Trial};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-mod ask;
-mod cold;
-mod learn;
-mod list;
-mod shared;
-mod window;
+mod outcomes;
+mod peers;
+mod server_list;
+mod slow_start;
+mod subscription;
+mod subset;
 
 // Constants. Spans are ratios to the settings' aims or to observed answer times.
 
@@ -80,7 +80,7 @@
     cold_answers: u64,
     cold_until: Micros,
     /// What it waits for its first call by, until that is sent.
-    first: Option<cold::First>,
+    first: Option<slow_start::First>,
     /// Where room is shared in the process: this balancer's part, and whether it may go beyond by a trial.
     room: Option<(u32, bool)>,
     /// When its last report was made.
@@ -90,7 +90,8 @@
 impl Server {
     fn new(entry: &Entry, settings: &Settings) -> Self {
         let &Entry { server: id, zone, cell, started, .. } = entry;
-        let (budget, room) = (Budget::new(settings.balancers), settings.shared.then_some((0, false)));
+        let (budget, room) =
+            (Budget::new(settings.balancers), settings.shares_capacity.then_some((0, false)));
         Server { id, zone, cell, started, weight: 1.0, slow: 1.0, budget, room, ..Server::default() }
     }
 
@@ -174,20 +175,20 @@
 
 impl Call {
     fn aim_at(&self) -> Micros {
-        let aim = if self.class.late_value > 0.0 { self.class.deadline } else { self.class.aim };
+        let aim = if self.class.late_value > 0.0 { self.class.deadline } else { self.class.latency_target };
         self.deadline.min(self.arrived.saturating_add(aim))
     }
 
     /// May this call go again, here? Proof over all its attempts decides, never the last outcome alone.
     fn may_go(&self, now: Micros, server: &Server, tick: Micros) -> bool {
-        match (self.binding(), self.class.repeat) {
-            (None, _) | (_, Repeat::Free) => true,
-            (Some(_), Repeat::SingleShot) => false,
-            (Some(first), Repeat::Guarded { scope, window }) => {
+        match (self.binding(), self.class.idempotency) {
+            (None, _) | (_, Idempotency::Free) => true,
+            (Some(_), Idempotency::SingleShot) => false,
+            (Some(first), Idempotency::Guarded { scope, window }) => {
                 let inside = match scope {
-                    Scope::All => true,
-                    Scope::Zone => first.zone == server.zone,
-                    Scope::Cell => first.cell == server.cell,
+                    DedupScope::All => true,
+                    DedupScope::Zone => first.zone == server.zone,
+                    DedupScope::Cell => first.cell == server.cell,
                 };
                 inside && now.saturating_add(tick) < first.sent.saturating_add(window)
             }
@@ -195,7 +196,10 @@
     }
 
     fn may_be_refused(&self) -> bool {
-        let harmless = matches!(self.class.repeat, Repeat::Free | Repeat::Guarded { scope: Scope::All, .. });
+        let harmless = matches!(
+            self.class.idempotency,
+            Idempotency::Free | Idempotency::Guarded { scope: DedupScope::All, .. }
+        );
         harmless || self.binding().is_none()
     }
 }
@@ -243,15 +247,15 @@
     ask_failures: u32,
     ask_soon: Micros,
     lease: ListLease,
-    narrowed: window::Narrowed,
+    narrowed: subset::Narrowed,
 }
 
 impl Balancer {
     /// A balancer that draws all its random numbers from `seed`.
     pub fn new(seed: u64, settings: Settings) -> Self {
         let pace = |c: &Class| Pace {
-            mean: c.aim as f64 * UNSEEN_SHARE,
-            base: c.aim as f64 * UNSEEN_SHARE,
+            mean: c.latency_target as f64 * UNSEEN_SHARE,
+            base: c.latency_target as f64 * UNSEEN_SHARE,
             ..Pace::default()
         };
         Balancer {
@@ -274,7 +278,7 @@
             ask_at: Micros::MAX,
             ask_failures: 0,
             ask_soon: Micros::MAX,
-            narrowed: window::Narrowed::default(),
+            narrowed: subset::Narrowed::default(),
         }
     }
 
@@ -283,10 +287,10 @@
         // A call that comes behind others changes nothing for them; in overload most do.
         let stands = matches!(event, Event::Request { .. }) && !self.hold.is_empty();
         // Room that has come is used before a call that waited for it is given up.
-        let room = matches!(event, Event::Rooms { .. });
+        let room = matches!(event, Event::Allocations { .. });
         match event {
-            Event::Start if self.settings.ask => self.ask_first(now, actions),
-            Event::Members { kind, entries } => self.members(now, kind, &entries),
+            Event::Start if self.settings.pull_list => self.ask_first(now, actions),
+            Event::ServerList { kind, entries } => self.members(now, kind, &entries),
             Event::Freshness(freshness) => self.freshness(now, freshness),
             Event::Request { call, class, tenant, time_left, .. } if !self.calls.contains_key(&call) => {
                 self.request(now, call, class, time_left);
@@ -305,7 +309,7 @@
                 self.end(call);
                 self.cancel_others(call, Some(attempt), actions);
             }
-            Event::Lingers { call } if self.calls.get(&call).is_some_and(|c| !c.ended) => {
+            Event::Detached { call } if self.calls.get(&call).is_some_and(|c| !c.ended) => {
                 self.end(call);
                 self.calls.get_mut(&call).into_iter().for_each(|c| c.lingers = true);
                 self.forget(call);
@@ -321,22 +325,22 @@
                     }
                 }
             }
-            Event::Gone { call } => {
+            Event::Cancelled { call } => {
                 self.end(call);
                 self.cancel_others(call, None, actions);
                 self.forget(call);
             }
             // Of several alarms only the one due now counts: else each would set another for good.
             Event::Timer if now >= self.timer_at => self.timer_at = Micros::MAX,
-            Event::Rooms { rooms } => {
-                for Room { server, room, trial } in rooms {
+            Event::Allocations { allocations } => {
+                for Allocation { server, concurrency, probe } in allocations {
                     let place = self.servers.binary_search_by_key(&server, |s| s.id);
-                    place.into_iter().for_each(|at| self.servers[at].room = Some((room, trial)));
+                    place.into_iter().for_each(|at| self.servers[at].room = Some((concurrency, probe)));
                 }
             }
-            Event::Heard { server, news, age } => self.heard(now, server, news, age),
-            Event::Timer | Event::Start | Event::Probed { .. } | Event::Request { .. } => {}
-            Event::Lingers { .. } => {}
+            Event::Observed { server, observation, age } => self.observed(now, server, observation, age),
+            Event::Timer | Event::Start | Event::HealthChecked { .. } | Event::Request { .. } => {}
+            Event::Detached { .. } => {}
         }
         if room {
             self.drain_hold(now, actions);
@@ -354,7 +358,7 @@
 
     fn request(&mut self, now: Micros, id: CallId, class: ClassId, left: Micros) {
         // A class that the settings do not name is unsafe and wanted while the client waits.
-        let unknown = Class { aim: left, deadline: left, ..Class::default() };
+        let unknown = Class { latency_target: left, deadline: left, ..Class::default() };
         let spec = self.settings.classes.get(class.0).copied().unwrap_or(unknown);
         let deadline = now.saturating_add(left);
         self.calls
@@ -367,11 +371,11 @@
     fn admit(&mut self, now: Micros, id: CallId, tenant: Option<TenantId>, actions: &mut Actions) {
         let over_share = tenant.is_some_and(|t| self.over_share(t));
         if self.lease.has_expired(now) {
-            return self.give_up(id, self.first_backoff(), GivenUp::ListExpired, actions);
+            return self.give_up(id, self.first_backoff(), FailureReason::ListExpired, actions);
         }
         let waited = self.hold.front().map_or(0, |head| now.saturating_sub(self.calls[head].arrived));
         if waited > self.wait_limit(id, over_share) {
-            self.give_up(id, waited, GivenUp::QueueFull, actions);
+            self.give_up(id, waited, FailureReason::QueueFull, actions);
         } else {
             self.enqueue(now, id, false);
         }
@@ -394,11 +398,11 @@
     fn protected(&self, call: &Call) -> bool {
         let all = self.paces.iter().zip(&self.settings.classes);
         let (worth, work) =
-            all.fold((0.0, 0.0), |(w, t), (p, c)| (w + p.asked * c.worth, t + p.asked * p.base));
+            all.fold((0.0, 0.0), |(w, t), (p, c)| (w + p.asked * c.value, t + p.asked * p.base));
         let base = self.paces.get(call.class_id).map_or(f64::MAX, |p| p.base);
-        let density = call.class.worth / base * work / worth.max(f64::MIN_POSITIVE);
-        let goal = &self.settings.goal;
-        goal.whole * density > goal.whole + goal.worst_class
+        let density = call.class.value / base * work / worth.max(f64::MIN_POSITIVE);
+        let weights = &self.settings.score_weights;
+        weights.overall * density > weights.overall + weights.worst_class
     }
 
     /// Counts a tenant's call and tells whether it asks for more than its share of this balancer's calls.
@@ -455,7 +459,7 @@
         } else if self.calls.get(&id).is_some_and(|c| !c.ended && !c.held && c.out() == 0) {
             if outcome == Outcome::Unusable {
                 // It would fare alike everywhere, and the client is not to come again with it.
-                actions.push(Action::Fail { call: id, reason: GivenUp::Unusable });
+                actions.push(Action::Fail { call: id, reason: FailureReason::Unusable });
                 self.end(id);
             } else {
                 self.again(now, id, outcome, actions);
@@ -467,7 +471,7 @@
     /// After an attempt that did not serve: again, or the end.
     fn again(&mut self, now: Micros, id: CallId, outcome: Outcome, actions: &mut Actions) {
         if self.lease.has_expired(now) {
-            return self.give_up(id, self.first_backoff(), GivenUp::ListExpired, actions);
+            return self.give_up(id, self.first_backoff(), FailureReason::ListExpired, actions);
         }
         let call = &self.calls[&id];
         let in_time = now as f64 + self.expected(call) < call.aim_at() as f64;
@@ -477,11 +481,11 @@
             self.retries = (self.retries - 1.0).max(0.0);
             self.enqueue(now, id, true);
         } else {
-            self.give_up(id, self.first_backoff(), GivenUp::NoRetry, actions);
+            self.give_up(id, self.first_backoff(), FailureReason::NoRetry, actions);
         }
     }
 
-    fn give_up(&mut self, id: CallId, retry_after: Micros, reason: GivenUp, actions: &mut Actions) {
+    fn give_up(&mut self, id: CallId, retry_after: Micros, reason: FailureReason, actions: &mut Actions) {
         // By the next look at held calls there may be room, not before.
         let retry_after = retry_after.max(self.look_every()).min(self.settings.limits.max_retry_after);
         let refused = self.calls[&id].may_be_refused();
@@ -551,7 +555,7 @@
         let rest_counts = self.rest_counts(now);
         let rested = |s: &Server| s.takes_calls(now) && (!rest_counts || s.has_rested(now, self.served));
         let turn = |i: usize, s: &Server| match draw {
-            Some(draw) => cold::takes(draw, i, s.warmth(now, rules)),
+            Some(draw) => slow_start::takes(draw, i, s.warmth(now, rules)),
             None => s.paced(now, self.served, rules),
         };
         let open = |i: usize, s: &Server| rested(s) && turn(i, s);
@@ -559,7 +563,7 @@
             |i: usize, s: &Server| s.budget.steps > 0 && open(i, s) && near(s) && call.may_go(now, s, tick);
         // Windows begin at even distances on the ring of servers: each server is in as many as any other.
         let len = self.servers.len();
-        let start = self.settings.me as usize * len / self.settings.balancers.max(1) as usize;
+        let start = self.settings.balancer_index as usize * len / self.settings.balancers.max(1) as usize;
         let ring = || (start..start + len).map(|i| i % len).filter(|&i| allowed(i, &self.servers[i]));
         let fresh = ring().any(|i| call.untried(self.servers[i].id));
         let untried = ring().filter(|&i| !fresh || call.untried(self.servers[i].id));
@@ -591,7 +595,7 @@
         let all = self.servers.iter().filter(|s| s.listed);
         let down = all.clone().all(|s| s.budget.steps == 0);
         let first = all.map(|s| s.budget.backoff_end).min();
-        let first = first.filter(|&at| down && !(self.settings.shared && at <= now));
+        let first = first.filter(|&at| down && !(self.settings.shares_capacity && at <= now));
         first.map_or(Route::Hold, |at| Route::Refuse {
             retry_after: at.saturating_sub(now).max(self.first_backoff()),
         })
@@ -624,17 +628,17 @@
         let &mut Server { id: server, started, zone, cell, .. } = server;
         // Into a zone that was cut off one call goes at a time: a time-out is learnt of an aim later.
         if let Some(cut) = self.cut_off.get_mut(&zone).filter(|cut| cut.0 >= ZONE_DOUBLINGS) {
-            cut.1 = cut.1.max(now.saturating_add(call.class.aim));
+            cut.1 = cut.1.max(now.saturating_add(call.class.latency_target));
         }
         let (class_id, sent, outcome) = (call.class_id, now, None);
         let base = self.paces.get(class_id).map_or(f64::MAX, |pace| pace.base);
-        let allowance = learn::shared_allowance(base, call.class.aim as f64);
+        let allowance = outcomes::shared_allowance(base, call.class.latency_target as f64);
         let late_at = now.saturating_add((allowance * LATE_TIMES) as Micros);
         let tried = Attempt { server, started, zone, cell, class_id, sent, trial, late_at, outcome };
         call.attempts.push(tried);
         // An answer after the aim is worth little: its server is better used by others.
         let (aim, deadline) = (call.aim_at(), call.deadline);
-        let usual = self.usual(class_id, self.calls[&id].class.aim);
+        let usual = self.usual(class_id, self.calls[&id].class.latency_target);
         if let Some(limit) = &mut self.shared_limit {
             limit.sent(now, usual, late_at, trial);
         }
@@ -647,11 +651,11 @@
     fn watch_for_copy(&mut self, now: Micros, id: CallId) {
         let call = &self.calls[&id];
         let (aim, arrived, copies) = (call.aim_at(), call.arrived, call.attempts.len());
-        let usual = self.usual(call.class_id, call.class.aim);
+        let usual = self.usual(call.class_id, call.class.latency_target);
         // The latest moment at which a second copy can still be in time, but not before the first is slow.
         let copy_at = (aim as f64 - SPARE_TIMES * usual).max(arrived as f64 + 1.5 * usual);
         // A shared budget tells nothing of one server: the copy would only add to the work.
-        let copies = copies == 1 && self.settings.limits.second_copies && self.shared_limit.is_none();
+        let copies = copies == 1 && self.settings.limits.hedging && self.shared_limit.is_none();
         let copy = copies && copy_at + usual <= aim as f64;
         self.set_wake(id, if copy { (copy_at as Micros).max(now + 1) } else { 0 });
     }
@@ -659,7 +663,7 @@
     fn drain_hold(&mut self, now: Micros, actions: &mut Actions) {
         if self.lease.has_expired(now) {
             for id in Vec::from(std::mem::take(&mut self.hold)) {
-                self.give_up(id, self.first_backoff(), GivenUp::ListExpired, actions);
+                self.give_up(id, self.first_backoff(), FailureReason::ListExpired, actions);
             }
             return;
         }
@@ -681,7 +685,9 @@
                     self.take(index);
                     self.send(now, id, server, trial, actions);
                 }
-                Route::Refuse { retry_after } => self.give_up(id, retry_after, GivenUp::ServersDown, actions),
+                Route::Refuse { retry_after } => {
+                    self.give_up(id, retry_after, FailureReason::ServersDown, actions)
+                }
                 // Arrival order: the first that stays keeps the rest, unless bound to some servers.
                 Route::Hold if self.calls[&id].binding().is_some() && index < LOOK_PAST => index += 1,
                 Route::Hold => break,
@@ -700,7 +706,7 @@
             self.set_wake(id, 0);
             if self.calls[&id].held {
                 let waited = now.saturating_sub(self.calls[&id].arrived);
-                self.give_up(id, waited, GivenUp::WaitedTooLong, actions);
+                self.give_up(id, waited, FailureReason::WaitedTooLong, actions);
             } else {
                 self.second_copy(now, id, actions);
             }
@@ -748,7 +754,7 @@
         }
         if next < self.timer_at {
             self.timer_at = next;
-            actions.push(Action::Wake { after: next.saturating_sub(now).max(1) });
+            actions.push(Action::SetTimer { after: next.saturating_sub(now).max(1) });
         }
     }
 
@@ -762,7 +768,7 @@
     }
 
     fn longest_aim(&self) -> f64 {
-        self.settings.classes.iter().map(|c| c.aim).max().unwrap_or(0).max(1) as f64
+        self.settings.classes.iter().map(|c| c.latency_target).max().unwrap_or(0).max(1) as f64
     }
 
     fn longest_usual(&self) -> f64 {
--- a/policy/src/balance/learn.rs
+++ b/policy/src/balance/outcomes.rs
@@ -2,9 +2,9 @@
 
 use super::{Actions, Balancer, Server, COST_MEMORY, ZONE_DOUBLINGS};
 use crate::api::*;
-use crate::budget::{BACKOFF_DOUBLINGS, CUT_MOST, SMOOTHING};
+use crate::call::{Attempt, Trial};
+use crate::concurrency_limit::{BACKOFF_DOUBLINGS, CUT_MOST, SMOOTHING};
 use crate::shared_limit::{Answer, LATE_TIMES};
-use crate::state::{Attempt, Trial};
 
 /// What a refusal as full leaves of the concurrency.
 const CUT_FULL: f64 = 0.8;
@@ -39,10 +39,10 @@
 
     pub(super) fn crowded(&mut self, at: Micros, place: usize, load: Load) {
         let crowding = match load {
-            Load { in_hand: Some(in_hand), waiting: Some(waiting), .. } => {
-                waiting / (in_hand - waiting).max(1.0)
+            Load { active: Some(active), waiting: Some(waiting), .. } => {
+                waiting / (active - waiting).max(1.0)
             }
-            Load { busy: Some(busy), .. } => busy / BUSY_FULL,
+            Load { cpu: Some(cpu), .. } => cpu / BUSY_FULL,
             _ => return,
         };
         let server = &mut self.servers[place];
@@ -88,8 +88,8 @@
             tried,
             outcome,
             elapsed: took.max(now.saturating_sub(tried.sent)) as f64,
-            usual: self.usual(tried.class_id, class.map_or(0, |c| c.aim)),
-            aim: class.map_or(f64::MAX, |c| c.aim as f64),
+            usual: self.usual(tried.class_id, class.map_or(0, |c| c.latency_target)),
+            aim: class.map_or(f64::MAX, |c| c.latency_target as f64),
             base: self.paces.get(tried.class_id).map_or(f64::MAX, |p| p.base),
             longest_usual: self.longest_usual(),
             window: self.window(now) as u64,
@@ -102,7 +102,7 @@
         let &Ended { outcome, elapsed, .. } = ended;
         limit.ended(now, elapsed, ended.usual, ended.tried.late_at, ended.tried.trial);
         // Time-outs are the pick's: few servers, or one class of calls, must not shut out all others.
-        if !matches!(outcome, Outcome::NoConnection | Outcome::TimedOut) && !outcome.says_nothing() {
+        if !matches!(outcome, Outcome::NoConnection | Outcome::TimedOut) && !outcome.is_inconclusive() {
             let full = if outcome == Outcome::TurnedAway { 1.0 / CUT_MOST } else { 0.0 };
             let allowance = shared_allowance(ended.base, ended.aim);
             let answer = Answer {
@@ -126,7 +126,7 @@
         if (ended.lost() || ended.late()) && self.shared_limit.is_some() {
             let doublings = cut.0.min(BACKOFF_DOUBLINGS + ZONE_DOUBLINGS);
             *cut = (cut.0.saturating_add(1), now + ((first_backoff << doublings) >> ZONE_DOUBLINGS));
-        } else if !ended.outcome.says_nothing() {
+        } else if !ended.outcome.is_inconclusive() {
             *cut = (0, 0);
         }
     }
@@ -208,7 +208,11 @@
             server.strain = 1.0;
             let id = server.id;
             actions.push(Action::Log { text: format!("server {} set aside", id.0) });
-            actions.extend(server.room.map(|_| Action::Tell { server: id, news: News::SetAside }));
+            actions.extend(
+                server
+                    .room
+                    .map(|_| Action::ShareObservation { server: id, observation: Observation::Ejected }),
+            );
         }
     }
 
@@ -235,7 +239,7 @@
             Outcome::Served => Some(false),
             // Late while others are answered: the server is slow, not gone, and is sent less, not nothing.
             Outcome::TimedOut if self.answered > ended.tried.sent => Some(false),
-            outcome if outcome.says_nothing() => None,
+            outcome if outcome.is_inconclusive() => None,
             _ => Some(true),
         }
     }
@@ -254,8 +258,8 @@
         } else if was_up || self.failing < FAIL_LIMIT / 2.0 {
             self.budget.trial_served();
             (self.answers_since, self.changed) = (0, now);
-            let news = if was_up { News::Grown } else { News::TakenBack };
-            actions.extend(self.room.map(|_| Action::Tell { server: self.id, news }));
+            let observation = if was_up { Observation::LimitRaised } else { Observation::Reinstated };
+            actions.extend(self.room.map(|_| Action::ShareObservation { server: self.id, observation }));
             if !was_up {
                 actions.push(Action::Log { text: format!("server {} taken back", self.id.0) });
             }
--- a/policy/src/balance/list.rs
+++ b/policy/src/balance/server_list.rs
@@ -1,7 +1,7 @@
 //! What news of the server list changes, and how long it may be sent by.
 
 use super::{Balancer, Server};
-use crate::api::{Entry, Freshness, ListKind, Micros, State};
+use crate::api::{Entry, Freshness, ListKind, Micros, ServerState};
 
 impl Balancer {
     pub(super) fn members(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) {
@@ -22,7 +22,7 @@
                 self.servers.splice(place..place + usize::from(found.is_ok()), [server]);
             }
             let server = &mut self.servers[place];
-            server.listed = entry.state == State::Ready;
+            server.listed = entry.state == ServerState::Ready;
             (server.zone, server.cell) = (entry.zone, entry.cell);
             server.weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
         }
@@ -34,7 +34,7 @@
 
     /// What has become of the watch.
     pub(super) fn freshness(&mut self, now: Micros, freshness: Freshness) {
-        if !self.settings.ask {
+        if !self.settings.pull_list {
             return;
         }
         if freshness == Freshness::Verified {
--- a/policy/src/balance/cold.rs
+++ b/policy/src/balance/slow_start.rs
@@ -53,7 +53,12 @@
     pub(super) fn cold_draw(&mut self, now: Micros) -> Option<(f64, f64)> {
         let ready = self.ready(now);
         let drawn = self.shared_limit.is_some() && ready.open >= ready.whole * WARM_LEAST;
-        drawn.then(|| (self.chance(), ready.open / ready.warm * (self.settings.rules.bears / 2.0).min(1.0)))
+        drawn.then(|| {
+            (
+                self.chance(),
+                ready.open / ready.warm * (self.settings.rules.cold_overload_limit / 2.0).min(1.0),
+            )
+        })
     }
 
     /// Draws a new server's part.
--- a/policy/src/balance/ask.rs
+++ b/policy/src/balance/subscription.rs
@@ -49,7 +49,7 @@
         self.ask_soon = if why == ListKind::Silent { ASK_SILENT } else { self.ask_soon.saturating_mul(2) };
         let pause = self.ask_pause(now).min(self.ask_soon);
         self.ask_failures += 1;
-        if self.settings.ask {
+        if self.settings.pull_list {
             self.ask_at = now + pause / 2 + self.below(pause);
         }
     }
@@ -57,7 +57,7 @@
     /// Over how long balancers that ask at one moment are spread. While the list runs out that has to be
     /// short, however many there are; once it has expired nothing is sent by it, and discovery is spared.
     fn ask_pause(&self, now: Micros) -> Micros {
-        let every = self.settings.rules.ask_every;
+        let every = self.settings.rules.list_refresh_interval;
         let all = u64::from(self.settings.balancers / ASK_TOGETHER).max(1);
         let doubled = all << self.ask_failures.min(ASK_DOUBLINGS);
         let most = if self.lease.is_running_out(now) {
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -4,20 +4,21 @@
 //! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
 //!
 //! ```
-//! use nettleworks_policy::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind, ServerId, Settings, State};
+//! use nettleworks_policy::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind};
+//! use nettleworks_policy::{ServerId, ServerState, Settings};
 //!
 //! let mut balancer = Balancer::new(7, Settings::default());
 //! let mut actions = Vec::new();
 //! balancer.handle(0, Event::Start, &mut actions);
-//! let entries = vec![Entry { server: ServerId(1), state: State::Ready, ..Entry::default() }];
-//! balancer.handle(0, Event::Members { kind: ListKind::Full, entries }, &mut actions);
+//! let entries = vec![Entry { server: ServerId(1), state: ServerState::Ready, ..Entry::default() }];
+//! balancer.handle(0, Event::ServerList { kind: ListKind::Full, entries }, &mut actions);
 //! let call = CallId(1);
 //! let event = Event::Request { call, class: ClassId(0), tenant: None, time_left: 500_000, resent: false };
 //! balancer.handle(1_000, event, &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
 //!         Action::Send { call, server, .. } => println!("pass {call:?} to {server:?}"),
-//!         Action::Wake { after } => println!("send Event::Timer in {after} us"),
+//!         Action::SetTimer { after } => println!("send Event::Timer in {after} us"),
 //!         other => println!("{other:?}"),
 //!     }
 //! }
@@ -27,11 +28,11 @@
 
 mod api;
 mod balance;
-mod budget;
-mod freshness;
+mod call;
+mod concurrency_limit;
 mod in_flight;
+mod list_lease;
 mod shared_limit;
-mod state;
 
 pub use api::*;
 pub use balance::Balancer;
--- a/policy/src/freshness.rs
+++ b/policy/src/list_lease.rs
@@ -47,7 +47,7 @@
     pub fn new(rules: &Rules) -> ListLease {
         let slack = rules.drain_grace.saturating_sub(HELD_UP_MOST);
         ListLease {
-            call_every: rules.ask_every,
+            call_every: rules.list_refresh_interval,
             slack,
             missed_at: None,
             renewed_at: None,
@@ -68,8 +68,8 @@
                 self.was_ended = true;
                 self.missed(at.saturating_add(NOTIFIED_ENDED));
             }
-            Freshness::DiscoveryMoved => self.missed(now.saturating_add(NOTIFIED_MOVED)),
-            Freshness::Withheld { since } => {
+            Freshness::DiscoveryChanged => self.missed(now.saturating_add(NOTIFIED_MOVED)),
+            Freshness::Incomplete { since } => {
                 self.withheld_at = sooner(self.withheld_at, since.saturating_add(self.slack));
             }
             Freshness::Unreachable { since } => {
@@ -135,8 +135,8 @@
 
     const SECOND: Micros = 1_000_000;
 
-    fn lease(ask_every: Micros) -> ListLease {
-        ListLease::new(&Rules { ask_every, ..Settings::default().rules })
+    fn lease(list_refresh_interval: Micros) -> ListLease {
+        ListLease::new(&Rules { list_refresh_interval, ..Settings::default().rules })
     }
 
     /// All that can become of a watch, in every order of five: the lease never ends later than the
@@ -155,8 +155,8 @@
                     0 => Freshness::Verified,
                     1 => Freshness::Unverified { since: now },
                     2 => Freshness::Unverified { since: now - SECOND },
-                    3 => Freshness::DiscoveryMoved,
-                    4 => Freshness::Withheld { since: now - SECOND },
+                    3 => Freshness::DiscoveryChanged,
+                    4 => Freshness::Incomplete { since: now - SECOND },
                     5 => Freshness::Ended { at: now },
                     6 => Freshness::Reachable,
                     _ => Freshness::Unreachable { since: now - SECOND },
@@ -167,7 +167,7 @@
                 let missed_now = match event {
                     Freshness::Unverified { since } => Some(since + 7 * SECOND),
                     Freshness::Ended { at } => Some(at + 3 * SECOND),
-                    Freshness::DiscoveryMoved => Some(now + 5 * SECOND),
+                    Freshness::DiscoveryChanged => Some(now + 5 * SECOND),
                     _ => None,
                 };
                 if let Some(at) = missed_now {
@@ -175,7 +175,7 @@
                 }
                 match event {
                     Freshness::Verified => (missed, renewed, withheld) = (None, None, None),
-                    Freshness::Withheld { since } => withheld = least(withheld, since + SECOND),
+                    Freshness::Incomplete { since } => withheld = least(withheld, since + SECOND),
                     Freshness::Unreachable { since } => {
                         renewed = missed.map(|at| at.max(renewed.unwrap_or(at)).max(since + 7 * SECOND));
                     }
@@ -212,12 +212,16 @@
 
     #[test]
     fn odd_figures_overflow_nowhere() {
-        let rules = Rules { ask_every: Micros::MAX, drain_grace: Micros::MAX, ..Settings::default().rules };
+        let rules = Rules {
+            list_refresh_interval: Micros::MAX,
+            drain_grace: Micros::MAX,
+            ..Settings::default().rules
+        };
         let mut lease = ListLease::new(&rules);
         lease.update(Micros::MAX, Freshness::Unverified { since: Micros::MAX });
         lease.update(Micros::MAX, Freshness::Unreachable { since: Micros::MAX });
         assert_eq!(lease.expires_at(), Some(Micros::MAX));
-        let mut none = ListLease::new(&Rules { ask_every: 0, drain_grace: 0, ..rules });
+        let mut none = ListLease::new(&Rules { list_refresh_interval: 0, drain_grace: 0, ..rules });
         none.update(5, Freshness::Unverified { since: 3 });
         assert!(none.has_expired(5));
     }
--- a/policy/src/shared_limit.rs
+++ b/policy/src/shared_limit.rs
@@ -7,9 +7,9 @@
 //! their mean, by a bucket of time in flight that the limit drains.
 
 use crate::api::Micros;
-use crate::budget::{enough, Budget, RATE_MEMORY, SMOOTHING};
+use crate::call::Trial;
+use crate::concurrency_limit::{enough, Budget, RATE_MEMORY, SMOOTHING};
 use crate::in_flight::InFlight;
-use crate::state::Trial;
 
 /// A server's first limit, in calls, under which all servers share one: it would round to none.
 const SHARED_UNDER: f64 = 0.5;
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -14,8 +14,9 @@
 }
 
 /// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
-pub fn settings(repeat: Repeat) -> Settings {
-    let class = Class { aim: 500 * MS, deadline: 1_200 * MS, worth: 1.0, late_value: 0.0, repeat };
+pub fn settings(idempotency: Idempotency) -> Settings {
+    let class =
+        Class { latency_target: 500 * MS, deadline: 1_200 * MS, value: 1.0, late_value: 0.0, idempotency };
     Settings {
         classes: vec![class],
         balancers: 7,
@@ -25,7 +26,7 @@
 }
 
 pub fn ready(server: u32) -> Entry {
-    Entry { server: ServerId(server), state: State::Ready, ..Entry::default() }
+    Entry { server: ServerId(server), state: ServerState::Ready, ..Entry::default() }
 }
 
 impl Proxy {
@@ -52,7 +53,7 @@
     }
 
     pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::Members { kind, entries })
+        self.event(Event::ServerList { kind, entries })
     }
 
     pub fn call_of(&mut self, class: usize) -> (CallId, Vec<Action>) {
--- a/policy/tests/fleet.rs
+++ b/policy/tests/fleet.rs
@@ -21,8 +21,15 @@
 
 impl Discovery {
     fn new(balancers: u32, each: Micros) -> Discovery {
-        let settings = |me| Settings { balancers, me, ask: true, ..settings(Repeat::Free) };
-        let proxies = (0..balancers).map(|me| Proxy::seeded(u64::from(me), settings(me))).collect::<Vec<_>>();
+        let settings = |balancer_index| Settings {
+            balancers,
+            balancer_index,
+            pull_list: true,
+            ..settings(Idempotency::Free)
+        };
+        let proxies = (0..balancers)
+            .map(|balancer_index| Proxy::seeded(u64::from(balancer_index), settings(balancer_index)))
+            .collect::<Vec<_>>();
         let listed = vec![false; proxies.len()];
         Discovery { proxies, line: Default::default(), each, free_at: 0, asks: Vec::new(), listed }
     }
@@ -117,9 +124,10 @@
 /// nothing a second after that. The next ask comes in time, and then fewer and fewer at a time.
 #[test]
 fn a_call_that_fails_after_silence_is_made_again_within_a_second() {
-    for me in 0..300 {
-        let settings = Settings { balancers: 300, me, ask: true, ..settings(Repeat::Free) };
-        let mut proxy = Proxy::seeded(u64::from(me), settings);
+    for balancer_index in 0..300 {
+        let settings =
+            Settings { balancers: 300, balancer_index, pull_list: true, ..settings(Idempotency::Free) };
+        let mut proxy = Proxy::seeded(u64::from(balancer_index), settings);
         proxy.list(ListKind::Full, vec![ready(1)]);
         let mut pauses = Vec::new();
         let mut news = ListKind::Silent;
@@ -183,7 +191,8 @@
 
 #[test]
 fn a_list_from_before_does_not_keep_a_balancer_from_asking() {
-    let mut proxy = Proxy::seeded(3, Settings { balancers: 100, ask: true, ..settings(Repeat::Free) });
+    let mut proxy =
+        Proxy::seeded(3, Settings { balancers: 100, pull_list: true, ..settings(Idempotency::Free) });
     proxy.list(ListKind::Cached, vec![ready(1)]);
     let asked = (0..300).any(|_| proxy.wait(10 * MS).contains(&Action::Subscribe));
     assert!(asked, "what it had before it started may be old");
@@ -193,8 +202,10 @@
 fn first_ask(list: bool, calls: usize) -> Micros {
     // Its draw lies beyond ten seconds: what is left is for the calls to shorten.
     let drawn = |seed| {
-        let mut proxy =
-            Proxy::seeded(seed, Settings { balancers: 1_000, ask: true, ..settings(Repeat::Free) });
+        let mut proxy = Proxy::seeded(
+            seed,
+            Settings { balancers: 1_000, pull_list: true, ..settings(Idempotency::Free) },
+        );
         if list {
             proxy.list(ListKind::Cached, vec![ready(1)]);
         }
@@ -230,7 +241,7 @@
 /// is one whose work never ends, at whichever server; the others take 78 ms instead of 40. How many of the next thousand are refused?
 fn refused_beside(hopeless: usize) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Repeat::SingleShot) }, 60);
+    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 60);
     let (mut out, mut refusals) = (Vec::<(Micros, CallId, Outcome)>::new(), 0);
     for step in 0..1_200 {
         proxy.now += 20 * MS;
@@ -267,7 +278,7 @@
 /// One balancer of a hundred before sixty servers has a burst of eight calls each second for a minute, answered after
 /// 100 ms, and then a hundred within half a second, of which none is answered. How many of these go?
 fn sent_of_a_large_burst_after_small_ones() -> usize {
-    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Repeat::SingleShot) }, 60);
+    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
     for _ in 0..60 {
         let mut out: Vec<CallId> = Vec::new();
         for _ in 0..8 {
@@ -298,7 +309,7 @@
 /// One balancer of a hundred before sixty servers that serve at most so many of its calls at a time, each in 40 ms; what is
 /// beyond that waits there. It is asked for twice as much. The mean number of its calls in flight, over ten seconds.
 fn in_flight_at_servers_that_serve(at_a_time: usize) -> f64 {
-    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Repeat::SingleShot) }, 60);
+    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
     let mut free_at = vec![0; at_a_time];
     let mut out: Vec<(Micros, CallId, Micros)> = Vec::new();
     let gap = 40 * MS / (2 * at_a_time as u64);
@@ -337,7 +348,7 @@
 #[test]
 fn servers_that_all_rest_after_time_outs_get_calls_again() {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 30, limits, ..settings(Repeat::SingleShot) }, 30);
+    let mut proxy = Proxy::new(Settings { balancers: 30, limits, ..settings(Idempotency::SingleShot) }, 30);
     // Four seconds in which three of four calls time out at whichever server, and then none.
     let mut out = Vec::<(Micros, CallId, Outcome)>::new();
     let (mut asked, mut served) = (0, 0);
@@ -362,7 +373,7 @@
 
 #[test]
 fn a_burst_of_a_balancer_with_few_calls_goes_beyond_its_window() {
-    let mut proxy = Proxy::new(Settings { balancers: 20, ..settings(Repeat::SingleShot) }, 60);
+    let mut proxy = Proxy::new(Settings { balancers: 20, ..settings(Idempotency::SingleShot) }, 60);
     // In one usual time, a quarter of the aim as nothing is known, of which none is answered.
     (0..18).for_each(|_| drop((proxy.wait(7 * MS), proxy.call())));
     let met: std::collections::BTreeSet<_> = sent(&proxy.actions).into_iter().map(|s| s.1).collect();
--- a/policy/tests/freshness.rs
+++ b/policy/tests/freshness.rs
@@ -9,13 +9,13 @@
 const LEASE: Micros = 6_750 * MS;
 
 /// One of so many whose watch is open and alive.
-fn watching(balancers: u32, me: u32) -> Proxy {
-    watching_with(balancers, me, Repeat::Free)
+fn watching(balancers: u32, balancer_index: u32) -> Proxy {
+    watching_with(balancers, balancer_index, Idempotency::Free)
 }
 
-fn watching_with(balancers: u32, me: u32, repeat: Repeat) -> Proxy {
-    let settings = Settings { balancers, me, ask: true, ..settings(repeat) };
-    let mut proxy = Proxy::seeded(u64::from(me), settings);
+fn watching_with(balancers: u32, balancer_index: u32, idempotency: Idempotency) -> Proxy {
+    let settings = Settings { balancers, balancer_index, pull_list: true, ..settings(idempotency) };
+    let mut proxy = Proxy::seeded(u64::from(balancer_index), settings);
     proxy.list(ListKind::Full, (1..=8).map(ready).collect());
     proxy
 }
@@ -42,8 +42,8 @@
 fn however_many_there_are_each_asks_twice_before_its_list_expires() {
     for balancers in [1, 30, 300, 900, 5_000] {
         let mut first_asks = Vec::new();
-        for me in 0..balancers.min(300) {
-            let mut proxy = watching(balancers, me);
+        for balancer_index in 0..balancers.min(300) {
+            let mut proxy = watching(balancers, balancer_index);
             breaks(&mut proxy);
             let first = asks_within(&mut proxy, LEASE).expect("it asks");
             // Refused at once.
@@ -64,16 +64,16 @@
 #[test]
 fn after_an_orderly_end_each_asks_in_time_and_sends_nothing_past_the_grace() {
     for balancers in [1, 30, 300, 5_000] {
-        for me in 0..balancers.min(100) {
-            let mut proxy = watching(balancers, me);
+        for balancer_index in 0..balancers.min(100) {
+            let mut proxy = watching(balancers, balancer_index);
             breaks(&mut proxy);
             let ended = proxy.now;
             proxy.event(Event::Freshness(Freshness::Ended { at: ended }));
-            assert!(asks_within(&mut proxy, 1_510 * MS).is_some(), "{balancers}: {me}");
+            assert!(asks_within(&mut proxy, 1_510 * MS).is_some(), "{balancers}: {balancer_index}");
             proxy.now = ended + 2_749 * MS;
-            assert_eq!(sent(&proxy.call().1).len(), 1, "{balancers}: {me}");
+            assert_eq!(sent(&proxy.call().1).len(), 1, "{balancers}: {balancer_index}");
             proxy.now = ended + 2_750 * MS;
-            assert_eq!(sent(&proxy.call().1), [], "{balancers}: {me}");
+            assert_eq!(sent(&proxy.call().1), [], "{balancers}: {balancer_index}");
         }
     }
 }
@@ -84,20 +84,21 @@
     let mut proxy = watching(300, 3);
     breaks(&mut proxy);
     let cut = proxy.now;
-    proxy.event(Event::Freshness(Freshness::Withheld { since: cut }));
+    proxy.event(Event::Freshness(Freshness::Incomplete { since: cut }));
     proxy.event(Event::Freshness(Freshness::Unreachable { since: cut + 100 * MS }));
     assert_eq!(proxy.balancer.list_expires_at(), Some(cut + 750 * MS));
 }
 
 #[test]
 fn a_list_from_before_the_start_is_asked_for_before_it_expires() {
-    for me in 0..100 {
-        let settings = Settings { balancers: 1_000, me, ask: true, ..settings(Repeat::Free) };
-        let mut proxy = Proxy::seeded(u64::from(me), settings);
+    for balancer_index in 0..100 {
+        let settings =
+            Settings { balancers: 1_000, balancer_index, pull_list: true, ..settings(Idempotency::Free) };
+        let mut proxy = Proxy::seeded(u64::from(balancer_index), settings);
         proxy.list(ListKind::Cached, vec![ready(1)]);
         let since = proxy.now;
         proxy.event(Event::Freshness(Freshness::Unverified { since }));
-        assert!(asks_within(&mut proxy, 2_300 * MS).is_some(), "{me}");
+        assert!(asks_within(&mut proxy, 2_300 * MS).is_some(), "{balancer_index}");
     }
 }
 
@@ -140,7 +141,7 @@
         assert!(refused(&actions, call), "{call:?} was held: {actions:?}");
     }
     let (call, actions) = proxy.call();
-    let reason = GivenUp::ListExpired;
+    let reason = FailureReason::ListExpired;
     let given_up =
         |a: &Action| matches!(a, Action::Refuse { call: c, reason: r, .. } if (*c, *r) == (call, reason));
     assert!(actions.iter().any(given_up), "{actions:?}");
@@ -159,7 +160,7 @@
 
 #[test]
 fn a_call_that_may_have_run_is_failed_and_not_refused_when_the_list_expires() {
-    let mut proxy = watching_with(300, 7, Repeat::SingleShot);
+    let mut proxy = watching_with(300, 7, Idempotency::SingleShot);
     let (call, actions) = proxy.call();
     assert_eq!(sent(&actions).len(), 1);
     breaks(&mut proxy);
@@ -171,19 +172,27 @@
 /// Discovery is down for a minute, and each call there is let run out: nothing that it has counts, so the list stays good.
 #[test]
 fn an_outage_that_each_call_meets_expires_nothing() {
-    for me in 0..50 {
-        let mut proxy = watching(300, me);
+    for balancer_index in 0..50 {
+        let mut proxy = watching(300, balancer_index);
         breaks(&mut proxy);
         let lost = proxy.now;
         while proxy.now - lost < 60 * SECOND {
             asks_within(&mut proxy, LEASE).expect("it asks");
             let began = proxy.now;
             proxy.now += 2 * SECOND;
-            assert!(proxy.serve(5 * MS).is_some(), "{me}: {} us after the loss", proxy.now - lost);
+            assert!(
+                proxy.serve(5 * MS).is_some(),
+                "{balancer_index}: {} us after the loss",
+                proxy.now - lost
+            );
             proxy.event(Event::Freshness(Freshness::Unverified { since: lost }));
             proxy.event(Event::Freshness(Freshness::Unreachable { since: began }));
             proxy.list(ListKind::Failed, vec![]);
-            assert!(proxy.serve(5 * MS).is_some(), "{me}: {} us after the loss", proxy.now - lost);
+            assert!(
+                proxy.serve(5 * MS).is_some(),
+                "{balancer_index}: {} us after the loss",
+                proxy.now - lost
+            );
         }
     }
 }
@@ -205,8 +214,8 @@
 /// before, and nothing is sent past the grace.
 #[test]
 fn a_list_that_was_cut_off_is_asked_for_within_the_grace() {
-    for me in 0..100 {
-        let mut proxy = watching(900, me);
+    for balancer_index in 0..100 {
+        let mut proxy = watching(900, balancer_index);
         breaks(&mut proxy);
         for _ in 0..3 {
             asks_within(&mut proxy, LEASE).expect("it asks");
@@ -215,9 +224,9 @@
             proxy.list(ListKind::Failed, vec![]);
         }
         let cut = proxy.now;
-        proxy.event(Event::Freshness(Freshness::Withheld { since: cut }));
+        proxy.event(Event::Freshness(Freshness::Incomplete { since: cut }));
         proxy.list(ListKind::Silent, vec![]);
-        assert!(asks_within(&mut proxy, 460 * MS).is_some(), "{me}");
+        assert!(asks_within(&mut proxy, 460 * MS).is_some(), "{balancer_index}");
         proxy.now = cut + 750 * MS;
         assert_eq!(sent(&proxy.call().1), []);
     }
@@ -234,7 +243,7 @@
 
 #[test]
 fn a_pushed_list_does_not_expire() {
-    let mut proxy = Proxy::new(Settings { balancers: 300, ..settings(Repeat::Free) }, 8);
+    let mut proxy = Proxy::new(Settings { balancers: 300, ..settings(Idempotency::Free) }, 8);
     breaks(&mut proxy);
     proxy.now += 60 * SECOND;
     assert_eq!(sent(&proxy.call().1).len(), 1);
--- a/policy/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Fills a single server's first budget (1 step x 1 call with seven balancers) and leaves the call out.
-fn full_server(repeat: Repeat) -> (Proxy, CallId) {
-    let mut proxy = Proxy::new(settings(repeat), 1);
+fn full_server(idempotency: Idempotency) -> (Proxy, CallId) {
+    let mut proxy = Proxy::new(settings(idempotency), 1);
     let (first, actions) = proxy.call();
     assert_eq!(sent(&actions).len(), 1);
     (proxy, first)
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_call_at_a_full_budget_passes_as_the_one_trial_and_the_next_waits() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::SingleShot);
     let (trial, actions) = proxy.call();
     assert_eq!(sent(&actions), [(trial, ServerId(1))]);
     let (_, actions) = proxy.call();
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_served_trial_adds_one_step() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::SingleShot);
     let (trial, _) = proxy.call();
     let (a, b) = (proxy.call().0, proxy.call().0);
     proxy.now += 50 * MS;
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_failed_trial_doubles_the_backoff_up_to_a_cap_and_a_served_one_resets_it() {
-    let (mut proxy, _) = full_server(Repeat::SingleShot);
+    let (mut proxy, _) = full_server(Idempotency::SingleShot);
     let mut trial = proxy.call().0;
     let mut spans = Vec::new();
     for _ in 0..6 {
@@ -91,7 +91,7 @@
 
 #[test]
 fn waiting_calls_go_out_in_the_order_of_arrival() {
-    let (mut proxy, first) = full_server(Repeat::SingleShot);
+    let (mut proxy, first) = full_server(Idempotency::SingleShot);
     let trial = proxy.call().0;
     let waiting: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
     let mut order = Vec::new();
@@ -105,7 +105,7 @@
 
 #[test]
 fn the_less_loaded_of_two_is_chosen() {
-    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Repeat::SingleShot) }, 2);
+    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Idempotency::SingleShot) }, 2);
     let mut load: BTreeMap<ServerId, u32> = BTreeMap::new();
     for _ in 0..10 {
         let server = sent(&proxy.call().1)[0].1;
@@ -119,7 +119,7 @@
 fn second_of_two(entries: Vec<Entry>, end: impl Fn(ServerId) -> (Outcome, Micros)) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     // A hundred balancers: a server's first budget is far under a call.
-    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Repeat::SingleShot) }, 2);
+    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 2);
     proxy.list(ListKind::Full, entries);
     let mut second = 0;
     for _ in 0..400 {
@@ -161,7 +161,7 @@
 #[test]
 fn a_pick_at_full_budget_is_redrawn_among_servers_under_budget() {
     // One of twenty has room: two random choices alone would rarely meet it, and a trial would be needed.
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 20);
+    let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 20);
     let servers: std::collections::BTreeSet<ServerId> = (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
     assert_eq!(servers.len(), 20, "every budget is used before any is passed");
 }
@@ -170,7 +170,7 @@
 /// one that ended so.
 fn room_after(outcome: Outcome) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 1, limits, ..settings(Repeat::SingleShot) }, 1);
+    let mut proxy = Proxy::new(Settings { balancers: 1, limits, ..settings(Idempotency::SingleShot) }, 1);
     let calls: Vec<CallId> = (0..7).map(|_| proxy.call().0).collect();
     assert_eq!(sent(&proxy.actions).len(), 7, "what one balancer starts with");
     proxy.now += 5 * MS;
@@ -199,7 +199,7 @@
         proxy.end(*call, 0, Outcome::Served, 40 * MS);
     }
     let (waiting, _) = calls[calls.len() - 1];
-    proxy.event(Event::Gone { call: waiting });
+    proxy.event(Event::Cancelled { call: waiting });
     proxy.wait(300 * MS);
     calls.len() - 1
 }
@@ -207,7 +207,7 @@
 #[test]
 fn steps_end_at_the_clamp_so_that_as_many_connection_failures_take_them() {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { limits, ..settings(Repeat::SingleShot) }, 1);
+    let mut proxy = Proxy::new(Settings { limits, ..settings(Idempotency::SingleShot) }, 1);
     let grown: Vec<usize> = (0..30).map(|_| fill(&mut proxy)).collect();
     assert!(grown[29] > 13, "at the clamp the concurrency grows instead: {grown:?}");
     for _ in 0..9 {
@@ -224,7 +224,7 @@
 
 #[test]
 fn connection_failures_take_the_last_step_and_the_server_is_skipped_in_backoff_then_tried_by_one_call() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Free), 2);
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
     proxy.now += MS;
@@ -251,7 +251,7 @@
 
 #[test]
 fn with_every_server_at_zero_steps_calls_are_refused_with_advice() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Free), 2);
     // A reset takes a step each; half of two may be set aside, so the list is cut to the broken one.
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
@@ -269,8 +269,9 @@
 #[test]
 fn a_thin_balancer_keeps_to_a_window_of_servers_that_is_even_over_all_balancers() {
     let mut windows: BTreeMap<ServerId, u32> = BTreeMap::new();
-    for me in 0..100 {
-        let mut proxy = Proxy::new(Settings { balancers: 100, me, ..settings(Repeat::Free) }, 50);
+    for balancer_index in 0..100 {
+        let mut proxy =
+            Proxy::new(Settings { balancers: 100, balancer_index, ..settings(Idempotency::Free) }, 50);
         let mut met = std::collections::BTreeSet::new();
         for _ in 0..60 {
             proxy.now += 500 * MS;
@@ -286,7 +287,7 @@
 /// One balancer of a hundred before sixty servers sends a call each `gap`, served after 250 ms: how many servers does it
 /// meet in the second half of half a minute?
 fn met_at(gap: Micros) -> usize {
-    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Repeat::SingleShot) }, 60);
+    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
     let (mut out, mut met) = (Vec::<(Micros, CallId)>::new(), BTreeSet::new());
     for _ in 0..30_000 * MS / gap {
         proxy.now += gap;
@@ -315,7 +316,7 @@
 /// before were refused.
 fn met_after(refused: usize, pause: Micros) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Repeat::Free) }, 60);
+    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::Free) }, 60);
     (0..20).for_each(|_| drop((proxy.wait(200 * MS), proxy.serve(20 * MS))));
     for _ in 0..refused {
         proxy.now += 200 * MS;
@@ -340,7 +341,7 @@
 
 #[test]
 fn a_window_moves_past_servers_that_are_down() {
-    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Repeat::Free) }, 50);
+    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::Free) }, 50);
     proxy.list(ListKind::Full, (1..=50).filter(|i| *i > 8).map(ready).collect());
     assert!((0..20).all(|_| (proxy.wait(500 * MS), proxy.serve(20 * MS)).1.is_some_and(|s| s.0 > 8)));
 }
--- a/policy/tests/random.rs
+++ b/policy/tests/random.rs
@@ -28,21 +28,22 @@
     let mut random = Pcg32::seed_from_u64(seed);
     let mut below = move |n: u64| u64::from(random.next_u32()) % n;
     let kinds = [
-        Repeat::Free,
-        Repeat::SingleShot,
-        Repeat::Guarded { scope: Scope::Cell, window: 300 * MS },
-        Repeat::Guarded { scope: Scope::All, window: 300 * MS },
+        Idempotency::Free,
+        Idempotency::SingleShot,
+        Idempotency::Guarded { scope: DedupScope::Cell, window: 300 * MS },
+        Idempotency::Guarded { scope: DedupScope::All, window: 300 * MS },
     ];
-    let mut settings = settings(Repeat::Free);
-    settings.classes = kinds.iter().map(|&repeat| Class { repeat, ..settings.classes[0] }).collect();
-    settings.limits.second_copies = seed.is_multiple_of(2);
+    let mut settings = settings(Idempotency::Free);
+    settings.classes =
+        kinds.iter().map(|&idempotency| Class { idempotency, ..settings.classes[0] }).collect();
+    settings.limits.hedging = seed.is_multiple_of(2);
     settings.limits.max_attempts = 4;
     settings.balancers = 1 + below(5) as u32;
-    settings.ask = seed.is_multiple_of(3);
-    let (second_copies, classes) = (settings.limits.second_copies, settings.classes.clone());
+    settings.pull_list = seed.is_multiple_of(3);
+    let (hedging, classes) = (settings.limits.hedging, settings.classes.clone());
     let mut proxy = Proxy::new(settings, 0);
     let mut calls: BTreeMap<CallId, Seen> = BTreeMap::new();
-    let mut list: BTreeMap<ServerId, State> = BTreeMap::new();
+    let mut list: BTreeMap<ServerId, ServerState> = BTreeMap::new();
     let mut known: BTreeSet<ServerId> = BTreeSet::new();
     for step in 0..4_000_u64 {
         proxy.now += below(8) * MS;
@@ -79,7 +80,9 @@
             }
             8 if step % 7 == 0 => {
                 let server = ServerId(below(8) as u32);
-                let state = [State::Ready, State::Ready, State::Draining, State::Gone][below(4) as usize];
+                let state =
+                    [ServerState::Ready, ServerState::Ready, ServerState::Draining, ServerState::Removed]
+                        [below(4) as usize];
                 let started = if below(4) > 0 { 0 } else { proxy.now };
                 known.insert(server);
                 list.insert(server, state);
@@ -97,7 +100,7 @@
                 } else {
                     seen.lingers = !seen.ended;
                     seen.ended = true;
-                    proxy.event(Event::Lingers { call })
+                    proxy.event(Event::Detached { call })
                 }
             }
             _ => {
@@ -114,27 +117,27 @@
                         seen.attempts[attempt].1 = Some(Outcome::TimedOut);
                         let elapsed = proxy.now - seen.attempts[attempt].2;
                         let actions = proxy.end(id, attempt as u32, Outcome::TimedOut, elapsed);
-                        check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+                        check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
                     }
                 }
                 all.extend(proxy.event(Event::Timer));
                 all
             }
         };
-        check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+        check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
     }
     // All is answered in the end.
     for _ in 0..3 {
         proxy.now += 700 * MS;
         let actions = proxy.event(Event::Timer);
-        check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+        check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
         let open: Vec<CallId> = calls.iter().filter(|c| !c.1.ended).map(|c| *c.0).collect();
         for id in open {
             for attempt in 0..calls[&id].attempts.len() {
                 if calls[&id].attempts[attempt].1.is_none() {
                     calls.get_mut(&id).expect("known").attempts[attempt].1 = Some(Outcome::TimedOut);
                     let actions = proxy.end(id, attempt as u32, Outcome::TimedOut, 700 * MS);
-                    check(&actions, &mut calls, &list, &known, &classes, second_copies, proxy.now);
+                    check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
                 }
             }
         }
@@ -148,10 +151,10 @@
 fn check(
     actions: &[Action],
     calls: &mut BTreeMap<CallId, Seen>,
-    list: &BTreeMap<ServerId, State>,
+    list: &BTreeMap<ServerId, ServerState>,
     known: &BTreeSet<ServerId>,
     classes: &[Class],
-    second_copies: bool,
+    hedging: bool,
     now: Micros,
 ) {
     for action in actions {
@@ -159,15 +162,18 @@
             Action::Send { call, server, .. } => {
                 let seen = calls.get_mut(&call).expect("a call that came in");
                 assert!(!seen.ended, "sent after its end");
-                assert!(known.contains(&server) && list[&server] == State::Ready, "sent to one not ready");
+                assert!(
+                    known.contains(&server) && list[&server] == ServerState::Ready,
+                    "sent to one not ready"
+                );
                 assert!(seen.attempts.len() < 4, "more attempts than allowed");
                 let out = seen.attempts.iter().filter(|a| a.1.is_none()).count();
-                assert!(out == 0 || second_copies && out == 1);
+                assert!(out == 0 || hedging && out == 1);
                 let first = seen.attempts.iter().find(|a| a.1.is_none_or(|o| !o.never_ran()));
-                match (classes[seen.class].repeat, first) {
-                    (Repeat::SingleShot, Some(_)) => panic!("an unsafe call went again"),
-                    (Repeat::Guarded { scope, window }, Some(first)) => {
-                        assert!(scope == Scope::All || first.0 .0 % 2 == server.0 % 2, "left its cell");
+                match (classes[seen.class].idempotency, first) {
+                    (Idempotency::SingleShot, Some(_)) => panic!("an unsafe call went again"),
+                    (Idempotency::Guarded { scope, window }, Some(first)) => {
+                        assert!(scope == DedupScope::All || first.0 .0 % 2 == server.0 % 2, "left its cell");
                         assert!(now <= first.2 + window, "left its window");
                     }
                     _ => {}
@@ -179,8 +185,8 @@
                 assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
                 let proven = seen.attempts.iter().all(|a| a.1.is_some_and(Outcome::never_ran));
                 let harmless = matches!(
-                    classes[seen.class].repeat,
-                    Repeat::Free | Repeat::Guarded { scope: Scope::All, .. }
+                    classes[seen.class].idempotency,
+                    Idempotency::Free | Idempotency::Guarded { scope: DedupScope::All, .. }
                 );
                 assert!(proven || harmless, "refused though it may have run");
             }
@@ -199,7 +205,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut proxy = Proxy::new(settings(Repeat::Free), 5);
+        let mut proxy = Proxy::new(settings(Idempotency::Free), 5);
         for i in 0..300 {
             proxy.serve((i % 17) * MS);
         }
@@ -210,11 +216,17 @@
 
 #[test]
 fn odd_input_is_survived() {
-    let mut odd = settings(Repeat::Free);
+    let mut odd = settings(Idempotency::Free);
     odd.balancers = 0;
     odd.limits.max_attempts = 0;
     odd.tenants = vec![Tenant { share: 0.0 }];
-    odd.rules = Rules { bears: 0.0, cold_share: 0.0, cold_time: 0, ask_every: 0, drain_grace: 0 };
+    odd.rules = Rules {
+        cold_overload_limit: 0.0,
+        cold_share: 0.0,
+        cold_time: 0,
+        list_refresh_interval: 0,
+        drain_grace: 0,
+    };
     let empty = Settings { classes: vec![], ..odd.clone() };
     for settings in [odd, empty] {
         let mut proxy = Proxy::new(settings, 2);
@@ -231,15 +243,15 @@
             }
         }
         proxy.end(CallId(99), 0, Outcome::Served, 0);
-        proxy.event(Event::Gone { call: CallId(99) });
+        proxy.event(Event::Cancelled { call: CallId(99) });
         proxy.event(Event::Streaming { call: CallId(99), attempt: 3 });
-        let load = Load { in_hand: Some(f64::NAN), waiting: Some(-1.0), busy: None };
-        proxy.event(Event::Probed { server: ServerId(9), outcome: Outcome::Served, load });
+        let load = Load { active: Some(f64::NAN), waiting: Some(-1.0), cpu: None };
+        proxy.event(Event::HealthChecked { server: ServerId(9), outcome: Outcome::Served, load });
         proxy.list(ListKind::Full, vec![]);
         proxy.now = u64::MAX - 10;
         proxy.list(ListKind::Delta, vec![Entry { started: u64::MAX, ..ready(1) }]);
         let (call, _) = proxy.call();
         proxy.wait(5);
-        proxy.event(Event::Gone { call });
+        proxy.event(Event::Cancelled { call });
     }
 }
--- a/policy/tests/rules.rs
+++ b/policy/tests/rules.rs
@@ -4,7 +4,7 @@
 use common::*;
 use nettleworks_policy::*;
 
-const CELL: Repeat = Repeat::Guarded { scope: Scope::Cell, window: 400 * MS };
+const CELL: Idempotency = Idempotency::Guarded { scope: DedupScope::Cell, window: 400 * MS };
 
 fn two_cells() -> Vec<Entry> {
     (1..=4).map(|i| Entry { cell: CellId(i % 2), zone: ZoneId(i % 2), ..ready(i) }).collect()
@@ -14,13 +14,15 @@
 
 #[test]
 fn held_calls_are_ended_before_their_client_gives_up() {
-    for repeat in [Repeat::Free, Repeat::SingleShot, CELL] {
-        let mut proxy = Proxy::new(settings(repeat), 0);
+    for idempotency in [Idempotency::Free, Idempotency::SingleShot, CELL] {
+        let mut proxy = Proxy::new(settings(idempotency), 0);
         let (call, mut actions) = proxy.call();
         assert!(sent(&actions).is_empty());
         while !refused(&actions, call) {
             let after =
-                actions.iter().find_map(|a| if let Action::Wake { after } = a { Some(*after) } else { None });
+                actions
+                    .iter()
+                    .find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
             actions = proxy.wait(after.expect("a timer for the held call"));
         }
         assert!(proxy.now < 1_000_000 + 1_200 * MS);
@@ -29,8 +31,10 @@
 
 #[test]
 fn the_deadlines_own_no_answer_ends_the_call() {
-    for (repeat, may_refuse) in [(Repeat::Free, true), (Repeat::SingleShot, false), (CELL, false)] {
-        let mut proxy = Proxy::new(settings(repeat), 1);
+    for (idempotency, may_refuse) in
+        [(Idempotency::Free, true), (Idempotency::SingleShot, false), (CELL, false)]
+    {
+        let mut proxy = Proxy::new(settings(idempotency), 1);
         let (call, _) = proxy.call();
         proxy.now += 1_200 * MS;
         let actions = proxy.end(call, 0, Outcome::TimedOut, 1_200 * MS);
@@ -44,25 +48,27 @@
 /// give. Who comes for it makes it wanted again, with another attempt where its kind allows one.
 #[test]
 fn a_call_that_lingers_is_in_flight_and_goes_no_further() {
-    for (repeat, goes_again) in [(Repeat::Free, true), (Repeat::SingleShot, false), (CELL, true)] {
+    for (idempotency, goes_again) in
+        [(Idempotency::Free, true), (Idempotency::SingleShot, false), (CELL, true)]
+    {
         for wanted in [false, true] {
-            let mut proxy = Proxy::new(settings(repeat), 1);
+            let mut proxy = Proxy::new(settings(idempotency), 1);
             let (call, actions) = proxy.call();
             assert_eq!(sent(&actions).len(), 1);
-            assert_eq!(proxy.event(Event::Lingers { call }), []);
+            assert_eq!(proxy.event(Event::Detached { call }), []);
             if wanted {
                 proxy.event(Event::Extended { call, time_left: 1_200 * MS });
             }
             proxy.now += 50 * MS;
             let actions = proxy.end(call, 0, Outcome::Unknown, 50 * MS);
-            assert_eq!(sent(&actions).len(), usize::from(wanted && goes_again), "{repeat:?}");
-            assert_eq!(failed(&actions, call), wanted && !goes_again, "{repeat:?}");
+            assert_eq!(sent(&actions).len(), usize::from(wanted && goes_again), "{idempotency:?}");
+            assert_eq!(failed(&actions, call), wanted && !goes_again, "{idempotency:?}");
             assert!(!refused(&actions, call));
         }
         // With a budget of seven at the one server: the lingering one counts, the eighth is a trial, the ninth waits.
-        let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(repeat) }, 1);
+        let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(idempotency) }, 1);
         let calls: Vec<_> = (0..7).map(|_| proxy.call().0).collect();
-        proxy.event(Event::Lingers { call: calls[0] });
+        proxy.event(Event::Detached { call: calls[0] });
         assert_eq!([proxy.call(), proxy.call()].map(|(_, actions)| sent(&actions).len()), [1, 0]);
     }
 }
@@ -70,24 +76,24 @@
 /// A call that waits in the hold when its client goes leaves it; one that has ended is not brought back.
 #[test]
 fn a_held_call_does_not_linger_and_an_ended_one_is_not_wanted_again() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 0);
+    let mut proxy = Proxy::new(settings(Idempotency::Free), 0);
     let (call, _) = proxy.call();
-    proxy.event(Event::Lingers { call });
+    proxy.event(Event::Detached { call });
     proxy.event(Event::Extended { call, time_left: 1_200 * MS });
     assert_eq!(sent(&proxy.list(ListKind::Full, vec![ready(1)])), []);
     let (call, _) = proxy.call();
     proxy.end(call, 0, Outcome::Served, 0);
-    proxy.event(Event::Lingers { call });
+    proxy.event(Event::Detached { call });
     assert_eq!(proxy.event(Event::Extended { call, time_left: 1_200 * MS }), []);
-    let mut settings = settings(Repeat::Free);
-    settings.limits.second_copies = true;
+    let mut settings = settings(Idempotency::Free);
+    settings.limits.hedging = true;
     let mut proxy = Proxy::new(settings, 2);
     let (call, actions) = proxy.call();
     let first = sent(&actions)[0].1;
     let copy =
         std::iter::repeat_with(|| proxy.wait(10 * MS)).take(100).find(|actions| !sent(actions).is_empty());
     assert_ne!(sent(&copy.expect("a second copy"))[0].1, first);
-    proxy.event(Event::Lingers { call });
+    proxy.event(Event::Detached { call });
     // Served once, the other copy is called off, and nobody brings it back.
     let actions = proxy.end(call, 1, Outcome::Served, 10 * MS);
     assert!(actions.contains(&Action::Cancel { call, attempt: 0 }));
@@ -110,13 +116,18 @@
 
 #[test]
 fn each_outcome_against_each_kind_of_call() {
-    let guarded = |scope| Repeat::Guarded { scope, window: 400 * MS };
-    let kinds =
-        [Repeat::Free, Repeat::SingleShot, guarded(Scope::All), guarded(Scope::Zone), guarded(Scope::Cell)];
-    for repeat in kinds {
+    let guarded = |scope| Idempotency::Guarded { scope, window: 400 * MS };
+    let kinds = [
+        Idempotency::Free,
+        Idempotency::SingleShot,
+        guarded(DedupScope::All),
+        guarded(DedupScope::Zone),
+        guarded(DedupScope::Cell),
+    ];
+    for idempotency in kinds {
         for first in CODES {
             for second in CODES {
-                let mut proxy = Proxy::new(settings(repeat), 0);
+                let mut proxy = Proxy::new(settings(idempotency), 0);
                 proxy.list(ListKind::Full, two_cells());
                 let (call, actions) = proxy.call();
                 let home = sent(&actions)[0].1;
@@ -124,24 +135,27 @@
                 let actions = proxy.end(call, 0, first, MS);
                 let again = sent(&actions);
                 let proven = first.never_ran();
-                if repeat == Repeat::SingleShot && !proven {
+                if idempotency == Idempotency::SingleShot && !proven {
                     assert!(again.is_empty() && failed(&actions, call), "{first:?}");
                     continue;
                 }
-                assert_eq!(again.len(), 1, "{repeat:?} after {first:?}");
-                let bound = matches!(repeat, Repeat::Guarded { scope: Scope::Zone | Scope::Cell, .. });
+                assert_eq!(again.len(), 1, "{idempotency:?} after {first:?}");
+                let bound = matches!(
+                    idempotency,
+                    Idempotency::Guarded { scope: DedupScope::Zone | DedupScope::Cell, .. }
+                );
                 if bound && !proven {
                     assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
                 }
                 // The second attempt's end, then the last chance gone: refused only where harmless.
                 proxy.now += 450 * MS;
                 let actions = proxy.end(call, 1, second, MS);
-                let harmless = match repeat {
-                    Repeat::Free | Repeat::Guarded { scope: Scope::All, .. } => true,
+                let harmless = match idempotency {
+                    Idempotency::Free | Idempotency::Guarded { scope: DedupScope::All, .. } => true,
                     _ => proven && second.never_ran(),
                 };
                 assert!(sent(&actions).is_empty(), "too late to be in time");
-                assert_eq!(refused(&actions, call), harmless, "{repeat:?} {first:?} {second:?}");
+                assert_eq!(refused(&actions, call), harmless, "{idempotency:?} {first:?} {second:?}");
                 assert_eq!(failed(&actions, call), !harmless);
             }
         }
@@ -150,7 +164,8 @@
 
 #[test]
 fn a_guarded_call_does_not_go_again_after_its_window() {
-    let mut proxy = Proxy::new(settings(Repeat::Guarded { scope: Scope::Cell, window: 100 * MS }), 4);
+    let mut proxy =
+        Proxy::new(settings(Idempotency::Guarded { scope: DedupScope::Cell, window: 100 * MS }), 4);
     let (call, _) = proxy.call();
     proxy.now += 100 * MS;
     let actions = proxy.end(call, 0, Outcome::Error, 100 * MS);
@@ -159,11 +174,11 @@
 
 #[test]
 fn second_copies_go_out_only_where_allowed_and_their_losers_are_called_off() {
-    for (repeat, allowed, copies) in
-        [(Repeat::Free, true, 1), (Repeat::Free, false, 0), (Repeat::SingleShot, true, 0)]
+    for (idempotency, allowed, copies) in
+        [(Idempotency::Free, true, 1), (Idempotency::Free, false, 0), (Idempotency::SingleShot, true, 0)]
     {
-        let mut settings = settings(repeat);
-        settings.limits.second_copies = allowed;
+        let mut settings = settings(idempotency);
+        settings.limits.hedging = allowed;
         let mut proxy = Proxy::new(settings, 3);
         for _ in 0..20 {
             proxy.serve(40 * MS);
@@ -183,8 +198,8 @@
 
 #[test]
 fn a_stream_is_bound_to_its_attempt() {
-    let mut settings = settings(Repeat::Free);
-    settings.limits.second_copies = true;
+    let mut settings = settings(Idempotency::Free);
+    settings.limits.hedging = true;
     let mut proxy = Proxy::new(settings, 3);
     let (call, _) = proxy.call();
     proxy.event(Event::Streaming { call, attempt: 0 });
@@ -198,8 +213,8 @@
 #[test]
 fn nothing_goes_to_a_draining_or_gone_server_also_after_a_cached_list() {
     for kind in [ListKind::Delta, ListKind::Full] {
-        for state in [State::Draining, State::Gone] {
-            let mut proxy = Proxy::new(settings(Repeat::Free), 0);
+        for state in [ServerState::Draining, ServerState::Removed] {
+            let mut proxy = Proxy::new(settings(Idempotency::Free), 0);
             proxy.list(ListKind::Cached, vec![ready(1), ready(2)]);
             proxy.list(kind, vec![Entry { state, ..ready(1) }, ready(2)]);
             for _ in 0..50 {
@@ -207,7 +222,7 @@
             }
         }
     }
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Free), 2);
     proxy.list(ListKind::Full, vec![ready(2)]);
     for _ in 0..50 {
         assert_eq!(proxy.serve(MS), Some(ServerId(2)), "what a full list leaves out is gone");
@@ -218,7 +233,7 @@
 
 /// Sends within six seconds to a server beside two or three warm ones, when it started just now and ends attempts with `outcome`.
 fn sends_to_cold(outcome: Outcome, restart: bool) -> usize {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 3);
+    let mut proxy = Proxy::new(settings(Idempotency::Free), 3);
     for _ in 0..200 {
         proxy.serve(10 * MS);
     }
@@ -257,7 +272,7 @@
 /// same, long before they are warm.
 #[test]
 fn a_fleet_that_is_all_cold_comes_to_its_calls_by_answers() {
-    let mut proxy = Proxy::new(Settings { balancers: 4, ..settings(Repeat::Free) }, 0);
+    let mut proxy = Proxy::new(Settings { balancers: 4, ..settings(Idempotency::Free) }, 0);
     let start = proxy.now;
     proxy.list(ListKind::Full, (1..=8).map(|id| Entry { started: start, ..ready(id) }).collect());
     let (mut out, mut sent_in) = (Vec::new(), [0; 6]);
@@ -282,7 +297,7 @@
 /// Sends to each of `servers` servers within two seconds of 250 calls each, of which the first `cold` have just started, and
 /// how long each call takes there.
 fn sends_beside_cold(balancers: u32, servers: u32, cold: u32) -> Vec<usize> {
-    let mut proxy = Proxy::new(Settings { balancers, ..settings(Repeat::Free) }, servers);
+    let mut proxy = Proxy::new(Settings { balancers, ..settings(Idempotency::Free) }, servers);
     for _ in 0..400 {
         proxy.serve(10 * MS);
     }
@@ -341,13 +356,13 @@
     for balancers in [4, 64, 1_000] {
         let mut firsts = 0;
         for seed in 0..balancers.min(64) {
-            let settings = Settings { balancers, me: seed, ..settings(Repeat::Free) };
+            let settings = Settings { balancers, balancer_index: seed, ..settings(Idempotency::Free) };
             let mut balancer = Balancer::new(u64::from(seed) + 1, settings);
             let mut actions = Vec::new();
             let start = 1_000_000;
             balancer.handle(start, Event::Start, &mut actions);
             let entries = (1..=4).map(|id| Entry { started: start, ..ready(id) }).collect();
-            balancer.handle(start, Event::Members { kind: ListKind::Full, entries }, &mut actions);
+            balancer.handle(start, Event::ServerList { kind: ListKind::Full, entries }, &mut actions);
             // A call each 10 ms at each for half a second, and no answer at all.
             for step in 0..50 {
                 let (call, class) = (CallId(step + 1), ClassId(0));
@@ -370,7 +385,7 @@
 
 #[test]
 fn fast_errors_set_a_server_aside_though_it_looks_idle() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 4);
     let mut errors = 0;
     for _ in 0..200 {
         let (call, actions) = proxy.call();
@@ -385,8 +400,8 @@
 /// Requests that any server finds unusable say nothing of the servers: a bad client must not set good ones aside.
 #[test]
 fn unusable_requests_set_no_server_aside_and_do_not_go_again() {
-    for repeat in [Repeat::SingleShot, Repeat::Free] {
-        let mut proxy = Proxy::new(settings(repeat), 4);
+    for idempotency in [Idempotency::SingleShot, Idempotency::Free] {
+        let mut proxy = Proxy::new(settings(idempotency), 4);
         for _ in 0..100 {
             let (call, actions) = proxy.call();
             assert_eq!(sent(&actions).len(), 1);
@@ -404,7 +419,7 @@
 #[test]
 fn connections_that_break_now_and_then_set_no_server_aside() {
     for (outcome, every) in [(Outcome::Reset, 12), (Outcome::Stale, 3)] {
-        let mut proxy = Proxy::new(settings(Repeat::SingleShot), 4);
+        let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 4);
         let mut counts = [0; 5];
         for _ in 0..400 {
             let (call, actions) = proxy.call();
@@ -425,7 +440,7 @@
 #[test]
 fn a_server_is_set_aside_for_many_spoilt_answers_not_for_two() {
     for (every, least, most) in [(10, 8, 400), (1, 1, 8)] {
-        let mut proxy = Proxy::new(settings(Repeat::SingleShot), 4);
+        let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 4);
         let (mut spoilt, mut at) = (0, 0);
         for _ in 0..400 {
             let (call, actions) = proxy.call();
@@ -446,7 +461,7 @@
 
 #[test]
 fn one_good_answer_does_not_bring_back_a_server_that_fails_most() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 4);
+    let mut proxy = Proxy::new(settings(Idempotency::Free), 4);
     let mut to_bad = 0;
     for round in 0..400 {
         let (call, actions) = proxy.call();
@@ -467,7 +482,7 @@
 
 #[test]
 fn most_of_the_fleet_is_never_set_aside() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 6);
+    let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 6);
     for _ in 0..100 {
         let (call, actions) = proxy.call();
         assert_eq!(sent(&actions).len(), 1, "half of the fleet still takes calls");
@@ -478,7 +493,7 @@
 
 #[test]
 fn the_hold_is_bounded_by_time_so_that_not_all_are_served_late() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 1);
     let mut early = 0;
     for _ in 0..60 {
         proxy.now += 10 * MS;
@@ -490,14 +505,15 @@
 
 #[test]
 fn a_lost_subscription_is_asked_for_again_with_a_pause() {
-    let mut proxy = Proxy::new(Settings { ask: true, ..settings(Repeat::Free) }, 2);
+    let mut proxy = Proxy::new(Settings { pull_list: true, ..settings(Idempotency::Free) }, 2);
     assert!(proxy.actions.contains(&Action::Subscribe), "at the start");
     let actions = proxy.list(ListKind::Failed, vec![]);
     assert!(!actions.contains(&Action::Subscribe), "not at once");
-    let after = actions.iter().find_map(|a| if let Action::Wake { after } = a { Some(*after) } else { None });
+    let after =
+        actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
     assert!(proxy.wait(after.expect("a timer")).contains(&Action::Subscribe));
     assert_eq!(proxy.serve(MS).map(|s| s.0 <= 2), Some(true), "the old list stands");
-    let mut push = Proxy::new(settings(Repeat::Free), 1);
+    let mut push = Proxy::new(settings(Idempotency::Free), 1);
     push.list(ListKind::Failed, vec![]);
     push.wait(60_000 * MS);
     assert!(!push.actions.contains(&Action::Subscribe), "only where the list must be asked for");
@@ -505,7 +521,7 @@
 
 #[test]
 fn a_server_that_refuses_as_full_is_left_alone_for_a_usual_answer_time() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 2);
+    let mut proxy = Proxy::new(settings(Idempotency::Free), 2);
     for _ in 0..30 {
         proxy.serve(40 * MS);
     }
@@ -529,7 +545,7 @@
 
 /// A proxy of a thousand, whose servers share one budget, of which a burst of three and the trial are out.
 fn thin() -> (Proxy, Vec<CallId>) {
-    let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Repeat::Free) }, 20);
+    let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Idempotency::Free) }, 20);
     let out: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
     assert_eq!(sent(&proxy.actions).len(), 4, "three at once, and one as the trial");
     (proxy, out)
@@ -557,7 +573,7 @@
 #[test]
 fn strain_seen_anywhere_lowers_the_shared_budget() {
     let calls = |elapsed: Micros| {
-        let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Repeat::Free) }, 20);
+        let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Idempotency::Free) }, 20);
         (0..20).for_each(|_| drop((proxy.serve(40 * MS), proxy.wait(1_000 * MS))));
         (0..20).for_each(|_| drop((proxy.serve(elapsed), proxy.wait(1_000 * MS))));
         (0..20).filter(|_| (proxy.wait(100 * MS), proxy.serve(elapsed)).1.is_some()).count()
@@ -570,7 +586,7 @@
 /// every tenth answer of any takes ten times as long, as work is uneven.
 #[test]
 fn a_few_slow_servers_do_not_hold_back_calls_to_all_others() {
-    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Repeat::SingleShot) }, 60);
+    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
     let mut out: Vec<(Micros, CallId, Micros)> = Vec::new();
     let (mut asked, mut went) = (0, 0);
     for _ in 0..2_000 {
@@ -595,14 +611,14 @@
 /// Calls of one balancer of a hundred, one each 100 ms; of eight servers one is not well in the given way. How many of
 /// 400 calls went there?
 fn to_the_one_unwell(elapsed: impl Fn(u32) -> Option<Micros>, waiting: f64) -> usize {
-    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Repeat::SingleShot) }, 8);
+    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 8);
     let (mut out, mut to_one) = (Vec::<(Micros, CallId, Micros, ServerId)>::new(), 0);
     for _ in 0..400 {
         proxy.now += 100 * MS;
         let now = proxy.now;
         for (_, call, elapsed, server) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             let waiting = if server == ServerId(1) { waiting } else { 0.0 };
-            let load = Load { in_hand: Some(4.0 + waiting), waiting: Some(waiting), busy: None };
+            let load = Load { active: Some(4.0 + waiting), waiting: Some(waiting), cpu: None };
             let outcome = Outcome::Served;
             proxy.event(Event::Outcome { call, attempt: 0, outcome, elapsed, closed: true, load });
         }
@@ -628,13 +644,13 @@
 
 #[test]
 fn alarms_do_not_beget_alarms_for_good() {
-    let mut proxy = Proxy::new(settings(Repeat::Free), 0);
+    let mut proxy = Proxy::new(settings(Idempotency::Free), 0);
     (0..50).for_each(|_| drop(proxy.call()));
     let mut due = std::collections::BinaryHeap::new();
     let (mut alarms, mut seen) = (0, 0);
     loop {
         for action in &proxy.actions[seen..] {
-            if let Action::Wake { after } = action {
+            if let Action::SetTimer { after } = action {
                 due.push(std::cmp::Reverse(proxy.now + after));
             }
         }
@@ -649,7 +665,7 @@
 
 #[test]
 fn a_strained_server_gets_no_trials() {
-    let mut proxy = Proxy::new(settings(Repeat::SingleShot), 1);
+    let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 1);
     for _ in 0..10 {
         proxy.serve(40 * MS);
     }
@@ -663,7 +679,7 @@
 
 #[test]
 fn time_outs_of_a_server_that_answers_others_do_not_set_it_aside() {
-    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Repeat::SingleShot) }, 3);
+    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Idempotency::SingleShot) }, 3);
     let mut log = Vec::new();
     for _ in 0..30 {
         // Of the calls at each server the first is answered and the others time out.
@@ -689,7 +705,7 @@
 
 /// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as a trial?
 fn trial_after(load: Load) -> bool {
-    let mut proxy = Proxy::new(Settings { balancers: 12, ..settings(Repeat::SingleShot) }, 1);
+    let mut proxy = Proxy::new(Settings { balancers: 12, ..settings(Idempotency::SingleShot) }, 1);
     for _ in 0..40 {
         let (call, _) = proxy.call();
         proxy.now += 40 * MS;
@@ -703,8 +719,8 @@
 
 #[test]
 fn reported_queues_and_busy_cores_strain_a_server_that_still_answers_fast() {
-    let busy = |b| Load { busy: Some(b), ..Load::default() };
-    let queue = |w| Load { in_hand: Some(10.0), waiting: Some(w), ..Load::default() };
+    let busy = |b| Load { cpu: Some(b), ..Load::default() };
+    let queue = |w| Load { active: Some(10.0), waiting: Some(w), ..Load::default() };
     assert!(trial_after(Load::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0)));
     assert!(!trial_after(busy(1.0)), "cores that are all busy");
     assert!(!trial_after(queue(5.5)), "more waiting than in work");
@@ -724,12 +740,12 @@
 }
 
 /// Calls of a thousand balancers to a server that has just started beside twenty warm ones, and all of theirs.
-fn cold_of_all(bears: f64) -> (usize, usize) {
+fn cold_of_all(cold_overload_limit: f64) -> (usize, usize) {
     let (mut cold, mut all) = (0, 0);
-    for me in 0..1_000 {
-        let rules = Rules { bears, ..settings(Repeat::Free).rules };
-        let settings = Settings { balancers: 1_000, me, rules, ..settings(Repeat::Free) };
-        let mut proxy = Proxy::seeded(u64::from(me), settings);
+    for balancer_index in 0..1_000 {
+        let rules = Rules { cold_overload_limit, ..settings(Idempotency::Free).rules };
+        let settings = Settings { balancers: 1_000, balancer_index, rules, ..settings(Idempotency::Free) };
+        let mut proxy = Proxy::seeded(u64::from(balancer_index), settings);
         proxy.list(ListKind::Full, (1..=20).map(ready).collect());
         (0..3).for_each(|_| drop((proxy.wait(500 * MS), proxy.serve(40 * MS))));
         let started = proxy.now;
@@ -749,8 +765,12 @@
     let (mut cold, mut all) = (0, 0);
     for seed in 0..4_000 {
         let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-        let settings =
-            Settings { balancers: 1_000, me: seed % 1_000, limits, ..settings(Repeat::SingleShot) };
+        let settings = Settings {
+            balancers: 1_000,
+            balancer_index: seed % 1_000,
+            limits,
+            ..settings(Idempotency::SingleShot)
+        };
         let mut proxy = Proxy::seeded(u64::from(seed), settings);
         proxy.list(ListKind::Full, (1..=20).map(ready).collect());
         for step in 0..64 {
@@ -776,7 +796,7 @@
 
 #[test]
 fn a_restarted_server_is_not_judged_by_its_last_process() {
-    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Repeat::Free) }, 1);
+    let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Idempotency::Free) }, 1);
     let calls: Vec<CallId> = (0..6).map(|_| proxy.call().0).collect();
     let started = proxy.now;
     proxy.list(ListKind::Delta, vec![Entry { started, ..ready(1) }]);
@@ -792,7 +812,7 @@
 fn a_silent_zone_that_comes_back_cold_is_drawn_by_its_share() {
     let zoned = |i, started| Entry { zone: ZoneId(i % 3), started, ..ready(i) };
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Repeat::SingleShot) }, 0);
+    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 0);
     proxy.list(ListKind::Full, (1..=30).map(|i| zoned(i, 0)).collect());
     let (mut out, mut back) = (Vec::<(Micros, CallId, Micros, Outcome)>::new(), 0);
     for step in 0..700 {
@@ -822,11 +842,11 @@
 /// Four hosts, of which one goes each half second and another comes, under a number and in a zone that were never there.
 #[test]
 fn hosts_that_are_replaced_for_minutes_leave_nothing_behind() {
-    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Repeat::Free) }, 4);
+    let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::Free) }, 4);
     let (mut sizes, mut out) = (Vec::new(), Vec::new());
     for i in 0..600 {
         let started = proxy.now;
-        let gone = Entry { state: State::Gone, ..ready(1 + i) };
+        let gone = Entry { state: ServerState::Removed, ..ready(1 + i) };
         let new = Entry { started, zone: ZoneId(i), ..ready(5 + i) };
         out.extend(sent(&proxy.list(ListKind::Delta, vec![gone, new])));
         for _ in 0..5 {
@@ -848,7 +868,7 @@
 #[test]
 fn a_zone_that_is_cut_off_is_passed_over_as_a_whole() {
     let zoned = |i| Entry { zone: ZoneId(i % 2), ..ready(i) };
-    let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Repeat::Free) }, 0);
+    let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Idempotency::Free) }, 0);
     proxy.list(ListKind::Full, (1..=40).map(zoned).collect());
     let mut lost = 0;
     for _ in 0..40 {
@@ -870,7 +890,7 @@
 #[test]
 fn a_fleet_of_one_zone_is_not_passed_over_for_a_few_time_outs() {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Repeat::SingleShot) }, 20);
+    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 20);
     (0..20).for_each(|_| drop((proxy.serve(40 * MS), proxy.wait(500 * MS))));
     // No more: what is late holds the shared budget back, too.
     for late in 0..2 {
@@ -891,7 +911,7 @@
 fn to_the_silent(each: Micros, silent: impl Fn(ServerId) -> bool, answered: usize) -> usize {
     let zoned = |i| Entry { zone: ZoneId(i % 2), ..ready(i) };
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Repeat::SingleShot) }, 0);
+    let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 0);
     proxy.list(ListKind::Full, (1..=40).map(zoned).collect());
     let (mut out, mut lost) = (Vec::<(Micros, CallId, Micros, Outcome)>::new(), 0);
     for step in 0..1_200 {
@@ -937,7 +957,7 @@
 fn a_server_that_fails_is_tried_by_a_part_of_the_usual_calls_however_slowly_they_come() {
     // A call a second, so that most come past a backoff by time: a thousand such balancers would give it no rest.
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
-    let mut proxy = Proxy::new(Settings { balancers: 1_000, limits, ..settings(Repeat::Free) }, 8);
+    let mut proxy = Proxy::new(Settings { balancers: 1_000, limits, ..settings(Idempotency::Free) }, 8);
     let mut tried = 0;
     for _ in 0..200 {
         proxy.now += 1_000 * MS;
--- a/policy/tests/shared.rs
+++ b/policy/tests/shared.rs
@@ -4,17 +4,18 @@
 
 use common::{settings, Proxy, MS};
 use nettleworks_policy::{
-    Action, CallId, ClassId, Event, Freshness, Load, Micros, News, Outcome, Repeat, Room, ServerId, Settings,
+    Action, Allocation, CallId, ClassId, Event, Freshness, Idempotency, Load, Micros, Observation, Outcome,
+    ServerId, Settings,
 };
 
 fn shared(servers: u32) -> Proxy {
-    let settings = Settings { shared: true, balancers: 1, ..settings(Repeat::Free) };
+    let settings = Settings { shares_capacity: true, balancers: 1, ..settings(Idempotency::Free) };
     Proxy::new(settings, servers)
 }
 
 fn room(proxy: &mut Proxy, rooms: &[(u32, u32, bool)]) -> Vec<Action> {
-    let room = |&(server, room, trial)| Room { server: ServerId(server), room, trial };
-    proxy.event(Event::Rooms { rooms: rooms.iter().map(room).collect() })
+    let room = |&(server, concurrency, probe)| Allocation { server: ServerId(server), concurrency, probe };
+    proxy.event(Event::Allocations { allocations: rooms.iter().map(room).collect() })
 }
 
 fn sent(actions: &[Action]) -> Vec<u32> {
@@ -32,15 +33,15 @@
     for _ in 0..5 {
         assert_eq!(sent(&proxy.call().1), []);
     }
-    assert_eq!(proxy.balancer.held(), 5);
-    let short: Vec<u32> = proxy.balancer.short(proxy.now).map(|short| short.server.0).collect();
+    assert_eq!(proxy.balancer.queued(), 5);
+    let short: Vec<u32> = proxy.balancer.capacity_demands(proxy.now).map(|short| short.server.0).collect();
     assert_eq!(short, [1, 2]);
     let mut went = sent(&room(&mut proxy, &[(1, 2, false), (2, 1, false)]));
     went.sort_unstable();
     assert_eq!(went, [1, 1, 2]);
     assert_eq!(sent(&room(&mut proxy, &[(1, 2, true)])), [1], "a trial goes beyond");
-    assert!(proxy.balancer.trying(ServerId(1)));
-    assert_eq!(proxy.balancer.held(), 1);
+    assert!(proxy.balancer.is_probing(ServerId(1)));
+    assert_eq!(proxy.balancer.queued(), 1);
 }
 
 /// Less at one server comes with more at another: nothing goes by what held before.
@@ -66,15 +67,16 @@
 fn what_others_learned_holds_until_this_one_knows_better() {
     let mut proxy = shared(2);
     let one = ServerId(1);
-    let heard = |proxy: &mut Proxy, news, age| proxy.event(Event::Heard { server: one, news, age });
-    let allows = |proxy: &Proxy| proxy.balancer.allows(proxy.now, one);
+    let heard =
+        |proxy: &mut Proxy, observation, age| proxy.event(Event::Observed { server: one, observation, age });
+    let allows = |proxy: &Proxy| proxy.balancer.concurrency_limit(proxy.now, one);
     let first = allows(&proxy);
     assert!(first > 0.0);
-    heard(&mut proxy, News::Grown, MS);
+    heard(&mut proxy, Observation::LimitRaised, MS);
     assert!(allows(&proxy) > first, "one trial of the process is everybody's");
-    heard(&mut proxy, News::SetAside, MS);
+    heard(&mut proxy, Observation::Ejected, MS);
     assert_eq!(allows(&proxy), 0.0);
-    heard(&mut proxy, News::TakenBack, MS);
+    heard(&mut proxy, Observation::Reinstated, MS);
     assert!(allows(&proxy) > 0.0);
     // It has served here since: the older word says nothing.
     room(&mut proxy, &[(1, 1, false), (2, 0, false)]);
@@ -83,7 +85,7 @@
     proxy.now += 10 * MS;
     let (outcome, load) = (Outcome::Served, Load::default());
     proxy.event(Event::Outcome { call, attempt: 0, outcome, elapsed: 10 * MS, closed: true, load });
-    heard(&mut proxy, News::SetAside, 20 * MS);
+    heard(&mut proxy, Observation::Ejected, 20 * MS);
     assert!(allows(&proxy) > 0.0);
 }
 
--- a/proxy/src/requests.rs
+++ b/proxy/src/requests.rs
@@ -13,7 +13,7 @@
 use nettleworks_engine::socket::Socket;
 use nettleworks_keys::KeyState;
 use nettleworks_keys_station::{Keys, WithKeys};
-use nettleworks_policy::{ClassId, Repeat, TenantId};
+use nettleworks_policy::{ClassId, Idempotency, TenantId};
 use std::pin::pin;
 use std::time::Duration;
 use tokio::task::spawn_local;
@@ -131,7 +131,7 @@
     let mut headers = end_to_end(head.headers);
     let goes_on = |keys: &Keys| keys.forward.get(ask.class.0).copied().unwrap_or_default();
     let class = config.settings.classes.get(ask.class.0);
-    let held = ask.key.is_some() && class.is_some_and(|class| class.repeat == Repeat::SingleShot);
+    let held = ask.key.is_some() && class.is_some_and(|class| class.idempotency == Idempotency::SingleShot);
     if held && !config.keys().is_some_and(goes_on) {
         headers.remove("idempotency-key");
     }
@@ -183,18 +183,18 @@
     let spec = config.settings.classes.get(class)?;
     // Hosts go by the form: a keyed request without its key would run again wherever it is sent again.
     let keyed = headers.contains_key("idempotency-key");
-    let fits = match spec.repeat {
-        Repeat::Free => method == Method::GET && empty && !keyed,
-        Repeat::Guarded { .. } => {
+    let fits = match spec.idempotency {
+        Idempotency::Free => method == Method::GET && empty && !keyed,
+        Idempotency::Guarded { .. } => {
             single(headers, "idempotency-key").filter(|key| !key.is_empty())?;
             method == Method::POST
         }
         // Hosts know nothing of its key; the store of keys does, where there is one.
-        Repeat::SingleShot if keyed && config.keys().is_some() => {
+        Idempotency::SingleShot if keyed && config.keys().is_some() => {
             single(headers, "idempotency-key").filter(|key| !key.is_empty())?;
             method == Method::POST
         }
-        Repeat::SingleShot => method == Method::POST && !keyed,
+        Idempotency::SingleShot => method == Method::POST && !keyed,
     };
     let digits = |text: &&str| text.bytes().all(|byte| byte.is_ascii_digit());
     let budget = single(headers, "x-budget-ms").filter(digits)?.parse::<u32>().ok().filter(|ms| *ms > 0)?;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -3,7 +3,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-use nettleworks_policy::{Class, Goal, Limits, Repeat, Rules, Scope, Settings, Tenant, ZoneId};
+use nettleworks_policy::{
+    Class, DedupScope, Idempotency, Limits, Rules, ScoreWeights, Settings, Tenant, ZoneId,
+};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -78,11 +80,11 @@
 }
 
 fn bears() -> f64 {
-    Settings::default().rules.bears
+    Settings::default().rules.cold_overload_limit
 }
 
 fn ask_every() -> u64 {
-    Settings::default().rules.ask_every
+    Settings::default().rules.list_refresh_interval
 }
 
 fn drain_grace() -> u64 {
@@ -119,47 +121,56 @@
     let mut classes = Vec::new();
     for class in &facts.classes {
         let scope = match class.dedup_scope.as_str() {
-            "all" => Some(Scope::All),
-            "zone" => Some(Scope::Zone),
-            "cell" => Some(Scope::Cell),
+            "all" => Some(DedupScope::All),
+            "zone" => Some(DedupScope::Zone),
+            "cell" => Some(DedupScope::Cell),
             _ => None,
         };
         // A kind or a scope that is not known is taken to allow no repeat.
-        let repeat = match (class.idempotency.as_str(), scope) {
-            ("free", _) => Repeat::Free,
-            ("guarded", Some(scope)) => Repeat::Guarded { scope, window: class.repeat_window_us },
-            _ => Repeat::SingleShot,
+        let idempotency = match (class.idempotency.as_str(), scope) {
+            ("free", _) => Idempotency::Free,
+            ("guarded", Some(scope)) => Idempotency::Guarded { scope, window: class.repeat_window_us },
+            _ => Idempotency::SingleShot,
         };
-        let (aim, deadline) = (class.objective_us, class.deadline_us);
-        classes.push(Class { aim, deadline, worth: class.worth, late_value: class.late_value, repeat });
+        let (latency_target, deadline) = (class.objective_us, class.deadline_us);
+        classes.push(Class {
+            latency_target,
+            deadline,
+            value: class.worth,
+            late_value: class.late_value,
+            idempotency,
+        });
     }
     let limits = &facts.limits;
     let rules = &facts.invariants;
     let settings = Settings {
         balancers: facts.balancers,
-        me: facts.me,
+        balancer_index: facts.me,
         tick: facts.tick_us,
-        ask: facts.discovery == "ask",
-        shared: false,
+        pull_list: facts.discovery == "ask",
+        shares_capacity: false,
         classes,
         tenants: facts.tenants.iter().map(|t| Tenant { share: t.portion }).collect(),
         limits: Limits {
             cancel: limits.cancel,
-            probes: limits.probes,
-            second_copies: limits.second_copies,
+            health_checks: limits.probes,
+            hedging: limits.second_copies,
             max_attempts: limits.max_attempts,
             // Also where clients are said not to heed it: a refusal on sockets always says when to come back.
             max_retry_after: limits.max_retry_after_us,
         },
         rules: Rules {
             // What cannot be meant is as if it were not there.
-            bears: if rules.fall_multiple > 0.0 { rules.fall_multiple } else { bears() },
+            cold_overload_limit: if rules.fall_multiple > 0.0 { rules.fall_multiple } else { bears() },
             cold_share: rules.cold_from,
             cold_time: rules.cold_us,
-            ask_every: rules.ask_every_us,
+            list_refresh_interval: rules.ask_every_us,
             drain_grace: rules.drain_grace_us,
         },
-        goal: Goal { whole: facts.result_mix.whole, worst_class: facts.result_mix.worst_class },
+        score_weights: ScoreWeights {
+            overall: facts.result_mix.whole,
+            worst_class: facts.result_mix.worst_class,
+        },
     };
     let names = facts.classes.into_iter().map(|c| c.name).collect();
     Ok((settings, names, facts.tenants.into_iter().map(|t| t.name).collect()))
@@ -186,7 +197,7 @@
             let facts =
                 format!(r#"{{"balancers": 1, "classes": [], "limits": {{}}, "invariants": {invariants}}}"#);
             let (settings, ..) = read(&serde_json::from_str(&facts).expect("JSON")).expect("settings");
-            assert!((settings.rules.bears - bears).abs() < 1e-9, "{rules}");
+            assert!((settings.rules.cold_overload_limit - bears).abs() < 1e-9, "{rules}");
         }
     }
 }
--- a/shards/cores/src/hub.rs
+++ b/shards/cores/src/hub.rs
@@ -5,7 +5,7 @@
 use nettleworks_engine::group::Lease;
 use nettleworks_engine::list::{Health, Host, List};
 use nettleworks_engine::protocol::Protocol;
-use nettleworks_policy::{CallId, News as Learned, ServerId};
+use nettleworks_policy::{CallId, Observation as Learned, ServerId};
 use nettleworks_shards::ids::OpenIds;
 use nettleworks_shards::news::{Cursor, News, Read};
 pub use nettleworks_shards::room::SHARDS_MOST;
--- a/shards/cores/src/member.rs
+++ b/shards/cores/src/member.rs
@@ -9,7 +9,9 @@
 use nettleworks_engine::list::List;
 use nettleworks_engine::meter::Fresh;
 use nettleworks_engine::protocol::Protocol;
-use nettleworks_policy::{self as policy, Balancer, Event, Load, Micros, News, ServerId, Short};
+use nettleworks_policy::{
+    self as policy, Balancer, CapacityDemand, Event, Load, Micros, Observation, ServerId,
+};
 use nettleworks_shards::roll::Roll;
 use nettleworks_shards::room::{Held, Room, Shard, Wakes};
 use std::any::Any;
@@ -71,7 +73,7 @@
     /// Where it has the trial.
     trials: Vec<ServerId>,
     /// What the module is to hear, all at once.
-    rooms: Vec<policy::Room>,
+    rooms: Vec<policy::Allocation>,
     woken: bool,
     ticked: bool,
 }
@@ -105,7 +107,7 @@
         self.ticked = true;
         for known in self.hosts.values_mut() {
             if let Some(load) = known.load.take() {
-                self.hub.learn(self.me, &known.name, News::Load(load));
+                self.hub.learn(self.me, &known.name, Observation::Load(load));
             }
         }
     }
@@ -126,14 +128,14 @@
         let now = (held.lease, held.trial);
         if known.told != now {
             known.told = now;
-            self.rooms.push(policy::Room { server, room: held.lease, trial: held.trial });
+            self.rooms.push(policy::Allocation { server, concurrency: held.lease, probe: held.trial });
         }
     }
 
     /// What the module allows at a host counts for the process.
     fn allow(&self, now: Micros, balancer: &Balancer, server: ServerId) {
         if let Some(known) = self.hosts.get(&server) {
-            self.hub.wake(known.room.allow(self.me, balancer.allows(now, server)));
+            self.hub.wake(known.room.allow(self.me, balancer.concurrency_limit(now, server)));
         }
     }
 
@@ -149,18 +151,18 @@
 
     /// Calls wait: takes room for them, or the trial, or else waits.
     fn ask(&mut self, now: Micros, balancer: &Balancer, held: usize) {
-        let mut short: Vec<Short> = balancer.short(now).collect();
+        let mut short: Vec<CapacityDemand> = balancer.capacity_demands(now).collect();
         // Each shard begins elsewhere, and always there: what it uses it goes on using.
         let begin = self.me * short.len() / self.hub.sizes.shards;
         short.rotate_left(begin);
-        short.sort_by_key(|at| at.strained);
+        short.sort_by_key(|at| at.overloaded);
         let mut need = held.min(TAKE_MOST);
         // One more than is needed, as a choice of two is better than none.
         let mut wanted = need + 1;
         // One at each host, and again: what waits is to be spread.
         let mut more = true;
         while std::mem::take(&mut more) {
-            for at in short.iter().filter(|at| at.room) {
+            for at in short.iter().filter(|at| at.full) {
                 let Some(known) = self.hosts.get(&at.server) else { continue };
                 if wanted > 0 && known.room.take(self.me, 1) == 1 {
                     (wanted, more) = (wanted - 1, true);
@@ -169,7 +171,7 @@
             }
         }
         short.iter().for_each(|at| self.tell_module(at.server));
-        for at in short.iter().filter(|at| at.trial) {
+        for at in short.iter().filter(|at| at.probe) {
             let Some(known) = self.hosts.get(&at.server) else { continue };
             if need > 0 && known.room.take_trial(self.me) {
                 need -= 1;
@@ -181,7 +183,7 @@
             return;
         }
         let mut wakes = Wakes::default();
-        for at in short.iter().filter(|at| at.room) {
+        for at in short.iter().filter(|at| at.full) {
             let Some(known) = self.hosts.get(&at.server) else { continue };
             if known.room.take_or_wait(self.me) {
                 self.tell_module(at.server);
@@ -209,7 +211,9 @@
     fn give_trials(&mut self, balancer: &Balancer) {
         for server in std::mem::take(&mut self.trials) {
             let Some(known) = self.hosts.get(&server) else { continue };
-            if balancer.trying(server) || !known.room.give_trial(self.me) && known.room.held(self.me).trial {
+            if balancer.is_probing(server)
+                || !known.room.give_trial(self.me) && known.room.held(self.me).trial
+            {
                 self.trials.push(server);
             } else {
                 self.tell_module(server);
@@ -234,7 +238,7 @@
                 self.give(known, 0);
             } else if ticked {
                 // A choice of two is kept where nobody else wants it, and no room where others do better.
-                let keep = (used || choices < CHOICES) && !balancer.strained(server);
+                let keep = (used || choices < CHOICES) && !balancer.is_overloaded(server);
                 self.give(known, u32::from(keep) + known.room.held(self.me).in_flight / 2);
             }
             choices += usize::from(known.room.held(self.me).spare() > 0);
@@ -315,7 +319,7 @@
         }
     }
 
-    fn tell(&mut self, server: ServerId, news: News) {
+    fn tell(&mut self, server: ServerId, news: Observation) {
         if let Some(known) = self.hosts.get(&server) {
             self.hub.learn(self.me, &known.name, news);
             self.hub.wake_others(self.me);
@@ -323,12 +327,12 @@
     }
 
     fn settle(&mut self, now: Micros, balancer: &Balancer, events: &mut VecDeque<Event>) {
-        let held = balancer.held();
+        let held = balancer.queued();
         for server in std::mem::take(&mut self.heard) {
             self.allow(now, balancer, server);
             let known = self.hosts.get_mut(&server);
             if known.is_some_and(|known| std::mem::replace(&mut known.new, false))
-                && balancer.allows(now, server) == 0.0
+                && balancer.concurrency_limit(now, server) == 0.0
             {
                 // The next event may be the list that the module hears of it by.
                 self.fresh_hosts.push(server);
@@ -361,7 +365,7 @@
         }
         if !self.rooms.is_empty() {
             // It is handled before this comes again.
-            events.push_front(Event::Rooms { rooms: std::mem::take(&mut self.rooms) });
+            events.push_front(Event::Allocations { allocations: std::mem::take(&mut self.rooms) });
         }
     }
 
--- a/shards/cores/src/seat.rs
+++ b/shards/cores/src/seat.rs
@@ -51,9 +51,9 @@
     let mut part = config.clone();
     let (all, me) = (u32::try_from(shards).unwrap_or(1), me as u32);
     let settings = &mut part.settings;
-    settings.me = settings.me.saturating_mul(all).saturating_add(me);
+    settings.balancer_index = settings.balancer_index.saturating_mul(all).saturating_add(me);
     settings.balancers = settings.balancers.saturating_mul(all);
-    settings.shared = true;
+    settings.shares_capacity = true;
     part.seed ^= u64::from(me).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     part
 }
