--- a/policy/src/balance/peers.rs
+++ b/policy/src/balance/peers.rs
@@ -6,60 +6,63 @@
 impl Balancer {
     /// How many calls wait to go.
     pub fn queued(&self) -> usize {
-        self.hold.len()
+        self.queue.len()
     }
 
     /// How many calls a server's budget allows here, as a mean; 0 for one that is set aside or not there.
     pub fn concurrency_limit(&self, now: Micros, server: ServerId) -> f64 {
         let place = self.servers.binary_search_by_key(&server, |s| s.id);
-        place.map_or(0.0, |at| self.servers[at].allows(now, &self.settings.rules))
+        place.map_or(0.0, |at| self.servers[at].effective_limit(now, &self.settings.rules))
     }
 
     /// Whether a trial call is out to a server.
     pub fn is_probing(&self, server: ServerId) -> bool {
         let place = self.servers.binary_search_by_key(&server, |s| s.id);
-        place.is_ok_and(|at| self.servers[at].budget.trial_out)
+        place.is_ok_and(|at| self.servers[at].limit.probe_in_flight)
     }
 
     /// Whether a server's answers take longer than they should.
     pub fn is_overloaded(&self, server: ServerId) -> bool {
         let place = self.servers.binary_search_by_key(&server, |s| s.id);
-        place.is_ok_and(|at| self.servers[at].strain > 1.0)
+        place.is_ok_and(|at| self.servers[at].overload > 1.0)
     }
 
     /// The servers to which calls would go if there were room there, or if a trial might go.
     pub fn capacity_demands(&self, now: Micros) -> impl Iterator<Item = CapacityDemand> + '_ {
-        let (rules, longest) = (&self.settings.rules, self.longest_usual());
+        let (rules, longest) = (&self.settings.rules, self.longest_usual_latency());
         self.servers.iter().filter_map(move |s| {
-            let (_, may_try) = s.room?;
-            let full = s.usable(now, self.served, rules) && s.full(now, rules);
-            let returns = s.budget.steps == 0 && s.budget.trial_ready(now) && s.open(now, self.served, rules);
-            let probe = !may_try && (returns || full && s.tryable(now, longest, rules));
+            let (_, may_send_probe) = s.allocation?;
+            let full = s.is_usable(now, self.served, rules) && s.is_full(now, rules);
+            let reinstatable =
+                s.limit.steps == 0 && s.limit.probe_ready(now) && s.may_receive(now, self.served, rules);
+            let probe = !may_send_probe && (reinstatable || full && s.may_be_probed(now, longest, rules));
             (full || probe).then_some(CapacityDemand {
                 server: s.id,
                 full,
                 probe,
-                overloaded: s.strain > 1.0,
+                overloaded: s.overload > 1.0,
             })
         })
     }
 
     /// What another balancer of the process has learned of a server. What this one has learned since holds.
     pub(super) fn observed(&mut self, now: Micros, id: ServerId, observation: Observation, age: Micros) {
-        let (first, at) = (self.first_backoff(), now.saturating_sub(age));
+        let (first_backoff, observed_at) = (self.first_backoff(), now.saturating_sub(age));
         let Ok(place) = self.servers.binary_search_by_key(&id, |s| s.id) else { return };
         let server = &mut self.servers[place];
-        let up = server.budget.steps > 0;
+        let up = server.limit.steps > 0;
         match observation {
-            Observation::Load(load) if at > server.reported => self.crowded(at, place, load),
-            Observation::Ejected if up && server.answered < at => {
-                (server.budget.steps, server.strain) = (0, 1.0);
-                server.budget.back_off(now, first);
+            Observation::Load(load) if observed_at > server.reported_at => {
+                self.update_reported_overload(observed_at, place, load)
             }
-            Observation::Reinstated if !up => server.budget.trial_served(),
-            Observation::LimitRaised if up => server.budget.trial_served(),
+            Observation::Ejected if up && server.last_served_at < observed_at => {
+                (server.limit.steps, server.overload) = (0, 1.0);
+                server.limit.back_off(now, first_backoff);
+            }
+            Observation::Reinstated if !up => server.limit.raise(),
+            Observation::LimitRaised if up => server.limit.raise(),
             _ => {}
         }
-        self.count();
+        self.update_counts();
     }
 }
--- a/policy/src/balance/server_list.rs
+++ b/policy/src/balance/server_list.rs
@@ -4,9 +4,9 @@
 use crate::api::{Entry, Freshness, ListKind, Micros, ServerState};
 
 impl Balancer {
-    pub(super) fn members(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) {
+    pub(super) fn update_server_list(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) {
         if matches!(kind, ListKind::Failed | ListKind::Silent) {
-            return self.ask_again(now, kind);
+            return self.resubscribe(now, kind);
         }
         if kind.verifies() {
             self.list_verified(now);
@@ -18,7 +18,7 @@
             // A restart under the same number is a new, cold process: nothing learned of the old one holds.
             if found.is_err() || entry.started > self.servers[place].started {
                 let mut server = Server::new(entry, &self.settings);
-                server.first = Some(self.first(now));
+                server.first_call = Some(self.draw_first_call(now));
                 self.servers.splice(place..place + usize::from(found.is_ok()), [server]);
             }
             let server = &mut self.servers[place];
@@ -27,13 +27,13 @@
             server.weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
         }
         self.servers.retain(|s| s.listed || s.in_flight > 0);
-        self.cut_off.retain(|zone, _| self.servers.iter().any(|s| s.zone == *zone));
+        self.zone_failures.retain(|zone, _| self.servers.iter().any(|s| s.zone == *zone));
         self.pace_first_calls(now);
-        self.count();
+        self.update_counts();
     }
 
     /// What has become of the watch.
-    pub(super) fn freshness(&mut self, now: Micros, freshness: Freshness) {
+    pub(super) fn update_freshness(&mut self, now: Micros, freshness: Freshness) {
         if !self.settings.pull_list {
             return;
         }
@@ -41,11 +41,12 @@
             return self.list_verified(now);
         }
         self.lease.update(now, freshness);
-        self.ask_before_expiry(now);
+        self.subscribe_before_expiry(now);
     }
 
     fn list_verified(&mut self, now: Micros) {
-        (self.ask_failures, self.ask_soon, self.ask_at) = (0, Micros::MAX, Micros::MAX);
+        (self.subscribe_failures, self.max_subscribe_pause, self.subscribe_at) =
+            (0, Micros::MAX, Micros::MAX);
         self.lease.update(now, Freshness::Verified);
     }
 
@@ -56,9 +57,11 @@
     }
 
     /// Trouble seen at most of the fleet is not the servers' own: never are most set aside.
-    pub(super) fn count(&mut self) {
-        self.listed = self.servers.iter().filter(|s| s.listed).count();
-        self.aside = self.servers.iter().filter(|s| s.listed && s.budget.steps == 0).count();
-        self.shared_limit.iter_mut().for_each(|limit| limit.up = (self.listed - self.aside) as f64);
+    pub(super) fn update_counts(&mut self) {
+        self.listed_count = self.servers.iter().filter(|s| s.listed).count();
+        self.ejected_count = self.servers.iter().filter(|s| s.listed && s.limit.steps == 0).count();
+        self.shared_limit
+            .iter_mut()
+            .for_each(|limit| limit.servers_up = (self.listed_count - self.ejected_count) as f64);
     }
 }
--- a/policy/src/call.rs
+++ b/policy/src/call.rs
@@ -4,8 +4,8 @@
 
 /// Which budget a trial call may raise: its server's, or the one that all servers share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trial {
-    No,
+pub(crate) enum ProbeTarget {
+    None,
     Server,
     Shared,
 }
@@ -18,8 +18,8 @@
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) class_id: usize,
-    pub(crate) sent: Micros,
-    pub(crate) trial: Trial,
+    pub(crate) sent_at: Micros,
+    pub(crate) probe: ProbeTarget,
     /// From when on it is late for the limit that all servers share.
     pub(crate) late_at: Micros,
     /// `None`: it is out.
@@ -34,21 +34,21 @@
     pub(crate) arrived: Micros,
     pub(crate) deadline: Micros,
     pub(crate) attempts: Vec<Attempt>,
-    pub(crate) held: bool,
+    pub(crate) queued: bool,
     pub(crate) ended: bool,
     /// It has ended for want of anybody who waits, and is wanted again if somebody comes.
-    pub(crate) lingers: bool,
+    pub(crate) detached: bool,
     /// When the call is looked at next; 0: not by time.
-    pub(crate) wake: Micros,
+    pub(crate) wake_at: Micros,
 }
 
 impl Call {
-    pub(crate) fn out(&self) -> usize {
+    pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.outcome.is_none()).count()
     }
 
     /// The first attempt that may have run: the one that binds a guarded call.
-    pub(crate) fn binding(&self) -> Option<&Attempt> {
+    pub(crate) fn binding_attempt(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran))
     }
 
@@ -59,17 +59,17 @@
 
 /// Answer times of a class: the present mean and the least it has been, which stands for an unloaded server.
 #[derive(Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct ClassLatency {
     pub(crate) mean: f64,
-    pub(crate) base: f64,
-    pub(crate) seen: u32,
-    pub(crate) at: Micros,
-    pub(crate) asked: f64,
+    pub(crate) unloaded: f64,
+    pub(crate) samples: u32,
+    pub(crate) updated_at: Micros,
+    pub(crate) requests: f64,
 }
 
 /// Where a call goes.
 pub(crate) enum Route {
-    Send { server: usize, trial: Trial },
-    Hold,
+    Send { server: usize, probe: ProbeTarget },
+    Queue,
     Refuse { retry_after: Micros },
 }
--- a/policy/src/list_lease.rs
+++ b/policy/src/list_lease.rs
@@ -12,22 +12,22 @@
 
 /// A change that a broken or silent watch missed, or that came while none was open, counts as
 /// notified at the latest this long after the watch was lost.
-const NOTIFIED_MOST: Micros = 6_000_000;
+const NOTIFIED_WITHIN: Micros = 6_000_000;
 /// The same after a watch that was ended in order, from its end on.
-const NOTIFIED_ENDED: Micros = 2_000_000;
+const NOTIFIED_WITHIN_AFTER_END: Micros = 2_000_000;
 /// The same after the configuration has named another discovery.
-const NOTIFIED_MOVED: Micros = 4_000_000;
+const NOTIFIED_WITHIN_AFTER_CHANGE: Micros = 4_000_000;
 /// After a call that failed the list holds for so many times the time between two calls.
-const FAILED_CALL_TIMES: Micros = 4;
+const FAILED_CALL_INTERVALS: Micros = 4;
 /// A request is written so long after it was decided at the most: the process may be held up in
 /// between.
-const HELD_UP_MOST: Micros = 250_000;
+const MAX_WRITE_DELAY: Micros = 250_000;
 
 /// The lease of the list in hand.
 #[derive(Clone, Debug)]
 pub(crate) struct ListLease {
     /// Longest that a client proxy without a watch may go without a call for the list.
-    call_every: Micros,
+    refresh_interval: Micros,
     /// From the moment at which a change counts as notified to the last at which a request may be
     /// decided by the list before it.
     slack: Micros,
@@ -35,70 +35,75 @@
     /// pushed.
     missed_at: Option<Micros>,
     /// By when it counts instead, as discovery was down meanwhile. No sooner than `missed_at`.
-    renewed_at: Option<Micros>,
+    extended_at: Option<Micros>,
     /// By when a list counts that was on its way. It has been written, so nothing moves this on.
-    withheld_at: Option<Micros>,
+    incomplete_at: Option<Micros>,
     /// Whether the end is that of a watch that discovery ended.
-    was_ended: bool,
+    watch_ended: bool,
 }
 
 impl ListLease {
     /// A lease without an end.
     pub fn new(rules: &Rules) -> ListLease {
-        let slack = rules.drain_grace.saturating_sub(HELD_UP_MOST);
+        let slack = rules.drain_grace.saturating_sub(MAX_WRITE_DELAY);
         ListLease {
-            call_every: rules.list_refresh_interval,
+            refresh_interval: rules.list_refresh_interval,
             slack,
             missed_at: None,
-            renewed_at: None,
-            withheld_at: None,
-            was_ended: false,
+            extended_at: None,
+            incomplete_at: None,
+            watch_ended: false,
         }
     }
 
     /// Takes in what has become of the watch.
     pub fn update(&mut self, now: Micros, freshness: Freshness) {
         match freshness {
-            Freshness::Verified => self.set(None),
+            Freshness::Verified => self.reset(None),
             Freshness::Unverified { since } => {
-                let notified = since.saturating_add(NOTIFIED_MOST).min(now.saturating_add(self.call_every));
-                self.missed(notified);
+                let notified =
+                    since.saturating_add(NOTIFIED_WITHIN).min(now.saturating_add(self.refresh_interval));
+                self.limit_by_missed_changes(notified);
             }
             Freshness::Ended { at } => {
-                self.was_ended = true;
-                self.missed(at.saturating_add(NOTIFIED_ENDED));
+                self.watch_ended = true;
+                self.limit_by_missed_changes(at.saturating_add(NOTIFIED_WITHIN_AFTER_END));
+            }
+            Freshness::DiscoveryChanged => {
+                self.limit_by_missed_changes(now.saturating_add(NOTIFIED_WITHIN_AFTER_CHANGE))
             }
-            Freshness::DiscoveryChanged => self.missed(now.saturating_add(NOTIFIED_MOVED)),
             Freshness::Incomplete { since } => {
-                self.withheld_at = sooner(self.withheld_at, since.saturating_add(self.slack));
+                self.incomplete_at = earlier(self.incomplete_at, since.saturating_add(self.slack));
             }
             Freshness::Unreachable { since } => {
-                let held = self.call_every.saturating_mul(FAILED_CALL_TIMES).min(NOTIFIED_MOST);
-                let renewed = since.saturating_add(held).saturating_add(self.slack);
-                self.was_ended = false;
-                self.renewed_at = self.missed_at.map(|at| at.max(self.renewed_at.unwrap_or(at)).max(renewed));
+                let extension =
+                    self.refresh_interval.saturating_mul(FAILED_CALL_INTERVALS).min(NOTIFIED_WITHIN);
+                let extended = since.saturating_add(extension).saturating_add(self.slack);
+                self.watch_ended = false;
+                self.extended_at =
+                    self.missed_at.map(|at| at.max(self.extended_at.unwrap_or(at)).max(extended));
             }
-            Freshness::Reachable => self.renewed_at = None,
-            Freshness::Expires { at } => self.set(at),
+            Freshness::Reachable => self.extended_at = None,
+            Freshness::Expires { at } => self.reset(at),
         }
     }
 
-    fn set(&mut self, at: Option<Micros>) {
+    fn reset(&mut self, at: Option<Micros>) {
         self.missed_at = at;
-        (self.renewed_at, self.withheld_at, self.was_ended) = (None, None, false);
+        (self.extended_at, self.incomplete_at, self.watch_ended) = (None, None, false);
     }
 
     /// What was missed counts as notified then at the latest.
-    fn missed(&mut self, notified: Micros) {
+    fn limit_by_missed_changes(&mut self, notified: Micros) {
         let at = notified.saturating_add(self.slack);
-        self.missed_at = sooner(self.missed_at, at);
-        self.renewed_at = self.renewed_at.map(|renewed| renewed.min(at));
+        self.missed_at = earlier(self.missed_at, at);
+        self.extended_at = self.extended_at.map(|extended| extended.min(at));
     }
 
     /// When nothing new may be sent by the list any more; `None`: the list is verified.
     pub fn expires_at(&self) -> Option<Micros> {
-        let missed_at = self.renewed_at.or(self.missed_at);
-        missed_at.into_iter().chain(self.withheld_at).min()
+        let missed_at = self.extended_at.or(self.missed_at);
+        missed_at.into_iter().chain(self.incomplete_at).min()
     }
 
     /// Whether that moment has come.
@@ -114,9 +119,9 @@
     /// The longest time over which calls for the list are spread while it runs out, so that one of
     /// them and one more after it are answered before the end; after a watch that was ended one.
     pub fn renewal_window(&self) -> Micros {
-        let longest = self.call_every.min(NOTIFIED_MOST) * 3 / 8;
-        if self.was_ended {
-            longest.min(NOTIFIED_ENDED * 3 / 4)
+        let longest = self.refresh_interval.min(NOTIFIED_WITHIN) * 3 / 8;
+        if self.watch_ended {
+            longest.min(NOTIFIED_WITHIN_AFTER_END * 3 / 4)
         } else {
             longest
         }
@@ -124,7 +129,7 @@
 }
 
 /// The sooner of a moment that may be set and another.
-fn sooner(set: Option<Micros>, at: Micros) -> Option<Micros> {
+fn earlier(set: Option<Micros>, at: Micros) -> Option<Micros> {
     Some(set.map_or(at, |before| before.min(at)))
 }
 
@@ -145,10 +150,10 @@
     #[test]
     fn in_every_order_of_events_the_lease_ends_in_time() {
         let kinds = 8_usize;
-        for course in 0..kinds.pow(5) {
+        for sequence in 0..kinds.pow(5) {
             let mut lease = lease(10 * SECOND);
-            let (mut missed, mut renewed, mut withheld) = (None::<Micros>, None::<Micros>, None::<Micros>);
-            let mut rest = course;
+            let (mut missed, mut extended, mut incomplete) = (None::<Micros>, None::<Micros>, None::<Micros>);
+            let mut rest = sequence;
             for step in 1..=5 {
                 let now = step * 2 * SECOND;
                 let event = match rest % kinds {
@@ -171,30 +176,30 @@
                     _ => None,
                 };
                 if let Some(at) = missed_now {
-                    (missed, renewed) = (least(missed, at), renewed.map(|renewed| renewed.min(at)));
+                    (missed, extended) = (least(missed, at), extended.map(|extended| extended.min(at)));
                 }
                 match event {
-                    Freshness::Verified => (missed, renewed, withheld) = (None, None, None),
-                    Freshness::Incomplete { since } => withheld = least(withheld, since + SECOND),
+                    Freshness::Verified => (missed, extended, incomplete) = (None, None, None),
+                    Freshness::Incomplete { since } => incomplete = least(incomplete, since + SECOND),
                     Freshness::Unreachable { since } => {
-                        renewed = missed.map(|at| at.max(renewed.unwrap_or(at)).max(since + 7 * SECOND));
+                        extended = missed.map(|at| at.max(extended.unwrap_or(at)).max(since + 7 * SECOND));
                     }
-                    Freshness::Reachable => renewed = None,
+                    Freshness::Reachable => extended = None,
                     _ => {}
                 }
-                let missed_by = renewed.or(missed);
-                let bound = missed_by.map_or(withheld, |at| least(withheld, at));
+                let missed_by = extended.or(missed);
+                let bound = missed_by.map_or(incomplete, |at| least(incomplete, at));
                 let end = lease.expires_at();
-                assert_eq!(end.is_some(), bound.is_some(), "{course}: {event:?}");
+                assert_eq!(end.is_some(), bound.is_some(), "{sequence}: {event:?}");
                 if let (Some(end), Some(bound)) = (end, bound) {
-                    assert_eq!(end + HELD_UP_MOST, bound, "{course}: {event:?}");
+                    assert_eq!(end + MAX_WRITE_DELAY, bound, "{sequence}: {event:?}");
                 }
             }
         }
     }
 
     #[test]
-    fn it_ends_sooner_where_the_settings_want_calls_more_often() {
+    fn the_lease_is_shorter_with_a_shorter_refresh_interval() {
         let mut lease = lease(2 * SECOND);
         lease.update(10 * SECOND, Freshness::Unverified { since: 9 * SECOND });
         assert_eq!(lease.expires_at(), Some(12 * SECOND + 750_000));
@@ -204,14 +209,14 @@
     }
 
     #[test]
-    fn a_call_that_failed_says_nothing_of_a_list_that_is_verified() {
+    fn a_failed_request_does_not_affect_a_verified_list() {
         let mut lease = lease(10 * SECOND);
         lease.update(SECOND, Freshness::Unreachable { since: 0 });
         assert_eq!(lease.expires_at(), None);
     }
 
     #[test]
-    fn odd_figures_overflow_nowhere() {
+    fn extreme_values_do_not_overflow() {
         let rules = Rules {
             list_refresh_interval: Micros::MAX,
             drain_grace: Micros::MAX,
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -56,7 +56,7 @@
         self.event(Event::ServerList { kind, entries })
     }
 
-    pub fn call_of(&mut self, class: usize) -> (CallId, Vec<Action>) {
+    pub fn call_of_class(&mut self, class: usize) -> (CallId, Vec<Action>) {
         self.next += 1;
         let call = CallId(self.next);
         let class = ClassId(class);
@@ -65,7 +65,7 @@
     }
 
     pub fn call(&mut self) -> (CallId, Vec<Action>) {
-        self.call_of(0)
+        self.call_of_class(0)
     }
 
     pub fn end(&mut self, call: CallId, attempt: u32, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
--- a/policy/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -14,23 +14,23 @@
 }
 
 #[test]
-fn a_call_at_a_full_budget_passes_as_the_one_trial_and_the_next_waits() {
+fn one_call_exceeds_a_full_limit_as_the_probe_and_the_next_waits() {
     let (mut proxy, _) = full_server(Idempotency::SingleShot);
-    let (trial, actions) = proxy.call();
-    assert_eq!(sent(&actions), [(trial, ServerId(1))]);
+    let (probe, actions) = proxy.call();
+    assert_eq!(sent(&actions), [(probe, ServerId(1))]);
     let (_, actions) = proxy.call();
     assert!(sent(&actions).is_empty(), "one trial at a time");
 }
 
 #[test]
-fn a_served_trial_adds_one_step() {
+fn a_served_probe_adds_one_step() {
     let (mut proxy, _) = full_server(Idempotency::SingleShot);
-    let (trial, _) = proxy.call();
+    let (probe, _) = proxy.call();
     let (a, b) = (proxy.call().0, proxy.call().0);
     proxy.now += 50 * MS;
-    let actions = proxy.end(trial, 1, Outcome::Served, 50 * MS);
+    let actions = proxy.end(probe, 1, Outcome::Served, 50 * MS);
     assert!(sent(&actions).is_empty(), "an attempt that was never made has no outcome");
-    let actions = proxy.end(trial, 0, Outcome::Served, 50 * MS);
+    let actions = proxy.end(probe, 0, Outcome::Served, 50 * MS);
     // Two steps of one call each, one in use: the first that waits goes, and no trial before the step has shown
     // what it does.
     assert_eq!(sent(&actions), [(a, ServerId(1))]);
@@ -45,7 +45,7 @@
 }
 
 /// Lets calls come until one is sent; tells after how long, and which.
-fn until_trial(proxy: &mut Proxy) -> (Micros, CallId) {
+fn next_probe(proxy: &mut Proxy) -> (Micros, CallId) {
     let began = proxy.now;
     loop {
         proxy.now += 5 * MS;
@@ -59,20 +59,20 @@
 }
 
 #[test]
-fn a_failed_trial_doubles_the_backoff_up_to_a_cap_and_a_served_one_resets_it() {
+fn a_failed_probe_doubles_the_backoff_up_to_a_cap_and_a_served_one_resets_it() {
     let (mut proxy, _) = full_server(Idempotency::SingleShot);
-    let mut trial = proxy.call().0;
+    let mut probe = proxy.call().0;
     let mut spans = Vec::new();
     for _ in 0..6 {
-        proxy.end(trial, 0, Outcome::Error, MS);
-        let (span, next) = until_trial(&mut proxy);
+        proxy.end(probe, 0, Outcome::Error, MS);
+        let (span, next) = next_probe(&mut proxy);
         spans.push(span / MS);
-        trial = next;
+        probe = next;
     }
     for (span, wanted) in spans.iter().zip([125, 250, 500, 1_000, 2_000, 2_000]) {
         assert!(span.abs_diff(wanted) <= 10, "{spans:?}");
     }
-    let mut out = sent(&proxy.end(trial, 0, Outcome::Served, MS));
+    let mut out = sent(&proxy.end(probe, 0, Outcome::Served, MS));
     while let Some((call, _)) = out.pop() {
         out.extend(sent(&proxy.end(call, 0, Outcome::Served, MS)));
     }
@@ -80,22 +80,22 @@
     for _ in 0..12 {
         proxy.serve(MS);
     }
-    let mut next = trial;
+    let mut next = probe;
     while let Some(&(call, _)) = sent(&proxy.call().1).first() {
         next = call;
     }
-    assert_ne!(next, trial, "the last that went, at a full budget, is the next trial");
+    assert_ne!(next, probe, "the last that went, at a full budget, is the next trial");
     proxy.end(next, 0, Outcome::Error, MS);
-    assert!(until_trial(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
+    assert!(next_probe(&mut proxy).0.abs_diff(125 * MS) <= 10 * MS);
 }
 
 #[test]
-fn waiting_calls_go_out_in_the_order_of_arrival() {
+fn queued_calls_are_sent_in_order_of_arrival() {
     let (mut proxy, first) = full_server(Idempotency::SingleShot);
-    let trial = proxy.call().0;
+    let probe = proxy.call().0;
     let waiting: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
     let mut order = Vec::new();
-    for call in [first, trial] {
+    for call in [first, probe] {
         proxy.now += 20 * MS;
         order.extend(sent(&proxy.end(call, 0, Outcome::Served, 20 * MS)).into_iter().map(|s| s.0));
     }
@@ -116,7 +116,7 @@
 }
 
 /// Of 400 single calls, how many went to server 2, by how long (and how) each server ends them.
-fn second_of_two(entries: Vec<Entry>, end: impl Fn(ServerId) -> (Outcome, Micros)) -> usize {
+fn calls_to_second_server(entries: Vec<Entry>, end: impl Fn(ServerId) -> (Outcome, Micros)) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     // A hundred balancers: a server's first budget is far under a call.
     let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 2);
@@ -135,31 +135,31 @@
 }
 
 #[test]
-fn ties_go_to_the_server_where_calls_lately_spent_less_time() {
+fn ties_go_to_the_server_with_the_shorter_recent_response_times() {
     let two = || vec![ready(1), ready(2)];
     let slow_first = |s| (Outcome::Served, if s == ServerId(1) { 200 * MS } else { 40 * MS });
-    assert!(second_of_two(two(), slow_first) > 300, "five times as fast: five calls to one");
-    let alike = second_of_two(two(), |_| (Outcome::Served, 40 * MS));
-    assert!((180..=220).contains(&alike), "{alike}");
+    assert!(calls_to_second_server(two(), slow_first) > 300, "five times as fast: five calls to one");
+    let equal = calls_to_second_server(two(), |_| (Outcome::Served, 40 * MS));
+    assert!((180..=220).contains(&equal), "{equal}");
 }
 
 #[test]
-fn ties_go_by_the_listed_size_and_quick_errors_count_as_a_whole_aim() {
+fn ties_respect_weights_and_quick_errors_count_as_a_full_latency_target() {
     let sized = vec![ready(1), Entry { weight: 2.0, ..ready(2) }];
-    let double = second_of_two(sized, |_| (Outcome::Served, 40 * MS));
+    let double = calls_to_second_server(sized, |_| (Outcome::Served, 40 * MS));
     assert!((250..=290).contains(&double), "two thirds to the server of twice the size: {double}");
     // Odd sizes count as 1.
     let two = || vec![ready(1), ready(2)];
     let odd = vec![Entry { weight: f64::NAN, ..ready(1) }, Entry { weight: -3.0, ..ready(2) }];
-    let alike = second_of_two(odd, |_| (Outcome::Served, 40 * MS));
-    assert!((180..=220).contains(&alike), "{alike}");
+    let equal = calls_to_second_server(odd, |_| (Outcome::Served, 40 * MS));
+    assert!((180..=220).contains(&equal), "{equal}");
     let full = |s| if s == ServerId(1) { (Outcome::TurnedAway, MS) } else { (Outcome::Served, 40 * MS) };
-    let shunned = second_of_two(two(), full);
-    assert!(shunned > 300, "a quick refusal is not a quick answer: {shunned}");
+    let avoided = calls_to_second_server(two(), full);
+    assert!(avoided > 300, "a quick refusal is not a quick answer: {avoided}");
 }
 
 #[test]
-fn a_pick_at_full_budget_is_redrawn_among_servers_under_budget() {
+fn a_pick_at_its_limit_is_redrawn_among_servers_below_theirs() {
     // One of twenty has room: two random choices alone would rarely meet it, and a trial would be needed.
     let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 20);
     let servers: std::collections::BTreeSet<ServerId> = (0..20).map(|_| sent(&proxy.call().1)[0].1).collect();
@@ -168,7 +168,7 @@
 
 /// How many calls a fresh server is sent at once, of which the last is a trial, after seven that it served but for
 /// one that ended so.
-fn room_after(outcome: Outcome) -> usize {
+fn calls_accepted_after(outcome: Outcome) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 1, limits, ..settings(Idempotency::SingleShot) }, 1);
     let calls: Vec<CallId> = (0..7).map(|_| proxy.call().0).collect();
@@ -183,13 +183,13 @@
 }
 
 #[test]
-fn a_refusal_as_full_lowers_the_concurrency() {
-    assert_eq!(room_after(Outcome::Served), 8);
-    assert_eq!(room_after(Outcome::TurnedAway), 7, "four fifths of seven, and a trial");
+fn a_rejection_lowers_the_concurrency() {
+    assert_eq!(calls_accepted_after(Outcome::Served), 8);
+    assert_eq!(calls_accepted_after(Outcome::TurnedAway), 7, "four fifths of seven, and a trial");
 }
 
 /// Sends calls until one waits, and has all of them served after 40 ms; tells how many went at once.
-fn fill(proxy: &mut Proxy) -> usize {
+fn fill_limit(proxy: &mut Proxy) -> usize {
     let mut calls = vec![proxy.call()];
     while !sent(&calls[calls.len() - 1].1).is_empty() {
         calls.push(proxy.call());
@@ -205,10 +205,10 @@
 }
 
 #[test]
-fn steps_end_at_the_clamp_so_that_as_many_connection_failures_take_them() {
+fn steps_are_capped_so_that_as_many_connection_failures_remove_them() {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { limits, ..settings(Idempotency::SingleShot) }, 1);
-    let grown: Vec<usize> = (0..30).map(|_| fill(&mut proxy)).collect();
+    let grown: Vec<usize> = (0..30).map(|_| fill_limit(&mut proxy)).collect();
     assert!(grown[29] > 13, "at the clamp the concurrency grows instead: {grown:?}");
     for _ in 0..9 {
         let (call, actions) = proxy.call();
@@ -218,12 +218,12 @@
             proxy.serve(40 * MS);
         }
     }
-    let left = fill(&mut proxy);
+    let left = fill_limit(&mut proxy);
     assert!(left <= 3, "one step of ten is left, and a trial: {left} after {grown:?}");
 }
 
 #[test]
-fn connection_failures_take_the_last_step_and_the_server_is_skipped_in_backoff_then_tried_by_one_call() {
+fn connection_failures_eject_a_server_and_one_probe_follows_the_backoff() {
     let mut proxy = Proxy::new(settings(Idempotency::Free), 2);
     let (call, actions) = proxy.call();
     let broken = sent(&actions)[0].1;
@@ -236,13 +236,13 @@
         assert_eq!(proxy.serve(MS), Some(other), "skipped in backoff");
     }
     proxy.now += 200 * MS;
-    let (trial, actions) = proxy.call();
-    assert_eq!(sent(&actions), [(trial, broken)]);
+    let (probe, actions) = proxy.call();
+    assert_eq!(sent(&actions), [(probe, broken)]);
     let (second, actions) = proxy.call();
     assert_eq!(sent(&actions)[0].1, other, "one call only");
     proxy.end(second, 0, Outcome::Served, MS);
     proxy.now += MS;
-    proxy.end(trial, 0, Outcome::Served, MS);
+    proxy.end(probe, 0, Outcome::Served, MS);
     let mut used: Vec<ServerId> = (0..12).filter_map(|_| proxy.serve(MS)).collect();
     used.sort();
     used.dedup();
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn with_every_server_at_zero_steps_calls_are_refused_with_advice() {
+fn with_all_servers_ejected_calls_are_refused_with_a_retry_after() {
     let mut proxy = Proxy::new(settings(Idempotency::Free), 2);
     // A reset takes a step each; half of two may be set aside, so the list is cut to the broken one.
     let (call, actions) = proxy.call();
@@ -259,36 +259,36 @@
     proxy.end(call, 0, Outcome::Reset, MS);
     proxy.list(ListKind::Full, vec![ready(broken.0)]);
     let (call, actions) = proxy.call();
-    let advice = actions.iter().find_map(|a| match a {
+    let retry_after = actions.iter().find_map(|a| match a {
         Action::Refuse { call: id, retry_after, .. } if *id == call => Some(*retry_after),
         _ => None,
     });
-    assert!(advice.is_some_and(|a| a > 0), "{actions:?}");
+    assert!(retry_after.is_some_and(|a| a > 0), "{actions:?}");
 }
 
 #[test]
-fn a_thin_balancer_keeps_to_a_window_of_servers_that_is_even_over_all_balancers() {
-    let mut windows: BTreeMap<ServerId, u32> = BTreeMap::new();
+fn a_balancer_with_few_calls_uses_a_subset_and_subsets_cover_servers_evenly() {
+    let mut subsets: BTreeMap<ServerId, u32> = BTreeMap::new();
     for balancer_index in 0..100 {
         let mut proxy =
             Proxy::new(Settings { balancers: 100, balancer_index, ..settings(Idempotency::Free) }, 50);
-        let mut met = std::collections::BTreeSet::new();
+        let mut used = std::collections::BTreeSet::new();
         for _ in 0..60 {
             proxy.now += 500 * MS;
-            met.extend(proxy.serve(20 * MS));
+            used.extend(proxy.serve(20 * MS));
         }
-        assert_eq!(met.len(), 8, "few servers, each met often: connections stay open");
-        met.into_iter().for_each(|s| *windows.entry(s).or_default() += 1);
+        assert_eq!(used.len(), 8, "few servers, each met often: connections stay open");
+        used.into_iter().for_each(|s| *subsets.entry(s).or_default() += 1);
     }
-    assert_eq!(windows.len(), 50);
-    assert!(windows.values().all(|n| *n == 16), "100 windows of 8 over 50 servers: {windows:?}");
+    assert_eq!(subsets.len(), 50);
+    assert!(subsets.values().all(|n| *n == 16), "100 windows of 8 over 50 servers: {subsets:?}");
 }
 
 /// One balancer of a hundred before sixty servers sends a call each `gap`, served after 250 ms: how many servers does it
 /// meet in the second half of half a minute?
-fn met_at(gap: Micros) -> usize {
+fn servers_used_at(gap: Micros) -> usize {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
-    let (mut out, mut met) = (Vec::<(Micros, CallId)>::new(), BTreeSet::new());
+    let (mut out, mut used) = (Vec::<(Micros, CallId)>::new(), BTreeSet::new());
     for _ in 0..30_000 * MS / gap {
         proxy.now += gap;
         let (now, mut actions) = (proxy.now, Vec::new());
@@ -298,23 +298,23 @@
         actions.extend(proxy.call().1);
         for (call, server) in sent(&actions) {
             out.push((now + 250 * MS, call));
-            met.extend((now > 16_000 * MS).then_some(server));
+            used.extend((now > 16_000 * MS).then_some(server));
         }
     }
-    met.len()
+    used.len()
 }
 
 #[test]
-fn a_balancer_with_few_calls_in_flight_uses_few_connections_often_instead_of_many_seldom() {
-    let few = met_at(125 * MS);
+fn a_balancer_with_few_calls_in_flight_reuses_few_connections() {
+    let few = servers_used_at(125 * MS);
     assert!(few <= 10, "two calls in flight, as most of a hundred have: {few} servers of sixty");
-    let many = met_at(10 * MS);
+    let many = servers_used_at(10 * MS);
     assert!(many >= 45, "a busy one spreads its calls over nearly all: {many}");
 }
 
 /// How many servers two hundred calls of one balancer of a hundred go to after a pause, where the connections of so many calls
 /// before were refused.
-fn met_after(refused: usize, pause: Micros) -> usize {
+fn servers_used_after(refused: usize, pause: Micros) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::Free) }, 60);
     (0..20).for_each(|_| drop((proxy.wait(200 * MS), proxy.serve(20 * MS))));
@@ -328,19 +328,19 @@
     proxy.now += pause;
     // Those that were set aside are tried first, one call each.
     (0..60).for_each(|_| drop((proxy.wait(30 * MS), proxy.serve(20 * MS))));
-    let met: BTreeSet<_> = (0..200).filter_map(|_| (proxy.wait(10 * MS), proxy.serve(20 * MS)).1).collect();
-    met.len()
+    let used: BTreeSet<_> = (0..200).filter_map(|_| (proxy.wait(10 * MS), proxy.serve(20 * MS)).1).collect();
+    used.len()
 }
 
 #[test]
-fn a_balancer_whose_connections_are_refused_keeps_to_fewer_servers_for_a_while() {
-    assert_eq!(met_after(0, 2_000 * MS), 8, "as many as a thin one has");
-    assert!(met_after(12, 2_000 * MS) <= 6, "{} of eight", met_after(12, 2_000 * MS));
-    assert_eq!(met_after(12, 120_000 * MS), 8, "there may be room again");
+fn refused_connections_shrink_the_subset_for_a_while() {
+    assert_eq!(servers_used_after(0, 2_000 * MS), 8, "as many as a thin one has");
+    assert!(servers_used_after(12, 2_000 * MS) <= 6, "{} of eight", servers_used_after(12, 2_000 * MS));
+    assert_eq!(servers_used_after(12, 120_000 * MS), 8, "there may be room again");
 }
 
 #[test]
-fn a_window_moves_past_servers_that_are_down() {
+fn a_subset_skips_removed_servers() {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::Free) }, 50);
     proxy.list(ListKind::Full, (1..=50).filter(|i| *i > 8).map(ready).collect());
     assert!((0..20).all(|_| (proxy.wait(500 * MS), proxy.serve(20 * MS)).1.is_some_and(|s| s.0 > 8)));
--- a/policy/tests/random.rs
+++ b/policy/tests/random.rs
@@ -8,23 +8,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Default)]
-struct Seen {
+struct ObservedCall {
     attempts: Vec<(ServerId, Option<Outcome>, Micros)>,
     ended: bool,
     /// Nobody waits for it, and what is out of it goes on.
-    lingers: bool,
+    detached: bool,
     deadline: Micros,
     class: usize,
 }
 
 #[test]
-fn rules_hold_on_every_action_of_random_days() {
+fn rules_hold_for_every_action_of_random_event_sequences() {
     for seed in 0..12 {
-        day(seed);
+        run_random_events(seed);
     }
 }
 
-fn day(seed: u64) {
+fn run_random_events(seed: u64) {
     let mut random = Pcg32::seed_from_u64(seed);
     let mut below = move |n: u64| u64::from(random.next_u32()) % n;
     let kinds = [
@@ -42,7 +42,7 @@
     settings.pull_list = seed.is_multiple_of(3);
     let (hedging, classes) = (settings.limits.hedging, settings.classes.clone());
     let mut proxy = Proxy::new(settings, 0);
-    let mut calls: BTreeMap<CallId, Seen> = BTreeMap::new();
+    let mut calls: BTreeMap<CallId, ObservedCall> = BTreeMap::new();
     let mut list: BTreeMap<ServerId, ServerState> = BTreeMap::new();
     let mut known: BTreeSet<ServerId> = BTreeSet::new();
     for step in 0..4_000_u64 {
@@ -56,9 +56,9 @@
         let actions = match below(10) {
             0..=3 => {
                 let class = below(4) as usize;
-                let (id, actions) = proxy.call_of(class);
+                let (id, actions) = proxy.call_of_class(class);
                 let deadline = proxy.now + 1_200 * MS;
-                calls.insert(id, Seen { deadline, class, ..Seen::default() });
+                calls.insert(id, ObservedCall { deadline, class, ..ObservedCall::default() });
                 actions
             }
             4..=7 if !open.is_empty() => {
@@ -75,7 +75,7 @@
                 seen.attempts[attempt].1 = Some(outcome);
                 let elapsed = proxy.now - seen.attempts[attempt].2;
                 seen.ended |= outcome == Outcome::Served;
-                seen.lingers &= outcome != Outcome::Served;
+                seen.detached &= outcome != Outcome::Served;
                 proxy.end(id, attempt as u32, outcome, elapsed)
             }
             8 if step % 7 == 0 => {
@@ -94,11 +94,11 @@
             8 if step % 5 < 3 && !open.is_empty() => {
                 let (call, _) = open[below(open.len() as u64) as usize];
                 let seen = calls.get_mut(&call).expect("it is open");
-                if seen.lingers {
-                    (seen.ended, seen.lingers, seen.deadline) = (false, false, proxy.now + 1_200 * MS);
+                if seen.detached {
+                    (seen.ended, seen.detached, seen.deadline) = (false, false, proxy.now + 1_200 * MS);
                     proxy.event(Event::Extended { call, time_left: 1_200 * MS })
                 } else {
-                    seen.lingers = !seen.ended;
+                    seen.detached = !seen.ended;
                     seen.ended = true;
                     proxy.event(Event::Detached { call })
                 }
@@ -150,7 +150,7 @@
 
 fn check(
     actions: &[Action],
-    calls: &mut BTreeMap<CallId, Seen>,
+    calls: &mut BTreeMap<CallId, ObservedCall>,
     list: &BTreeMap<ServerId, ServerState>,
     known: &BTreeSet<ServerId>,
     classes: &[Class],
@@ -215,20 +215,20 @@
 }
 
 #[test]
-fn odd_input_is_survived() {
-    let mut odd = settings(Idempotency::Free);
-    odd.balancers = 0;
-    odd.limits.max_attempts = 0;
-    odd.tenants = vec![Tenant { share: 0.0 }];
-    odd.rules = Rules {
+fn invalid_input_does_not_panic() {
+    let mut invalid = settings(Idempotency::Free);
+    invalid.balancers = 0;
+    invalid.limits.max_attempts = 0;
+    invalid.tenants = vec![Tenant { share: 0.0 }];
+    invalid.rules = Rules {
         cold_overload_limit: 0.0,
         cold_share: 0.0,
         cold_time: 0,
         list_refresh_interval: 0,
         drain_grace: 0,
     };
-    let empty = Settings { classes: vec![], ..odd.clone() };
-    for settings in [odd, empty] {
+    let empty = Settings { classes: vec![], ..invalid.clone() };
+    for settings in [invalid, empty] {
         let mut proxy = Proxy::new(settings, 2);
         let times = [0, 1, u64::MAX / 2];
         for (i, &time_left) in times.iter().chain(&[u64::MAX]).enumerate() {
--- a/policy/tests/rules.rs
+++ b/policy/tests/rules.rs
@@ -13,7 +13,7 @@
 // No lost request.
 
 #[test]
-fn held_calls_are_ended_before_their_client_gives_up() {
+fn queued_calls_are_ended_before_their_deadline() {
     for idempotency in [Idempotency::Free, Idempotency::SingleShot, CELL] {
         let mut proxy = Proxy::new(settings(idempotency), 0);
         let (call, mut actions) = proxy.call();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_deadlines_own_no_answer_ends_the_call() {
+fn a_time_out_at_the_deadline_ends_the_call() {
     for (idempotency, may_refuse) in
         [(Idempotency::Free, true), (Idempotency::SingleShot, false), (CELL, false)]
     {
@@ -47,22 +47,21 @@
 /// Nobody waits any more: what is out is not called off and stays in flight, nothing new is sent, and there is no end to
 /// give. Who comes for it makes it wanted again, with another attempt where its kind allows one.
 #[test]
-fn a_call_that_lingers_is_in_flight_and_goes_no_further() {
-    for (idempotency, goes_again) in
-        [(Idempotency::Free, true), (Idempotency::SingleShot, false), (CELL, true)]
+fn a_detached_call_stays_in_flight_and_is_not_retried() {
+    for (idempotency, retried) in [(Idempotency::Free, true), (Idempotency::SingleShot, false), (CELL, true)]
     {
-        for wanted in [false, true] {
+        for reactivated in [false, true] {
             let mut proxy = Proxy::new(settings(idempotency), 1);
             let (call, actions) = proxy.call();
             assert_eq!(sent(&actions).len(), 1);
             assert_eq!(proxy.event(Event::Detached { call }), []);
-            if wanted {
+            if reactivated {
                 proxy.event(Event::Extended { call, time_left: 1_200 * MS });
             }
             proxy.now += 50 * MS;
             let actions = proxy.end(call, 0, Outcome::Unknown, 50 * MS);
-            assert_eq!(sent(&actions).len(), usize::from(wanted && goes_again), "{idempotency:?}");
-            assert_eq!(failed(&actions, call), wanted && !goes_again, "{idempotency:?}");
+            assert_eq!(sent(&actions).len(), usize::from(reactivated && retried), "{idempotency:?}");
+            assert_eq!(failed(&actions, call), reactivated && !retried, "{idempotency:?}");
             assert!(!refused(&actions, call));
         }
         // With a budget of seven at the one server: the lingering one counts, the eighth is a trial, the ninth waits.
@@ -75,7 +74,7 @@
 
 /// A call that waits in the hold when its client goes leaves it; one that has ended is not brought back.
 #[test]
-fn a_held_call_does_not_linger_and_an_ended_one_is_not_wanted_again() {
+fn a_queued_call_is_not_detached_and_an_ended_one_is_not_reactivated() {
     let mut proxy = Proxy::new(settings(Idempotency::Free), 0);
     let (call, _) = proxy.call();
     proxy.event(Event::Detached { call });
@@ -90,9 +89,9 @@
     let mut proxy = Proxy::new(settings, 2);
     let (call, actions) = proxy.call();
     let first = sent(&actions)[0].1;
-    let copy =
+    let hedge =
         std::iter::repeat_with(|| proxy.wait(10 * MS)).take(100).find(|actions| !sent(actions).is_empty());
-    assert_ne!(sent(&copy.expect("a second copy"))[0].1, first);
+    assert_ne!(sent(&hedge.expect("a hedge"))[0].1, first);
     proxy.event(Event::Detached { call });
     // Served once, the other copy is called off, and nobody brings it back.
     let actions = proxy.end(call, 1, Outcome::Served, 10 * MS);
@@ -103,7 +102,7 @@
 
 // No duplicated effect.
 
-const CODES: [Outcome; 8] = [
+const OUTCOMES: [Outcome; 8] = [
     Outcome::Error,
     Outcome::TurnedAway,
     Outcome::TimedOut,
@@ -125,27 +124,27 @@
         guarded(DedupScope::Cell),
     ];
     for idempotency in kinds {
-        for first in CODES {
-            for second in CODES {
+        for first in OUTCOMES {
+            for second in OUTCOMES {
                 let mut proxy = Proxy::new(settings(idempotency), 0);
                 proxy.list(ListKind::Full, two_cells());
                 let (call, actions) = proxy.call();
-                let home = sent(&actions)[0].1;
+                let first_server = sent(&actions)[0].1;
                 proxy.now += MS;
                 let actions = proxy.end(call, 0, first, MS);
-                let again = sent(&actions);
+                let retries = sent(&actions);
                 let proven = first.never_ran();
                 if idempotency == Idempotency::SingleShot && !proven {
-                    assert!(again.is_empty() && failed(&actions, call), "{first:?}");
+                    assert!(retries.is_empty() && failed(&actions, call), "{first:?}");
                     continue;
                 }
-                assert_eq!(again.len(), 1, "{idempotency:?} after {first:?}");
+                assert_eq!(retries.len(), 1, "{idempotency:?} after {first:?}");
                 let bound = matches!(
                     idempotency,
                     Idempotency::Guarded { scope: DedupScope::Zone | DedupScope::Cell, .. }
                 );
                 if bound && !proven {
-                    assert_eq!(again[0].1 .0 % 2, home.0 % 2, "stays with its group");
+                    assert_eq!(retries[0].1 .0 % 2, first_server.0 % 2, "stays with its group");
                 }
                 // The second attempt's end, then the last chance gone: refused only where harmless.
                 proxy.now += 450 * MS;
@@ -163,7 +162,7 @@
 }
 
 #[test]
-fn a_guarded_call_does_not_go_again_after_its_window() {
+fn a_guarded_call_is_not_retried_after_its_window() {
     let mut proxy =
         Proxy::new(settings(Idempotency::Guarded { scope: DedupScope::Cell, window: 100 * MS }), 4);
     let (call, _) = proxy.call();
@@ -173,7 +172,7 @@
 }
 
 #[test]
-fn second_copies_go_out_only_where_allowed_and_their_losers_are_called_off() {
+fn hedges_are_sent_only_where_allowed_and_the_slower_attempt_is_cancelled() {
     for (idempotency, allowed, copies) in
         [(Idempotency::Free, true, 1), (Idempotency::Free, false, 0), (Idempotency::SingleShot, true, 0)]
     {
@@ -184,12 +183,12 @@
             proxy.serve(40 * MS);
         }
         let (call, actions) = proxy.call();
-        let home = sent(&actions)[0].1;
+        let first_server = sent(&actions)[0].1;
         let actions = proxy.wait(430 * MS);
-        let copy = sent(&actions);
-        assert_eq!(copy.len(), copies);
+        let hedge = sent(&actions);
+        assert_eq!(hedge.len(), copies);
         if copies == 1 {
-            assert_ne!(copy[0].1, home);
+            assert_ne!(hedge[0].1, first_server);
             let actions = proxy.end(call, 1, Outcome::Served, 30 * MS);
             assert!(actions.contains(&Action::Cancel { call, attempt: 0 }));
         }
@@ -197,7 +196,7 @@
 }
 
 #[test]
-fn a_stream_is_bound_to_its_attempt() {
+fn a_streaming_call_gets_no_further_attempt() {
     let mut settings = settings(Idempotency::Free);
     settings.limits.hedging = true;
     let mut proxy = Proxy::new(settings, 3);
@@ -211,7 +210,7 @@
 // Safe drain.
 
 #[test]
-fn nothing_goes_to_a_draining_or_gone_server_also_after_a_cached_list() {
+fn draining_and_removed_servers_get_no_calls_even_after_a_cached_list() {
     for kind in [ListKind::Delta, ListKind::Full] {
         for state in [ServerState::Draining, ServerState::Removed] {
             let mut proxy = Proxy::new(settings(Idempotency::Free), 0);
@@ -258,7 +257,7 @@
 }
 
 #[test]
-fn a_cold_server_gets_its_part_also_when_it_refuses_or_fails_fast_and_after_a_restart() {
+fn a_cold_server_gets_its_share_also_if_it_rejects_or_fails_quickly_and_after_a_restart() {
     for outcome in [Outcome::Served, Outcome::TurnedAway, Outcome::Error, Outcome::NoConnection] {
         for restart in [false, true] {
             let count = sends_to_cold(outcome, restart);
@@ -271,7 +270,7 @@
 /// After a power cut every server is cold, and no answer of a warm one paces the calls. What they can do must be used all the
 /// same, long before they are warm.
 #[test]
-fn a_fleet_that_is_all_cold_comes_to_its_calls_by_answers() {
+fn a_cold_fleet_ramps_up_by_its_responses() {
     let mut proxy = Proxy::new(Settings { balancers: 4, ..settings(Idempotency::Free) }, 0);
     let start = proxy.now;
     proxy.list(ListKind::Full, (1..=8).map(|id| Entry { started: start, ..ready(id) }).collect());
@@ -322,7 +321,7 @@
 
 /// Where warm servers carry the calls, a cold one has its stated part of one's: a tenth and a little at first here.
 #[test]
-fn a_cold_server_beside_warm_ones_gets_no_more_for_the_sake_of_those_that_are_all_cold() {
+fn a_cold_server_beside_warm_ones_gets_only_its_stated_share() {
     for (servers, cold) in [(8, 1), (8, 2), (4, 1)] {
         let counts = sends_beside_cold(4, servers, cold);
         let part = 500 / servers as usize;
@@ -336,14 +335,14 @@
 
 /// The fewer warm servers there are the more cold ones carry, and never one of them far more than another.
 #[test]
-fn cold_servers_carry_more_the_fewer_are_warm() {
+fn cold_servers_get_more_calls_the_fewer_servers_are_warm() {
     let mut before = 0.0;
     for cold in [1, 4, 7, 8] {
         let counts = sends_beside_cold(4, 8, cold);
-        let of_cold: Vec<usize> = counts[..cold as usize].to_vec();
-        let mean = of_cold.iter().sum::<usize>() as f64 / f64::from(cold);
+        let cold_counts: Vec<usize> = counts[..cold as usize].to_vec();
+        let mean = cold_counts.iter().sum::<usize>() as f64 / f64::from(cold);
         assert!(mean >= before, "{cold} cold: {counts:?}, {before} a cold one before");
-        let (least, most) = (of_cold.iter().min(), of_cold.iter().max());
+        let (least, most) = (cold_counts.iter().min(), cold_counts.iter().max());
         assert!(most <= least.map(|least| least * 2 + 4).as_ref(), "{cold} cold: {counts:?}");
         before = mean * 0.9;
     }
@@ -352,9 +351,9 @@
 /// However many balancers there are, a fleet that is all cold is not flooded by first calls: few go at once, and without an
 /// answer a server is tried after a span that leaves it less than one call in flight from all.
 #[test]
-fn first_calls_to_a_fleet_that_is_all_cold_are_few_however_many_send_them() {
+fn first_calls_to_a_cold_fleet_are_few_for_any_number_of_balancers() {
     for balancers in [4, 64, 1_000] {
-        let mut firsts = 0;
+        let mut first_calls = 0;
         for seed in 0..balancers.min(64) {
             let settings = Settings { balancers, balancer_index: seed, ..settings(Idempotency::Free) };
             let mut balancer = Balancer::new(u64::from(seed) + 1, settings);
@@ -371,11 +370,11 @@
                 balancer.handle(start + step * 10 * MS, event, &mut actions);
                 balancer.handle(start + step * 10 * MS, Event::Timer, &mut actions);
             }
-            firsts += sent(&actions).len();
+            first_calls += sent(&actions).len();
         }
         // Four servers; half a second is as long as the longest aim. One in 40 of the pairs goes at once, by the share of a
         // tenth that a cold server has of a warm one's quarter.
-        let all = firsts as f64 * f64::from(balancers) / f64::from(balancers.min(64));
+        let all = first_calls as f64 * f64::from(balancers) / f64::from(balancers.min(64));
         let at_once = f64::from(balancers) * 4.0 / 40.0;
         assert!(all <= 4.0 * 4.0 + 1.5 * at_once, "{balancers} balancers: {all} calls within an aim");
     }
@@ -384,7 +383,7 @@
 // Failures that were met.
 
 #[test]
-fn fast_errors_set_a_server_aside_though_it_looks_idle() {
+fn quick_errors_eject_a_server_although_it_looks_idle() {
     let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 4);
     let mut errors = 0;
     for _ in 0..200 {
@@ -399,7 +398,7 @@
 
 /// Requests that any server finds unusable say nothing of the servers: a bad client must not set good ones aside.
 #[test]
-fn unusable_requests_set_no_server_aside_and_do_not_go_again() {
+fn invalid_requests_eject_no_server_and_are_not_retried() {
     for idempotency in [Idempotency::SingleShot, Idempotency::Free] {
         let mut proxy = Proxy::new(settings(idempotency), 4);
         for _ in 0..100 {
@@ -409,15 +408,15 @@
             let actions = proxy.end(call, 0, Outcome::Unusable, 2 * MS);
             assert!(failed(&actions, call) && sent(&actions).is_empty(), "{actions:?}");
         }
-        let aside = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("set aside"));
-        assert!(!proxy.actions.iter().any(aside));
+        let ejected = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("set aside"));
+        assert!(!proxy.actions.iter().any(ejected));
     }
 }
 
 /// Connections break now and then at any server. One that breaks must not set aside a server that answers others,
 /// and a kept one that was closed earlier says nothing of its server at all.
 #[test]
-fn connections_that_break_now_and_then_set_no_server_aside() {
+fn occasional_connection_failures_eject_no_server() {
     for (outcome, every) in [(Outcome::Reset, 12), (Outcome::Stale, 3)] {
         let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 4);
         let mut counts = [0; 5];
@@ -430,18 +429,18 @@
             let actions = proxy.end(call, 0, end, 2 * MS);
             assert_eq!(failed(&actions, call), end == outcome, "it may have run: it is not sent again");
         }
-        let aside = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("set aside"));
-        assert!(!proxy.actions.iter().any(aside), "{outcome:?}");
+        let ejected = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("set aside"));
+        assert!(!proxy.actions.iter().any(ejected), "{outcome:?}");
     }
 }
 
 /// Spoilt answers come from any server now and then: two close together are no reason to leave one out, but a
 /// server that spoils most must not draw calls by being quick.
 #[test]
-fn a_server_is_set_aside_for_many_spoilt_answers_not_for_two() {
+fn many_corrupt_responses_eject_a_server_and_two_do_not() {
     for (every, least, most) in [(10, 8, 400), (1, 1, 8)] {
         let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 4);
-        let (mut spoilt, mut at) = (0, 0);
+        let (mut corrupt, mut at) = (0, 0);
         for _ in 0..400 {
             let (call, actions) = proxy.call();
             let mut end = Outcome::Served;
@@ -449,18 +448,18 @@
                 at += 1;
                 // Two in a row, and then good ones.
                 if at % (2 * every) < 2 {
-                    (spoilt, end) = (spoilt + 1, Outcome::Unknown);
+                    (corrupt, end) = (corrupt + 1, Outcome::Unknown);
                 }
             }
             proxy.now += 2 * MS;
             proxy.end(call, 0, end, 2 * MS);
         }
-        assert!((least..=most).contains(&spoilt), "every {every}: {spoilt} of {at}");
+        assert!((least..=most).contains(&corrupt), "every {every}: {corrupt} of {at}");
     }
 }
 
 #[test]
-fn one_good_answer_does_not_bring_back_a_server_that_fails_most() {
+fn one_served_probe_does_not_reinstate_a_server_that_mostly_fails() {
     let mut proxy = Proxy::new(settings(Idempotency::Free), 4);
     let mut to_bad = 0;
     for round in 0..400 {
@@ -481,7 +480,7 @@
 }
 
 #[test]
-fn most_of_the_fleet_is_never_set_aside() {
+fn at_most_half_of_the_fleet_is_ejected() {
     let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 6);
     for _ in 0..100 {
         let (call, actions) = proxy.call();
@@ -492,7 +491,7 @@
 }
 
 #[test]
-fn the_hold_is_bounded_by_time_so_that_not_all_are_served_late() {
+fn the_queue_is_bounded_by_waiting_time() {
     let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 1);
     let mut early = 0;
     for _ in 0..60 {
@@ -504,7 +503,7 @@
 }
 
 #[test]
-fn a_lost_subscription_is_asked_for_again_with_a_pause() {
+fn a_lost_subscription_is_renewed_after_a_pause() {
     let mut proxy = Proxy::new(Settings { pull_list: true, ..settings(Idempotency::Free) }, 2);
     assert!(proxy.actions.contains(&Action::Subscribe), "at the start");
     let actions = proxy.list(ListKind::Failed, vec![]);
@@ -520,7 +519,7 @@
 }
 
 #[test]
-fn a_server_that_refuses_as_full_is_left_alone_for_a_usual_answer_time() {
+fn a_server_that_rejects_as_full_gets_no_calls_for_a_usual_response_time() {
     let mut proxy = Proxy::new(settings(Idempotency::Free), 2);
     for _ in 0..30 {
         proxy.serve(40 * MS);
@@ -544,7 +543,7 @@
 }
 
 /// A proxy of a thousand, whose servers share one budget, of which a burst of three and the trial are out.
-fn thin() -> (Proxy, Vec<CallId>) {
+fn balancer_at_shared_limit() -> (Proxy, Vec<CallId>) {
     let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Idempotency::Free) }, 20);
     let out: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
     assert_eq!(sent(&proxy.actions).len(), 4, "three at once, and one as the trial");
@@ -552,18 +551,18 @@
 }
 
 #[test]
-fn of_a_thousand_balancers_each_has_one_budget_for_all_servers_and_one_trial_at_a_time() {
-    let (mut proxy, out) = thin();
-    let (held, actions) = proxy.call();
+fn with_a_thousand_balancers_all_servers_share_one_limit_and_one_probe() {
+    let (mut proxy, out) = balancer_at_shared_limit();
+    let (queued, actions) = proxy.call();
     assert!(sent(&actions).is_empty(), "sixteen servers are idle, but the budget is used and the trial out");
     proxy.now += 50 * MS;
     let actions = proxy.end(out[3], 0, Outcome::Served, 50 * MS);
-    assert_eq!(sent(&actions).first().map(|s| s.0), Some(held), "the trial was served: the next may pass");
+    assert_eq!(sent(&actions).first().map(|s| s.0), Some(queued), "the trial was served: the next may pass");
 }
 
 #[test]
-fn a_failed_trial_of_the_shared_budget_backs_off_from_all_servers() {
-    let (mut proxy, out) = thin();
+fn a_failed_probe_of_the_shared_limit_backs_off_from_all_servers() {
+    let (mut proxy, out) = balancer_at_shared_limit();
     proxy.now += 400 * MS;
     let actions = proxy.end(out[3], 0, Outcome::TimedOut, 400 * MS);
     assert!(sent(&actions).iter().all(|s| s.0 == out[3]), "no call of another client is passed");
@@ -571,7 +570,7 @@
 }
 
 #[test]
-fn strain_seen_anywhere_lowers_the_shared_budget() {
+fn overload_of_any_server_lowers_the_shared_limit() {
     let calls = |elapsed: Micros| {
         let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Idempotency::Free) }, 20);
         (0..20).for_each(|_| drop((proxy.serve(40 * MS), proxy.wait(1_000 * MS))));
@@ -585,7 +584,7 @@
 /// Of a hundred balancers each meets a few servers of many. Three of its eight take five times as long as the rest, and
 /// every tenth answer of any takes ten times as long, as work is uneven.
 #[test]
-fn a_few_slow_servers_do_not_hold_back_calls_to_all_others() {
+fn a_few_slow_servers_do_not_delay_calls_to_all_others() {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
     let mut out: Vec<(Micros, CallId, Micros)> = Vec::new();
     let (mut asked, mut went) = (0, 0);
@@ -610,9 +609,9 @@
 
 /// Calls of one balancer of a hundred, one each 100 ms; of eight servers one is not well in the given way. How many of
 /// 400 calls went there?
-fn to_the_one_unwell(elapsed: impl Fn(u32) -> Option<Micros>, waiting: f64) -> usize {
+fn calls_to_impaired_server(elapsed: impl Fn(u32) -> Option<Micros>, waiting: f64) -> usize {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 8);
-    let (mut out, mut to_one) = (Vec::<(Micros, CallId, Micros, ServerId)>::new(), 0);
+    let (mut out, mut to_impaired) = (Vec::<(Micros, CallId, Micros, ServerId)>::new(), 0);
     for _ in 0..400 {
         proxy.now += 100 * MS;
         let now = proxy.now;
@@ -623,31 +622,34 @@
             proxy.event(Event::Outcome { call, attempt: 0, outcome, elapsed, closed: true, load });
         }
         for (call, server) in sent(&proxy.call().1) {
-            to_one += usize::from(server == ServerId(1));
-            let took = if server == ServerId(1) { elapsed(to_one as u32) } else { Some(40 * MS) };
+            to_impaired += usize::from(server == ServerId(1));
+            let took = if server == ServerId(1) { elapsed(to_impaired as u32) } else { Some(40 * MS) };
             out.extend(took.map(|t| (now + t, call, t, server)));
         }
     }
-    to_one
+    to_impaired
 }
 
 #[test]
-fn a_shared_budgets_calls_keep_off_a_server_by_its_report_its_answers_and_what_is_out() {
-    assert!((35..=65).contains(&to_the_one_unwell(|_| Some(40 * MS), 0.0)), "an eighth while all is well");
-    let crowded = to_the_one_unwell(|_| Some(40 * MS), 12.0);
-    assert!(crowded <= 20, "three wait for each in work, though its answers are quick: {crowded}");
-    let slow = to_the_one_unwell(|_| Some(400 * MS), 0.0);
+fn with_a_shared_limit_overloaded_slow_and_silent_servers_get_fewer_calls() {
+    assert!(
+        (35..=65).contains(&calls_to_impaired_server(|_| Some(40 * MS), 0.0)),
+        "an eighth while all is well"
+    );
+    let overloaded = calls_to_impaired_server(|_| Some(40 * MS), 12.0);
+    assert!(overloaded <= 20, "three wait for each in work, though its answers are quick: {overloaded}");
+    let slow = calls_to_impaired_server(|_| Some(400 * MS), 0.0);
     assert!(slow <= 20, "ten times as slow: {slow}");
-    let silent = to_the_one_unwell(|n| (n < 4).then_some(40 * MS), 0.0);
+    let silent = calls_to_impaired_server(|n| (n < 4).then_some(40 * MS), 0.0);
     assert!(silent <= 12, "what is out there counts: {silent}");
 }
 
 #[test]
-fn alarms_do_not_beget_alarms_for_good() {
+fn timers_do_not_multiply() {
     let mut proxy = Proxy::new(settings(Idempotency::Free), 0);
     (0..50).for_each(|_| drop(proxy.call()));
     let mut due = std::collections::BinaryHeap::new();
-    let (mut alarms, mut seen) = (0, 0);
+    let (mut timers, mut seen) = (0, 0);
     loop {
         for action in &proxy.actions[seen..] {
             if let Action::SetTimer { after } = action {
@@ -658,13 +660,13 @@
         let Some(std::cmp::Reverse(at)) = due.pop() else { break };
         proxy.now = proxy.now.max(at);
         proxy.event(Event::Timer);
-        alarms += 1;
-        assert!(alarms < 1_000, "50 calls end within a second");
+        timers += 1;
+        assert!(timers < 1_000, "50 calls end within a second");
     }
 }
 
 #[test]
-fn a_strained_server_gets_no_trials() {
+fn an_overloaded_server_gets_no_probe_requests() {
     let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 1);
     for _ in 0..10 {
         proxy.serve(40 * MS);
@@ -678,7 +680,7 @@
 }
 
 #[test]
-fn time_outs_of_a_server_that_answers_others_do_not_set_it_aside() {
+fn time_outs_do_not_eject_a_server_that_serves_other_calls() {
     let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Idempotency::SingleShot) }, 3);
     let mut log = Vec::new();
     for _ in 0..30 {
@@ -698,13 +700,13 @@
     }
     let failures = log.iter().filter(|a| matches!(a, Action::Fail { .. })).count();
     assert!(failures > 20, "too few timed out to tell: {failures}");
-    let aside =
+    let ejected =
         log.iter().filter(|a| matches!(a, Action::Log { text } if text.contains("set aside"))).count();
-    assert_eq!(aside, 0, "slow, not gone");
+    assert_eq!(ejected, 0, "slow, not gone");
 }
 
 /// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as a trial?
-fn trial_after(load: Load) -> bool {
+fn probe_sent_after(load: Load) -> bool {
     let mut proxy = Proxy::new(Settings { balancers: 12, ..settings(Idempotency::SingleShot) }, 1);
     for _ in 0..40 {
         let (call, _) = proxy.call();
@@ -718,29 +720,32 @@
 }
 
 #[test]
-fn reported_queues_and_busy_cores_strain_a_server_that_still_answers_fast() {
+fn reported_queues_and_cpu_load_mark_a_quick_server_as_overloaded() {
     let busy = |b| Load { cpu: Some(b), ..Load::default() };
     let queue = |w| Load { active: Some(10.0), waiting: Some(w), ..Load::default() };
-    assert!(trial_after(Load::default()) && trial_after(busy(0.5)) && trial_after(queue(1.0)));
-    assert!(!trial_after(busy(1.0)), "cores that are all busy");
-    assert!(!trial_after(queue(5.5)), "more waiting than in work");
+    assert!(probe_sent_after(Load::default()) && probe_sent_after(busy(0.5)) && probe_sent_after(queue(1.0)));
+    assert!(!probe_sent_after(busy(1.0)), "cores that are all busy");
+    assert!(!probe_sent_after(queue(5.5)), "more waiting than in work");
 }
 
 /// How many balancers' calls a cold server gets per thousand answers of warm ones, from a thousand balancers.
 #[test]
-fn a_thousand_balancers_together_stay_under_a_cold_servers_share() {
-    let (cold, all) = cold_of_all(3.0);
+fn a_thousand_balancers_together_stay_below_a_cold_servers_share() {
+    let (cold, all) = calls_to_cold_server(3.0);
     // Each warm one carries a twentieth; within two seconds after its start it has 0.12 to 0.19 of its capacity. A pick
     // of two gives it twice that part at the most, and it falls over at three times.
     assert!(cold * 100 <= all * 31 / 20, "{cold} of {all}");
     assert!(cold * 100 >= all * 8 / 20, "it is used, as calls make it warm: {cold} of {all}");
     // A site whose cold servers bear no more than what they can do.
-    let (frail, _) = cold_of_all(1.0);
-    assert!(frail * 10 <= cold * 6 && frail > 0, "{frail} where {cold} go to one that bears more");
+    let (sensitive, _) = calls_to_cold_server(1.0);
+    assert!(
+        sensitive * 10 <= cold * 6 && sensitive > 0,
+        "{sensitive} where {cold} go to one that bears more"
+    );
 }
 
 /// Calls of a thousand balancers to a server that has just started beside twenty warm ones, and all of theirs.
-fn cold_of_all(cold_overload_limit: f64) -> (usize, usize) {
+fn calls_to_cold_server(cold_overload_limit: f64) -> (usize, usize) {
     let (mut cold, mut all) = (0, 0);
     for balancer_index in 0..1_000 {
         let rules = Rules { cold_overload_limit, ..settings(Idempotency::Free).rules };
@@ -761,7 +766,7 @@
 
 /// The same where most of the warm ones are at rest after time-outs: what they do not take must not go to the cold one.
 #[test]
-fn a_cold_server_gets_no_more_where_most_warm_ones_rest() {
+fn a_cold_server_gets_no_more_calls_while_most_warm_ones_cool_down() {
     let (mut cold, mut all) = (0, 0);
     for seed in 0..4_000 {
         let limits = Limits { max_attempts: 1, ..Settings::default().limits };
@@ -795,7 +800,7 @@
 }
 
 #[test]
-fn a_restarted_server_is_not_judged_by_its_last_process() {
+fn outcomes_of_a_servers_previous_process_do_not_count() {
     let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Idempotency::Free) }, 1);
     let calls: Vec<CallId> = (0..6).map(|_| proxy.call().0).collect();
     let started = proxy.now;
@@ -803,13 +808,13 @@
     for call in calls {
         proxy.end(call, 0, Outcome::Reset, 5 * MS);
     }
-    let aside = |a: &Action| matches!(a, Action::Log { text } if text.contains("set aside"));
-    assert!(!proxy.actions.iter().any(aside), "the new process has failed nothing");
+    let ejected = |a: &Action| matches!(a, Action::Log { text } if text.contains("set aside"));
+    assert!(!proxy.actions.iter().any(ejected), "the new process has failed nothing");
 }
 
 /// A third of the servers falls silent and comes back three seconds later, cold, under the old numbers.
 #[test]
-fn a_silent_zone_that_comes_back_cold_is_drawn_by_its_share() {
+fn a_zone_that_restarts_cold_gets_its_share() {
     let zoned = |i, started| Entry { zone: ZoneId(i % 3), started, ..ready(i) };
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 0);
@@ -820,17 +825,17 @@
         let now = proxy.now;
         let mut actions = Vec::new();
         if step == 500 {
-            let again = (1..=30).filter(|i| i % 3 == 0).map(|i| zoned(i, now)).collect();
-            actions.extend(proxy.list(ListKind::Delta, again));
+            let restarted = (1..=30).filter(|i| i % 3 == 0).map(|i| zoned(i, now)).collect();
+            actions.extend(proxy.list(ListKind::Delta, restarted));
         }
         for (_, call, elapsed, outcome) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             actions.extend(proxy.end(call, 0, outcome, elapsed));
         }
         actions.extend(proxy.call().1);
         for (call, server) in sent(&actions) {
-            let of_it = server.0 % 3 == 0;
-            back += usize::from(of_it && step >= 500);
-            let silent = of_it && (200..500).contains(&step);
+            let in_zone = server.0 % 3 == 0;
+            back += usize::from(in_zone && step >= 500);
+            let silent = in_zone && (200..500).contains(&step);
             let (took, end) = if silent { (500 * MS, Outcome::TimedOut) } else { (40 * MS, Outcome::Served) };
             out.push((now + took, call, took, end));
         }
@@ -841,7 +846,7 @@
 
 /// Four hosts, of which one goes each half second and another comes, under a number and in a zone that were never there.
 #[test]
-fn hosts_that_are_replaced_for_minutes_leave_nothing_behind() {
+fn replaced_servers_leave_no_state_behind() {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::Free) }, 4);
     let (mut sizes, mut out) = (Vec::new(), Vec::new());
     for i in 0..600 {
@@ -866,7 +871,7 @@
 }
 
 #[test]
-fn a_zone_that_is_cut_off_is_passed_over_as_a_whole() {
+fn an_unreachable_zone_is_avoided_as_a_whole() {
     let zoned = |i| Entry { zone: ZoneId(i % 2), ..ready(i) };
     let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Idempotency::Free) }, 0);
     proxy.list(ListKind::Full, (1..=40).map(zoned).collect());
@@ -888,7 +893,7 @@
 }
 
 #[test]
-fn a_fleet_of_one_zone_is_not_passed_over_for_a_few_time_outs() {
+fn a_single_zone_is_not_avoided_after_a_few_time_outs() {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 20);
     (0..20).for_each(|_| drop((proxy.serve(40 * MS), proxy.wait(500 * MS))));
@@ -908,7 +913,7 @@
 /// Calls of one balancer of a hundred, evenly spaced, to forty servers of two zones. From the two hundredth on some
 /// servers leave all but each so many-th call there without an answer, which shows at the aim alone. How many calls went
 /// to those of the thousand after it?
-fn to_the_silent(each: Micros, silent: impl Fn(ServerId) -> bool, answered: usize) -> usize {
+fn calls_to_silent_servers(each: Micros, silent: impl Fn(ServerId) -> bool, answered: usize) -> usize {
     let zoned = |i| Entry { zone: ZoneId(i % 2), ..ready(i) };
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 0);
@@ -937,15 +942,15 @@
 }
 
 #[test]
-fn a_zone_that_answers_nothing_is_passed_over_and_tried_by_one_call_at_a_time() {
-    let lost = to_the_silent(10 * MS, |server| server.0 % 2 == 1, usize::MAX);
+fn a_silent_zone_is_avoided_and_tried_by_one_call_at_a_time() {
+    let lost = calls_to_silent_servers(10 * MS, |server| server.0 % 2 == 1, usize::MAX);
     assert!(lost <= 90, "half a second's calls find it out: {lost} of a thousand");
 }
 
 #[test]
-fn a_server_that_answers_few_in_time_rests_the_longer_the_more_often_it_did_not() {
+fn the_cooldown_of_a_late_server_grows_with_its_time_outs() {
     for (each, most) in [(100 * MS, 30), (400 * MS, 40)] {
-        let lost = to_the_silent(each, |server| server.0 <= 2, 3);
+        let lost = calls_to_silent_servers(each, |server| server.0 <= 2, 3);
         assert!(
             (4..=most).contains(&lost),
             "a quarter of a thousand is the usual part of two of eight: {lost}"
@@ -954,7 +959,7 @@
 }
 
 #[test]
-fn a_server_that_fails_is_tried_by_a_part_of_the_usual_calls_however_slowly_they_come() {
+fn a_failing_server_gets_a_fraction_of_its_usual_calls_at_any_call_rate() {
     // A call a second, so that most come past a backoff by time: a thousand such balancers would give it no rest.
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 1_000, limits, ..settings(Idempotency::Free) }, 8);
--- a/policy/tests/shared.rs
+++ b/policy/tests/shared.rs
@@ -8,14 +8,15 @@
     ServerId, Settings,
 };
 
-fn shared(servers: u32) -> Proxy {
+fn sharing_proxy(servers: u32) -> Proxy {
     let settings = Settings { shares_capacity: true, balancers: 1, ..settings(Idempotency::Free) };
     Proxy::new(settings, servers)
 }
 
-fn room(proxy: &mut Proxy, rooms: &[(u32, u32, bool)]) -> Vec<Action> {
-    let room = |&(server, concurrency, probe)| Allocation { server: ServerId(server), concurrency, probe };
-    proxy.event(Event::Allocations { allocations: rooms.iter().map(room).collect() })
+fn allocate(proxy: &mut Proxy, allocations: &[(u32, u32, bool)]) -> Vec<Action> {
+    let allocation =
+        |&(server, concurrency, probe)| Allocation { server: ServerId(server), concurrency, probe };
+    proxy.event(Event::Allocations { allocations: allocations.iter().map(allocation).collect() })
 }
 
 fn sent(actions: &[Action]) -> Vec<u32> {
@@ -28,115 +29,117 @@
 
 /// Without room a call waits, and it goes as soon as there is some; never one more than there is.
 #[test]
-fn calls_go_where_there_is_room_and_no_further() {
-    let mut proxy = shared(2);
+fn calls_are_sent_up_to_the_allocation() {
+    let mut proxy = sharing_proxy(2);
     for _ in 0..5 {
         assert_eq!(sent(&proxy.call().1), []);
     }
     assert_eq!(proxy.balancer.queued(), 5);
-    let short: Vec<u32> = proxy.balancer.capacity_demands(proxy.now).map(|short| short.server.0).collect();
-    assert_eq!(short, [1, 2]);
-    let mut went = sent(&room(&mut proxy, &[(1, 2, false), (2, 1, false)]));
+    let demands: Vec<u32> =
+        proxy.balancer.capacity_demands(proxy.now).map(|demand| demand.server.0).collect();
+    assert_eq!(demands, [1, 2]);
+    let mut went = sent(&allocate(&mut proxy, &[(1, 2, false), (2, 1, false)]));
     went.sort_unstable();
     assert_eq!(went, [1, 1, 2]);
-    assert_eq!(sent(&room(&mut proxy, &[(1, 2, true)])), [1], "a trial goes beyond");
+    assert_eq!(sent(&allocate(&mut proxy, &[(1, 2, true)])), [1], "a trial goes beyond");
     assert!(proxy.balancer.is_probing(ServerId(1)));
     assert_eq!(proxy.balancer.queued(), 1);
 }
 
 /// Less at one server comes with more at another: nothing goes by what held before.
 #[test]
-fn rooms_change_at_once() {
-    let mut proxy = shared(2);
-    room(&mut proxy, &[(1, 1, false), (2, 0, false)]);
-    room(&mut proxy, &[(1, 0, false), (2, 1, false)]);
+fn allocations_change_together() {
+    let mut proxy = sharing_proxy(2);
+    allocate(&mut proxy, &[(1, 1, false), (2, 0, false)]);
+    allocate(&mut proxy, &[(1, 0, false), (2, 1, false)]);
     assert_eq!(sent(&proxy.call().1), [2]);
 }
 
 /// A call whose time is nearly up goes if the room for it comes in the same moment.
 #[test]
-fn room_that_has_come_is_used_before_a_call_is_given_up() {
-    let mut proxy = shared(1);
+fn an_allocation_is_used_before_a_due_call_is_given_up() {
+    let mut proxy = sharing_proxy(1);
     proxy.call();
     proxy.now += 5_000 * MS;
-    assert_eq!(sent(&room(&mut proxy, &[(1, 1, false)])), [1]);
+    assert_eq!(sent(&allocate(&mut proxy, &[(1, 1, false)])), [1]);
 }
 
 /// What another has learned holds here, unless this one has learned better since.
 #[test]
-fn what_others_learned_holds_until_this_one_knows_better() {
-    let mut proxy = shared(2);
+fn observations_of_others_apply_unless_this_balancer_has_newer_ones() {
+    let mut proxy = sharing_proxy(2);
     let one = ServerId(1);
-    let heard =
+    let observe =
         |proxy: &mut Proxy, observation, age| proxy.event(Event::Observed { server: one, observation, age });
-    let allows = |proxy: &Proxy| proxy.balancer.concurrency_limit(proxy.now, one);
-    let first = allows(&proxy);
+    let limit = |proxy: &Proxy| proxy.balancer.concurrency_limit(proxy.now, one);
+    let first = limit(&proxy);
     assert!(first > 0.0);
-    heard(&mut proxy, Observation::LimitRaised, MS);
-    assert!(allows(&proxy) > first, "one trial of the process is everybody's");
-    heard(&mut proxy, Observation::Ejected, MS);
-    assert_eq!(allows(&proxy), 0.0);
-    heard(&mut proxy, Observation::Reinstated, MS);
-    assert!(allows(&proxy) > 0.0);
+    observe(&mut proxy, Observation::LimitRaised, MS);
+    assert!(limit(&proxy) > first, "one trial of the process is everybody's");
+    observe(&mut proxy, Observation::Ejected, MS);
+    assert_eq!(limit(&proxy), 0.0);
+    observe(&mut proxy, Observation::Reinstated, MS);
+    assert!(limit(&proxy) > 0.0);
     // It has served here since: the older word says nothing.
-    room(&mut proxy, &[(1, 1, false), (2, 0, false)]);
+    allocate(&mut proxy, &[(1, 1, false), (2, 0, false)]);
     let (call, actions) = proxy.call();
     assert_eq!(sent(&actions), [1]);
     proxy.now += 10 * MS;
     let (outcome, load) = (Outcome::Served, Load::default());
     proxy.event(Event::Outcome { call, attempt: 0, outcome, elapsed: 10 * MS, closed: true, load });
-    heard(&mut proxy, Observation::Ejected, 20 * MS);
-    assert!(allows(&proxy) > 0.0);
+    observe(&mut proxy, Observation::Ejected, 20 * MS);
+    assert!(limit(&proxy) > 0.0);
 }
 
 /// The number of a call that no other call of these tests has.
-const SHORT: CallId = CallId(9_000);
+const SHORT_CALL: CallId = CallId(9_000);
 
 fn call_with(proxy: &mut Proxy, time_left: Micros) -> Vec<Action> {
-    let event = Event::Request { call: SHORT, class: ClassId(0), tenant: None, time_left, resent: false };
+    let event =
+        Event::Request { call: SHORT_CALL, class: ClassId(0), tenant: None, time_left, resent: false };
     proxy.event(event)
 }
 
 /// Guards against calls refused at once, by what an answer takes before any was seen, where room comes a moment later.
 #[test]
-fn a_call_with_little_time_waits_for_room_while_no_answer_time_is_known() {
-    let mut proxy = shared(1);
+fn a_call_with_little_time_waits_for_an_allocation_before_any_response() {
+    let mut proxy = sharing_proxy(1);
     // Less than the quarter of the aim that stands for an answer time until one is seen.
     assert!(sent(&call_with(&mut proxy, 100 * MS)).is_empty());
     proxy.now += 20;
     proxy.event(Event::Freshness(Freshness::Verified));
     proxy.wait(30 * MS);
-    assert_eq!(sent(&room(&mut proxy, &[(1, 1, false)])), [1], "{:?}", proxy.actions);
+    assert_eq!(sent(&allocate(&mut proxy, &[(1, 1, false)])), [1], "{:?}", proxy.actions);
 }
 
 /// The same where the usual answer time is known, and longer than the call has: room of this moment is used.
 #[test]
-fn a_call_with_hardly_any_time_is_not_given_up_by_the_event_that_comes_before_its_room() {
-    let mut proxy = shared(1);
-    room(&mut proxy, &[(1, 1, false)]);
+fn a_call_with_little_time_is_not_given_up_by_the_event_before_its_allocation() {
+    let mut proxy = sharing_proxy(1);
+    allocate(&mut proxy, &[(1, 1, false)]);
     for _ in 0..20 {
         proxy.serve(100 * MS);
     }
-    room(&mut proxy, &[(1, 0, false)]);
+    allocate(&mut proxy, &[(1, 0, false)]);
     assert!(sent(&call_with(&mut proxy, 50 * MS)).is_empty());
     proxy.now += 20;
     proxy.event(Event::Freshness(Freshness::Verified));
-    assert_eq!(sent(&room(&mut proxy, &[(1, 1, false)])), [1], "{:?}", proxy.actions);
+    assert_eq!(sent(&allocate(&mut proxy, &[(1, 1, false)])), [1], "{:?}", proxy.actions);
 }
 
 /// Guards against a refusal with a wait of nothing, which brings its client back at once.
 #[test]
-fn a_refusal_names_a_time_also_where_the_call_waited_for_none() {
-    let mut proxy = shared(1);
-    room(&mut proxy, &[(1, 1, false)]);
+fn a_refusal_always_has_a_retry_after() {
+    let mut proxy = sharing_proxy(1);
+    allocate(&mut proxy, &[(1, 1, false)]);
     for _ in 0..20 {
         proxy.serve(100 * MS);
     }
-    room(&mut proxy, &[(1, 0, false)]);
+    allocate(&mut proxy, &[(1, 0, false)]);
     let mut actions = call_with(&mut proxy, 50 * MS);
     actions.extend((0..5).flat_map(|_| proxy.wait(MS)));
     let after = actions.iter().find_map(|action| match action {
-        Action::Refuse { call: SHORT, retry_after, .. } => Some(*retry_after),
+        Action::Refuse { call: SHORT_CALL, retry_after, .. } => Some(*retry_after),
         _ => None,
     });
     assert!(after.is_some_and(|after| after >= 10 * MS), "{after:?}");
--- a/policy/tests/tree.rs
+++ b/policy/tests/tree.rs
@@ -4,19 +4,19 @@
 use std::path::{Path, PathBuf};
 
 /// Most lines of a file that are not blank.
-const LINES_MOST: usize = 850;
+const MAX_LINES: usize = 850;
 /// Most characters of a line of what decides, and of the interface.
-const WIDTH_MOST: usize = 110;
-const WIDTH_MOST_INTERFACE: usize = 120;
+const MAX_WIDTH: usize = 110;
+const MAX_INTERFACE_WIDTH: usize = 120;
 const INTERFACE: [&str; 2] = ["api.rs", "lib.rs"];
 /// What decides has no clock, no files and no sockets: time and news are passed in.
-const OUTSIDE: [&str; 6] = ["std::time", "std::net", "std::fs", "std::io", "std::env", "tokio"];
+const FORBIDDEN_PATHS: [&str; 6] = ["std::time", "std::net", "std::fs", "std::io", "std::env", "tokio"];
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_sources(&path, found);
         } else {
             found.push(path);
         }
@@ -24,19 +24,19 @@
 }
 
 #[test]
-fn the_module_is_in_short_files_and_lines_without_a_clock_or_sockets() {
+fn sources_are_short_and_use_no_clock_files_or_sockets() {
     let mut found = Vec::new();
-    sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut found);
+    collect_sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut found);
     assert!(found.len() >= 9, "{found:?}");
     for path in found {
         let text = fs::read_to_string(&path).expect("the module's source");
         let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
-        assert!(lines <= LINES_MOST, "{}: {lines} lines that are not blank", path.display());
+        assert!(lines <= MAX_LINES, "{}: {lines} lines that are not blank", path.display());
         let interface = INTERFACE.iter().any(|name| path.ends_with(name));
-        let width = if interface { WIDTH_MOST_INTERFACE } else { WIDTH_MOST };
+        let width = if interface { MAX_INTERFACE_WIDTH } else { MAX_WIDTH };
         let wide: Vec<&str> = text.lines().filter(|l| l.chars().count() > width).collect();
         assert!(wide.is_empty(), "{}: {wide:#?}", path.display());
-        let outside = OUTSIDE.iter().find(|name| text.contains(**name));
+        let outside = FORBIDDEN_PATHS.iter().find(|name| text.contains(**name));
         assert_eq!(outside, None, "{}", path.display());
         if path.ends_with("balance.rs") {
             assert!(
