--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -1,76 +1,77 @@
-//! The interface of the decision module: settings, events, actions. Times are whole microseconds.
+//! The interface of the decision module: settings, events and actions. Times are whole microseconds.
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A call (one try of a client), as the proxy numbers it; no number returns.
+/// A call, that is one request of a client, as numbered by the proxy. Numbers are not reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A server (a process's place); it keeps its number when the process restarts.
+/// A server, identified by its address. It keeps its number when its process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// Place of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// Place of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// A zone, numbered by the proxy.
+/// A zone, as numbered by the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A cell of servers that drop each other's repeats.
+/// A cell, that is a group of servers that deduplicate calls among themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u32);
 
-/// Which servers drop repeats of a guarded call.
+/// The servers among which duplicates of a guarded call are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// Whether a call of a class may run again.
+/// Whether calls of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Harmless.
+    /// Repeating the call is harmless.
     Free,
-    /// Harmless on the servers of `scope`, within `window` of the first attempt that may have run.
+    /// Repeating the call is harmless on the servers of `scope`, within `window` of the first attempt that may have
+    /// run.
     Guarded {
-        /// Who drops repeats.
+        /// The servers that drop duplicates.
         scope: DedupScope,
-        /// For how long.
+        /// How long they do so.
         window: Micros,
     },
-    /// Never.
+    /// The call must not run twice.
     SingleShot,
 }
 
-/// What is asked of a class of calls.
+/// Requirements of a class of calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// A response within this time earns the full value.
     pub latency_target: Micros,
-    /// How long a client waits in all.
+    /// How long clients wait for a response.
     pub deadline: Micros,
-    /// Worth of an answer in time.
+    /// Value of a response within the latency target.
     pub value: f64,
-    /// Share of the worth for an answer between aim and deadline.
+    /// Share of the value that a response between the latency target and the deadline earns.
     pub late_value: f64,
-    /// Whether it may run again.
+    /// Whether its calls may be executed more than once.
     pub idempotency: Idempotency,
 }
 
 impl Default for Class {
-    /// Never repeated, without a time or a worth.
+    /// A class that is never retried, with zero times and value.
     fn default() -> Self {
         Class {
             latency_target: 0,
@@ -82,80 +83,81 @@
     }
 }
 
-/// A tenant's part of the service.
+/// A tenant's entitlement to the service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Share of the service, 0 to 1.
+    /// Share of all calls, 0 to 1.
     pub share: f64,
 }
 
-/// What the site allows.
+/// What the site permits the balancer to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be probed.
+    /// Health checks may be sent to servers.
     pub health_checks: bool,
-    /// A call may have two attempts out at once.
+    /// A call may have two attempts in flight at once.
     pub hedging: bool,
-    /// Most attempts for a call.
+    /// Maximum number of attempts for a call.
     pub max_attempts: u32,
-    /// Longest advice that a client heeds; 0: it is given none.
+    /// Longest retry-after time that clients honour. With 0, refusals carry none.
     pub max_retry_after: Micros,
 }
 
-/// Figures of the rules that must hold.
+/// Parameters of the invariants that the balancer upholds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// How many times what it can do a cold server bears: above 0.
+    /// Load that a cold server tolerates, relative to what it can handle at that time. Above 0.
     pub cold_overload_limit: f64,
-    /// A server starts at this share of its capacity or more.
+    /// A server starts with at least this share of its capacity.
     pub cold_share: f64,
-    /// And is warm after this at the latest.
+    /// A server is warm at the latest this long after its start.
     pub cold_time: Micros,
-    /// Longest that a proxy may go without asking for the list.
+    /// Longest time that a proxy may go without requesting the list of servers.
     pub list_refresh_interval: Micros,
-    /// For so long after a drain was notified new requests may still go to the server.
+    /// How long after the notification of a drain new requests may still reach the server.
     pub drain_grace: Micros,
 }
 
-/// Weights of the parts of the goal.
+/// Weights of the components of the score that the balancer maximises.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScoreWeights {
-    /// All calls together.
+    /// Weight of all calls together.
     pub overall: f64,
-    /// The worst-served class.
+    /// Weight of the class that is served worst.
     pub worst_class: f64,
 }
 
-/// What a balancer is told at start, for good.
+/// Settings of a balancer, fixed for its lifetime.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many balancers send to these servers, this one included.
+    /// Number of balancers that send to these servers, including this one.
     pub balancers: u32,
-    /// This balancer's number among them, from 0.
+    /// Index of this balancer among them, from 0.
     pub balancer_index: u32,
-    /// Smallest step of the proxy's clock.
+    /// Resolution of the proxy's clock.
     pub tick: Micros,
-    /// Whether news of the server list must be asked for.
+    /// Whether the balancer has to subscribe to the server list ([`Action::Subscribe`]). Otherwise the list is pushed.
     pub pull_list: bool,
-    /// Whether other balancers of the same process send to the same servers: room there is told by
-    /// [`Event::Allocations`], and until it is told there is none.
+    /// Whether other balancers of the same process send to the same servers. If so, [`Event::Allocations`] states what
+    /// this balancer may use of each server, which is nothing before the first such event.
     pub shares_capacity: bool,
     /// Classes of calls.
     pub classes: Vec<Class>,
-    /// Tenants, if there are any.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What the site allows.
+    /// What the site permits.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Parameters of the invariants.
     pub rules: Rules,
-    /// Weights of the goal.
+    /// Weights of the score.
     pub score_weights: ScoreWeights,
 }
 
 impl Default for Settings {
-    /// One balancer, a pushed list, one class of calls that are wanted in half a second and never repeated.
+    /// A single balancer with a pushed list and one class of calls, with a latency target of half a second and no
+    /// retries.
     fn default() -> Self {
         let idempotency = Idempotency::SingleShot;
         Settings {
@@ -191,98 +193,100 @@
     }
 }
 
-/// What the list says of a server.
+/// State of a server as stated by the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// It takes calls.
+    /// The server accepts calls.
     #[default]
     Ready,
-    /// It finishes its work and takes no more.
+    /// The server finishes its calls and accepts no new ones.
     Draining,
-    /// It has been removed.
+    /// The server has been removed.
     Removed,
 }
 
 /// An entry of the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Entry {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
-    /// What it does.
+    /// Its state.
     pub state: ServerState,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
-    /// When it last started; 0: long ago.
+    /// When the server last started; 0 if that was long ago.
     pub started: Micros,
-    /// Its size beside the others', without a unit; what is not above 0 or not finite counts as 1.
+    /// Relative capacity, without a unit. A value that is not finite or not above 0 counts as 1.
     pub weight: f64,
 }
 
-/// How much of the list a piece of news holds.
+/// Which part of the server list an update contains, and where it comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Delta,
-    /// The whole list.
+    /// The complete list.
     Full,
-    /// The whole list as the proxy last had it, maybe old.
+    /// The complete list as last saved by the proxy; it may be outdated.
     Cached,
-    /// Changed entries that another engine of the process was told. They prove nothing of this one's watch.
+    /// Changed entries, received by another engine of the process. They do not show that this engine's own watch works.
     SharedDelta,
-    /// The whole list as another engine of the process was told it. It proves nothing of this one's watch.
+    /// The complete list, received by another engine of the process. It does not show that this engine's own watch
+    /// works.
     SharedFull,
-    /// None: asking failed or the subscription broke.
+    /// No entries: the request for the list failed, or the subscription broke.
     Failed,
-    /// None: the subscription fell silent, or broke with a list on its way. What it misses counts as told soon.
+    /// No entries: the subscription went silent, or broke while a list was being received. Changes that it may have
+    /// missed count as notified soon.
     Silent,
 }
 
 impl ListKind {
-    /// Whether it holds all entries: those that it does not name are gone.
+    /// Whether the update contains all entries, so that servers without an entry have been removed.
     pub fn is_whole(self) -> bool {
         matches!(self, ListKind::Full | ListKind::Cached | ListKind::SharedFull)
     }
 
-    /// Whether it proves that this engine's own watch tells all.
+    /// Whether the update shows that this engine's own watch delivers all changes.
     pub fn verifies(self) -> bool {
         matches!(self, ListKind::Full | ListKind::Delta)
     }
 }
 
-/// What is known of how up to date the list in hand is, where it must be asked for.
+/// What is known about how current the server list is, if it has to be subscribed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// A watch is open, and has shown that it is alive since its call was answered.
+    /// A watch is open, and has shown since its response that it is alive.
     Verified,
-    /// Changes may have been missed from this moment on: the last at which a watch showed that it was alive.
+    /// Changes may have been missed since the watch last showed that it was alive.
     Unverified {
-        /// That moment.
+        /// When the watch last showed that it was alive.
         since: Micros,
     },
-    /// Discovery ended the watch in order then: what it was to tell counts as told soon after.
+    /// Discovery ended the watch in an orderly way. Changes that it did not deliver count as notified soon after.
     Ended {
-        /// That moment.
+        /// When the watch ended.
         at: Micros,
     },
-    /// A list was on its way from this moment on, and has not arrived whole. What was written counts as notified then.
+    /// A list has been arriving since then and is still incomplete. The changes in it count as notified at that time.
     Incomplete {
-        /// That moment.
+        /// When the list began to arrive.
         since: Micros,
     },
-    /// A call for the list that began then has proven that discovery is down: it tells nothing.
+    /// A request for the list has shown that discovery is down, so that it notifies nobody of changes.
     Unreachable {
-        /// When the call began.
+        /// When that request was started.
         since: Micros,
     },
-    /// Discovery refuses calls, and what seemed to prove that it is down did not.
+    /// Discovery rejects requests, which disproves an earlier conclusion that it is down.
     Reachable,
-    /// From now on another discovery is watched, of which nothing is known.
+    /// The watch moves to another discovery service, about which nothing is known yet.
     DiscoveryChanged,
-    /// The balancer that watches for the whole process has found that the list expires then.
+    /// The balancer that watches on behalf of the whole process has determined when the list expires.
     Expires {
-        /// `None`: the list is verified.
+        /// When the list expires; `None` if it is verified.
         at: Option<Micros>,
     },
 }
@@ -290,260 +294,264 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// Served.
+    /// The server served it.
     Served,
-    /// The server answered with an error.
+    /// The server responded with an error.
     Error,
-    /// Turned away unseen: full or draining.
+    /// The server rejected it without processing it, because it is full or draining.
     TurnedAway,
-    /// No answer in time.
+    /// No response came in time.
     TimedOut,
-    /// No connection could be made.
+    /// No connection could be established.
     NoConnection,
-    /// The connection broke while the attempt was out.
+    /// The connection broke while the attempt was in flight.
     Reset,
-    /// A connection that had been kept broke before anything came back: its server may have closed it earlier.
-    /// The attempt may have run.
+    /// A reused connection broke before any byte of the response arrived. The server may have closed it earlier, but
+    /// the attempt may also have run.
     Stale,
-    /// Called off by this balancer.
+    /// This balancer cancelled it.
     CalledOff,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
-    /// The server found the request itself unusable, as any other would.
+    /// The server found the request itself invalid, as any other server would.
     Unusable,
-    /// Anything else, such as an answer that cannot be read; it may have run.
+    /// Any other end, such as a response that cannot be parsed. The attempt may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// Whether this proves that the attempt never ran.
+    /// Whether this proves that the attempt was not executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent)
     }
 
-    /// Whether this says nothing of the server's health: the proxy, the request or one connection was the cause.
+    /// Whether this is no evidence of the server's health, as the proxy, the request or a single connection was the
+    /// cause.
     pub(crate) fn is_inconclusive(self) -> bool {
         matches!(self, Outcome::CalledOff | Outcome::NotSent | Outcome::Stale | Outcome::Unusable)
     }
 }
 
-/// A server's word on its load; what it does not report is absent.
+/// A server's load report. Values that the server does not report are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests in hand.
+    /// Requests that the server has accepted and not yet answered.
     pub active: Option<f64>,
-    /// Requests waiting.
+    /// Requests that wait for a worker.
     pub waiting: Option<f64>,
-    /// Share of its cores that is busy.
+    /// Share of the CPU cores in use.
     pub cpu: Option<f64>,
 }
 
-/// What one balancer of a process has learned of a server and the others are told, as none sees all that comes back.
+/// What one balancer of a process has observed at a server and shares with the others, as each sees only its own
+/// responses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// Its last report.
+    /// The server's latest load report.
     Load(Load),
-    /// It is set aside.
+    /// The server was ejected.
     Ejected,
-    /// A trial call has brought it back.
+    /// A probe request was served, and the server was reinstated.
     Reinstated,
-    /// A trial call beyond its budget was served.
+    /// A probe request beyond the concurrency limit was served, and the limit was raised.
     LimitRaised,
 }
 
-/// A balancer's room at a server that others of its process send to as well.
+/// The part of a server's concurrency limit that this balancer may use, if the limit is shared within the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allocation {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
-    /// So many calls of this balancer may be in flight there.
+    /// Maximum number of this balancer's calls in flight at the server.
     pub concurrency: u32,
-    /// Whether one more may go, as a trial.
+    /// Whether one more call may be sent as a probe request.
     pub probe: bool,
 }
 
-/// A server that would be sent more if it might ([`crate::Balancer::capacity_demands`]).
+/// A server to which the balancer would send more calls than its allocation permits
+/// ([`crate::Balancer::capacity_demands`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CapacityDemand {
-    /// Which.
+    /// The server.
     pub server: ServerId,
-    /// There is no room there.
+    /// The allocation is used up.
     pub full: bool,
-    /// A trial would go there, if it might.
+    /// A probe request would be sent to the server if the allocation permitted it.
     pub probe: bool,
-    /// Its answers take longer than they should: others come first.
+    /// The server's responses take longer than they should; other servers are preferable.
     pub overloaded: bool,
 }
 
-/// What the proxy tells the balancer.
+/// Input from the proxy to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The proxy comes up. Its saved list, if any, comes next.
+    /// The proxy has started. If it has a saved list, a [`Event::ServerList`] with it follows.
     Start,
-    /// News of the server list.
+    /// An update of the server list.
     ServerList {
-        /// How much of it.
+        /// Which part of the list it contains.
         kind: ListKind,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// What has become of the watch that brings the list. It comes before a [`Event::ServerList`] that tells of a
+    /// The state of the watch on the server list has changed. It precedes a [`Event::ServerList`] that reports a
     /// failure.
     Freshness(Freshness),
-    /// A call has come in.
+    /// A call has arrived.
     Request {
-        /// Which.
+        /// The call.
         call: CallId,
         /// Its class.
         class: ClassId,
-        /// Whose it is.
+        /// The tenant that it belongs to, if any.
         tenant: Option<TenantId>,
-        /// How long the client still waits.
+        /// How much longer the client waits.
         time_left: Micros,
-        /// The client says that it has tried before.
+        /// Whether the client marked it as a retry of its own.
         resent: bool,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     Outcome {
-        /// Of which call.
+        /// The call.
         call: CallId,
-        /// Which attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
         elapsed: Micros,
-        /// Nothing more is owed for the call.
+        /// Whether the call needs no further response.
         closed: bool,
-        /// The server's report.
+        /// Load report of the server.
         load: Load,
     },
-    /// The answer of an attempt has begun to flow; the call is bound to it.
+    /// The response of an attempt has begun to be forwarded; no other attempt can serve the call any more.
     Streaming {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// A probe was answered.
+    /// A health check has ended.
     HealthChecked {
-        /// By which server.
+        /// The server that was checked.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// The server's report.
+        /// Load report of the server.
         load: Load,
     },
-    /// Nobody waits for this call any more, but what is out of it goes on: it is not called off, nothing new is sent
-    /// for it, and it is in flight until it ends.
+    /// No client waits for the call any more, but attempts in flight continue: they are not cancelled, and no further
+    /// one is started.
     Detached {
-        /// Which.
+        /// The call.
         call: CallId,
     },
-    /// Another waits for this call as well, and for longer: a repeat that is no call of its own. A call that lingers
-    /// is wanted again.
+    /// Another client waits for the same call, with a later deadline; its request does not count as a call of its own.
+    /// A detached call is active again.
     Extended {
-        /// Which.
+        /// The call.
         call: CallId,
-        /// How long it is wanted now, counted as if it had just come.
+        /// How much longer that client waits. Times of the call are counted anew from this event.
         time_left: Micros,
     },
-    /// Nobody waits for this call any more.
+    /// No client waits for the call any more.
     Cancelled {
-        /// Which.
+        /// The call.
         call: CallId,
     },
-    /// Room at servers, where it is shared ([`Settings::shares_capacity`]): it stands in the place of this balancer's
-    /// own budget there. All of it holds at once: less at one server may have come with more at another.
+    /// Allocations of this balancer, if capacity is shared ([`Settings::shares_capacity`]). They replace its own
+    /// concurrency limits. All of them take effect together, as a smaller allocation at one server may come with a
+    /// larger one at another.
     Allocations {
-        /// The servers where it has changed.
+        /// The allocations that have changed.
         allocations: Vec<Allocation>,
     },
-    /// Another balancer of the process has learned something of a server.
+    /// Another balancer of the process shares an observation.
     Observed {
-        /// Which server.
+        /// The server.
         server: ServerId,
-        /// What.
+        /// What was observed.
         observation: Observation,
         /// How long ago.
         age: Micros,
     },
-    /// A time asked for by [`Action::SetTimer`] has come.
+    /// A timer that [`Action::SetTimer`] set has expired.
     Timer,
 }
 
 /// Why the balancer ends a call unserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureReason {
-    /// Those that wait already would keep it waiting for too long.
+    /// The queue is so long that the call would wait too long.
     QueueFull,
-    /// It has waited for as long as an answer could still come in time.
+    /// The call was queued until a response could no longer arrive in time.
     WaitedTooLong,
-    /// All servers are set aside.
+    /// All servers are ejected.
     ServersDown,
-    /// Its attempt has failed, and it may not go again, or not in time.
+    /// An attempt failed, and a retry is not permitted or would be too late.
     NoRetry,
-    /// A server found it unusable.
+    /// A server found the request invalid.
     Unusable,
-    /// The list of servers could not be renewed in time.
+    /// The server list expired before it could be renewed.
     ListExpired,
 }
 
-/// What the balancer tells the proxy to do.
+/// Output of the balancer, to be carried out by the proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Pass the call to a server; the first pass is attempt 0, the next 1, and so on.
+    /// Send the call to a server. The first such action for a call starts attempt 0, the next one attempt 1, and so on.
     Send {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// To which server.
+        /// The server.
         server: ServerId,
-        /// When the attempt times out (a moment); `None`: with the client's patience.
+        /// When the attempt times out; `None` if it may take until the client's deadline.
         until: Option<Micros>,
     },
-    /// End the call unserved; it may safely come again.
+    /// End the call unserved. The client may safely retry it.
     Refuse {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// Advice when.
+        /// When the client should retry, counted from now.
         retry_after: Micros,
         /// Why it is not served.
         reason: FailureReason,
     },
-    /// End the call with an error that promises nothing.
+    /// End the call with an error that does not say whether it was executed.
     Fail {
-        /// Which call.
+        /// The call.
         call: CallId,
         /// Why it is not served.
         reason: FailureReason,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Of which call.
+        /// The call.
         call: CallId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
     /// Send a health check.
     HealthCheck {
-        /// To which server.
+        /// The server.
         server: ServerId,
     },
-    /// Send [`Event::Timer`] after this time. It takes the place of the one asked for before.
+    /// Send [`Event::Timer`] after this time. It replaces the timer set before.
     SetTimer {
-        /// How long from now.
+        /// Delay from now.
         after: Micros,
     },
     /// Subscribe to the server list.
     Subscribe,
-    /// Tell the other balancers of the process; only where room is shared.
+    /// Share an observation with the other balancers of the process. Only issued if capacity is shared.
     ShareObservation {
-        /// Of which server.
+        /// The server.
         server: ServerId,
-        /// What.
+        /// What was observed.
         observation: Observation,
     },
-    /// A line for whoever is on call.
+    /// Write a line to the log.
     Log {
         /// The line.
         text: String,
--- a/policy/src/balance.rs
+++ b/policy/src/balance.rs
@@ -1,9 +1,10 @@
-//! All decisions of the balancer. Its interface (settings, events, actions) is `src/api.rs`; the mechanism
-//! and the condition of each departure from it are in `docs/design.md`. Budgets are `src/budget.rs` and
-//! `src/shared_limit.rs`.
+//! The balancer's decisions. Its interface (settings, events, actions) is `src/api.rs`; the mechanism and the
+//! condition for each departure from it are described in `docs/design.md`. Concurrency limits are in
+//! `src/concurrency_limit.rs` and `src/shared_limit.rs`.
 //!
-//! A call goes to the less-loaded of two random servers under their in-flight budgets, waits in the hold when
-//! all are full, may pass one as the trial that can raise it, and is refused when no server is up.
+//! A call goes to the less loaded of two random servers that are below their concurrency limits. If all are
+//! at their limits, the call waits in the queue or exceeds a limit as the probe request that may raise it. If
+//! all servers are ejected, it is refused.
 
 use crate::api::*;
 use crate::call::{Attempt, Call, ClassLatency, ProbeTarget, Route};
@@ -21,33 +22,36 @@
 mod subscription;
 mod subset;
 
-// Constants. Spans are ratios to the settings' aims or to observed answer times.
+// Durations are expressed as ratios to the classes' latency targets or to observed response times.
 
-/// Time over which a class's unloaded answer time may drift up to its present mean.
+/// Time (us) within which a class's unloaded response time may rise to its current mean.
 const UNLOADED_DRIFT_TIME: f64 = 120e6;
-/// Answer time of a class of which none was seen, as a share of what a call has.
+/// Assumed response time of a class without samples, as a share of the time that a call has.
 const UNKNOWN_LATENCY_SHARE: f64 = 0.25;
-/// First backoff as a share of the longest aim.
+/// First backoff, as a share of the longest latency target.
 const FIRST_BACKOFF_SHARE: f64 = 0.25;
-/// Wait in the hold beyond which new calls are refused, as a share of their aim.
+/// New calls are refused once the head of the queue has waited for this share of their latency target.
 const QUEUE_WAIT_SHARE: f64 = 0.1;
-/// Usual answer times that must be left before the aim: for a second copy, and for a protected call to wait.
+/// Number of usual response times that must remain before the latency target: for a hedge, and for a
+/// protected call to be queued.
 const SPARE_LATENCIES: f64 = 2.0;
-/// Further attempts and second copies that each call earns, and the most that may be saved up.
+/// Retry tokens (for retries and hedges) that each call adds, and the maximum that accumulates.
 const RETRY_TOKENS_PER_CALL: f64 = 0.2;
 const MAX_RETRY_TOKENS: f64 = 20.0;
-/// Held calls looked at beyond the first, at an event: it bounds the CPU that a long hold costs.
+/// Queued calls that are examined beyond the first on each event. It bounds the CPU cost of a long queue.
 const QUEUE_SCAN_LIMIT: usize = 16;
-/// Memory of what a server costs, where budgets are shared and each balancer meets it seldom.
+/// Time constant (us) of the cost of a server, used where the limit is shared and each balancer rarely sends
+/// to a server.
 const COST_TIME_CONSTANT: f64 = 4e6;
-/// How much less often the dearer of two is chosen: by this power of what a call costs there.
+/// The more expensive of two servers is chosen less often, by the ratio of their costs to this power.
 const COST_EXPONENT: i32 = 6;
-/// Doublings of a zone's backoff up to a server's first: one failed connection says little of a zone.
+/// Doublings of a zone's backoff until it is as long as the first backoff of a server. It starts low, as one
+/// failed connection says little about a zone.
 const ZONE_BACKOFF_DOUBLINGS: u32 = 3;
 
 type Actions = Vec<Action>;
 
-/// A server as this balancer sees it.
+/// A server and what this balancer has observed about it.
 #[derive(Debug, Default)]
 struct Server {
     id: ServerId,
@@ -58,32 +62,36 @@
     in_flight: u32,
     limit: ConcurrencyLimit,
     weight: f64,
-    /// Answer times over the usual ones of their classes.
+    /// Smoothed response time, relative to the usual response times of the calls' classes.
     relative_latency: f64,
-    /// Answer times over what its classes allow; 1 is the limit.
+    /// Smoothed response time, relative to the overload threshold of the calls' classes. Above 1 the server
+    /// is overloaded.
     overload: f64,
     responses_since_change: u32,
-    /// Its last report, as strain.
+    /// Load from the last report, on the same scale as `overload`.
     reported_overload: f64,
-    /// When its budget last changed, when an attempt there last ended, and when it last served.
+    /// When the limit last changed, when an attempt last ended, and when a call was last served.
     limit_changed_at: Micros,
     last_ended_at: Micros,
     last_served_at: Micros,
-    /// Recent share of failures.
+    /// Smoothed share of failures.
     failure_rate: f64,
-    /// It is sent nothing before this time and that many answers of this balancer: it has refused or failed.
+    /// After a rejection, a failure or a time-out the server gets no calls before this time, and none before
+    /// this balancer's count of served calls has reached the cooldown value.
     not_before: Micros,
     cooldown_until_served: u64,
-    /// Time-outs here, less the calls served since: so often is its rest doubled.
+    /// Time-outs, less the calls served since. Each of them doubles the cooldown.
     timeouts: u32,
-    /// While cold it is sent nothing before that many answers of this balancer, or before this time.
+    /// A cold server gets its next call once this balancer has served so many calls, or at this time,
+    /// whichever comes first.
     cold_until_served: u64,
     cold_until: Micros,
-    /// What it waits for its first call by, until that is sent.
+    /// Determines when the server gets its first call; `None` once that has been sent.
     first_call: Option<slow_start::FirstCall>,
-    /// Where room is shared in the process: this balancer's part, and whether it may go beyond by a trial.
+    /// If capacity is shared within the process: how many calls of this balancer may be in flight, and
+    /// whether a probe request may exceed that.
     allocation: Option<(u32, bool)>,
-    /// When its last report was made.
+    /// When the last load report was made.
     reported_at: Micros,
 }
 
@@ -105,7 +113,7 @@
         }
     }
 
-    /// How many calls its budget allows now, as a mean.
+    /// Mean number of calls in flight that the limit currently permits.
     fn effective_limit(&self, now: Micros, rules: &Rules) -> f64 {
         f64::from(self.limit.steps) * self.limit.concurrency * self.warmth(now, rules)
     }
@@ -114,8 +122,8 @@
         self.allocation.is_none_or(|(_, probe)| probe)
     }
 
-    /// What a call may cost here, in usual answers: what answers took lately and what the last report waits,
-    /// for each call of this balancer that would be there.
+    /// Expected cost of one more call, relative to the usual response time: recent response times and
+    /// reported load, both decaying with age, times the calls of this balancer that would then be in flight.
     fn cost(&self, now: Micros) -> f64 {
         let decay = |at: Micros| (-(now.saturating_sub(at) as f64) / COST_TIME_CONSTANT).exp();
         let relative = 1.0
@@ -124,7 +132,7 @@
         relative * f64::from(1 + self.in_flight)
     }
 
-    /// Share of its capacity that a server has at the least, by the rules' cold share and time.
+    /// Share of its capacity that the server has at least, according to the rules for cold servers.
     fn warmth(&self, now: Micros, rules: &Rules) -> f64 {
         let age = now.saturating_sub(self.started);
         if self.started == 0 || age >= rules.cold_time {
@@ -142,7 +150,7 @@
         self.slow_start_allows(now, served, rules) && self.is_ready(now, served)
     }
 
-    /// Whether it is warm, or its turn among the cold ones has come.
+    /// Whether the server is warm, or its next call during slow start is due.
     fn slow_start_allows(&self, now: Micros, served: u64, rules: &Rules) -> bool {
         served >= self.cold_until_served || now >= self.cold_until || self.warmth(now, rules) >= 1.0
     }
@@ -151,18 +159,18 @@
         self.takes_calls(now) && self.has_cooled_down(now, served)
     }
 
-    /// Whether it is listed and has not just refused.
+    /// Whether the server is listed and its pause after a rejection is over.
     fn takes_calls(&self, now: Micros) -> bool {
         self.listed && now >= self.not_before
     }
 
-    /// Whether its rest after time-outs is over: so many answers of this balancer, or so long a time.
+    /// Whether the cooldown after time-outs is over, by the count of served calls or by time.
     fn has_cooled_down(&self, now: Micros, served: u64) -> bool {
         let span = 3.0 * RATE_TIME_CONSTANT * f64::from(1 << self.timeouts);
         served >= self.cooldown_until_served || now.saturating_sub(self.last_ended_at) as f64 >= span
     }
 
-    /// May a call go beyond its budget, to learn whether it takes more?
+    /// Whether a call may exceed the limit, to find out whether the server can take more.
     fn may_be_probed(&self, now: Micros, longest: f64, rules: &Rules) -> bool {
         let measured = self.limit_changed_at == 0 || self.has_settled(now, longest);
         self.limit.probe_ready(now) && self.overload <= 1.0 && measured && self.warmth(now, rules) >= 1.0
@@ -193,7 +201,8 @@
         self.deadline.min(self.arrived.saturating_add(target))
     }
 
-    /// May this call go again, here? Proof over all its attempts decides, never the last outcome alone.
+    /// Whether an attempt of this call may be sent to this server. This depends on all attempts so far, not
+    /// just on the last one.
     fn may_run_on(&self, now: Micros, server: &Server, tick: Micros) -> bool {
         match (self.binding_attempt(), self.class.idempotency) {
             (None, _) | (_, Idempotency::Free) => true,
@@ -231,22 +240,22 @@
     }
 }
 
-/// The servers that a call may go to, by their places: all in the window, those with room, and those at
-/// which a probe request may be made.
+/// The servers that a call may go to, as indices: all of the subset, those below their limit, and those that
+/// may get a probe request.
 struct Candidates {
     eligible: Vec<usize>,
     with_room: Vec<usize>,
     probes: Vec<usize>,
 }
 
-/// Decides for one client proxy.
+/// The balancer of one client proxy.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
     random: Pcg32,
     servers: Vec<Server>,
     shared_limit: Option<SharedLimit>,
-    /// By zone: connections that failed in a row, and until when it is passed over.
+    /// By zone: consecutive connection failures, and until when the zone is avoided.
     zone_failures: BTreeMap<ZoneId, (u32, Micros)>,
     calls: BTreeMap<CallId, Call>,
     queue: VecDeque<CallId>,
@@ -266,7 +275,7 @@
 }
 
 impl Balancer {
-    /// A balancer that draws all its random numbers from `seed`.
+    /// Creates a balancer whose random numbers are all derived from `seed`.
     pub fn new(seed: u64, settings: Settings) -> Self {
         let latency = |c: &Class| ClassLatency {
             mean: c.latency_target as f64 * UNKNOWN_LATENCY_SHARE,
@@ -297,11 +306,12 @@
         }
     }
 
-    /// Takes one event at time `now` and appends what is to be done.
+    /// Handles an event at time `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        // A call that comes behind others changes nothing for them; in overload most do.
+        // A call that joins a non-empty queue cannot be sent before the others, so the queue needs no
+        // processing. Under overload this is the common case.
         let joins_queue = matches!(event, Event::Request { .. }) && !self.queue.is_empty();
-        // Room that has come is used before a call that waited for it is given up.
+        // New allocations are used before calls that waited for them time out.
         let allocated = matches!(event, Event::Allocations { .. });
         match event {
             Event::Start if self.settings.pull_list => self.subscribe_at_start(now, actions),
@@ -320,7 +330,7 @@
                 }
             }
             Event::Streaming { call, attempt } => {
-                // The client has its answer: nothing more is owed.
+                // The client is receiving the response, so the call needs no further attempt.
                 self.end_call(call);
                 self.cancel_others(call, Some(attempt), actions);
             }
@@ -330,7 +340,8 @@
                 self.remove_if_finished(call);
             }
             Event::Extended { call: id, time_left } => {
-                // One that is held ends in its time and never ran: whoever waits longer may come anew.
+                // A queued call keeps its deadline: it has not run, so a client that waits longer can send it
+                // again.
                 let extendable = self.calls.get_mut(&id).filter(|c| (!c.ended || c.detached) && !c.queued);
                 if let Some(call) = extendable {
                     (call.arrived, call.deadline) = (now, call.deadline.max(now.saturating_add(time_left)));
@@ -345,7 +356,8 @@
                 self.cancel_others(call, None, actions);
                 self.remove_if_finished(call);
             }
-            // Of several alarms only the one due now counts: else each would set another for good.
+            // Only the timer that is currently set counts. Otherwise each outdated timer would set another
+            // one forever.
             Event::Timer if now >= self.timer_at => self.timer_at = Micros::MAX,
             Event::Allocations { allocations } => {
                 for Allocation { server, concurrency, probe } in allocations {
@@ -372,7 +384,8 @@
     }
 
     fn register_call(&mut self, now: Micros, id: CallId, class: ClassId, time_left: Micros) {
-        // A class that the settings do not name is unsafe and wanted while the client waits.
+        // A class that the settings do not define is not retried and has the client's deadline as its latency
+        // target.
         let unknown = Class { latency_target: time_left, deadline: time_left, ..Class::default() };
         let spec = self.settings.classes.get(class.0).copied().unwrap_or(unknown);
         let deadline = now.saturating_add(time_left);
@@ -382,7 +395,7 @@
         self.latencies.iter_mut().skip(class.0).take(1).for_each(|p| p.requests += 1.0);
     }
 
-    /// Lets a new call join the hold, unless it would wait too long there.
+    /// Queues a new call, or refuses it if it would wait too long.
     fn admit(&mut self, now: Micros, id: CallId, tenant: Option<TenantId>, actions: &mut Actions) {
         let exceeds_share = tenant.is_some_and(|t| self.exceeds_share(t));
         if self.lease.has_expired(now) {
@@ -396,8 +409,9 @@
         }
     }
 
-    /// How long may the hold's head have waited for this call to join? Without a bound all would be served
-    /// late. Classes whose worth for their work outweighs the goal's part of the worst class wait longest.
+    /// Longest time that the head of the queue may have waited for this call to be queued. Without a bound,
+    /// all calls would be served late. Classes whose value per work outweighs the weight of the worst class
+    /// wait longest.
     fn wait_limit(&self, id: CallId, exceeds_share: bool) -> Micros {
         let call = &self.calls[&id];
         let usual_latency = self.expected_latency(call);
@@ -422,7 +436,7 @@
         weights.overall * density > weights.overall + weights.worst_class
     }
 
-    /// Counts a tenant's call and tells whether it asks for more than its share of this balancer's calls.
+    /// Counts a call of the tenant. Returns whether the tenant exceeds its share of this balancer's calls.
     fn exceeds_share(&mut self, tenant: TenantId) -> bool {
         let Some(share) = self.settings.tenants.get(tenant.0).map(|t| t.share) else { return true };
         for (index, recent) in self.tenant_shares.iter_mut().enumerate() {
@@ -436,8 +450,9 @@
         self.latencies.get(class_id).map_or(latency_target as f64 * UNKNOWN_LATENCY_SHARE, |p| p.mean)
     }
 
-    /// How long an answer to this call takes, in microseconds: its class's usual time, once one was seen.
-    /// Until then it is a part of what the call has: the class's aim may be longer than its client waits.
+    /// Expected response time of this call, in microseconds: the mean of its class, if there are samples.
+    /// Otherwise a share of the time that the call has, as the class's latency target may be longer than its
+    /// client waits.
     fn expected_latency(&self, call: &Call) -> f64 {
         match self.latencies.get(call.class_id) {
             Some(latency) if latency.samples > 0 => latency.mean,
@@ -445,13 +460,14 @@
         }
     }
 
-    /// Puts a call into the hold; one that goes again is older than those waiting and goes to the front.
+    /// Queues a call. A retry is older than the queued calls and goes to the front.
     fn enqueue(&mut self, now: Micros, id: CallId, is_retry: bool) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.queued = true;
         let call = &self.calls[&id];
-        // Its way out: when a usual answer could not come in time, and always before the client gives up. Not
-        // in this very moment: room that it asks others of the process for comes by the events that follow.
+        // The call leaves the queue when a usual response would be too late, and always before the client's
+        // deadline. It is not given up within the current event, as capacity requested from other balancers
+        // of the process arrives with the following events.
         let tick = self.settings.tick.max(1);
         let last = call.deadline.saturating_sub(tick).max(now);
         let hopeless = call.target_at().saturating_sub(self.expected_latency(call) as Micros);
@@ -460,7 +476,7 @@
         self.queue.insert(if is_retry { 0 } else { self.queue.len() }, id);
     }
 
-    /// Notes an attempt's end; late, double and unknown ones change nothing.
+    /// Records the end of an attempt. Returns `None` if the attempt is unknown or has already ended.
     fn end_attempt(&mut self, id: CallId, attempt: u32, outcome: Outcome) -> Option<Attempt> {
         let call = self.calls.get_mut(&id)?;
         let record = call.attempts.get_mut(attempt as usize).filter(|a| a.outcome.is_none())?;
@@ -468,7 +484,7 @@
         Some(*record)
     }
 
-    /// After an attempt's end: the call's end, another attempt, or nothing while a copy is out.
+    /// Ends or retries the call after one of its attempts has ended, unless another attempt is in flight.
     fn after_attempt(
         &mut self,
         now: Micros,
@@ -482,7 +498,7 @@
             self.cancel_others(id, None, actions);
         } else if self.calls.get(&id).is_some_and(|c| !c.ended && !c.queued && c.attempts_in_flight() == 0) {
             if outcome == Outcome::Unusable {
-                // It would fare alike everywhere, and the client is not to come again with it.
+                // Every other server would reject it too, and the client must not retry it.
                 actions.push(Action::Fail { call: id, reason: FailureReason::Unusable });
                 self.end_call(id);
             } else {
@@ -492,7 +508,7 @@
         self.remove_if_finished(id);
     }
 
-    /// After an attempt that did not serve: again, or the end.
+    /// Retries a call whose attempt was not served, or ends it.
     fn retry_or_give_up(&mut self, now: Micros, id: CallId, outcome: Outcome, actions: &mut Actions) {
         if self.lease.has_expired(now) {
             return self.give_up(id, self.first_backoff(), FailureReason::ListExpired, actions);
@@ -514,7 +530,7 @@
     }
 
     fn give_up(&mut self, id: CallId, retry_after: Micros, reason: FailureReason, actions: &mut Actions) {
-        // By the next look at held calls there may be room, not before.
+        // The queue is processed at this interval, so there can be no free capacity before.
         let retry_after =
             retry_after.max(self.queue_poll_interval()).min(self.settings.limits.max_retry_after);
         let refused = self.calls[&id].may_be_refused();
@@ -549,7 +565,7 @@
         }
     }
 
-    /// Decides whether a call is sent, held or refused.
+    /// Decides whether a call is sent, queued or refused.
     fn route(&mut self, now: Micros, id: CallId) -> Route {
         let draw = self.cold_draw(now);
         let longest = self.longest_usual_latency();
@@ -572,13 +588,13 @@
         }
     }
 
-    /// The servers that this call may go to.
+    /// Selects the servers that this call may go to.
     fn candidates(&self, now: Micros, id: CallId, draw: Option<(f64, f64)>, limit_full: bool) -> Candidates {
         let call = &self.calls[&id];
         let (rules, tick) = (&self.settings.rules, self.settings.tick);
         let longest = self.longest_usual_latency();
         let probeable = |s: &Server| s.may_send_probe() && s.may_be_probed(now, longest, rules);
-        // Where all are of one zone, or of none that is named, there is nothing to go to instead.
+        // With a single zone, or no named zones, there is no other zone to use instead.
         let single_zone = self.zone_failures.len() < 2;
         let zone_reachable = |s: &Server| {
             single_zone || self.zone_failures.get(&s.zone).is_none_or(|failures| now >= failures.1)
@@ -594,7 +610,8 @@
         let allowed = |i: usize, s: &Server| {
             s.limit.steps > 0 && is_open(i, s) && zone_reachable(s) && call.may_run_on(now, s, tick)
         };
-        // Windows begin at even distances on the ring of servers: each server is in as many as any other.
+        // The subsets start at equal distances on the ring of servers, so that each server is in equally many
+        // of them.
         let len = self.servers.len();
         let start = self.settings.balancer_index as usize * len / self.settings.balancers.max(1) as usize;
         let ring = || (start..start + len).map(|i| i % len).filter(|&i| allowed(i, &self.servers[i]));
@@ -605,15 +622,15 @@
         let mut with_room: Vec<_> =
             eligible.iter().copied().filter(|&i| has_room(&self.servers[i])).collect();
         let probes = eligible.iter().copied().filter(|&i| probeable(&self.servers[i])).collect();
-        // The window follows what was in flight: more calls than that at once go on along the ring.
+        // The subset size follows past concurrency. A burst beyond it continues along the ring.
         if with_room.is_empty() && self.shared_limit.is_some() && !limit_full {
             with_room.extend(preferred.skip(eligible.len()).find(|&i| has_room(&self.servers[i])));
         }
         Candidates { eligible, with_room, probes }
     }
 
-    /// Whether servers may rest. Where most do, there is nothing to go to instead, and a rest that is counted
-    /// in answers of this balancer would never end.
+    /// Whether cooldowns are respected. If most servers are cooling down there are no alternatives, and a
+    /// cooldown counted in served calls of this balancer would never end.
     fn cooldowns_apply(&self, now: Micros) -> bool {
         let in_use = self.servers.iter().filter(|s| s.listed && s.limit.steps > 0);
         let (mut all, mut cooled_down) = (0, 0);
@@ -624,7 +641,7 @@
         cooled_down * 2 >= all
     }
 
-    /// Where no server takes a call: it waits, or is refused if all are set aside.
+    /// Queues a call for which no server is available, or refuses it if all servers are ejected.
     fn queue_or_refuse(&self, now: Micros) -> Route {
         let all = self.servers.iter().filter(|s| s.listed);
         let all_ejected = all.clone().all(|s| s.limit.steps == 0);
@@ -635,8 +652,8 @@
         })
     }
 
-    /// The less loaded of two random ones by own calls in flight, strain breaking ties; where budgets are
-    /// shared, the one that costs less, mostly.
+    /// Picks the less loaded of two random servers, by own calls in flight and then by overload. If the limit
+    /// is shared, the cheaper one is picked with the higher probability.
     fn pick_of_two(&mut self, now: Micros, among: &[usize]) -> Option<usize> {
         let len = among.len() as u64;
         let first = self.random_below(len);
@@ -647,7 +664,8 @@
             let load = |s: &Server| (s.in_flight, s.overload);
             return Some(if load(second) < load(first) { b } else { a });
         }
-        // Where many know the same, all would go to the same: the dearer one is chosen now and then.
+        // Balancers with the same information would all pick the same server, so the more expensive one is
+        // picked at times.
         let preference = |s: &Server| s.weight / s.cost(now).powi(COST_EXPONENT);
         let (first, second) = (preference(first), preference(second));
         Some(if self.random_fraction() * (first + second) < second { b } else { a })
@@ -660,7 +678,7 @@
         server.limit.probe_in_flight |= probe == ProbeTarget::Server;
         let Some(call) = self.calls.get_mut(&id) else { return };
         let &mut Server { id: server, started, zone, cell, .. } = server;
-        // Into a zone that was cut off one call goes at a time: a time-out is learnt of an aim later.
+        // A zone that has failed gets one call at a time, as a time-out shows only after the latency target.
         if let Some(failures) =
             self.zone_failures.get_mut(&zone).filter(|failures| failures.0 >= ZONE_BACKOFF_DOUBLINGS)
         {
@@ -673,7 +691,8 @@
         let late_at = now.saturating_add((overload_threshold * LATE_FACTOR) as Micros);
         let attempt = Attempt { server, started, zone, cell, class_id, sent_at, probe, late_at, outcome };
         call.attempts.push(attempt);
-        // An answer after the aim is worth little: its server is better used by others.
+        // A response after the latency target is worth little, so the server's capacity is better used for
+        // other calls.
         let (target_at, deadline) = (call.target_at(), call.deadline);
         let usual_latency = self.usual_latency(class_id, self.calls[&id].class.latency_target);
         if let Some(limit) = &mut self.shared_limit {
@@ -685,15 +704,16 @@
         self.schedule_hedge(now, id);
     }
 
-    /// Has a call looked at when a second copy of its one attempt may be due.
+    /// Schedules a check of whether the call's only attempt should be hedged.
     fn schedule_hedge(&mut self, now: Micros, id: CallId) {
         let call = &self.calls[&id];
         let (target_at, arrived, attempts) = (call.target_at(), call.arrived, call.attempts.len());
         let usual_latency = self.usual_latency(call.class_id, call.class.latency_target);
-        // The latest moment at which a second copy can still be in time, but not before the first is slow.
+        // The latest time at which a hedge can still be served in time, but not before the first attempt is
+        // slow.
         let hedge_at =
             (target_at as f64 - SPARE_LATENCIES * usual_latency).max(arrived as f64 + 1.5 * usual_latency);
-        // A shared budget tells nothing of one server: the copy would only add to the work.
+        // A shared limit says nothing about a single server, so a hedge would only add load.
         let hedgeable = attempts == 1 && self.settings.limits.hedging && self.shared_limit.is_none();
         let hedges = hedgeable && hedge_at + usual_latency <= target_at as f64;
         self.set_wake(id, if hedges { (hedge_at as Micros).max(now + 1) } else { 0 });
@@ -708,7 +728,7 @@
         }
         for place in 0..self.servers.len() {
             if self.servers[place].may_be_reinstated(now, self.served, &self.settings.rules) {
-                // Only a call that never went: a bound one may go to some servers alone.
+                // Only a call without attempts: the others may be restricted to certain servers.
                 let mut queued = self.queue.iter().take(QUEUE_SCAN_LIMIT);
                 if let Some(index) = queued.position(|id| self.calls[id].attempts.is_empty()) {
                     let id = self.queue[index];
@@ -727,7 +747,8 @@
                 Route::Refuse { retry_after } => {
                     self.give_up(id, retry_after, FailureReason::ServersDown, actions)
                 }
-                // Arrival order: the first that stays keeps the rest, unless bound to some servers.
+                // In order of arrival: a call that stays queued holds back those behind it, unless it is
+                // bound to certain servers.
                 Route::Queue if self.calls[&id].binding_attempt().is_some() && index < QUEUE_SCAN_LIMIT => {
                     index += 1
                 }
@@ -754,7 +775,8 @@
         }
     }
 
-    /// A second copy for a call that is late on a server that may have stalled, while others have room.
+    /// Sends a second attempt of a call that is slow on a server that may have stalled, if other servers have
+    /// capacity.
     fn hedge(&mut self, now: Micros, id: CallId, actions: &mut Actions) {
         let call = &self.calls[&id];
         let attempts_left = (call.attempts.len() as u32) < self.settings.limits.max_attempts
@@ -785,7 +807,7 @@
         }
     }
 
-    /// One timer for everything that is due by time alone.
+    /// Sets one timer for the next time-based action.
     fn set_timer(&mut self, now: Micros, actions: &mut Actions) {
         let mut next = self.subscribe_at.min(self.wakes.first().map_or(Micros::MAX, |w| w.0));
         if let Some(at) = self.lease.expires_at().filter(|at| *at > now) {
@@ -804,7 +826,7 @@
         ((self.longest_target() * FIRST_BACKOFF_SHARE) as Micros).max(1_000)
     }
 
-    /// How often held calls are looked at: limits, backoffs and pauses end at no event.
+    /// How often queued calls are reconsidered, as limits, backoffs and pauses change without an event.
     fn queue_poll_interval(&self) -> Micros {
         self.settings.tick.max(self.first_backoff() / 8)
     }
@@ -817,7 +839,7 @@
         self.latencies.iter().map(|p| p.mean).fold(1.0, f64::max)
     }
 
-    /// A draw from 0 to 1.
+    /// A random number from 0 (inclusive) to 1 (exclusive).
     fn random_fraction(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / 4_294_967_296.0
     }
--- a/policy/src/balance/outcomes.rs
+++ b/policy/src/balance/outcomes.rs
@@ -1,4 +1,4 @@
-//! What a server's answers, reports and silence teach.
+//! Updates the state of servers and limits from responses, load reports and missing responses.
 
 use super::{Actions, Balancer, Server, COST_TIME_CONSTANT, ZONE_BACKOFF_DOUBLINGS};
 use crate::api::*;
@@ -6,31 +6,38 @@
 use crate::concurrency_limit::{MAX_BACKOFF_DOUBLINGS, MIN_CUT_FACTOR, SMOOTHING};
 use crate::shared_limit::{Response, LATE_FACTOR};
 
-/// What a refusal as full leaves of the concurrency.
+/// Factor applied to the concurrency when a server rejects a call as full.
 const REJECTION_CUT_FACTOR: f64 = 0.8;
-/// An answer is strained beyond this many times its class's unloaded time: about two calls a core.
+/// A response shows overload beyond this many times its class's unloaded response time, which corresponds to
+/// about two calls per core.
 const OVERLOAD_LATENCY_FACTOR: f64 = 3.0;
-/// ... or beyond this share of its aim, whichever is shorter.
+/// ... or beyond this share of its latency target, whichever is shorter.
 const OVERLOAD_TARGET_SHARE: f64 = 0.33;
-/// The former where budgets are shared: a hundred that each wait for clear signs find a server jammed.
+/// Replaces `OVERLOAD_LATENCY_FACTOR` where the limit is shared: if each of a hundred balancers waits for
+/// clear signs of overload, they jam the server.
 const SHARED_OVERLOAD_LATENCY_FACTOR: f64 = 2.0;
-/// Doublings of the rest, in rounds of own calls, of a server that answers late; and most more by time-outs.
+/// Doublings of the cooldown (in rounds of own calls) of a server that times out; and the maximum number of
+/// further doublings by repeated time-outs.
 const COOLDOWN_DOUBLINGS: u32 = 2;
 const MAX_TIMEOUT_DOUBLINGS: u32 = 4;
-/// Reported share of busy cores that is as much as an answer at that limit: above it waiting grows steeply.
+/// Reported CPU share that counts as much as a response at the overload threshold. Above it, waiting times
+/// grow steeply.
 const CPU_OVERLOAD_SHARE: f64 = 0.9;
-/// Most that one answer counts for in a budget that all servers share: more than four in five must be late
-/// before the mean passes 1. A few bad servers are left by the pick, not answered for by all the others.
+/// Maximum overload that a single response contributes to the shared limit: more than four in five must be
+/// late before the mean exceeds 1. A few bad servers are avoided by the choice between two servers and must
+/// not reduce the limit for all others.
 const SHARED_MAX_OVERLOAD: f64 = 1.2;
-/// Strain beyond which a budget is cut below its floor: answers take more than half their aim.
+/// Overload beyond which a limit is cut below its floor: responses take more than half their latency target.
 const DEEP_CUT_OVERLOAD: f64 = 1.5;
-/// Weight of a new outcome in a server's share of failures, and the share that sets it aside: two in four.
+/// Weight of a new outcome in a server's failure rate, and the rate above which the server is ejected (two
+/// failures in four calls).
 const FAILURE_WEIGHT: f64 = 0.2;
 const EJECTION_FAILURE_RATE: f64 = 0.3;
 
 impl Balancer {
-    /// What a server says of itself: as many waiting as in work, or nearly all cores busy, is as much as an
-    /// answer at its limit. It tells a crowded server from one whose calls mostly wait on others.
+    /// Records the load report that came with an attempt's end. As many requests waiting as running, or
+    /// nearly all cores busy, counts like a response at the overload threshold. This distinguishes an
+    /// overloaded server from one whose calls mostly wait for other services.
     pub(super) fn record_load_report(&mut self, now: Micros, id: CallId, attempt: u32, load: Load) {
         let Some(sent) = self.calls.get(&id).and_then(|c| c.attempts.get(attempt as usize)) else {
             return;
@@ -53,7 +60,7 @@
         server.reported_at = at;
     }
 
-    /// What a server's answer, or its absence, teaches.
+    /// Updates all state that depends on how an attempt ended.
     pub(super) fn record_outcome(
         &mut self,
         now: Micros,
@@ -70,7 +77,7 @@
         }
         let Ok(place) = self.servers.binary_search_by_key(&attempt.server, |s| s.id) else { return };
         if self.servers[place].started != attempt.started {
-            return; // What a server's last process did says nothing of the new one.
+            return; // The server has restarted since: the outcome concerns its previous process.
         }
         self.update_cost(place, now, &ended);
         let Some(failed) = self.servers[place].is_failure(&ended) else {
@@ -84,7 +91,7 @@
         self.update_counts();
     }
 
-    /// An attempt's end with what was known of its class and of this balancer just before.
+    /// Combines an attempt's end with the state of its class and of this balancer just before.
     fn describe_end(&self, now: Micros, attempt: Attempt, outcome: Outcome, elapsed: Micros) -> EndedAttempt {
         let class = self.settings.classes.get(attempt.class_id);
         EndedAttempt {
@@ -104,7 +111,8 @@
         let Some(limit) = &mut self.shared_limit else { return };
         let &EndedAttempt { outcome, elapsed, .. } = ended;
         limit.ended(now, elapsed, ended.usual_latency, ended.attempt.late_at, ended.attempt.probe);
-        // Time-outs are the pick's: few servers, or one class of calls, must not shut out all others.
+        // Time-outs are left to the choice between two servers: a few servers, or one class of calls, must
+        // not block all other calls.
         if !matches!(outcome, Outcome::NoConnection | Outcome::TimedOut) && !outcome.is_inconclusive() {
             let rejection = if outcome == Outcome::TurnedAway { 1.0 / MIN_CUT_FACTOR } else { 0.0 };
             let overload_threshold = shared_overload_threshold(ended.unloaded, ended.latency_target);
@@ -121,8 +129,9 @@
         }
     }
 
-    /// A zone that is cut off fails server by server: after a few in a row it is passed over as a whole.
-    /// On connections that were there before, packets that go nowhere show by time-outs alone.
+    /// Updates the backoff of the attempt's zone. If a zone becomes unreachable, its servers fail one by one;
+    /// after a few consecutive failures the whole zone is avoided. On existing connections, lost packets show
+    /// only as time-outs.
     fn update_zone_backoff(&mut self, now: Micros, ended: &EndedAttempt) {
         let first_backoff = self.first_backoff();
         let failures = self.zone_failures.entry(ended.attempt.zone).or_default();
@@ -137,12 +146,13 @@
         }
     }
 
-    /// What a call costs at this server beside the usual.
+    /// Updates the cost of a call at this server.
     fn update_cost(&mut self, place: usize, now: Micros, ended: &EndedAttempt) {
         let longest_target = self.longest_target();
         let server = &mut self.servers[place];
         server.in_flight = server.in_flight.saturating_sub(1);
-        // What was not served counts as a whole aim: quick refusals and errors must not make it look idle.
+        // A call that was not served counts as a full latency target, so that a server that fails quickly
+        // does not look idle.
         let answered = matches!(ended.outcome, Outcome::Served | Outcome::Stale | Outcome::Unusable);
         let minimum = if answered { 0.0 } else { longest_target };
         let decay = (-(now.saturating_sub(server.last_ended_at) as f64) / COST_TIME_CONSTANT).exp();
@@ -151,13 +161,13 @@
         server.relative_latency += (cost - server.relative_latency) * 2.0 * SMOOTHING;
     }
 
-    /// The server's strain and share of failures, and its class's usual time.
+    /// Updates the server's overload and failure rate and the latency of the call's class.
     fn update_overload(&mut self, place: usize, now: Micros, ended: &EndedAttempt, failed: bool) {
         let longest_target = self.longest_target();
         let server = &mut self.servers[place];
         let weight = if ended.is_weak_evidence() { FAILURE_WEIGHT / 2.0 } else { FAILURE_WEIGHT };
         server.failure_rate += (if failed { 1.0 } else { 0.0 } - server.failure_rate) * weight;
-        // Few answers a second must not make the strain a memory of long ago.
+        // With few responses per second, old ones must not dominate the overload.
         let gap = now.saturating_sub(server.last_ended_at) as f64 / longest_target;
         let weight = SMOOTHING.max(1.0 - (-gap).exp());
         server.last_ended_at = now;
@@ -165,7 +175,8 @@
             let overload = (ended.elapsed / ended.overload_threshold()).min(4.0);
             server.overload += (overload.max(server.reported_overload) - server.overload) * weight;
             server.responses_since_change += 1;
-            // Answers alone would make the mean that of the lucky: late ones count for what was waited.
+            // With successful responses only, the mean would be too low, so late attempts count with the time
+            // they took.
             let latency = self.latencies.get_mut(ended.attempt.class_id);
             latency.into_iter().for_each(|p| p.record(now, ended.elapsed));
         }
@@ -175,29 +186,31 @@
         }
     }
 
-    /// Latency well above an unloaded server's is the sign, beside refusals, of too much in flight.
+    /// Reduces the server's concurrency after a rejection, or if its latency is well above that of an
+    /// unloaded server.
     fn reduce_concurrency(&mut self, place: usize, now: Micros, ended: &EndedAttempt) {
         let server = &mut self.servers[place];
         if ended.outcome == Outcome::TurnedAway {
             server.limit.reduce(REJECTION_CUT_FACTOR, true);
-            // Fast refusals leave it looking idle: without a pause it would draw in call after call.
+            // Quick rejections make the server look idle. Without a pause it would attract call after call.
             server.not_before = server.not_before.max(now + ended.longest_usual_latency as Micros);
         } else if server.overload > 1.0 && server.has_settled(now, ended.longest_usual_latency) {
             server.limit.reduce(1.0 / server.overload, server.overload > DEEP_CUT_OVERLOAD);
-            // The cut answers for part of it: one jam is cut for once.
+            // The cut has dealt with part of the overload, so one jam is not cut for twice.
             server.overload = server.overload.sqrt();
             (server.responses_since_change, server.limit_changed_at) = (0, now);
         }
     }
 
-    /// The steps of the server's limit: lost connections, probe requests, and setting it aside.
+    /// Updates the steps of the server's limit after connection failures and probe requests, and ejects the
+    /// server if it fails too often.
     fn update_steps(&mut self, place: usize, now: Micros, ended: &EndedAttempt, actions: &mut Actions) {
         let first_backoff = self.first_backoff();
         let few_ejected = (self.ejected_count + 1) * 2 <= self.listed_count;
         let server = &mut self.servers[place];
         let was_up = server.limit.steps > 0;
-        // One connection that broke is no proof against a server that has only just answered: a step goes
-        // when one more breaks soon after, and the last step with the server's share of failures.
+        // A single broken connection proves nothing about a server that has just served a call: a step is
+        // removed when another one breaks soon after, and the last step by the server's failure rate.
         let recently_served =
             server.last_served_at > 0 && now.saturating_sub(server.last_served_at) <= first_backoff;
         let repeated_failure = server.failure_rate > EJECTION_FAILURE_RATE / 2.0 && server.limit.steps > 1;
@@ -207,13 +220,14 @@
         if ended.attempt.probe == ProbeTarget::Server {
             server.probe_ended(now, ended.outcome, was_up, first_backoff, actions);
         }
-        // Fast errors and refusals make a server look idle: its budget alone would draw calls in.
+        // Quick errors and rejections make a server look idle: by its limit alone it would attract calls.
         if was_up && server.failure_rate > EJECTION_FAILURE_RATE && few_ejected {
             server.limit.steps = 0;
         }
         if was_up && server.limit.steps == 0 {
             server.limit.back_off(now, first_backoff);
-            // What it showed before says nothing of how it will be when it comes back.
+            // The overload before the ejection does not predict how the server performs when it is
+            // reinstated.
             server.overload = 1.0;
             let id = server.id;
             actions.push(Action::Log { text: format!("server {} set aside", id.0) });
@@ -225,8 +239,8 @@
         }
     }
 
-    /// Many balancers that each try a late server now and then are no rest: it is tried by a part of the
-    /// usual calls.
+    /// Starts the server's cooldown. If each of many balancers tried a late server now and then, it would not
+    /// recover, so it is tried once per a number of served calls.
     fn update_cooldown(&mut self, place: usize, ended: &EndedAttempt) {
         let server = &mut self.servers[place];
         let served = u32::from(ended.outcome == Outcome::Served);
@@ -246,18 +260,19 @@
 }
 
 impl Server {
-    /// Whether this end counts as a failure of the server; `None`: it says nothing of it.
+    /// Whether the attempt's end counts as a failure of the server; `None` if it is no evidence either way.
     fn is_failure(&self, ended: &EndedAttempt) -> Option<bool> {
         match ended.outcome {
             Outcome::Served => Some(false),
-            // Late while others are answered: the server is slow, not gone, and is sent less, not nothing.
+            // It timed out while other calls were served: the server is slow but alive, and gets fewer calls
+            // instead of none.
             Outcome::TimedOut if self.last_served_at > ended.attempt.sent_at => Some(false),
             outcome if outcome.is_inconclusive() => None,
             _ => Some(true),
         }
     }
 
-    /// A probe request of this server's own has ended.
+    /// Handles the end of a probe request for this server's limit.
     fn probe_ended(
         &mut self,
         now: Micros,
@@ -285,20 +300,20 @@
 struct EndedAttempt {
     attempt: Attempt,
     outcome: Outcome,
-    /// How long it was out.
+    /// How long the attempt was in flight.
     elapsed: f64,
-    /// Its class's usual answer time, aim, and unloaded answer time.
+    /// Usual response time, latency target and unloaded response time of the attempt's class.
     usual_latency: f64,
     latency_target: f64,
     unloaded: f64,
-    /// The longest usual answer time of all classes.
+    /// The longest usual response time of all classes.
     longest_usual_latency: f64,
-    /// Servers in the window.
+    /// Number of servers in this balancer's subset.
     subset_size: u64,
 }
 
 impl EndedAttempt {
-    /// Its connection did not come up or broke.
+    /// Whether the connection could not be established or broke.
     fn connection_lost(&self) -> bool {
         matches!(self.outcome, Outcome::NoConnection | Outcome::Reset)
     }
@@ -307,13 +322,14 @@
         self.outcome == Outcome::TimedOut
     }
 
-    /// A time-out proves less than an error: a crowded server may owe a lone call for that long. So does
-    /// what one connection did: now and then an answer is spoilt or breaks off at any server.
+    /// Whether it is weak evidence of a failing server. A time-out proves less than an error, as a busy
+    /// server may hold up a single call for that long. So does a failure of one connection, as any server
+    /// occasionally sends a corrupt or truncated response.
     fn is_weak_evidence(&self) -> bool {
         matches!(self.outcome, Outcome::TimedOut | Outcome::Unknown | Outcome::Reset)
     }
 
-    /// Answer time beyond which the server's own limit is strained.
+    /// Response time beyond which the server counts as overloaded.
     fn overload_threshold(&self) -> f64 {
         (self.unloaded * OVERLOAD_LATENCY_FACTOR)
             .min(self.latency_target * OVERLOAD_TARGET_SHARE)
@@ -321,9 +337,9 @@
     }
 }
 
-/// Answer time beyond which the limit of all servers is strained, by a class's unloaded answer time and its
-/// aim, all in microseconds. It cannot spare the one server that is slow: it heeds what the aim leaves for
-/// waiting.
+/// Response time beyond which the shared limit counts as exceeded, from a class's unloaded response time and
+/// latency target, all in microseconds. As this limit cannot spare a single slow server, it takes account of
+/// the time that the latency target leaves for waiting.
 pub(super) fn shared_overload_threshold(unloaded: f64, latency_target: f64) -> f64 {
     let with_waiting = unloaded + (latency_target - unloaded) * OVERLOAD_TARGET_SHARE;
     (unloaded * SHARED_OVERLOAD_LATENCY_FACTOR).min(with_waiting).max(unloaded)
--- a/policy/src/balance/peers.rs
+++ b/policy/src/balance/peers.rs
@@ -1,33 +1,35 @@
-//! What a balancer shares with others of its process: what they ask of it, and what it takes from them.
+//! The interface between balancers of one process that share the capacity of servers.
 
 use super::Balancer;
 use crate::api::*;
 
 impl Balancer {
-    /// How many calls wait to go.
+    /// Number of calls in the queue.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// How many calls a server's budget allows here, as a mean; 0 for one that is set aside or not there.
+    /// Mean number of calls in flight that this balancer's limit for a server permits; 0 if the server is
+    /// ejected or unknown.
     pub fn concurrency_limit(&self, now: Micros, server: ServerId) -> f64 {
         let place = self.servers.binary_search_by_key(&server, |s| s.id);
         place.map_or(0.0, |at| self.servers[at].effective_limit(now, &self.settings.rules))
     }
 
-    /// Whether a trial call is out to a server.
+    /// Whether a probe request to the server is in flight.
     pub fn is_probing(&self, server: ServerId) -> bool {
         let place = self.servers.binary_search_by_key(&server, |s| s.id);
         place.is_ok_and(|at| self.servers[at].limit.probe_in_flight)
     }
 
-    /// Whether a server's answers take longer than they should.
+    /// Whether the server's responses take longer than they should.
     pub fn is_overloaded(&self, server: ServerId) -> bool {
         let place = self.servers.binary_search_by_key(&server, |s| s.id);
         place.is_ok_and(|at| self.servers[at].overload > 1.0)
     }
 
-    /// The servers to which calls would go if there were room there, or if a trial might go.
+    /// The servers to which calls would be sent if this balancer's allocation were larger or permitted a
+    /// probe request.
     pub fn capacity_demands(&self, now: Micros) -> impl Iterator<Item = CapacityDemand> + '_ {
         let (rules, longest) = (&self.settings.rules, self.longest_usual_latency());
         self.servers.iter().filter_map(move |s| {
@@ -45,7 +47,7 @@
         })
     }
 
-    /// What another balancer of the process has learned of a server. What this one has learned since holds.
+    /// Applies an observation of another balancer of the process, unless this one has a newer one.
     pub(super) fn observed(&mut self, now: Micros, id: ServerId, observation: Observation, age: Micros) {
         let (first_backoff, observed_at) = (self.first_backoff(), now.saturating_sub(age));
         let Ok(place) = self.servers.binary_search_by_key(&id, |s| s.id) else { return };
--- a/policy/src/balance/server_list.rs
+++ b/policy/src/balance/server_list.rs
@@ -1,4 +1,4 @@
-//! What news of the server list changes, and how long it may be sent by.
+//! Updates of the server list, and how long the list may be used.
 
 use super::{Balancer, Server};
 use crate::api::{Entry, Freshness, ListKind, Micros, ServerState};
@@ -15,7 +15,8 @@
         for entry in entries {
             let found = self.servers.binary_search_by_key(&entry.server, |s| s.id);
             let place = found.unwrap_or_else(|place| place);
-            // A restart under the same number is a new, cold process: nothing learned of the old one holds.
+            // A restart under the same number is a new, cold process: what was observed of the old one does
+            // not apply.
             if found.is_err() || entry.started > self.servers[place].started {
                 let mut server = Server::new(entry, &self.settings);
                 server.first_call = Some(self.draw_first_call(now));
@@ -32,7 +33,7 @@
         self.update_counts();
     }
 
-    /// What has become of the watch.
+    /// Updates the lease of the list after a change in the state of the watch.
     pub(super) fn update_freshness(&mut self, now: Micros, freshness: Freshness) {
         if !self.settings.pull_list {
             return;
@@ -50,13 +51,14 @@
         self.lease.update(now, Freshness::Verified);
     }
 
-    /// When nothing new may be sent by the list any more, unless it is verified before; `None`: it is
-    /// verified, or pushed.
+    /// When the list expires, after which no new attempt is sent unless the list is verified before. `None`
+    /// if it is verified or pushed.
     pub fn list_expires_at(&self) -> Option<Micros> {
         self.lease.expires_at()
     }
 
-    /// Trouble seen at most of the fleet is not the servers' own: never are most set aside.
+    /// Counts listed and ejected servers. At most half of the servers are ejected, as trouble at most of the
+    /// fleet is not the fault of single servers.
     pub(super) fn update_counts(&mut self) {
         self.listed_count = self.servers.iter().filter(|s| s.listed).count();
         self.ejected_count = self.servers.iter().filter(|s| s.listed && s.limit.steps == 0).count();
--- a/policy/src/balance/slow_start.rs
+++ b/policy/src/balance/slow_start.rs
@@ -1,22 +1,26 @@
-//! How calls to cold servers are paced: by own answers, each server by its stated share of what a warm one
-//! does. Any number of balancers keep it safe so, and fast refusals earn nothing. Without answers a server is
-//! tried after a span that leaves it less than one call in flight from all.
+//! Slow start: how calls to cold servers are spaced. Each balancer counts its own served calls and gives each
+//! cold server the share that is stated for its age, relative to a warm server. This is safe for any number
+//! of balancers, and a server gains nothing by rejecting calls quickly. If no calls are served, a cold server
+//! is tried after a time that keeps it below one call in flight from all balancers together.
 //!
-//! Where none is warm, as after a power cut, nobody else takes the rest: by their stated shares alone calls
-//! would become fewer with each round of answers, and a fleet that could serve would refuse until it is warm.
+//! If no server is warm, as after a power failure, no other server takes the remaining calls. With the stated
+//! shares alone, the number of calls would then fall with each round of responses, and a fleet that could
+//! serve would refuse calls until it is warm.
 
 use super::{Balancer, Server};
 use crate::api::Micros;
 
-/// How much more than its part a cold server is sent where none is warm: calls become more by a
-/// fifth a round.
+/// Factor on a cold server's share if no server is warm, so that the number of calls grows by a fifth per
+/// round.
 const COLD_SHARE_INCREASE: f64 = 1.2;
-/// Share of the list's whole size that must be warm for cold servers to be drawn by their stated share alone:
-/// then even twice its part, the most that a pick of two gives, is within what a cold one bears.
+/// Share of the listed capacity that must be warm for cold servers to be drawn by their stated share alone.
+/// Then even twice that share, the maximum that the choice between two servers yields, is within what a cold
+/// server tolerates.
 const MIN_WARM_SHARE: f64 = 1.0 / 3.0;
 
-/// A server's wait for its first call. Balancers hear of a cold server together: each waits a random part.
-/// What it is a part of may change until then, as the others start or warm up.
+/// Determines when a new server gets its first call. All balancers learn of a cold server at the same time,
+/// so each waits a random fraction of the spacing. The spacing itself may change until then, as other servers
+/// start or warm up.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FirstCall {
     since: Micros,
@@ -25,7 +29,8 @@
     time_fraction: f64,
 }
 
-/// What the listed servers can do: all of it, what they can now, the warm ones, and those that take calls.
+/// Capacity of the listed servers: in total, at their current warmth, of the warm ones, and of the warm ones
+/// that accept calls.
 struct Capacity {
     total: f64,
     current: f64,
@@ -33,23 +38,25 @@
     available: f64,
 }
 
-/// For a cold server: answers by its stated share, answers that are waited for, and the longest wait.
+/// Spacing of the calls to a cold server: served calls by the stated share, served calls that are waited for,
+/// and the longest wait (us).
 struct Spacing {
     stated: u64,
     answers: u64,
     span: Micros,
 }
 
-/// Whether a call may go to the server at this place: always to a warm one, to a cold one by a decision's
-/// draw, evenly spread over servers that follow each other.
+/// Whether a call may go to the server with this index: always if it is warm, otherwise by the call's random
+/// draw, which is spread evenly over neighbouring servers.
 pub(super) fn is_drawn((draw, fraction): (f64, f64), place: usize, warmth: f64) -> bool {
     warmth >= 1.0 || (draw + place as f64 * 0.618_033_988_749_895).fract() < warmth * fraction
 }
 
 impl Balancer {
-    /// Where a shared budget stands in for the servers' own, no balancer has answers enough to pace a cold
-    /// server by: each call draws those that it may go to, by what they do of their whole by now.
-    /// They get as large a part of that as takes calls of the warm ones, not what the rest of those leave.
+    /// Draws the random number by which a call selects cold servers, and the fraction of their warmth that
+    /// they get. Used where the limit is shared, as no balancer then has enough responses to space calls to
+    /// single servers. Cold servers get the same fraction as accepts calls among the warm ones, not what
+    /// those leave.
     pub(super) fn cold_draw(&mut self, now: Micros) -> Option<(f64, f64)> {
         let capacity = self.capacity(now);
         let applies = self.shared_limit.is_some() && capacity.available >= capacity.total * MIN_WARM_SHARE;
@@ -61,13 +68,14 @@
         })
     }
 
-    /// Draws a new server's part.
+    /// Draws the random fractions for a new server's first call.
     pub(super) fn draw_first_call(&mut self, now: Micros) -> FirstCall {
         let (answers_fraction, time_fraction) = (self.random_fraction(), self.random_fraction());
         FirstCall { since: now, served: self.served, answers_fraction, time_fraction }
     }
 
-    /// The list has changed, and with it who else takes calls.
+    /// Recalculates the waits for first calls after the server list, and thus the capacity of the other
+    /// servers, has changed.
     pub(super) fn pace_first_calls(&mut self, now: Micros) {
         let capacity = self.capacity(now);
         for place in 0..self.servers.len() {
@@ -76,7 +84,8 @@
                 continue;
             };
             let Spacing { stated, answers, span } = self.spacing(now, server, &capacity);
-            // No more go at once than by the stated share, however short the wait of the others.
+            // How many balancers send their first call at once depends on the stated share alone, however
+            // short the wait of the others is.
             let at_once = answers_fraction * stated as f64 <= 1.0;
             let wait = if at_once { 0 } else { 1 + (answers_fraction * answers as f64) as u64 };
             let server = &mut self.servers[place];
@@ -85,7 +94,7 @@
         }
     }
 
-    /// A call is sent to a server.
+    /// Sets when the server gets its next call, as one is being sent to it.
     pub(super) fn pace_next_call(&mut self, now: Micros, place: usize) {
         self.servers[place].first_call = None;
         if self.servers[place].warmth(now, &self.settings.rules) >= 1.0 {
--- a/policy/src/balance/subset.rs
+++ b/policy/src/balance/subset.rs
@@ -1,22 +1,23 @@
-//! To how many servers a balancer's calls go where budgets are shared.
+//! The size of a balancer's subset of servers, where the limit is shared.
 //!
-//! A thin balancer that went to all would open a connection for nearly every call, past what servers accept,
-//! and would learn of none of them. How many connections a server accepts is told nowhere: it shows in those
-//! that it refuses, to whomever.
+//! A balancer with few calls that used all servers would open a connection for nearly every call, more than
+//! servers accept, and would learn about none of them. How many connections a server accepts is not
+//! announced; it shows only when connections are refused.
 
 use super::Balancer;
 use crate::api::Micros;
 
-/// Servers at the least, and the mean in flight at each beyond which more: about one connection that is used
-/// half the time. Else each opens one nearly everywhere, to use it seldom.
+/// Minimum number of servers, and the mean number of calls in flight per server beyond which the subset
+/// grows. This corresponds to about one connection that is used half the time; otherwise each balancer would
+/// open rarely used connections to nearly every server.
 const MIN_SERVERS: f64 = 8.0;
 const CALLS_PER_SERVER: f64 = 0.5;
-/// What refused connections leave of the former: one to go to, and one beside it.
+/// Minimum number of servers after refused connections: one to use and one alternative.
 const MIN_REDUCED_SERVERS: f64 = 2.0;
-/// Memory of refused connections: about as long as one that is not used is kept.
+/// Time constant (us) of refused connections: about as long as an idle connection is kept.
 const REDUCTION_TIME_CONSTANT: f64 = 20e6;
 
-/// What connections that did not come up have taken of the least window, and when the last one did not.
+/// Number of servers by which failed connections have reduced the minimum, as of the last failure.
 #[derive(Debug, Default)]
 pub(super) struct SubsetReduction {
     servers: f64,
@@ -28,8 +29,9 @@
         self.servers * (-(now.saturating_sub(self.updated_at) as f64) / REDUCTION_TIME_CONSTANT).exp()
     }
 
-    /// A connection did not come up: all balancers together may want more than there are places for, and each
-    /// gives one up. Where it is the server that has gone, the others bear this one's few calls as well.
+    /// Records a connection that could not be established. All balancers together may want more connections
+    /// than the servers accept, so each gives one up. If the server has failed instead, the others can take
+    /// this balancer's few calls.
     pub(super) fn connection_failed(&mut self, now: Micros) {
         *self = SubsetReduction {
             servers: (self.current(now) + 1.0).min(MIN_SERVERS - MIN_REDUCED_SERVERS),
--- a/policy/src/call.rs
+++ b/policy/src/call.rs
@@ -1,8 +1,8 @@
-//! What the decision module keeps of calls and attempts: types and look-ups. It decides nothing.
+//! Types and queries for calls and attempts, without decisions.
 
 use crate::api::*;
 
-/// Which budget a trial call may raise: its server's, or the one that all servers share.
+/// The limit that a call may raise as a probe request: that of its server or the one shared by all servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbeTarget {
     None,
@@ -20,13 +20,13 @@
     pub(crate) class_id: usize,
     pub(crate) sent_at: Micros,
     pub(crate) probe: ProbeTarget,
-    /// From when on it is late for the limit that all servers share.
+    /// When it counts as late for the shared limit.
     pub(crate) late_at: Micros,
-    /// `None`: it is out.
+    /// `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
 }
 
-/// A call from its arrival until it has ended and no attempt is out.
+/// A call, kept from its arrival until it has ended and none of its attempts is in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Call {
     pub(crate) class: Class,
@@ -36,9 +36,9 @@
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) queued: bool,
     pub(crate) ended: bool,
-    /// It has ended for want of anybody who waits, and is wanted again if somebody comes.
+    /// The call has ended because no client waits, and becomes active again if another client asks for it.
     pub(crate) detached: bool,
-    /// When the call is looked at next; 0: not by time.
+    /// When the call is reconsidered by time; 0 if never.
     pub(crate) wake_at: Micros,
 }
 
@@ -47,7 +47,7 @@
         self.attempts.iter().filter(|a| a.outcome.is_none()).count()
     }
 
-    /// The first attempt that may have run: the one that binds a guarded call.
+    /// The first attempt that may have run, which determines where a guarded call may be retried.
     pub(crate) fn binding_attempt(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.outcome.is_some_and(Outcome::never_ran))
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Answer times of a class: the present mean and the least it has been, which stands for an unloaded server.
+/// Response times of a class (us): the current mean and the lowest one, which represents an unloaded server.
 #[derive(Debug, Default)]
 pub(crate) struct ClassLatency {
     pub(crate) mean: f64,
@@ -67,7 +67,7 @@
     pub(crate) requests: f64,
 }
 
-/// Where a call goes.
+/// The decision on where a call goes.
 pub(crate) enum Route {
     Send { server: usize, probe: ProbeTarget },
     Queue,
--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -1,31 +1,34 @@
-//! How many calls may be in flight at one server: its concurrency limit. Which call goes where is decided in
-//! `balance.rs`; the limit over all servers is `shared_limit.rs`.
+//! The concurrency limit of one server, that is how many calls may be in flight there. `balance.rs` decides
+//! which call goes where; `shared_limit.rs` has the limit over all servers.
 
 use crate::api::Micros;
 
-/// Most steps of a budget: A105's default for its connections.
+/// Maximum steps of a limit: the default of gRPC proposal A105 for its connections.
 const MAX_STEPS: u32 = 10;
-/// Calls in flight at a server over all balancers, for a few cores: at first, when all balancers come at once
-/// and a jam would last; and where mild strain leads, from above or below.
+/// Calls in flight at a server with a few cores, over all balancers: the initial value, when all balancers
+/// may start at once and an overload would last; and the value that moderate overload leads to, from above or
+/// below.
 const INITIAL_CONCURRENCY: f64 = 7.0;
 const FLOOR_CONCURRENCY: f64 = 12.0;
-/// What one round leaves of the concurrency at the least (TCP's cut).
+/// Minimum factor of one reduction of the concurrency, as in TCP.
 pub(crate) const MIN_CUT_FACTOR: f64 = 0.5;
-/// What a deep cut leaves of the floor at the least: an idle half of a few cores.
+/// Share of the floor that remains at least after a deep cut: half of a few cores idle.
 const DEEP_CUT_FLOOR_SHARE: f64 = 0.2;
-/// Weight of a new answer in a server's strain and in a class's mean: about twenty answers are remembered.
+/// Weight of a new response in a server's overload and in a class's mean: about the last twenty responses
+/// count.
 pub(crate) const SMOOTHING: f64 = 0.1;
-/// Doublings of a backoff up to its cap.
+/// Maximum doublings of a backoff.
 pub(crate) const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Memory of the rate of answers.
+/// Time constant (us) of the rate of responses.
 pub(crate) const RATE_TIME_CONSTANT: f64 = 3e6;
 
-/// Per-server in-flight budget: steps x concurrency, grown one served trial at a time under a shared backoff.
+/// In-flight limit, `steps` times `concurrency`. Each probe request that is served raises it; a backoff
+/// follows one that is not.
 #[derive(Debug, Default)]
 pub(crate) struct ConcurrencyLimit {
     pub(crate) steps: u32,
     pub(crate) concurrency: f64,
-    /// The budget that cuts leave at the least.
+    /// The limit that remains at least after reductions.
     pub(crate) floor: f64,
     pub(crate) probe_in_flight: bool,
     pub(crate) backoff_doublings: u32,
@@ -48,7 +51,7 @@
         if self.steps < MAX_STEPS {
             self.steps += 1;
         } else {
-            // At the clamp the concurrency figure itself was learned too low: it takes the step instead.
+            // At the maximum of steps the initial concurrency was too low, so it grows instead.
             self.concurrency *= 1.0 + 1.0 / f64::from(MAX_STEPS);
         }
     }
@@ -58,8 +61,9 @@
         self.backoff_doublings = (self.backoff_doublings + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// A cut ends at the floor, and comes up to it after a deep one. Deep are a refusal as full, and answers
-    /// near their aim or past it: the server then does far less than the floor supposes.
+    /// Reduces the concurrency by `factor`, down to the floor; a value below the floor, from a deep cut,
+    /// rises to it. A cut is deep after a rejection as full, or if responses take nearly their latency target
+    /// or longer: the server then handles far less than the floor assumes.
     pub(crate) fn reduce(&mut self, factor: f64, deep: bool) {
         let minimum =
             if deep { self.floor * DEEP_CUT_FLOOR_SHARE } else { self.floor } / f64::from(self.steps.max(1));
@@ -67,7 +71,7 @@
     }
 }
 
-/// Do so many answers, or so long a time, since a budget changed tell what the change did?
+/// Whether the effect of a change of a limit can be judged, after so many responses or so much time since.
 pub(crate) fn enough_feedback(responses: u32, elapsed: Micros, usual_latency: f64) -> bool {
     f64::from(responses) * SMOOTHING >= 1.0 || elapsed as f64 >= 2.0 * usual_latency
 }
--- a/policy/src/in_flight.rs
+++ b/policy/src/in_flight.rs
@@ -1,9 +1,9 @@
-//! Counts calls in flight, and of those the ones that are late.
+//! Counts calls in flight and those of them that are late.
 
 use crate::api::Micros;
 use std::collections::BTreeMap;
 
-/// Calls that were sent and have not ended, by the moment from which each is late.
+/// Number of calls in flight, in total and by the time from which they are late.
 #[derive(Debug, Default)]
 pub(crate) struct InFlight {
     total: u32,
@@ -11,13 +11,13 @@
 }
 
 impl InFlight {
-    /// A call is sent that is late from then on.
+    /// Counts a call that is sent and will be late from `late_at` on.
     pub(crate) fn sent(&mut self, late_at: Micros) {
         self.total += 1;
         *self.by_late_at.entry(late_at).or_default() += 1;
     }
 
-    /// Such a call has ended.
+    /// Removes a call that was counted with the same `late_at`.
     pub(crate) fn ended(&mut self, late_at: Micros) {
         let Some(count) = self.by_late_at.get_mut(&late_at) else { return };
         self.total -= 1;
@@ -27,12 +27,12 @@
         }
     }
 
-    /// All of them.
+    /// Number of calls in flight.
     pub(crate) fn total(&self) -> u32 {
         self.total
     }
 
-    /// Those that are not late.
+    /// Number of calls in flight that are not late.
     pub(crate) fn not_late(&self, now: Micros) -> u32 {
         self.total - self.by_late_at.range(..now).map(|(_, count)| count).sum::<u32>()
     }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! This module makes the decisions of a sidecar balancer for service-to-service calls: which server
-//! gets a call, when a call waits, goes again, is refused or fails. It does no I/O and reads no clock.
+//! Decision module of a client-side proxy for service-to-service calls. It decides which server gets a call, and
+//! whether a call is queued, retried, refused or failed. It performs no I/O and reads no clock.
 //!
-//! A client proxy makes one [`Balancer`], feeds it [`Event`]s and carries out the [`Action`]s:
+//! A client proxy creates one [`Balancer`], feeds it [`Event`]s and carries out the resulting [`Action`]s:
 //!
 //! ```
 //! use nettleworks_policy::{Action, Balancer, CallId, ClassId, Entry, Event, ListKind};
@@ -17,7 +17,7 @@
 //! balancer.handle(1_000, event, &mut actions);
 //! for action in actions.drain(..) {
 //!     match action {
-//!         Action::Send { call, server, .. } => println!("pass {call:?} to {server:?}"),
+//!         Action::Send { call, server, .. } => println!("send {call:?} to {server:?}"),
 //!         Action::SetTimer { after } => println!("send Event::Timer in {after} us"),
 //!         other => println!("{other:?}"),
 //!     }
--- a/policy/src/list_lease.rs
+++ b/policy/src/list_lease.rs
@@ -1,49 +1,49 @@
-//! How long the list of servers may be sent by while no watch shows that it is up to date.
+//! How long the server list may be used while no watch shows that it is current.
 //!
-//! A list is a lease. While a watch is open and alive, each change arrives, and the lease has no
-//! end. When the watch breaks or falls silent, changes may be missed, and what is missed counts as
-//! notified a stated time later, whether it has arrived or not. A watch that discovery ends in order
-//! is like a long poll that is over: what it was to tell counts sooner. The lease ends before a request
-//! could reach a server over the grace after that moment; from then on nothing new is sent until a
-//! list has come. One clock stands for all that lies between: noticing, pauses, connections,
-//! answers and their repetitions each have bounds of their own, and it is their sum that counts.
+//! The list is held under a lease. While a watch is open and alive, every change arrives, and the lease has
+//! no end. When the watch breaks or goes silent, changes may be missed; a missed change counts as notified a
+//! fixed time later, whether it has arrived or not. If discovery ends the watch in an orderly way, as a long
+//! poll ends, that time is shorter. The lease ends early enough that no request reaches a server after the
+//! drain grace that follows this time. From then on no new attempt is sent until a list arrives. A single
+//! deadline covers everything in between: noticing the loss, pauses, connections, responses and their retries
+//! have bounds of their own, but their sum is what counts.
 
 use crate::api::{Freshness, Micros, Rules};
 
-/// A change that a broken or silent watch missed, or that came while none was open, counts as
-/// notified at the latest this long after the watch was lost.
+/// A change that a broken or silent watch missed, or that was made while no watch was open, counts as
+/// notified at most this long after the watch was lost.
 const NOTIFIED_WITHIN: Micros = 6_000_000;
-/// The same after a watch that was ended in order, from its end on.
+/// The same after discovery ended the watch in an orderly way, counted from its end.
 const NOTIFIED_WITHIN_AFTER_END: Micros = 2_000_000;
-/// The same after the configuration has named another discovery.
+/// The same after the configuration named another discovery service.
 const NOTIFIED_WITHIN_AFTER_CHANGE: Micros = 4_000_000;
-/// After a call that failed the list holds for so many times the time between two calls.
+/// After a failed request the list remains usable for this many list refresh intervals.
 const FAILED_CALL_INTERVALS: Micros = 4;
-/// A request is written so long after it was decided at the most: the process may be held up in
-/// between.
+/// Maximum delay between the decision on a request and writing it, as the process may be stalled in between.
 const MAX_WRITE_DELAY: Micros = 250_000;
 
-/// The lease of the list in hand.
+/// The lease of the current list.
 #[derive(Clone, Debug)]
 pub(crate) struct ListLease {
-    /// Longest that a client proxy without a watch may go without a call for the list.
+    /// Longest time that a client proxy without a watch may go without requesting the list.
     refresh_interval: Micros,
-    /// From the moment at which a change counts as notified to the last at which a request may be
-    /// decided by the list before it.
+    /// Time from the notification of a change to the last moment at which a request may be decided by the
+    /// list before that change.
     slack: Micros,
-    /// By when what may have been missed counts. `None`: a watch is open and alive, or the list is
-    /// pushed.
+    /// When the lease ends because of changes that may have been missed. `None` while a watch is open and
+    /// alive, or if the list is pushed.
     missed_at: Option<Micros>,
-    /// By when it counts instead, as discovery was down meanwhile. No sooner than `missed_at`.
+    /// When it ends instead, because discovery was down in the meantime. Not earlier than `missed_at`.
     extended_at: Option<Micros>,
-    /// By when a list counts that was on its way. It has been written, so nothing moves this on.
+    /// When it ends because of a list that was being received. Its changes have been sent, so nothing extends
+    /// this.
     incomplete_at: Option<Micros>,
-    /// Whether the end is that of a watch that discovery ended.
+    /// Whether discovery ended the watch in an orderly way.
     watch_ended: bool,
 }
 
 impl ListLease {
-    /// A lease without an end.
+    /// Creates a lease without an end.
     pub fn new(rules: &Rules) -> ListLease {
         let slack = rules.drain_grace.saturating_sub(MAX_WRITE_DELAY);
         ListLease {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes in what has become of the watch.
+    /// Updates the lease after a change in the state of the watch.
     pub fn update(&mut self, now: Micros, freshness: Freshness) {
         match freshness {
             Freshness::Verified => self.reset(None),
@@ -93,31 +93,31 @@
         (self.extended_at, self.incomplete_at, self.watch_ended) = (None, None, false);
     }
 
-    /// What was missed counts as notified then at the latest.
+    /// Shortens the lease for missed changes that count as notified at `notified`.
     fn limit_by_missed_changes(&mut self, notified: Micros) {
         let at = notified.saturating_add(self.slack);
         self.missed_at = earlier(self.missed_at, at);
         self.extended_at = self.extended_at.map(|extended| extended.min(at));
     }
 
-    /// When nothing new may be sent by the list any more; `None`: the list is verified.
+    /// When the lease ends, after which no new attempt is sent; `None` if the list is verified.
     pub fn expires_at(&self) -> Option<Micros> {
         let missed_at = self.extended_at.or(self.missed_at);
         missed_at.into_iter().chain(self.incomplete_at).min()
     }
 
-    /// Whether that moment has come.
+    /// Whether the lease has ended.
     pub fn has_expired(&self, now: Micros) -> bool {
         self.expires_at().is_some_and(|at| now >= at)
     }
 
-    /// Whether the list must be renewed, and still can be before it expires.
+    /// Whether the lease has an end that is still ahead, so that the list must be renewed before it.
     pub fn is_running_out(&self, now: Micros) -> bool {
         self.expires_at().is_some_and(|at| now < at)
     }
 
-    /// The longest time over which calls for the list are spread while it runs out, so that one of
-    /// them and one more after it are answered before the end; after a watch that was ended one.
+    /// Longest time over which requests for the list are spread while the lease runs out, such that one of
+    /// them and a retry are answered before the end; after an orderly end of the watch, one request.
     pub fn renewal_window(&self) -> Micros {
         let longest = self.refresh_interval.min(NOTIFIED_WITHIN) * 3 / 8;
         if self.watch_ended {
@@ -128,7 +128,7 @@
     }
 }
 
-/// The sooner of a moment that may be set and another.
+/// The earlier of an optional time and another.
 fn earlier(set: Option<Micros>, at: Micros) -> Option<Micros> {
     Some(set.map_or(at, |before| before.min(at)))
 }
@@ -144,9 +144,9 @@
         ListLease::new(&Rules { list_refresh_interval, ..Settings::default().rules })
     }
 
-    /// All that can become of a watch, in every order of five: the lease never ends later than the
-    /// first loss allows that no list and no outage came after, nor than a list that was withheld
-    /// allows, whatever came after; and a list always lifts it.
+    /// Every sequence of five watch events: the lease never ends later than permitted by the first loss since
+    /// the last list or outage, nor later than an incomplete list permits, whatever follows. A verified list
+    /// always removes the end.
     #[test]
     fn in_every_order_of_events_the_lease_ends_in_time() {
         let kinds = 8_usize;
--- a/policy/src/shared_limit.rs
+++ b/policy/src/shared_limit.rs
@@ -1,78 +1,80 @@
-//! The concurrency limit over all servers together, where one server's own would be far under one call: a
-//! thousand balancers with a call each would crowd a server, and each balancer meets it too seldom to learn
-//! what it takes.
+//! The concurrency limit over all servers, used where the limit for a single server would be far below one
+//! call. With a thousand balancers that each send a call, a server would be overloaded, and each balancer
+//! sends to it too rarely to learn what it can take.
 //!
-//! It grows by probe requests, as far as it is used and while answers are hardly longer than unloaded ones,
-//! and falls as they become longer. From a few calls on it bounds the number in flight; below that it bounds
-//! their mean, by a bucket of time in flight that the limit drains.
+//! The limit is raised by probe requests, as long as it is used and responses take hardly longer than
+//! unloaded ones, and falls as they take longer. If it is at least a few calls, it bounds the number in
+//! flight. Below that it bounds the mean number, by a leaky bucket of time in flight that drains at the rate
+//! of the limit.
 
 use crate::api::Micros;
 use crate::call::ProbeTarget;
 use crate::concurrency_limit::{enough_feedback, ConcurrencyLimit, RATE_TIME_CONSTANT, SMOOTHING};
 use crate::in_flight::InFlight;
 
-/// A server's first limit, in calls, under which all servers share one: it would round to none.
+/// Initial limit of a server, in calls, below which all servers share one. Rounded, it would be zero.
 const SHARED_LIMIT_THRESHOLD: f64 = 0.5;
-/// Calls of a usual answer time that may go ahead of a small limit.
+/// Calls of usual response time that may exceed a small limit.
 const BURST_CALLS: f64 = 2.0;
-/// What deep cuts leave at the least, as a share of the first limit.
+/// Minimum after deep cuts, as a share of the initial limit.
 const FLOOR_SHARE: f64 = 0.05;
-/// Up to how many times what is used the limit grows, so that a burst meets a bound.
+/// The limit grows up to this multiple of the mean number in flight, so that bursts are bounded.
 const MAX_LIMIT_PER_USE: f64 = 1.5;
-/// How far answers may have come from the unloaded time to what is allowed, as a share of the way: until the
-/// limit stops growing, and until it is cut.
+/// Position of the response time between the unloaded time (0) and the overload threshold (1): up to the
+/// first the limit may grow, beyond the second it is cut.
 const GROW_UNTIL: f64 = 0.4;
 const CUT_FROM: f64 = 0.6;
-/// A call is late beyond this many times what is allowed.
+/// A call is late beyond this multiple of the overload threshold.
 pub(crate) const LATE_FACTOR: f64 = 1.5;
-/// Share of late answers under which none of the last twenty or so was late.
+/// Share of late responses below which none of about the last twenty was late.
 const LATE_SHARE_THRESHOLD: f64 = 0.012;
-/// A small limit makes calls wait for no longer than a call in flight at this share of the first limit would,
-/// and at this many calls in flight at the most.
+/// Bound on the wait that a small limit causes: no longer than with this share of the initial limit, and at
+/// most this many calls in flight.
 const PAUSE_LIMIT_SHARE: f64 = 0.25;
 const PAUSE_MAX_CALLS: f64 = 0.5;
 
-/// An answer, as the limit is taught by it.
+/// A response, as input to the limit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Response {
     /// How long it took, in microseconds.
     pub(crate) elapsed: f64,
-    /// What it took over what is allowed, as it counts.
+    /// Response time relative to the overload threshold, capped.
     pub(crate) overload: f64,
-    /// What an unloaded server takes over what is allowed.
+    /// Unloaded response time relative to the overload threshold.
     pub(crate) unloaded_ratio: f64,
-    /// Whether it took longer than [`LATE_FACTOR`] what is allowed.
+    /// Whether it took longer than [`LATE_FACTOR`] times the overload threshold.
     pub(crate) is_late: bool,
 }
 
-/// The limit, with the probe request and the backoff that all servers share.
+/// The limit with its probe request and backoff, shared by all servers.
 #[derive(Debug, Default)]
 pub(crate) struct SharedLimit {
     pub(crate) limit: ConcurrencyLimit,
-    /// The first limit, and what mild cuts leave at the least, in calls a server.
+    /// The initial limit, and the minimum after mild cuts, in calls per server.
     initial: f64,
     mild_floor: f64,
-    /// Servers that take calls.
+    /// Number of servers that accept calls.
     pub(crate) servers_up: f64,
     in_flight: InFlight,
-    /// Time in flight that was taken ahead of a small limit, in microseconds, and when that was reckoned.
+    /// Time in flight by which a small limit has been exceeded, in microseconds, and when it was last
+    /// updated.
     debt: f64,
     charged_at: Micros,
     last_sent_at: Micros,
-    /// Mean number of answered calls in flight.
+    /// Mean number of calls in flight that were answered.
     pub(crate) mean_in_flight: f64,
-    /// Means of [`Response::overload`] and [`Response::unloaded_ratio`], and the share of late answers.
+    /// Means of [`Response::overload`] and [`Response::unloaded_ratio`], and the share of late responses.
     overload: f64,
     unloaded_ratio: f64,
     late_share: f64,
-    /// Answers since the last cut, and when that was.
+    /// Responses since the last cut, and when that was.
     responses_since_cut: u32,
     cut_at: Micros,
     last_response_at: Micros,
 }
 
 impl SharedLimit {
-    /// The limit for one of so many balancers; `None`: each server has its own.
+    /// Creates the limit for one of `balancers` balancers; `None` if each server has a limit of its own.
     pub(crate) fn new(balancers: u32) -> Option<Self> {
         let mut limit = ConcurrencyLimit::new(balancers);
         let (initial, mild_floor) = (limit.concurrency, limit.floor);
@@ -85,18 +87,18 @@
         })
     }
 
-    /// Calls in flight that it allows.
+    /// Maximum number of calls in flight.
     fn total(&self) -> f64 {
         f64::from(self.limit.steps) * self.limit.concurrency * self.servers_up
     }
 
-    /// Whether it bounds the number of calls in flight, and not their mean.
+    /// Whether the limit bounds the number of calls in flight instead of their mean.
     fn bounds_count(&self) -> bool {
         self.total() >= BURST_CALLS + 1.0
     }
 
-    /// Whether calls that are out for long tell of crowded servers. Where no answer is late they are work
-    /// that never ends, or at servers that have fallen silent, and must not shut out all other calls.
+    /// Whether calls that have been in flight for long are a sign of overload. If no response is late, they
+    /// are calls that never end or that went to silent servers, and must not block all other calls.
     fn counts_late_calls(&self) -> bool {
         self.late_share > LATE_SHARE_THRESHOLD
     }
@@ -109,14 +111,14 @@
         }
     }
 
-    /// Counts time in flight, in microseconds; negative where a call took less than was charged before.
+    /// Adds time in flight, in microseconds; negative if a call took less than was charged.
     fn charge(&mut self, now: Micros, time: f64) {
         let drained = self.total() * now.saturating_sub(self.charged_at) as f64;
         self.debt = if self.bounds_count() { 0.0 } else { (self.debt - drained).max(0.0) + time };
         self.charged_at = now;
     }
 
-    /// Whether calls have to wait: `usual_latency` is the longest usual answer time, in microseconds.
+    /// Whether calls have to wait. `usual_latency` is the longest usual response time, in microseconds.
     pub(crate) fn is_full(&self, now: Micros, usual_latency: f64) -> bool {
         if self.servers_up <= 0.0 {
             return false;
@@ -130,18 +132,18 @@
         drained_at.min(self.last_sent_at.saturating_add(self.max_pause(usual_latency))) > now
     }
 
-    /// Longest pause between two calls, in microseconds, whatever was taken ahead of the limit.
+    /// Longest pause between two calls, in microseconds, however far the limit has been exceeded.
     fn max_pause(&self, usual_latency: f64) -> Micros {
         let calls = (self.initial * self.servers_up * PAUSE_LIMIT_SHARE).min(PAUSE_MAX_CALLS);
         (usual_latency / calls.max(f64::MIN_POSITIVE)) as Micros
     }
 
-    /// Whether a probe request may pass the full limit.
+    /// Whether a probe request may be sent although the limit is reached.
     pub(crate) fn may_probe(&self, now: Micros) -> bool {
         self.overload <= 1.0 && self.limit.probe_ready(now)
     }
 
-    /// Counts a call that is sent: `usual_latency` is its class's usual answer time, in microseconds.
+    /// Counts a call that is sent. `usual_latency` is its class's usual response time, in microseconds.
     pub(crate) fn sent(&mut self, now: Micros, usual_latency: f64, late_at: Micros, probe: ProbeTarget) {
         self.in_flight.sent(late_at);
         self.charge(now, usual_latency);
@@ -149,8 +151,8 @@
         self.limit.probe_in_flight |= probe == ProbeTarget::Shared;
     }
 
-    /// Counts the end of an attempt that was out for `elapsed` and was charged by `usual_latency`, in
-    /// microseconds.
+    /// Counts the end of an attempt that was in flight for `elapsed` and was charged with `usual_latency`,
+    /// both in microseconds.
     pub(crate) fn ended(
         &mut self,
         now: Micros,
@@ -166,7 +168,8 @@
         self.limit.probe_in_flight &= probe != ProbeTarget::Shared;
     }
 
-    /// A probe request has ended: served, it raises the limit, else the next one waits.
+    /// Handles the end of a probe request: if it was served, it may raise the limit; otherwise a backoff
+    /// starts.
     pub(crate) fn probe_ended(&mut self, now: Micros, served: bool, first_backoff: Micros) {
         if !served {
             self.limit.back_off(now, first_backoff);
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Whether the limit may be raised: it is used, and answers are hardly longer than unloaded ones.
+    /// Whether the limit may be raised: it is used, and responses take hardly longer than unloaded ones.
     fn may_grow(&self) -> bool {
         let total = self.total();
         let not_overloaded =
@@ -183,13 +186,13 @@
         not_overloaded && total <= self.mean_in_flight * MAX_LIMIT_PER_USE
     }
 
-    /// The strain at a share of the way from the unloaded answer time to what is allowed.
+    /// The overload at a position between the unloaded response time (0) and the overload threshold (1).
     fn overload_at(&self, share: f64) -> f64 {
         self.unloaded_ratio + share * (1.0 - self.unloaded_ratio)
     }
 
-    /// An answer, at whichever server: strain lowers the limit. `usual_latency` is the longest usual answer
-    /// time.
+    /// Records a response of any server and lowers the limit under overload. `usual_latency` is the longest
+    /// usual response time, in microseconds.
     pub(crate) fn response_received(&mut self, now: Micros, response: Response, usual_latency: f64) {
         let gap = now.saturating_sub(self.last_response_at) as f64 / RATE_TIME_CONSTANT;
         self.last_response_at = now;
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Answers take all that is allowed: the cut begins at what is used.
+    /// Cuts the limit after responses have reached the overload threshold, starting from what is in use.
     fn cut_deep(&mut self, now: Micros) {
         let concurrency_in_use = self.mean_in_flight / self.steps_on_all_servers();
         self.limit.concurrency = self.limit.concurrency.min(concurrency_in_use.max(self.limit.floor));
@@ -219,7 +222,8 @@
         (self.responses_since_cut, self.cut_at) = (0, now);
     }
 
-    /// Answers become longer: less than is in use will do, down to the mild floor.
+    /// Cuts the limit when responses begin to take longer, down to the mild floor: less than is in use is
+    /// sufficient.
     fn cut_mildly(&mut self, now: Micros) {
         let floor = self.mild_floor * self.servers_up;
         let from = self.total().min((self.mean_in_flight * MAX_LIMIT_PER_USE).max(floor));
