--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! A small driver of the balancer for tests: it plays the proxy and records what it is told to do.
+//! A driver for tests of the balancer, which stands in for the proxy and records the actions.
 #![allow(dead_code)]
 
 use nettleworks_policy::*;
 
 pub const MS: Micros = 1_000;
 
-/// A proxy that carries out nothing and remembers everything.
+/// A proxy that carries out no action and records all of them.
 pub struct Proxy {
     pub balancer: Balancer,
     pub now: Micros,
@@ -13,7 +13,7 @@
     next: u64,
 }
 
-/// Settings with one class of the given kind: wanted in 500 ms, given up after 1.2 s.
+/// Settings with one class of the given idempotency: latency target 500 ms, deadline 1.2 s.
 pub fn settings(idempotency: Idempotency) -> Settings {
     let class =
         Class { latency_target: 500 * MS, deadline: 1_200 * MS, value: 1.0, late_value: 0.0, idempotency };
@@ -30,14 +30,14 @@
 }
 
 impl Proxy {
-    /// A started proxy that knows of `servers` ready, warm servers, numbered from 1.
+    /// A started proxy that has a list of `servers` ready, warm servers, numbered from 1.
     pub fn new(settings: Settings, servers: u32) -> Proxy {
         let mut proxy = Proxy::seeded(7, settings);
         proxy.list(ListKind::Full, (1..=servers).map(ready).collect());
         proxy
     }
 
-    /// A started proxy that has no list yet, with draws of its own.
+    /// A started proxy without a list, with the given random seed.
     pub fn seeded(seed: u64, settings: Settings) -> Proxy {
         let mut proxy =
             Proxy { balancer: Balancer::new(seed, settings), now: 1_000_000, actions: Vec::new(), next: 0 };
@@ -73,7 +73,7 @@
         self.event(Event::Outcome { call, attempt, outcome, elapsed, closed, load: Load::default() })
     }
 
-    /// A call that is sent and served after `elapsed`; tells where it went.
+    /// Sends a call and serves it after `elapsed`. Returns the server that got it.
     pub fn serve(&mut self, elapsed: Micros) -> Option<ServerId> {
         let (call, actions) = self.call();
         let server = sent(&actions).first().map(|s| s.1);
--- a/policy/tests/fleet.rs
+++ b/policy/tests/fleet.rs
@@ -1,18 +1,19 @@
-//! What a hundred balancers do together, each harmless alone.
+//! Tests of many balancers together, where behaviour that is harmless for one may overload discovery or
+//! servers.
 
 mod common;
 use common::*;
 use nettleworks_policy::*;
 
-/// Many balancers before one discovery that takes their asks in turn, so many a second, and lets one fail that has
-/// waited for two seconds: its time was taken all the same.
+/// Many balancers in front of one discovery service that handles their requests for the list one at a time,
+/// each in `service_time`. A request that has waited for two seconds fails, but still costs the service time.
 struct Discovery {
     proxies: Vec<Proxy>,
-    /// Balancers in line, and since when they wait.
+    /// Balancers whose requests are waiting, and since when.
     queue: std::collections::VecDeque<(usize, Micros)>,
     service_time: Micros,
     free_at: Micros,
-    /// When each ask came.
+    /// When each request arrived.
     subscriptions: Vec<Micros>,
     listed: Vec<bool>,
 }
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Each watch has broken.
+    /// Breaks the watches of all balancers.
     fn lose_watches(&mut self, now: Micros) {
         for proxy in 0..self.proxies.len() {
             self.proxies[proxy].now = now;
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Goes on until then, in steps of 10 ms.
+    /// Advances time in steps of 10 ms.
     fn run(&mut self, from: Micros, to: Micros) {
         let mut now = from;
         while now < to {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Most asks within a tenth of a second, from then on.
+    /// Maximum number of requests within 100 ms, among those from `from` on.
     fn max_within_100_ms(&self, from: Micros) -> usize {
         let within = |at: Micros| {
             self.subscriptions
@@ -106,12 +107,16 @@
     discovery.lose_watches(lost_at);
     discovery.run(lost_at, lost_at + 20_000 * MS);
     let most = discovery.max_within_100_ms(lost_at);
-    assert!(most <= 20, "{most} asks within a tenth of a second, where six can be answered in three tenths");
-    assert_eq!(discovery.unlisted(), 0, "seventeen asks a second: six seconds would do for a hundred");
+    assert!(most <= 20, "{most} requests within 100 ms, where six can be answered in 300 ms");
+    assert_eq!(
+        discovery.unlisted(),
+        0,
+        "at seventeen requests per second, six seconds suffice for a hundred"
+    );
 }
 
-/// What a silent watch hides counts as told a second after the silence is noticed_at, and a host that drains may get nothing
-/// a second later.
+/// Changes that a silent watch missed count as notified one second after the silence was noticed, and a
+/// draining server must get nothing one second after that.
 #[test]
 fn three_hundred_balancers_with_silent_watches_subscribe_within_half_a_second() {
     let begin = 1_000_000;
@@ -127,13 +132,14 @@
     }
     discovery.run(noticed_at, noticed_at + 500 * MS);
     let requested = discovery.subscriptions.iter().filter(|&&at| at >= noticed_at).count();
-    assert_eq!(requested, 300, "of three hundred in half a second");
+    assert_eq!(requested, 300, "requests of three hundred balancers within half a second");
     discovery.run(noticed_at + 500 * MS, noticed_at + 1_000 * MS);
-    assert_eq!(discovery.unlisted(), 0, "five hundred asks a second can be answered");
+    assert_eq!(discovery.unlisted(), 0, "five hundred requests per second can be answered");
 }
 
-/// The first call after silence fails: two seconds later what was hidden counts as told, and a host that drains may get
-/// nothing a second after that. The next ask comes in time, and then fewer and fewer at a time.
+/// The first request after a silence fails. Missed changes count as notified two seconds later, and a
+/// draining server must get nothing one second after that, so the retry has to come in time. Further retries
+/// become rarer.
 #[test]
 fn a_subscription_that_fails_after_silence_is_retried_within_a_second() {
     for balancer_index in 0..300 {
@@ -154,7 +160,7 @@
         }
         assert!(pauses[0] <= 460 * MS && pauses[1] <= 910 * MS, "{pauses:?}");
         assert!(pauses[4] >= 2_400 * MS, "{pauses:?}");
-        // The silence is over with the first list.
+        // A received list ends the handling of the silence.
         proxy.list(ListKind::Full, vec![ready(1)]);
         let failed = proxy.now;
         proxy.list(ListKind::Failed, vec![]);
@@ -165,7 +171,8 @@
     }
 }
 
-/// Where so many at once are too many, those that were not answered spread as after any call that failed.
+/// If so many balancers at once are too many, those without a response spread their retries as after any
+/// failed request.
 #[test]
 fn a_hundred_balancers_with_silent_watches_all_get_the_list() {
     let begin = 1_000_000;
@@ -198,7 +205,7 @@
     assert!(discovery.proxies.iter().all(|p| p.actions.contains(&Action::Subscribe)), "at the start");
     discovery.lose_watches(begin);
     discovery.run(begin, begin + 1_000 * MS);
-    assert_eq!(discovery.unlisted(), 0, "a second is enough for five");
+    assert_eq!(discovery.unlisted(), 0, "one second is enough for five balancers");
 }
 
 #[test]
@@ -207,12 +214,12 @@
         Proxy::seeded(3, Settings { balancers: 100, pull_list: true, ..settings(Idempotency::Free) });
     proxy.list(ListKind::Cached, vec![ready(1)]);
     let requested = (0..300).any(|_| proxy.wait(10 * MS).contains(&Action::Subscribe));
-    assert!(requested, "what it had before it started may be old");
+    assert!(requested, "the cached list may be outdated");
 }
 
-/// When one of a thousand that has clients asks first, by so many calls each tenth of a second.
+/// When one of a thousand balancers first subscribes, with `calls` calls per 100 ms.
 fn first_subscription(list: bool, calls: usize) -> Micros {
-    // Its draw lies beyond ten seconds: what is left is for the calls to shorten.
+    // A seed with a pause above ten seconds is used, so that the calls have something to shorten.
     let cached_or_empty = |seed| {
         let mut proxy = Proxy::seeded(
             seed,
@@ -227,7 +234,7 @@
         let mut proxy = cached_or_empty(*seed);
         !(0..1_000).any(|_| proxy.wait(10 * MS).contains(&Action::Subscribe))
     };
-    let mut proxy = cached_or_empty((0..100).find(subscribes_late).expect("one that is drawn late"));
+    let mut proxy = cached_or_empty((0..100).find(subscribes_late).expect("a seed with a long first pause"));
     for step in 0..4_000 {
         if proxy.wait(10 * MS).contains(&Action::Subscribe) {
             return step * 10 * MS;
@@ -238,23 +245,28 @@
             }
         }
     }
-    panic!("it never asked");
+    panic!("it never subscribed");
 }
 
 #[test]
 fn a_balancer_without_a_list_subscribes_sooner_the_more_calls_it_gets() {
-    assert!(first_subscription(false, 0) >= 10_000 * MS, "nobody asks it for anything");
+    assert!(first_subscription(false, 0) >= 10_000 * MS, "it gets no calls");
     assert!(
         first_subscription(false, 1) <= 2_500 * MS,
-        "ten calls a second: {}",
+        "ten calls per second: {}",
         first_subscription(false, 1)
     );
-    assert!(first_subscription(false, 5) <= 600 * MS, "fifty: {}", first_subscription(false, 5));
-    assert!(first_subscription(true, 5) >= 10_000 * MS, "it has a list to go by");
+    assert!(
+        first_subscription(false, 5) <= 600 * MS,
+        "fifty calls per second: {}",
+        first_subscription(false, 5)
+    );
+    assert!(first_subscription(true, 5) >= 10_000 * MS, "it has a list");
 }
 
-/// Calls of a busy balancer of a hundred before sixty servers, one each 20 ms. From the two hundredth on each so many-th
-/// is one whose work never ends, at whichever server; the others take 78 ms instead of 40. How many of the next thousand are refused?
+/// Number of calls, out of a thousand, that are refused at a busy balancer, one of a hundred in front of
+/// sixty servers, with a call every 20 ms. From the two hundredth call on, one in `endless_every` never ends,
+/// at any server, and the others take 78 ms instead of 40 ms.
 fn refusals_beside_endless_calls(endless_every: usize) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 60);
@@ -288,11 +300,12 @@
 fn calls_that_never_end_do_not_block_all_others() {
     assert!(refusals_beside_endless_calls(usize::MAX) <= 10, "{}", refusals_beside_endless_calls(usize::MAX));
     let refusals = refusals_beside_endless_calls(4);
-    assert!(refusals <= 50, "each fourth call times out, sixty servers answer the rest at once: {refusals}");
+    assert!(refusals <= 50, "one in four calls times out, the others are answered quickly: {refusals}");
 }
 
-/// One balancer of a hundred before sixty servers has a burst of eight calls each second for a minute, answered after
-/// 100 ms, and then a hundred within half a second, of which none is answered. How many of these go?
+/// A balancer, one of a hundred in front of sixty servers, gets a burst of eight calls per second for a
+/// minute, answered after 100 ms. Then it gets a hundred calls within half a second, none of which is
+/// answered. Returns how many of those are sent.
 fn sent_of_a_large_burst_after_small_ones() -> usize {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
     for _ in 0..60 {
@@ -314,16 +327,17 @@
     burst
 }
 
-/// Guards against congestion collapse: a limit that grows by each small burst, however little of it is used, is no bound
-/// to a large one that all balancers have at once.
+/// Guards against congestion collapse: if every small burst raised the limit, however little of it is used,
+/// it would not bound a large burst that all balancers get at once.
 #[test]
 fn small_bursts_do_not_raise_the_limit_for_a_large_one() {
     let burst = sent_of_a_large_burst_after_small_ones();
-    assert!(burst <= 20, "{burst} in flight, where eight are for a tenth of each second");
+    assert!(burst <= 20, "{burst} in flight, while eight calls used a tenth of each second");
 }
 
-/// One balancer of a hundred before sixty servers that serve at most so many of its calls at a time, each in 40 ms; what is
-/// beyond that waits there. It is asked for twice as much. The mean number of its calls in flight, over ten seconds.
+/// A balancer, one of a hundred in front of sixty servers, gets twice as many calls as the servers handle,
+/// which is `capacity` of its calls at a time, each in 40 ms; further calls wait there. Returns the mean
+/// number of its calls in flight over ten seconds.
 fn mean_in_flight_with_capacity(capacity: usize) -> f64 {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
     let mut free_at = vec![0; capacity];
@@ -336,12 +350,12 @@
         for (_, call, at) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             actions.extend(proxy.end(call, 0, Outcome::Served, now - at));
         }
-        // The first ten seconds at half of what they serve.
+        // In the first ten seconds, half of what the servers can handle.
         if now > 10_000 * MS || (now / gap).is_multiple_of(4) {
             actions.extend(proxy.call().1);
         }
         for (call, _) in sent(&actions) {
-            let first = free_at.iter_mut().min().expect("one that serves");
+            let first = free_at.iter_mut().min().expect("a worker");
             *first = (*first).max(now) + 40 * MS;
             out.push((*first, call, now));
         }
@@ -352,20 +366,21 @@
     all as f64 / f64::from(steps)
 }
 
-/// Guards against congestion collapse: answers that become longer are the first sign of it, long before they are late.
+/// Guards against congestion collapse: rising response times are its first sign, long before responses are
+/// late.
 #[test]
 fn rising_response_times_stop_the_limit_before_they_double() {
     let in_flight = mean_in_flight_with_capacity(12);
-    assert!((8.0..=24.0).contains(&in_flight), "{in_flight} in flight where twelve are served at a time");
+    assert!((8.0..=24.0).contains(&in_flight), "{in_flight} in flight with a capacity of twelve");
 }
 
-/// Guards against a rest that never ends: each is counted in answers of the balancer, of which there are none where all
-/// servers rest.
+/// Guards against a cooldown that never ends: it is counted in served calls of the balancer, and there are
+/// none while all servers cool down.
 #[test]
 fn servers_that_all_cool_down_get_calls_again() {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 30, limits, ..settings(Idempotency::SingleShot) }, 30);
-    // Four seconds in which three of four calls time out at whichever server, and then none.
+    // For four seconds, three of four calls time out at any server; after that none does.
     let mut out = Vec::<(Micros, CallId, Outcome)>::new();
     let (mut requested, mut served) = (0, 0);
     for step in 0..600 {
@@ -384,14 +399,18 @@
             out.push((now + took * MS, call, outcome));
         }
     }
-    assert!(served * 10 >= requested * 9, "{served} of {requested} from two seconds after the end of it");
+    assert!(
+        served * 10 >= requested * 9,
+        "{served} of {requested} served, from two seconds after the last time-out"
+    );
 }
 
 #[test]
 fn a_burst_of_a_balancer_with_few_calls_exceeds_its_subset() {
     let mut proxy = Proxy::new(Settings { balancers: 20, ..settings(Idempotency::SingleShot) }, 60);
-    // In one usual time, a quarter of the aim as nothing is known, of which none is answered.
+    // All within one usual response time, which is a quarter of the latency target before the first response.
+    // None is answered.
     (0..18).for_each(|_| drop((proxy.wait(7 * MS), proxy.call())));
     let used: std::collections::BTreeSet<_> = sent(&proxy.actions).into_iter().map(|s| s.1).collect();
-    assert!(used.len() >= 14, "sixty servers are idle, eight are its window: {}", used.len());
+    assert!(used.len() >= 14, "all sixty servers are idle, and its subset has eight: {}", used.len());
 }
--- a/policy/tests/freshness.rs
+++ b/policy/tests/freshness.rs
@@ -5,10 +5,11 @@
 use nettleworks_policy::*;
 
 const SECOND: Micros = 1_000 * MS;
-/// Nothing may be decided by a list that was last verified so long ago: six seconds, a second's grace, less a hold-up.
+/// No request may be sent this long after the list was last verified: six seconds until missed changes count
+/// as notified, plus a grace of one second, less the maximum write delay.
 const LEASE: Micros = 6_750 * MS;
 
-/// One of so many whose watch is open and alive.
+/// One of `balancers` balancers, with an open watch that is alive.
 fn watching(balancers: u32, balancer_index: u32) -> Proxy {
     watching_with(balancers, balancer_index, Idempotency::Free)
 }
@@ -20,14 +21,14 @@
     proxy
 }
 
-/// Its watch breaks now.
+/// Breaks the balancer's watch.
 fn break_watch(proxy: &mut Proxy) {
     let since = proxy.now;
     proxy.event(Event::Freshness(Freshness::Unverified { since }));
     proxy.list(ListKind::Failed, vec![]);
 }
 
-/// How long until it asks for the list, in steps of 10 ms; `None`: not within this time.
+/// Time until the balancer subscribes, in steps of 10 ms; `None` if it takes longer than `most`.
 fn subscribes_within(proxy: &mut Proxy, most: Micros) -> Option<Micros> {
     let from = proxy.now;
     while proxy.now - from < most {
@@ -45,22 +46,22 @@
         for balancer_index in 0..balancers.min(300) {
             let mut proxy = watching(balancers, balancer_index);
             break_watch(&mut proxy);
-            let first = subscribes_within(&mut proxy, LEASE).expect("it asks");
-            // Refused at once.
+            let first = subscribes_within(&mut proxy, LEASE).expect("it subscribes");
+            // The request is rejected at once.
             break_watch(&mut proxy);
-            let second = subscribes_within(&mut proxy, LEASE).expect("it asks again");
-            assert!(first + second <= 4_600 * MS, "{balancers}: {first} and {second} us");
+            let second = subscribes_within(&mut proxy, LEASE).expect("it subscribes again");
+            assert!(first + second <= 4_600 * MS, "{balancers} balancers: {first} and {second} us");
             first_times.push(first);
         }
-        // Not all in one moment, where they are many.
+        // Many balancers do not subscribe at the same moment.
         first_times.sort_unstable();
         let spread = first_times[first_times.len() - 1] - first_times[0];
-        assert!(balancers < 300 || spread >= SECOND, "{balancers}: over {spread} us");
+        assert!(balancers < 300 || spread >= SECOND, "{balancers} balancers: within {spread} us");
     }
 }
 
-/// Discovery has ended the watch in order: the next call comes while there is time for its answer, and nothing is sent past
-/// the grace of what the watch was to tell.
+/// Discovery has ended the watch in an orderly way: the next request comes early enough to be answered, and
+/// nothing is sent past the drain grace of changes that the watch did not deliver.
 #[test]
 fn after_an_orderly_end_the_watch_is_renewed_in_time_and_nothing_is_sent_past_the_grace() {
     for balancers in [1, 30, 300, 5_000] {
@@ -78,7 +79,8 @@
     }
 }
 
-/// A list was on its way when discovery went down: it was written, and counts however long the outage lasts.
+/// A list was being received when discovery went down. It had been sent, so its changes count however long
+/// the outage lasts.
 #[test]
 fn an_outage_does_not_extend_the_lease_of_an_incomplete_list() {
     let mut proxy = watching(300, 3);
@@ -102,8 +104,8 @@
     }
 }
 
-/// What another engine of the process was told changes the list, and neither renews the lease nor ends the search for a
-/// watch.
+/// A list that another engine of the process received updates the entries, but neither renews the lease nor
+/// ends the attempts to open a watch.
 #[test]
 fn a_list_from_another_engine_does_not_verify_the_watch() {
     for (kind, left) in [(ListKind::SharedFull, vec![2]), (ListKind::SharedDelta, (1..=8).collect())] {
@@ -118,8 +120,8 @@
     }
 }
 
-/// New calls, held ones, further attempts and second copies: none goes by a list that has expired, each is answered at
-/// once, and as refused only if it surely never ran.
+/// New calls, queued calls, retries and hedges: none is sent after the list has expired. Each is ended at
+/// once, and refused only if it certainly has not run.
 #[test]
 fn nothing_is_sent_after_the_list_has_expired() {
     let mut proxy = watching(300, 7);
@@ -127,7 +129,7 @@
     let lost = proxy.now;
     let (out, mut queued) = (proxy.call().0, Vec::new());
     proxy.now = lost + LEASE - MS;
-    // More than there is room for: some wait.
+    // More calls than the limit permits, so that some are queued.
     for _ in 0..40 {
         let (call, actions) = proxy.call();
         if sent(&actions).is_empty() && !refused(&actions, call) {
@@ -138,18 +140,18 @@
     let actions = proxy.event(Event::Timer);
     assert_eq!(sent(&actions), []);
     for call in queued {
-        assert!(refused(&actions, call), "{call:?} was held: {actions:?}");
+        assert!(refused(&actions, call), "{call:?} was queued: {actions:?}");
     }
     let (call, actions) = proxy.call();
     let reason = FailureReason::ListExpired;
     let list_expired =
         |a: &Action| matches!(a, Action::Refuse { call: c, reason: r, .. } if (*c, *r) == (call, reason));
     assert!(actions.iter().any(list_expired), "{actions:?}");
-    // Its attempt was out before: it goes nowhere else now.
+    // The attempt was in flight before the expiry; the call is not retried.
     let actions = proxy.end(out, 0, Outcome::TurnedAway, 5 * MS);
     assert_eq!(sent(&actions), []);
     assert!(refused(&actions, out), "{actions:?}");
-    // With a list one is sent by again.
+    // After a new list, calls are sent again.
     let mut proxy = watching(300, 8);
     break_watch(&mut proxy);
     proxy.now += LEASE;
@@ -169,7 +171,8 @@
     assert!(failed(&actions, call) && sent(&actions).is_empty(), "{actions:?}");
 }
 
-/// Discovery is down for a minute, and each call there is let run out: nothing that it has counts, so the list stays good.
+/// Discovery is down for a minute and every request to it times out. It notifies nobody of changes, so the
+/// list remains usable.
 #[test]
 fn an_outage_of_discovery_does_not_expire_the_list() {
     for balancer_index in 0..50 {
@@ -177,12 +180,12 @@
         break_watch(&mut proxy);
         let lost = proxy.now;
         while proxy.now - lost < 60 * SECOND {
-            subscribes_within(&mut proxy, LEASE).expect("it asks");
+            subscribes_within(&mut proxy, LEASE).expect("it subscribes");
             let began = proxy.now;
             proxy.now += 2 * SECOND;
             assert!(
                 proxy.serve(5 * MS).is_some(),
-                "{balancer_index}: {} us after the loss",
+                "{balancer_index}: {} us after the watch was lost",
                 proxy.now - lost
             );
             proxy.event(Event::Freshness(Freshness::Unverified { since: lost }));
@@ -190,35 +193,35 @@
             proxy.list(ListKind::Failed, vec![]);
             assert!(
                 proxy.serve(5 * MS).is_some(),
-                "{balancer_index}: {} us after the loss",
+                "{balancer_index}: {} us after the watch was lost",
                 proxy.now - lost
             );
         }
     }
 }
 
-/// Discovery refuses each call. The list expires, and the calls there become fewer, but for good never.
+/// Discovery rejects every request. After the list has expired, requests become rarer but do not stop.
 #[test]
 fn subscriptions_become_rarer_once_the_list_has_expired() {
     let mut proxy = watching(300, 3);
     break_watch(&mut proxy);
     let mut pauses = Vec::new();
     for _ in 0..8 {
-        pauses.push(subscribes_within(&mut proxy, 20 * SECOND).expect("it asks"));
+        pauses.push(subscribes_within(&mut proxy, 20 * SECOND).expect("it subscribes"));
         proxy.list(ListKind::Failed, vec![]);
     }
     assert!(pauses[0] <= 2_300 * MS && pauses[6] >= 2_500 * MS && pauses[7] <= 7_600 * MS, "{pauses:?}");
 }
 
-/// A list that was cut off on its way counts as notified: it is asked for soon, however many there are and whatever failed
-/// before, and nothing is sent past the grace.
+/// The changes in an incomplete list count as notified. The list is requested again soon, with any number of
+/// balancers and after any earlier failures, and nothing is sent past the drain grace.
 #[test]
 fn an_incomplete_list_is_requested_again_within_the_grace() {
     for balancer_index in 0..100 {
         let mut proxy = watching(900, balancer_index);
         break_watch(&mut proxy);
         for _ in 0..3 {
-            subscribes_within(&mut proxy, LEASE).expect("it asks");
+            subscribes_within(&mut proxy, LEASE).expect("it subscribes");
             let began = proxy.now;
             proxy.event(Event::Freshness(Freshness::Unreachable { since: began }));
             proxy.list(ListKind::Failed, vec![]);
--- a/policy/tests/random.rs
+++ b/policy/tests/random.rs
@@ -1,4 +1,4 @@
-//! Long odd-but-legal event sequences; the rules are checked on every action.
+//! Long sequences of unusual but valid events. The rules are checked for every action.
 
 mod common;
 use common::*;
@@ -11,7 +11,7 @@
 struct ObservedCall {
     attempts: Vec<(ServerId, Option<Outcome>, Micros)>,
     ended: bool,
-    /// Nobody waits for it, and what is out of it goes on.
+    /// No client waits for the call, and its attempts in flight continue.
     detached: bool,
     deadline: Micros,
     class: usize,
@@ -90,7 +90,7 @@
                 proxy.list(ListKind::Delta, vec![Entry { server, state, started, cell, ..Entry::default() }])
             }
             8 if step % 31 == 0 => proxy.list(ListKind::Failed, vec![]),
-            // Its client goes, and one that asks for the same comes later.
+            // The client goes away, and later another one sends the same request.
             8 if step % 5 < 3 && !open.is_empty() => {
                 let (call, _) = open[below(open.len() as u64) as usize];
                 let seen = calls.get_mut(&call).expect("it is open");
@@ -104,7 +104,7 @@
                 }
             }
             _ => {
-                // Deadlines first, as the proxy's clock would bring them.
+                // Deadlines come first, as with the proxy's clock.
                 let mut all = Vec::new();
                 let due: Vec<CallId> =
                     calls.iter().filter(|(_, c)| !c.ended && c.deadline <= proxy.now).map(|c| *c.0).collect();
@@ -126,7 +126,7 @@
         };
         check(&actions, &mut calls, &list, &known, &classes, hedging, proxy.now);
     }
-    // All is answered in the end.
+    // Every call is ended at last.
     for _ in 0..3 {
         proxy.now += 700 * MS;
         let actions = proxy.event(Event::Timer);
@@ -143,9 +143,9 @@
         }
     }
     let lost: Vec<_> = calls.iter().filter(|c| !c.1.ended).map(|c| *c.0).collect();
-    assert!(lost.is_empty(), "seed {seed}: never ended {lost:?}");
+    assert!(lost.is_empty(), "seed {seed}: calls that were never ended: {lost:?}");
     let sent = calls.values().filter(|c| !c.attempts.is_empty()).count();
-    assert!(sent > 100, "seed {seed}: a day with too little work to tell anything, {sent} calls sent");
+    assert!(sent > 100, "seed {seed}: too few calls to be conclusive: {sent} sent");
 }
 
 fn check(
@@ -160,38 +160,41 @@
     for action in actions {
         match *action {
             Action::Send { call, server, .. } => {
-                let seen = calls.get_mut(&call).expect("a call that came in");
-                assert!(!seen.ended, "sent after its end");
+                let seen = calls.get_mut(&call).expect("a known call");
+                assert!(!seen.ended, "sent after the call has ended");
                 assert!(
                     known.contains(&server) && list[&server] == ServerState::Ready,
-                    "sent to one not ready"
+                    "sent to a server that is not ready"
                 );
                 assert!(seen.attempts.len() < 4, "more attempts than allowed");
                 let out = seen.attempts.iter().filter(|a| a.1.is_none()).count();
                 assert!(out == 0 || hedging && out == 1);
                 let first = seen.attempts.iter().find(|a| a.1.is_none_or(|o| !o.never_ran()));
                 match (classes[seen.class].idempotency, first) {
-                    (Idempotency::SingleShot, Some(_)) => panic!("an unsafe call went again"),
+                    (Idempotency::SingleShot, Some(_)) => panic!("an unsafe call was retried"),
                     (Idempotency::Guarded { scope, window }, Some(first)) => {
-                        assert!(scope == DedupScope::All || first.0 .0 % 2 == server.0 % 2, "left its cell");
-                        assert!(now <= first.2 + window, "left its window");
+                        assert!(
+                            scope == DedupScope::All || first.0 .0 % 2 == server.0 % 2,
+                            "retried outside its cell"
+                        );
+                        assert!(now <= first.2 + window, "retried after its window");
                     }
                     _ => {}
                 }
                 seen.attempts.push((server, None, now));
             }
             Action::Refuse { call, .. } => {
-                let seen = calls.get_mut(&call).expect("a call that came in");
+                let seen = calls.get_mut(&call).expect("a known call");
                 assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
                 let proven = seen.attempts.iter().all(|a| a.1.is_some_and(Outcome::never_ran));
                 let harmless = matches!(
                     classes[seen.class].idempotency,
                     Idempotency::Free | Idempotency::Guarded { scope: DedupScope::All, .. }
                 );
-                assert!(proven || harmless, "refused though it may have run");
+                assert!(proven || harmless, "refused although it may have run");
             }
             Action::Fail { call, .. } => {
-                let seen = calls.get_mut(&call).expect("a call that came in");
+                let seen = calls.get_mut(&call).expect("a known call");
                 assert!(!std::mem::replace(&mut seen.ended, true), "ended twice");
             }
             Action::Cancel { call, attempt } => {
--- a/policy/tests/rules.rs
+++ b/policy/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules, and the failures that were met: each test fails without the code that answers it.
+//! Tests of the four rules, and regression tests of failures that were observed. Each test fails without the code that it
+//! covers.
 
 mod common;
 use common::*;
@@ -10,7 +11,7 @@
     (1..=4).map(|i| Entry { cell: CellId(i % 2), zone: ZoneId(i % 2), ..ready(i) }).collect()
 }
 
-// No lost request.
+// Every request is answered.
 
 #[test]
 fn queued_calls_are_ended_before_their_deadline() {
@@ -23,7 +24,7 @@
                 actions
                     .iter()
                     .find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
-            actions = proxy.wait(after.expect("a timer for the held call"));
+            actions = proxy.wait(after.expect("a timer for the queued call"));
         }
         assert!(proxy.now < 1_000_000 + 1_200 * MS);
     }
@@ -44,8 +45,9 @@
     }
 }
 
-/// Nobody waits any more: what is out is not called off and stays in flight, nothing new is sent, and there is no end to
-/// give. Who comes for it makes it wanted again, with another attempt where its kind allows one.
+/// No client waits for the call any more: its attempt is not cancelled and stays in flight, nothing more is
+/// sent, and no end is reported. If another client asks for the call, it becomes active again and is retried
+/// where its class permits it.
 #[test]
 fn a_detached_call_stays_in_flight_and_is_not_retried() {
     for (idempotency, retried) in [(Idempotency::Free, true), (Idempotency::SingleShot, false), (CELL, true)]
@@ -64,7 +66,8 @@
             assert_eq!(failed(&actions, call), reactivated && !retried, "{idempotency:?}");
             assert!(!refused(&actions, call));
         }
-        // With a budget of seven at the one server: the lingering one counts, the eighth is a trial, the ninth waits.
+        // With a limit of seven at the only server, the detached call counts: the eighth call is a probe
+        // request and the ninth waits.
         let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(idempotency) }, 1);
         let calls: Vec<_> = (0..7).map(|_| proxy.call().0).collect();
         proxy.event(Event::Detached { call: calls[0] });
@@ -72,7 +75,7 @@
     }
 }
 
-/// A call that waits in the hold when its client goes leaves it; one that has ended is not brought back.
+/// A queued call is removed when its client goes away, and a call that has ended stays ended.
 #[test]
 fn a_queued_call_is_not_detached_and_an_ended_one_is_not_reactivated() {
     let mut proxy = Proxy::new(settings(Idempotency::Free), 0);
@@ -93,14 +96,14 @@
         std::iter::repeat_with(|| proxy.wait(10 * MS)).take(100).find(|actions| !sent(actions).is_empty());
     assert_ne!(sent(&hedge.expect("a hedge"))[0].1, first);
     proxy.event(Event::Detached { call });
-    // Served once, the other copy is called off, and nobody brings it back.
+    // One attempt was served, the other is cancelled, and the call cannot be reactivated.
     let actions = proxy.end(call, 1, Outcome::Served, 10 * MS);
     assert!(actions.contains(&Action::Cancel { call, attempt: 0 }));
     proxy.event(Event::Extended { call, time_left: 1_200 * MS });
     assert_eq!(sent(&proxy.end(call, 0, Outcome::CalledOff, 20 * MS)), []);
 }
 
-// No duplicated effect.
+// No call has its effect twice.
 
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Error,
@@ -144,16 +147,17 @@
                     Idempotency::Guarded { scope: DedupScope::Zone | DedupScope::Cell, .. }
                 );
                 if bound && !proven {
-                    assert_eq!(retries[0].1 .0 % 2, first_server.0 % 2, "stays with its group");
+                    assert_eq!(retries[0].1 .0 % 2, first_server.0 % 2, "retried within its scope");
                 }
-                // The second attempt's end, then the last chance gone: refused only where harmless.
+                // After the second attempt there is no time for another one: the call is refused only if a
+                // retry by the client is harmless.
                 proxy.now += 450 * MS;
                 let actions = proxy.end(call, 1, second, MS);
                 let harmless = match idempotency {
                     Idempotency::Free | Idempotency::Guarded { scope: DedupScope::All, .. } => true,
                     _ => proven && second.never_ran(),
                 };
-                assert!(sent(&actions).is_empty(), "too late to be in time");
+                assert!(sent(&actions).is_empty(), "too late for a retry");
                 assert_eq!(refused(&actions, call), harmless, "{idempotency:?} {first:?} {second:?}");
                 assert_eq!(failed(&actions, call), !harmless);
             }
@@ -202,12 +206,12 @@
     let mut proxy = Proxy::new(settings, 3);
     let (call, _) = proxy.call();
     proxy.event(Event::Streaming { call, attempt: 0 });
-    assert!(sent(&proxy.wait(450 * MS)).is_empty(), "no second copy");
+    assert!(sent(&proxy.wait(450 * MS)).is_empty(), "no hedge");
     let actions = proxy.end(call, 0, Outcome::Reset, 450 * MS);
     assert!(sent(&actions).is_empty());
 }
 
-// Safe drain.
+// Draining servers get no new calls.
 
 #[test]
 fn draining_and_removed_servers_get_no_calls_even_after_a_cached_list() {
@@ -224,13 +228,14 @@
     let mut proxy = Proxy::new(settings(Idempotency::Free), 2);
     proxy.list(ListKind::Full, vec![ready(2)]);
     for _ in 0..50 {
-        assert_eq!(proxy.serve(MS), Some(ServerId(2)), "what a full list leaves out is gone");
+        assert_eq!(proxy.serve(MS), Some(ServerId(2)), "servers that a full list omits are removed");
     }
 }
 
-// Safe fail-back.
+// Servers that come back are loaded gradually.
 
-/// Sends within six seconds to a server beside two or three warm ones, when it started just now and ends attempts with `outcome`.
+/// Number of calls within six seconds to a server that has just started beside two or three warm ones, if it
+/// ends attempts with `outcome`.
 fn sends_to_cold(outcome: Outcome, restart: bool) -> usize {
     let mut proxy = Proxy::new(settings(Idempotency::Free), 3);
     for _ in 0..200 {
@@ -261,14 +266,15 @@
     for outcome in [Outcome::Served, Outcome::TurnedAway, Outcome::Error, Outcome::NoConnection] {
         for restart in [false, true] {
             let count = sends_to_cold(outcome, restart);
-            // A warm server's part of 600 calls is 150 to 200; this one has a tenth to a third of its capacity.
+            // A warm server's share of 600 calls is 150 to 200. The cold one has a tenth to a third of its
+            // capacity.
             assert!((1..=60).contains(&count), "{outcome:?} {restart}: {count}");
         }
     }
 }
 
-/// After a power cut every server is cold, and no answer of a warm one paces the calls. What they can do must be used all the
-/// same, long before they are warm.
+/// After a power failure every server is cold, and there are no responses of warm servers to space the calls
+/// by. The available capacity must be used nevertheless, long before the servers are warm.
 #[test]
 fn a_cold_fleet_ramps_up_by_its_responses() {
     let mut proxy = Proxy::new(Settings { balancers: 4, ..settings(Idempotency::Free) }, 0);
@@ -276,7 +282,7 @@
     proxy.list(ListKind::Full, (1..=8).map(|id| Entry { started: start, ..ready(id) }).collect());
     let (mut out, mut sent_in) = (Vec::new(), [0; 6]);
     for step in 0..3_000 {
-        // A call each 4 ms, answered within 26.
+        // A call every 4 ms, answered within 26 ms.
         proxy.now = start + step * 2 * MS;
         let mut actions = if step % 2 == 0 { proxy.call().1 } else { proxy.event(Event::Timer) };
         let due: Vec<(Micros, CallId)> =
@@ -289,12 +295,13 @@
             sent_in[step as usize / 500] += 1;
         }
     }
-    // 250 calls come a second; cold servers take a tenth of their calls at first, and are warm after 20 s.
+    // There are 250 calls per second. Cold servers take a tenth of their calls at first and are warm after 20
+    // s.
     assert!(sent_in[4] > 200 && sent_in[5] > 200, "{sent_in:?}");
 }
 
-/// Sends to each of `servers` servers within two seconds of 250 calls each, of which the first `cold` have just started, and
-/// how long each call takes there.
+/// Calls to each of `servers` servers within two seconds with 250 calls per second, of 10 ms each, where the
+/// first `cold` servers have just started.
 fn sends_beside_cold(balancers: u32, servers: u32, cold: u32) -> Vec<usize> {
     let mut proxy = Proxy::new(Settings { balancers, ..settings(Idempotency::Free) }, servers);
     for _ in 0..400 {
@@ -319,7 +326,8 @@
     counts
 }
 
-/// Where warm servers carry the calls, a cold one has its stated part of one's: a tenth and a little at first here.
+/// Beside warm servers a cold one gets its stated share of a warm one's calls, which is at first a little
+/// more than a tenth.
 #[test]
 fn a_cold_server_beside_warm_ones_gets_only_its_stated_share() {
     for (servers, cold) in [(8, 1), (8, 2), (4, 1)] {
@@ -333,7 +341,7 @@
     }
 }
 
-/// The fewer warm servers there are the more cold ones carry, and never one of them far more than another.
+/// The fewer servers are warm, the more calls the cold ones get, spread evenly among them.
 #[test]
 fn cold_servers_get_more_calls_the_fewer_servers_are_warm() {
     let mut before = 0.0;
@@ -341,15 +349,16 @@
         let counts = sends_beside_cold(4, 8, cold);
         let cold_counts: Vec<usize> = counts[..cold as usize].to_vec();
         let mean = cold_counts.iter().sum::<usize>() as f64 / f64::from(cold);
-        assert!(mean >= before, "{cold} cold: {counts:?}, {before} a cold one before");
+        assert!(mean >= before, "{cold} cold: {counts:?}, {before} per cold server before");
         let (least, most) = (cold_counts.iter().min(), cold_counts.iter().max());
         assert!(most <= least.map(|least| least * 2 + 4).as_ref(), "{cold} cold: {counts:?}");
         before = mean * 0.9;
     }
 }
 
-/// However many balancers there are, a fleet that is all cold is not flooded by first calls: few go at once, and without an
-/// answer a server is tried after a span that leaves it less than one call in flight from all.
+/// With any number of balancers, a cold fleet is not flooded by first calls: few are sent at once, and
+/// without responses a server is tried after a time that keeps it below one call in flight from all balancers
+/// together.
 #[test]
 fn first_calls_to_a_cold_fleet_are_few_for_any_number_of_balancers() {
     for balancers in [4, 64, 1_000] {
@@ -362,7 +371,7 @@
             balancer.handle(start, Event::Start, &mut actions);
             let entries = (1..=4).map(|id| Entry { started: start, ..ready(id) }).collect();
             balancer.handle(start, Event::ServerList { kind: ListKind::Full, entries }, &mut actions);
-            // A call each 10 ms at each for half a second, and no answer at all.
+            // A call every 10 ms at each balancer for half a second, without any response.
             for step in 0..50 {
                 let (call, class) = (CallId(step + 1), ClassId(0));
                 let event =
@@ -372,15 +381,18 @@
             }
             first_calls += sent(&actions).len();
         }
-        // Four servers; half a second is as long as the longest aim. One in 40 of the pairs goes at once, by the share of a
-        // tenth that a cold server has of a warm one's quarter.
+        // There are four servers, and half a second is as long as the longest latency target. One in 40 of
+        // the pairs sends at once, as a cold server's share is a tenth of a warm one's quarter.
         let all = first_calls as f64 * f64::from(balancers) / f64::from(balancers.min(64));
         let at_once = f64::from(balancers) * 4.0 / 40.0;
-        assert!(all <= 4.0 * 4.0 + 1.5 * at_once, "{balancers} balancers: {all} calls within an aim");
+        assert!(
+            all <= 4.0 * 4.0 + 1.5 * at_once,
+            "{balancers} balancers: {all} calls within a latency target"
+        );
     }
 }
 
-// Failures that were met.
+// Regression tests of observed failures.
 
 #[test]
 fn quick_errors_eject_a_server_although_it_looks_idle() {
@@ -396,7 +408,8 @@
     assert!(errors <= 4, "{errors}");
 }
 
-/// Requests that any server finds unusable say nothing of the servers: a bad client must not set good ones aside.
+/// A request that any server finds invalid is no evidence about servers, so that a faulty client cannot eject
+/// healthy ones.
 #[test]
 fn invalid_requests_eject_no_server_and_are_not_retried() {
     for idempotency in [Idempotency::SingleShot, Idempotency::Free] {
@@ -408,13 +421,13 @@
             let actions = proxy.end(call, 0, Outcome::Unusable, 2 * MS);
             assert!(failed(&actions, call) && sent(&actions).is_empty(), "{actions:?}");
         }
-        let ejected = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("set aside"));
+        let ejected = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("ejected"));
         assert!(!proxy.actions.iter().any(ejected));
     }
 }
 
-/// Connections break now and then at any server. One that breaks must not set aside a server that answers others,
-/// and a kept one that was closed earlier says nothing of its server at all.
+/// Connections break occasionally at any server. A single one must not eject a server that serves other
+/// calls, and a kept connection that the server had closed earlier is no evidence about it at all.
 #[test]
 fn occasional_connection_failures_eject_no_server() {
     for (outcome, every) in [(Outcome::Reset, 12), (Outcome::Stale, 3)] {
@@ -427,15 +440,15 @@
             let end = if *count % every == 0 { outcome } else { Outcome::Served };
             proxy.now += 2 * MS;
             let actions = proxy.end(call, 0, end, 2 * MS);
-            assert_eq!(failed(&actions, call), end == outcome, "it may have run: it is not sent again");
+            assert_eq!(failed(&actions, call), end == outcome, "it may have run and is not retried");
         }
-        let ejected = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("set aside"));
+        let ejected = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("ejected"));
         assert!(!proxy.actions.iter().any(ejected), "{outcome:?}");
     }
 }
 
-/// Spoilt answers come from any server now and then: two close together are no reason to leave one out, but a
-/// server that spoils most must not draw calls by being quick.
+/// Any server occasionally sends a corrupt response. Two close together must not eject a server, but one that
+/// mostly sends such responses must not attract calls by being quick.
 #[test]
 fn many_corrupt_responses_eject_a_server_and_two_do_not() {
     for (every, least, most) in [(10, 8, 400), (1, 1, 8)] {
@@ -446,7 +459,7 @@
             let mut end = Outcome::Served;
             if sent(&actions)[0].1 == ServerId(1) {
                 at += 1;
-                // Two in a row, and then good ones.
+                // Two corrupt responses in a row, followed by good ones.
                 if at % (2 * every) < 2 {
                     (corrupt, end) = (corrupt + 1, Outcome::Unknown);
                 }
@@ -476,7 +489,7 @@
         }
         assert!(round < 400);
     }
-    assert!(to_bad <= 40, "a healthy one would get 100 or more: {to_bad}");
+    assert!(to_bad <= 40, "a healthy server would get 100 or more: {to_bad}");
 }
 
 #[test]
@@ -484,7 +497,7 @@
     let mut proxy = Proxy::new(settings(Idempotency::SingleShot), 6);
     for _ in 0..100 {
         let (call, actions) = proxy.call();
-        assert_eq!(sent(&actions).len(), 1, "half of the fleet still takes calls");
+        assert_eq!(sent(&actions).len(), 1, "half of the fleet remains available");
         proxy.now += 2 * MS;
         proxy.end(call, 0, Outcome::Error, 2 * MS);
     }
@@ -499,7 +512,7 @@
         let (call, actions) = proxy.call();
         early += usize::from(refused(&actions, call));
     }
-    assert!(early > 20, "calls that would wait too long are refused as they come: {early}");
+    assert!(early > 20, "calls that would wait too long are refused on arrival: {early}");
 }
 
 #[test]
@@ -511,11 +524,11 @@
     let after =
         actions.iter().find_map(|a| if let Action::SetTimer { after } = a { Some(*after) } else { None });
     assert!(proxy.wait(after.expect("a timer")).contains(&Action::Subscribe));
-    assert_eq!(proxy.serve(MS).map(|s| s.0 <= 2), Some(true), "the old list stands");
+    assert_eq!(proxy.serve(MS).map(|s| s.0 <= 2), Some(true), "the old list remains in use");
     let mut push = Proxy::new(settings(Idempotency::Free), 1);
     push.list(ListKind::Failed, vec![]);
     push.wait(60_000 * MS);
-    assert!(!push.actions.contains(&Action::Subscribe), "only where the list must be asked for");
+    assert!(!push.actions.contains(&Action::Subscribe), "a pushed list needs no subscription");
 }
 
 #[test]
@@ -526,7 +539,7 @@
     }
     let mut to_full = 0;
     for _ in 0..20 {
-        // Two ms a round: 40 ms in all, one usual time.
+        // Two ms per round: 40 ms in total, which is one usual response time.
         let (call, actions) = proxy.call();
         let mut at = sent(&actions).first().map(|s| s.1);
         proxy.now += 2 * MS;
@@ -542,11 +555,12 @@
     assert!(to_full <= 2, "{to_full}");
 }
 
-/// A proxy of a thousand, whose servers share one budget, of which a burst of three and the trial are out.
+/// One of a thousand balancers, whose servers share one limit. A burst of three calls and the probe request
+/// are in flight.
 fn balancer_at_shared_limit() -> (Proxy, Vec<CallId>) {
     let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Idempotency::Free) }, 20);
     let out: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
-    assert_eq!(sent(&proxy.actions).len(), 4, "three at once, and one as the trial");
+    assert_eq!(sent(&proxy.actions).len(), 4, "three at once, and one as the probe request");
     (proxy, out)
 }
 
@@ -554,10 +568,17 @@
 fn with_a_thousand_balancers_all_servers_share_one_limit_and_one_probe() {
     let (mut proxy, out) = balancer_at_shared_limit();
     let (queued, actions) = proxy.call();
-    assert!(sent(&actions).is_empty(), "sixteen servers are idle, but the budget is used and the trial out");
+    assert!(
+        sent(&actions).is_empty(),
+        "sixteen servers are idle, but the limit is used up and the probe request in flight"
+    );
     proxy.now += 50 * MS;
     let actions = proxy.end(out[3], 0, Outcome::Served, 50 * MS);
-    assert_eq!(sent(&actions).first().map(|s| s.0), Some(queued), "the trial was served: the next may pass");
+    assert_eq!(
+        sent(&actions).first().map(|s| s.0),
+        Some(queued),
+        "the probe request was served, so the next one is sent"
+    );
 }
 
 #[test]
@@ -565,8 +586,8 @@
     let (mut proxy, out) = balancer_at_shared_limit();
     proxy.now += 400 * MS;
     let actions = proxy.end(out[3], 0, Outcome::TimedOut, 400 * MS);
-    assert!(sent(&actions).iter().all(|s| s.0 == out[3]), "no call of another client is passed");
-    assert!(sent(&proxy.call().1).is_empty(), "the backoff holds back calls to every server");
+    assert!(sent(&actions).iter().all(|s| s.0 == out[3]), "no other call is sent");
+    assert!(sent(&proxy.call().1).is_empty(), "the backoff applies to all servers");
 }
 
 #[test]
@@ -577,12 +598,12 @@
         (0..20).for_each(|_| drop((proxy.serve(elapsed), proxy.wait(1_000 * MS))));
         (0..20).filter(|_| (proxy.wait(100 * MS), proxy.serve(elapsed)).1.is_some()).count()
     };
-    assert!(calls(40 * MS) > calls(450 * MS), "slow answers of several servers hold calls back");
-    assert!(calls(40 * MS) > calls(100 * MS), "before they come to three times the usual");
+    assert!(calls(40 * MS) > calls(450 * MS), "slow responses of several servers hold calls back");
+    assert!(calls(40 * MS) > calls(100 * MS), "before they take three times as long as usual");
 }
 
-/// Of a hundred balancers each meets a few servers of many. Three of its eight take five times as long as the rest, and
-/// every tenth answer of any takes ten times as long, as work is uneven.
+/// One of a hundred balancers uses a few of many servers. Three of its eight take eleven times as long as the
+/// others, and so does one response in ten of any server, as work is uneven.
 #[test]
 fn a_few_slow_servers_do_not_delay_calls_to_all_others() {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
@@ -604,11 +625,12 @@
             out.push((now + elapsed, call, elapsed));
         }
     }
-    assert!(went * 20 >= asked * 19, "{went} of {asked} calls went");
+    assert!(went * 20 >= asked * 19, "{went} of {asked} calls were sent");
 }
 
-/// Calls of one balancer of a hundred, one each 100 ms; of eight servers one is not well in the given way. How many of
-/// 400 calls went there?
+/// Number of calls out of 400 that go to an impaired server, one of eight, from one of a hundred balancers
+/// with a call every 100 ms. `elapsed` is the response time of that server's n-th call (`None`: no response),
+/// `waiting` its reported queue.
 fn calls_to_impaired_server(elapsed: impl Fn(u32) -> Option<Micros>, waiting: f64) -> usize {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 8);
     let (mut out, mut to_impaired) = (Vec::<(Micros, CallId, Micros, ServerId)>::new(), 0);
@@ -634,14 +656,17 @@
 fn with_a_shared_limit_overloaded_slow_and_silent_servers_get_fewer_calls() {
     assert!(
         (35..=65).contains(&calls_to_impaired_server(|_| Some(40 * MS), 0.0)),
-        "an eighth while all is well"
+        "an eighth while all servers are healthy"
     );
     let overloaded = calls_to_impaired_server(|_| Some(40 * MS), 12.0);
-    assert!(overloaded <= 20, "three wait for each in work, though its answers are quick: {overloaded}");
+    assert!(
+        overloaded <= 20,
+        "three requests wait for each running one, although it responds quickly: {overloaded}"
+    );
     let slow = calls_to_impaired_server(|_| Some(400 * MS), 0.0);
     assert!(slow <= 20, "ten times as slow: {slow}");
     let silent = calls_to_impaired_server(|n| (n < 4).then_some(40 * MS), 0.0);
-    assert!(silent <= 12, "what is out there counts: {silent}");
+    assert!(silent <= 12, "calls in flight there count: {silent}");
 }
 
 #[test]
@@ -676,7 +701,10 @@
         proxy.wait(600 * MS);
     }
     assert_eq!(sent(&proxy.call().1).len(), 1);
-    assert!((0..5).all(|_| sent(&proxy.call().1).is_empty()), "a second call at once would be a trial");
+    assert!(
+        (0..5).all(|_| sent(&proxy.call().1).is_empty()),
+        "a second concurrent call would be a probe request"
+    );
 }
 
 #[test]
@@ -684,7 +712,7 @@
     let mut proxy = Proxy::new(Settings { balancers: 1, ..settings(Idempotency::SingleShot) }, 3);
     let mut log = Vec::new();
     for _ in 0..30 {
-        // Of the calls at each server the first is answered and the others time out.
+        // The first call at each server is answered and the others time out.
         let calls: Vec<(CallId, Vec<Action>)> = (0..9).map(|_| proxy.call()).collect();
         let at = |i: usize| sent(&calls[i].1).first().map(|s| s.1);
         let first = |i: usize| (0..i).all(|j| at(j) != at(i));
@@ -699,13 +727,14 @@
         proxy.wait(600 * MS);
     }
     let failures = log.iter().filter(|a| matches!(a, Action::Fail { .. })).count();
-    assert!(failures > 20, "too few timed out to tell: {failures}");
+    assert!(failures > 20, "too few time-outs to be conclusive: {failures}");
     let ejected =
-        log.iter().filter(|a| matches!(a, Action::Log { text } if text.contains("set aside"))).count();
-    assert_eq!(ejected, 0, "slow, not gone");
+        log.iter().filter(|a| matches!(a, Action::Log { text } if text.contains("ejected"))).count();
+    assert_eq!(ejected, 0, "the server is slow, not down");
 }
 
-/// Answers of 40 ms with the given report; then: does a second call at once pass the full budget as a trial?
+/// Whether a second concurrent call is sent as a probe request beyond the limit, after responses of 40 ms
+/// with the given load report.
 fn probe_sent_after(load: Load) -> bool {
     let mut proxy = Proxy::new(Settings { balancers: 12, ..settings(Idempotency::SingleShot) }, 1);
     for _ in 0..40 {
@@ -715,7 +744,7 @@
         proxy.event(Event::Outcome { call, attempt: 0, outcome, elapsed, closed: true, load });
         proxy.wait(100 * MS);
     }
-    assert_eq!(sent(&proxy.call().1).len(), 1, "the budget's own call");
+    assert_eq!(sent(&proxy.call().1).len(), 1, "the call within the limit");
     sent(&proxy.call().1).len() == 1
 }
 
@@ -724,27 +753,29 @@
     let busy = |b| Load { cpu: Some(b), ..Load::default() };
     let queue = |w| Load { active: Some(10.0), waiting: Some(w), ..Load::default() };
     assert!(probe_sent_after(Load::default()) && probe_sent_after(busy(0.5)) && probe_sent_after(queue(1.0)));
-    assert!(!probe_sent_after(busy(1.0)), "cores that are all busy");
-    assert!(!probe_sent_after(queue(5.5)), "more waiting than in work");
+    assert!(!probe_sent_after(busy(1.0)), "all cores are busy");
+    assert!(!probe_sent_after(queue(5.5)), "more requests wait than run");
 }
 
-/// How many balancers' calls a cold server gets per thousand answers of warm ones, from a thousand balancers.
+/// Share of calls that a cold server gets from a thousand balancers, compared to the warm ones.
 #[test]
 fn a_thousand_balancers_together_stay_below_a_cold_servers_share() {
     let (cold, all) = calls_to_cold_server(3.0);
-    // Each warm one carries a twentieth; within two seconds after its start it has 0.12 to 0.19 of its capacity. A pick
-    // of two gives it twice that part at the most, and it falls over at three times.
+    // Each warm server carries a twentieth. Within two seconds after its start the cold one has 0.12 to 0.19
+    // of its capacity. The choice between two servers gives it at most twice that share, and it fails at
+    // three times.
     assert!(cold * 100 <= all * 31 / 20, "{cold} of {all}");
-    assert!(cold * 100 >= all * 8 / 20, "it is used, as calls make it warm: {cold} of {all}");
-    // A site whose cold servers bear no more than what they can do.
+    assert!(cold * 100 >= all * 8 / 20, "it must be used to become warm: {cold} of {all}");
+    // A site whose cold servers tolerate no more than their current capacity.
     let (sensitive, _) = calls_to_cold_server(1.0);
     assert!(
         sensitive * 10 <= cold * 6 && sensitive > 0,
-        "{sensitive} where {cold} go to one that bears more"
+        "{sensitive}, while {cold} go to one that tolerates more"
     );
 }
 
-/// Calls of a thousand balancers to a server that has just started beside twenty warm ones, and all of theirs.
+/// Calls of a thousand balancers to a server that has just started beside twenty warm ones, and all of their
+/// calls.
 fn calls_to_cold_server(cold_overload_limit: f64) -> (usize, usize) {
     let (mut cold, mut all) = (0, 0);
     for balancer_index in 0..1_000 {
@@ -764,7 +795,8 @@
     (cold, all)
 }
 
-/// The same where most of the warm ones are at rest after time-outs: what they do not take must not go to the cold one.
+/// The same while most warm servers are cooling down after time-outs: the calls that they do not take must
+/// not go to the cold one.
 #[test]
 fn a_cold_server_gets_no_more_calls_while_most_warm_ones_cool_down() {
     let (mut cold, mut all) = (0, 0);
@@ -808,11 +840,11 @@
     for call in calls {
         proxy.end(call, 0, Outcome::Reset, 5 * MS);
     }
-    let ejected = |a: &Action| matches!(a, Action::Log { text } if text.contains("set aside"));
-    assert!(!proxy.actions.iter().any(ejected), "the new process has failed nothing");
+    let ejected = |a: &Action| matches!(a, Action::Log { text } if text.contains("ejected"));
+    assert!(!proxy.actions.iter().any(ejected), "the new process has not failed");
 }
 
-/// A third of the servers falls silent and comes back three seconds later, cold, under the old numbers.
+/// A third of the servers goes silent and comes back cold three seconds later, under the same numbers.
 #[test]
 fn a_zone_that_restarts_cold_gets_its_share() {
     let zoned = |i, started| Entry { zone: ZoneId(i % 3), started, ..ready(i) };
@@ -840,11 +872,11 @@
             out.push((now + took, call, took, end));
         }
     }
-    // Warm it would have 67 of 200.
+    // If they were warm, they would get 67 of 200 calls.
     assert!((6..=40).contains(&back), "{back} of 200 calls");
 }
 
-/// Four hosts, of which one goes each half second and another comes, under a number and in a zone that were never there.
+/// Every half second one of four servers is replaced by one with a new number in a new zone.
 #[test]
 fn replaced_servers_leave_no_state_behind() {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::Free) }, 4);
@@ -889,7 +921,7 @@
             at = sent(&proxy.end(call, attempt, end, 20 * MS)).iter().find(|s| s.0 == call).map(|s| s.1);
         }
     }
-    assert!(lost < 16, "twenty servers out of reach must not each be found out: {lost}");
+    assert!(lost < 16, "twenty unreachable servers must not all be tried: {lost}");
 }
 
 #[test]
@@ -897,22 +929,22 @@
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 20);
     (0..20).for_each(|_| drop((proxy.serve(40 * MS), proxy.wait(500 * MS))));
-    // No more: what is late holds the shared budget back, too.
+    // No more than two, as late calls also hold back the shared limit.
     for late in 0..2 {
         let (call, actions) = proxy.call();
         assert_eq!(
             sent(&actions).len(),
             1,
-            "{late} of twenty servers were late, and the others are not asked"
+            "{late} of twenty servers timed out, and the others get no calls"
         );
         proxy.now += 500 * MS;
         proxy.end(call, 0, Outcome::TimedOut, 500 * MS);
     }
 }
 
-/// Calls of one balancer of a hundred, evenly spaced, to forty servers of two zones. From the two hundredth on some
-/// servers leave all but each so many-th call there without an answer, which shows at the aim alone. How many calls went
-/// to those of the thousand after it?
+/// One of a hundred balancers sends evenly spaced calls to forty servers in two zones. From the two hundredth
+/// call on, the `silent` servers answer only one in `answered` calls; for the others, this shows only at the
+/// latency target. Returns how many of the following thousand calls went to them.
 fn calls_to_silent_servers(each: Micros, silent: impl Fn(ServerId) -> bool, answered: usize) -> usize {
     let zoned = |i| Entry { zone: ZoneId(i % 2), ..ready(i) };
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
@@ -944,7 +976,7 @@
 #[test]
 fn a_silent_zone_is_avoided_and_tried_by_one_call_at_a_time() {
     let lost = calls_to_silent_servers(10 * MS, |server| server.0 % 2 == 1, usize::MAX);
-    assert!(lost <= 90, "half a second's calls find it out: {lost} of a thousand");
+    assert!(lost <= 90, "the calls of half a second reveal it: {lost} of a thousand");
 }
 
 #[test]
@@ -953,14 +985,15 @@
         let lost = calls_to_silent_servers(each, |server| server.0 <= 2, 3);
         assert!(
             (4..=most).contains(&lost),
-            "a quarter of a thousand is the usual part of two of eight: {lost}"
+            "the usual share of two servers of eight is a quarter of a thousand: {lost}"
         );
     }
 }
 
 #[test]
 fn a_failing_server_gets_a_fraction_of_its_usual_calls_at_any_call_rate() {
-    // A call a second, so that most come past a backoff by time: a thousand such balancers would give it no rest.
+    // With a call per second, most calls come after a time-based backoff. A thousand such balancers would not
+    // let the server recover.
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 1_000, limits, ..settings(Idempotency::Free) }, 8);
     let mut tried = 0;
@@ -973,5 +1006,5 @@
         proxy.now += 20 * MS;
         proxy.end(call, 0, if bad { Outcome::TurnedAway } else { Outcome::Served }, 20 * MS);
     }
-    assert!(tried < 25, "an eighth of 200 is its usual part: {tried}");
+    assert!(tried < 25, "its usual share is an eighth of 200: {tried}");
 }
--- a/policy/tests/shared.rs
+++ b/policy/tests/shared.rs
@@ -1,4 +1,4 @@
-//! Room that is shared with other balancers of the process, and what they have learned.
+//! Capacity that is shared with other balancers of the process, and observations that they share.
 
 mod common;
 
@@ -27,7 +27,7 @@
     actions.iter().filter_map(server).collect()
 }
 
-/// Without room a call waits, and it goes as soon as there is some; never one more than there is.
+/// Without an allocation calls are queued. They are sent as soon as there is one, and never beyond it.
 #[test]
 fn calls_are_sent_up_to_the_allocation() {
     let mut proxy = sharing_proxy(2);
@@ -41,12 +41,13 @@
     let mut went = sent(&allocate(&mut proxy, &[(1, 2, false), (2, 1, false)]));
     went.sort_unstable();
     assert_eq!(went, [1, 1, 2]);
-    assert_eq!(sent(&allocate(&mut proxy, &[(1, 2, true)])), [1], "a trial goes beyond");
+    assert_eq!(sent(&allocate(&mut proxy, &[(1, 2, true)])), [1], "a probe request exceeds the allocation");
     assert!(proxy.balancer.is_probing(ServerId(1)));
     assert_eq!(proxy.balancer.queued(), 1);
 }
 
-/// Less at one server comes with more at another: nothing goes by what held before.
+/// A smaller allocation at one server comes with a larger one at another: no call is sent by the previous
+/// allocations.
 #[test]
 fn allocations_change_together() {
     let mut proxy = sharing_proxy(2);
@@ -55,7 +56,7 @@
     assert_eq!(sent(&proxy.call().1), [2]);
 }
 
-/// A call whose time is nearly up goes if the room for it comes in the same moment.
+/// A call that is due to be given up is sent if an allocation arrives at that moment.
 #[test]
 fn an_allocation_is_used_before_a_due_call_is_given_up() {
     let mut proxy = sharing_proxy(1);
@@ -64,7 +65,7 @@
     assert_eq!(sent(&allocate(&mut proxy, &[(1, 1, false)])), [1]);
 }
 
-/// What another has learned holds here, unless this one has learned better since.
+/// An observation of another balancer applies, unless this one has a newer one.
 #[test]
 fn observations_of_others_apply_unless_this_balancer_has_newer_ones() {
     let mut proxy = sharing_proxy(2);
@@ -75,12 +76,12 @@
     let first = limit(&proxy);
     assert!(first > 0.0);
     observe(&mut proxy, Observation::LimitRaised, MS);
-    assert!(limit(&proxy) > first, "one trial of the process is everybody's");
+    assert!(limit(&proxy) > first, "a probe request that another balancer had served raises the limit here");
     observe(&mut proxy, Observation::Ejected, MS);
     assert_eq!(limit(&proxy), 0.0);
     observe(&mut proxy, Observation::Reinstated, MS);
     assert!(limit(&proxy) > 0.0);
-    // It has served here since: the older word says nothing.
+    // This balancer has served a call there since, so the older observation is ignored.
     allocate(&mut proxy, &[(1, 1, false), (2, 0, false)]);
     let (call, actions) = proxy.call();
     assert_eq!(sent(&actions), [1]);
@@ -91,7 +92,7 @@
     assert!(limit(&proxy) > 0.0);
 }
 
-/// The number of a call that no other call of these tests has.
+/// A call number that no other call of these tests has.
 const SHORT_CALL: CallId = CallId(9_000);
 
 fn call_with(proxy: &mut Proxy, time_left: Micros) -> Vec<Action> {
@@ -100,11 +101,13 @@
     proxy.event(event)
 }
 
-/// Guards against calls refused at once, by what an answer takes before any was seen, where room comes a moment later.
+/// Guards against calls that are refused at once by the assumed response time, before any response was seen,
+/// although an allocation arrives a moment later.
 #[test]
 fn a_call_with_little_time_waits_for_an_allocation_before_any_response() {
     let mut proxy = sharing_proxy(1);
-    // Less than the quarter of the aim that stands for an answer time until one is seen.
+    // Less than the quarter of the latency target that is assumed as the response time until there is a
+    // sample.
     assert!(sent(&call_with(&mut proxy, 100 * MS)).is_empty());
     proxy.now += 20;
     proxy.event(Event::Freshness(Freshness::Verified));
@@ -112,7 +115,8 @@
     assert_eq!(sent(&allocate(&mut proxy, &[(1, 1, false)])), [1], "{:?}", proxy.actions);
 }
 
-/// The same where the usual answer time is known, and longer than the call has: room of this moment is used.
+/// The same if the usual response time is known and longer than the call's remaining time: an allocation that
+/// arrives at that moment is used.
 #[test]
 fn a_call_with_little_time_is_not_given_up_by_the_event_before_its_allocation() {
     let mut proxy = sharing_proxy(1);
@@ -127,7 +131,7 @@
     assert_eq!(sent(&allocate(&mut proxy, &[(1, 1, false)])), [1], "{:?}", proxy.actions);
 }
 
-/// Guards against a refusal with a wait of nothing, which brings its client back at once.
+/// Guards against a refusal with a retry-after of zero, which would make its client retry at once.
 #[test]
 fn a_refusal_always_has_a_retry_after() {
     let mut proxy = sharing_proxy(1);
