--- a/policy/src/balance.rs
+++ b/policy/src/balance.rs
@@ -142,8 +142,8 @@
     }
 
     fn is_full(&self, now: Micros, rules: &Rules) -> bool {
-        let own = || (self.effective_limit(now, rules) + 0.5).max(1.0) as u32;
-        self.in_flight >= self.allocation.map_or_else(own, |(concurrency, _)| concurrency)
+        let own_limit = || (self.effective_limit(now, rules) + 0.5).max(1.0) as u32;
+        self.in_flight >= self.allocation.map_or_else(own_limit, |(concurrency, _)| concurrency)
     }
 
     fn may_receive(&self, now: Micros, served: u64, rules: &Rules) -> bool {
@@ -244,7 +244,7 @@
 /// may get a probe request.
 struct Candidates {
     eligible: Vec<usize>,
-    with_room: Vec<usize>,
+    below_limit: Vec<usize>,
     probes: Vec<usize>,
 }
 
@@ -361,8 +361,10 @@
             Event::Timer if now >= self.timer_at => self.timer_at = Micros::MAX,
             Event::Allocations { allocations } => {
                 for Allocation { server, concurrency, probe } in allocations {
-                    let place = self.servers.binary_search_by_key(&server, |s| s.id);
-                    place.into_iter().for_each(|at| self.servers[at].allocation = Some((concurrency, probe)));
+                    let server_index = self.servers.binary_search_by_key(&server, |s| s.id);
+                    server_index
+                        .into_iter()
+                        .for_each(|at| self.servers[at].allocation = Some((concurrency, probe)));
                 }
             }
             Event::Observed { server, observation, age } => self.observed(now, server, observation, age),
@@ -470,9 +472,9 @@
         // of the process arrives with the following events.
         let tick = self.settings.tick.max(1);
         let last = call.deadline.saturating_sub(tick).max(now);
-        let hopeless = call.target_at().saturating_sub(self.expected_latency(call) as Micros);
-        let wake = hopeless.max(now.saturating_add(tick)).min(last).max(1);
-        self.set_wake(id, wake);
+        let latest_start = call.target_at().saturating_sub(self.expected_latency(call) as Micros);
+        let give_up_at = latest_start.max(now.saturating_add(tick)).min(last).max(1);
+        self.set_wake(id, give_up_at);
         self.queue.insert(if is_retry { 0 } else { self.queue.len() }, id);
     }
 
@@ -580,7 +582,7 @@
         if let Some(server) = picked.filter(|&at| !self.servers[at].is_full(now, &self.settings.rules)) {
             return Route::Send { server, probe };
         }
-        match (self.pick_of_two(now, &candidates.with_room), self.pick_of_two(now, &candidates.probes)) {
+        match (self.pick_of_two(now, &candidates.below_limit), self.pick_of_two(now, &candidates.probes)) {
             (Some(server), _) => Route::Send { server, probe },
             (None, Some(_)) if limit_full => Route::Queue,
             (None, Some(server)) => Route::Send { server, probe: ProbeTarget::Server },
@@ -618,15 +620,16 @@
         let any_untried = ring().any(|i| call.untried(self.servers[i].id));
         let preferred = ring().filter(|&i| !any_untried || call.untried(self.servers[i].id));
         let eligible: Vec<usize> = preferred.clone().take(self.subset_size(now)).collect();
-        let has_room = |s: &Server| !s.is_full(now, rules) && (draw.is_none() || s.warmth(now, rules) >= 1.0);
-        let mut with_room: Vec<_> =
-            eligible.iter().copied().filter(|&i| has_room(&self.servers[i])).collect();
+        let is_below_limit =
+            |s: &Server| !s.is_full(now, rules) && (draw.is_none() || s.warmth(now, rules) >= 1.0);
+        let mut below_limit: Vec<_> =
+            eligible.iter().copied().filter(|&i| is_below_limit(&self.servers[i])).collect();
         let probes = eligible.iter().copied().filter(|&i| probeable(&self.servers[i])).collect();
         // The subset size follows past concurrency. A burst beyond it continues along the ring.
-        if with_room.is_empty() && self.shared_limit.is_some() && !limit_full {
-            with_room.extend(preferred.skip(eligible.len()).find(|&i| has_room(&self.servers[i])));
+        if below_limit.is_empty() && self.shared_limit.is_some() && !limit_full {
+            below_limit.extend(preferred.skip(eligible.len()).find(|&i| is_below_limit(&self.servers[i])));
         }
-        Candidates { eligible, with_room, probes }
+        Candidates { eligible, below_limit, probes }
     }
 
     /// Whether cooldowns are respected. If most servers are cooling down there are no alternatives, and a
@@ -671,9 +674,16 @@
         Some(if self.random_fraction() * (first + second) < second { b } else { a })
     }
 
-    fn send(&mut self, now: Micros, id: CallId, place: usize, probe: ProbeTarget, actions: &mut Actions) {
-        self.pace_next_call(now, place);
-        let server = &mut self.servers[place];
+    fn send(
+        &mut self,
+        now: Micros,
+        id: CallId,
+        server_index: usize,
+        probe: ProbeTarget,
+        actions: &mut Actions,
+    ) {
+        self.schedule_next_call(now, server_index);
+        let server = &mut self.servers[server_index];
         server.in_flight += 1;
         server.limit.probe_in_flight |= probe == ProbeTarget::Server;
         let Some(call) = self.calls.get_mut(&id) else { return };
@@ -726,14 +736,14 @@
             }
             return;
         }
-        for place in 0..self.servers.len() {
-            if self.servers[place].may_be_reinstated(now, self.served, &self.settings.rules) {
+        for server_index in 0..self.servers.len() {
+            if self.servers[server_index].may_be_reinstated(now, self.served, &self.settings.rules) {
                 // Only a call without attempts: the others may be restricted to certain servers.
                 let mut queued = self.queue.iter().take(QUEUE_SCAN_LIMIT);
                 if let Some(index) = queued.position(|id| self.calls[id].attempts.is_empty()) {
                     let id = self.queue[index];
                     self.dequeue(index);
-                    self.send(now, id, place, ProbeTarget::Server, actions);
+                    self.send(now, id, server_index, ProbeTarget::Server, actions);
                 }
             }
         }
@@ -796,14 +806,14 @@
         }
     }
 
-    fn set_wake(&mut self, id: CallId, at: Micros) {
+    fn set_wake(&mut self, id: CallId, wake_at: Micros) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         if call.wake_at != 0 {
             self.wakes.remove(&(call.wake_at, id));
         }
-        call.wake_at = at;
-        if at != 0 {
-            self.wakes.insert((at, id));
+        call.wake_at = wake_at;
+        if wake_at != 0 {
+            self.wakes.insert((wake_at, id));
         }
     }
 
--- a/policy/src/balance/outcomes.rs
+++ b/policy/src/balance/outcomes.rs
@@ -42,11 +42,11 @@
         let Some(sent) = self.calls.get(&id).and_then(|c| c.attempts.get(attempt as usize)) else {
             return;
         };
-        let Ok(place) = self.servers.binary_search_by_key(&sent.server, |s| s.id) else { return };
-        self.update_reported_overload(now, place, load);
+        let Ok(server_index) = self.servers.binary_search_by_key(&sent.server, |s| s.id) else { return };
+        self.update_reported_overload(now, server_index, load);
     }
 
-    pub(super) fn update_reported_overload(&mut self, at: Micros, place: usize, load: Load) {
+    pub(super) fn update_reported_overload(&mut self, reported_at: Micros, server_index: usize, load: Load) {
         let reported_overload = match load {
             Load { active: Some(active), waiting: Some(waiting), .. } => {
                 waiting / (active - waiting).max(1.0)
@@ -54,10 +54,10 @@
             Load { cpu: Some(cpu), .. } => cpu / CPU_OVERLOAD_SHARE,
             _ => return,
         };
-        let server = &mut self.servers[place];
+        let server = &mut self.servers[server_index];
         server.reported_overload =
             if reported_overload.is_finite() { reported_overload.clamp(0.0, 4.0) } else { 0.0 };
-        server.reported_at = at;
+        server.reported_at = reported_at;
     }
 
     /// Updates all state that depends on how an attempt ended.
@@ -75,19 +75,19 @@
         if outcome == Outcome::NoConnection {
             self.subset_reduction.connection_failed(now);
         }
-        let Ok(place) = self.servers.binary_search_by_key(&attempt.server, |s| s.id) else { return };
-        if self.servers[place].started != attempt.started {
+        let Ok(server_index) = self.servers.binary_search_by_key(&attempt.server, |s| s.id) else { return };
+        if self.servers[server_index].started != attempt.started {
             return; // The server has restarted since: the outcome concerns its previous process.
         }
-        self.update_cost(place, now, &ended);
-        let Some(failed) = self.servers[place].is_failure(&ended) else {
-            self.servers[place].limit.probe_in_flight &= attempt.probe != ProbeTarget::Server;
+        self.update_cost(server_index, now, &ended);
+        let Some(failed) = self.servers[server_index].is_failure(&ended) else {
+            self.servers[server_index].limit.probe_in_flight &= attempt.probe != ProbeTarget::Server;
             return;
         };
-        self.update_overload(place, now, &ended, failed);
-        self.reduce_concurrency(place, now, &ended);
-        self.update_steps(place, now, &ended, actions);
-        self.update_cooldown(place, &ended);
+        self.update_overload(server_index, now, &ended, failed);
+        self.reduce_concurrency(server_index, now, &ended);
+        self.update_steps(server_index, now, &ended, actions);
+        self.update_cooldown(server_index, &ended);
         self.update_counts();
     }
 
@@ -147,9 +147,9 @@
     }
 
     /// Updates the cost of a call at this server.
-    fn update_cost(&mut self, place: usize, now: Micros, ended: &EndedAttempt) {
+    fn update_cost(&mut self, server_index: usize, now: Micros, ended: &EndedAttempt) {
         let longest_target = self.longest_target();
-        let server = &mut self.servers[place];
+        let server = &mut self.servers[server_index];
         server.in_flight = server.in_flight.saturating_sub(1);
         // A call that was not served counts as a full latency target, so that a server that fails quickly
         // does not look idle.
@@ -162,9 +162,9 @@
     }
 
     /// Updates the server's overload and failure rate and the latency of the call's class.
-    fn update_overload(&mut self, place: usize, now: Micros, ended: &EndedAttempt, failed: bool) {
+    fn update_overload(&mut self, server_index: usize, now: Micros, ended: &EndedAttempt, failed: bool) {
         let longest_target = self.longest_target();
-        let server = &mut self.servers[place];
+        let server = &mut self.servers[server_index];
         let weight = if ended.is_weak_evidence() { FAILURE_WEIGHT / 2.0 } else { FAILURE_WEIGHT };
         server.failure_rate += (if failed { 1.0 } else { 0.0 } - server.failure_rate) * weight;
         // With few responses per second, old ones must not dominate the overload.
@@ -181,15 +181,15 @@
             latency.into_iter().for_each(|p| p.record(now, ended.elapsed));
         }
         if ended.outcome == Outcome::Served {
-            self.servers[place].last_served_at = now;
+            self.servers[server_index].last_served_at = now;
             self.served += 1;
         }
     }
 
     /// Reduces the server's concurrency after a rejection, or if its latency is well above that of an
     /// unloaded server.
-    fn reduce_concurrency(&mut self, place: usize, now: Micros, ended: &EndedAttempt) {
-        let server = &mut self.servers[place];
+    fn reduce_concurrency(&mut self, server_index: usize, now: Micros, ended: &EndedAttempt) {
+        let server = &mut self.servers[server_index];
         if ended.outcome == Outcome::TurnedAway {
             server.limit.reduce(REJECTION_CUT_FACTOR, true);
             // Quick rejections make the server look idle. Without a pause it would attract call after call.
@@ -204,10 +204,16 @@
 
     /// Updates the steps of the server's limit after connection failures and probe requests, and ejects the
     /// server if it fails too often.
-    fn update_steps(&mut self, place: usize, now: Micros, ended: &EndedAttempt, actions: &mut Actions) {
+    fn update_steps(
+        &mut self,
+        server_index: usize,
+        now: Micros,
+        ended: &EndedAttempt,
+        actions: &mut Actions,
+    ) {
         let first_backoff = self.first_backoff();
         let few_ejected = (self.ejected_count + 1) * 2 <= self.listed_count;
-        let server = &mut self.servers[place];
+        let server = &mut self.servers[server_index];
         let was_up = server.limit.steps > 0;
         // A single broken connection proves nothing about a server that has just served a call: a step is
         // removed when another one breaks soon after, and the last step by the server's failure rate.
@@ -241,8 +247,8 @@
 
     /// Starts the server's cooldown. If each of many balancers tried a late server now and then, it would not
     /// recover, so it is tried once per a number of served calls.
-    fn update_cooldown(&mut self, place: usize, ended: &EndedAttempt) {
-        let server = &mut self.servers[place];
+    fn update_cooldown(&mut self, server_index: usize, ended: &EndedAttempt) {
+        let server = &mut self.servers[server_index];
         let served = u32::from(ended.outcome == Outcome::Served);
         server.timeouts = (server.timeouts + u32::from(ended.timed_out()))
             .saturating_sub(served)
--- a/policy/src/balance/peers.rs
+++ b/policy/src/balance/peers.rs
@@ -12,20 +12,20 @@
     /// Mean number of calls in flight that this balancer's limit for a server permits; 0 if the server is
     /// ejected or unknown.
     pub fn concurrency_limit(&self, now: Micros, server: ServerId) -> f64 {
-        let place = self.servers.binary_search_by_key(&server, |s| s.id);
-        place.map_or(0.0, |at| self.servers[at].effective_limit(now, &self.settings.rules))
+        let server_index = self.servers.binary_search_by_key(&server, |s| s.id);
+        server_index.map_or(0.0, |at| self.servers[at].effective_limit(now, &self.settings.rules))
     }
 
     /// Whether a probe request to the server is in flight.
     pub fn is_probing(&self, server: ServerId) -> bool {
-        let place = self.servers.binary_search_by_key(&server, |s| s.id);
-        place.is_ok_and(|at| self.servers[at].limit.probe_in_flight)
+        let server_index = self.servers.binary_search_by_key(&server, |s| s.id);
+        server_index.is_ok_and(|at| self.servers[at].limit.probe_in_flight)
     }
 
     /// Whether the server's responses take longer than they should.
     pub fn is_overloaded(&self, server: ServerId) -> bool {
-        let place = self.servers.binary_search_by_key(&server, |s| s.id);
-        place.is_ok_and(|at| self.servers[at].overload > 1.0)
+        let server_index = self.servers.binary_search_by_key(&server, |s| s.id);
+        server_index.is_ok_and(|at| self.servers[at].overload > 1.0)
     }
 
     /// The servers to which calls would be sent if this balancer's allocation were larger or permitted a
@@ -50,12 +50,12 @@
     /// Applies an observation of another balancer of the process, unless this one has a newer one.
     pub(super) fn observed(&mut self, now: Micros, id: ServerId, observation: Observation, age: Micros) {
         let (first_backoff, observed_at) = (self.first_backoff(), now.saturating_sub(age));
-        let Ok(place) = self.servers.binary_search_by_key(&id, |s| s.id) else { return };
-        let server = &mut self.servers[place];
+        let Ok(server_index) = self.servers.binary_search_by_key(&id, |s| s.id) else { return };
+        let server = &mut self.servers[server_index];
         let up = server.limit.steps > 0;
         match observation {
             Observation::Load(load) if observed_at > server.reported_at => {
-                self.update_reported_overload(observed_at, place, load)
+                self.update_reported_overload(observed_at, server_index, load)
             }
             Observation::Ejected if up && server.last_served_at < observed_at => {
                 (server.limit.steps, server.overload) = (0, 1.0);
--- a/policy/src/balance/server_list.rs
+++ b/policy/src/balance/server_list.rs
@@ -14,22 +14,22 @@
         self.servers.iter_mut().for_each(|s| s.listed &= !kind.is_whole());
         for entry in entries {
             let found = self.servers.binary_search_by_key(&entry.server, |s| s.id);
-            let place = found.unwrap_or_else(|place| place);
+            let server_index = found.unwrap_or_else(|server_index| server_index);
             // A restart under the same number is a new, cold process: what was observed of the old one does
             // not apply.
-            if found.is_err() || entry.started > self.servers[place].started {
+            if found.is_err() || entry.started > self.servers[server_index].started {
                 let mut server = Server::new(entry, &self.settings);
                 server.first_call = Some(self.draw_first_call(now));
-                self.servers.splice(place..place + usize::from(found.is_ok()), [server]);
+                self.servers.splice(server_index..server_index + usize::from(found.is_ok()), [server]);
             }
-            let server = &mut self.servers[place];
+            let server = &mut self.servers[server_index];
             server.listed = entry.state == ServerState::Ready;
             (server.zone, server.cell) = (entry.zone, entry.cell);
             server.weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
         }
         self.servers.retain(|s| s.listed || s.in_flight > 0);
         self.zone_failures.retain(|zone, _| self.servers.iter().any(|s| s.zone == *zone));
-        self.pace_first_calls(now);
+        self.schedule_first_calls(now);
         self.update_counts();
     }
 
--- a/policy/src/balance/slow_start.rs
+++ b/policy/src/balance/slow_start.rs
@@ -25,7 +25,7 @@
 pub(super) struct FirstCall {
     since: Micros,
     served: u64,
-    answers_fraction: f64,
+    calls_fraction: f64,
     time_fraction: f64,
 }
 
@@ -41,15 +41,15 @@
 /// Spacing of the calls to a cold server: served calls by the stated share, served calls that are waited for,
 /// and the longest wait (us).
 struct Spacing {
-    stated: u64,
-    answers: u64,
-    span: Micros,
+    stated_calls: u64,
+    calls: u64,
+    max_wait: Micros,
 }
 
 /// Whether a call may go to the server with this index: always if it is warm, otherwise by the call's random
 /// draw, which is spread evenly over neighbouring servers.
-pub(super) fn is_drawn((draw, fraction): (f64, f64), place: usize, warmth: f64) -> bool {
-    warmth >= 1.0 || (draw + place as f64 * 0.618_033_988_749_895).fract() < warmth * fraction
+pub(super) fn is_drawn((draw, fraction): (f64, f64), server_index: usize, warmth: f64) -> bool {
+    warmth >= 1.0 || (draw + server_index as f64 * 0.618_033_988_749_895).fract() < warmth * fraction
 }
 
 impl Balancer {
@@ -70,40 +70,41 @@
 
     /// Draws the random fractions for a new server's first call.
     pub(super) fn draw_first_call(&mut self, now: Micros) -> FirstCall {
-        let (answers_fraction, time_fraction) = (self.random_fraction(), self.random_fraction());
-        FirstCall { since: now, served: self.served, answers_fraction, time_fraction }
+        let (calls_fraction, time_fraction) = (self.random_fraction(), self.random_fraction());
+        FirstCall { since: now, served: self.served, calls_fraction, time_fraction }
     }
 
     /// Recalculates the waits for first calls after the server list, and thus the capacity of the other
     /// servers, has changed.
-    pub(super) fn pace_first_calls(&mut self, now: Micros) {
+    pub(super) fn schedule_first_calls(&mut self, now: Micros) {
         let capacity = self.capacity(now);
-        for place in 0..self.servers.len() {
-            let server = &self.servers[place];
-            let Some(FirstCall { since, served, answers_fraction, time_fraction }) = server.first_call else {
+        for server_index in 0..self.servers.len() {
+            let server = &self.servers[server_index];
+            let Some(FirstCall { since, served, calls_fraction, time_fraction }) = server.first_call else {
                 continue;
             };
-            let Spacing { stated, answers, span } = self.spacing(now, server, &capacity);
+            let Spacing { stated_calls, calls, max_wait } = self.spacing(now, server, &capacity);
             // How many balancers send their first call at once depends on the stated share alone, however
             // short the wait of the others is.
-            let at_once = answers_fraction * stated as f64 <= 1.0;
-            let wait = if at_once { 0 } else { 1 + (answers_fraction * answers as f64) as u64 };
-            let server = &mut self.servers[place];
+            let at_once = calls_fraction * stated_calls as f64 <= 1.0;
+            let wait = if at_once { 0 } else { 1 + (calls_fraction * calls as f64) as u64 };
+            let server = &mut self.servers[server_index];
             server.cold_until_served = served.saturating_add(wait);
-            server.cold_until = since.saturating_add((time_fraction * span as f64) as Micros);
+            server.cold_until = since.saturating_add((time_fraction * max_wait as f64) as Micros);
         }
     }
 
     /// Sets when the server gets its next call, as one is being sent to it.
-    pub(super) fn pace_next_call(&mut self, now: Micros, place: usize) {
-        self.servers[place].first_call = None;
-        if self.servers[place].warmth(now, &self.settings.rules) >= 1.0 {
+    pub(super) fn schedule_next_call(&mut self, now: Micros, server_index: usize) {
+        self.servers[server_index].first_call = None;
+        if self.servers[server_index].warmth(now, &self.settings.rules) >= 1.0 {
             return;
         }
-        let Spacing { answers, span, .. } = self.spacing(now, &self.servers[place], &self.capacity(now));
-        let server = &mut self.servers[place];
-        server.cold_until_served = self.served.saturating_add(answers);
-        server.cold_until = now.saturating_add(span);
+        let Spacing { calls, max_wait, .. } =
+            self.spacing(now, &self.servers[server_index], &self.capacity(now));
+        let server = &mut self.servers[server_index];
+        server.cold_until_served = self.served.saturating_add(calls);
+        server.cold_until = now.saturating_add(max_wait);
     }
 
     fn capacity(&self, now: Micros) -> Capacity {
@@ -122,12 +123,14 @@
 
     fn spacing(&self, now: Micros, server: &Server, capacity: &Capacity) -> Spacing {
         let (warmth, size) = (server.warmth(now, &self.settings.rules), self.servers.len().max(1) as f64);
-        let stated = (server.weight / capacity.current).min(1.0 / size) * warmth;
-        let alone = 1.0 - capacity.warm / capacity.total;
-        let share =
-            stated.max(server.weight * warmth / capacity.current * alone * COLD_SHARE_INCREASE).min(1.0);
-        let span = self.longest_target() * f64::from(self.settings.balancers) / warmth;
-        let span = (span * (1.0 - alone * (1.0 - capacity.current / capacity.total))) as Micros;
-        Spacing { stated: (1.0 / stated) as u64, answers: (1.0 / share) as u64, span }
+        let stated_share = (server.weight / capacity.current).min(1.0 / size) * warmth;
+        let cold_capacity_share = 1.0 - capacity.warm / capacity.total;
+        let share = stated_share
+            .max(server.weight * warmth / capacity.current * cold_capacity_share * COLD_SHARE_INCREASE)
+            .min(1.0);
+        let max_wait = self.longest_target() * f64::from(self.settings.balancers) / warmth;
+        let max_wait =
+            (max_wait * (1.0 - cold_capacity_share * (1.0 - capacity.current / capacity.total))) as Micros;
+        Spacing { stated_calls: (1.0 / stated_share) as u64, calls: (1.0 / share) as u64, max_wait }
     }
 }
--- a/policy/src/list_lease.rs
+++ b/policy/src/list_lease.rs
@@ -88,16 +88,16 @@
         }
     }
 
-    fn reset(&mut self, at: Option<Micros>) {
-        self.missed_at = at;
+    fn reset(&mut self, ends_at: Option<Micros>) {
+        self.missed_at = ends_at;
         (self.extended_at, self.incomplete_at, self.watch_ended) = (None, None, false);
     }
 
     /// Shortens the lease for missed changes that count as notified at `notified`.
     fn limit_by_missed_changes(&mut self, notified: Micros) {
-        let at = notified.saturating_add(self.slack);
-        self.missed_at = earlier(self.missed_at, at);
-        self.extended_at = self.extended_at.map(|extended| extended.min(at));
+        let ends_at = notified.saturating_add(self.slack);
+        self.missed_at = earlier(self.missed_at, ends_at);
+        self.extended_at = self.extended_at.map(|extended| extended.min(ends_at));
     }
 
     /// When the lease ends, after which no new attempt is sent; `None` if the list is verified.
@@ -129,8 +129,8 @@
 }
 
 /// The earlier of an optional time and another.
-fn earlier(set: Option<Micros>, at: Micros) -> Option<Micros> {
-    Some(set.map_or(at, |before| before.min(at)))
+fn earlier(optional: Option<Micros>, other: Micros) -> Option<Micros> {
+    Some(optional.map_or(other, |time| time.min(other)))
 }
 
 #[cfg(test)]
