--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A server, identified by its address. It keeps its number when its process restarts.
+/// A server, as the location of a process. It keeps its number when the process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
--- a/policy/src/balance.rs
+++ b/policy/src/balance.rs
@@ -77,7 +77,7 @@
     /// Smoothed share of failures.
     failure_rate: f64,
     /// After a rejection, a failure or a time-out the server gets no calls before this time, and none before
-    /// this balancer's count of served calls has reached the cooldown value.
+    /// this balancer's count of served calls has reached `cooldown_until_served`, unless a long time passes.
     not_before: Micros,
     cooldown_until_served: u64,
     /// Time-outs, less the calls served since. Each of them doubles the cooldown.
