--- a/policy/tests/fleet.rs
+++ b/policy/tests/fleet.rs
@@ -270,11 +270,11 @@
 fn refusals_beside_endless_calls(endless_every: usize) -> usize {
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 60);
-    let (mut out, mut refusals) = (Vec::<(Micros, CallId, Outcome)>::new(), 0);
+    let (mut in_flight, mut refusals) = (Vec::<(Micros, CallId, Outcome)>::new(), 0);
     for step in 0..1_200 {
         proxy.now += 20 * MS;
         let (now, mut actions) = (proxy.now, Vec::new());
-        for (_, call, outcome) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
+        for (_, call, outcome) in in_flight.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             let elapsed = if outcome == Outcome::TimedOut {
                 500 * MS
             } else if call.0 > 200 {
@@ -290,7 +290,7 @@
             let endless = step >= 200 && call.0.is_multiple_of(endless_every as u64);
             let usual = if step >= 200 { 78 } else { 40 };
             let (took, outcome) = if endless { (500, Outcome::TimedOut) } else { (usual, Outcome::Served) };
-            out.push((now + took * MS, call, outcome));
+            in_flight.push((now + took * MS, call, outcome));
         }
     }
     refusals
@@ -309,13 +309,13 @@
 fn sent_of_a_large_burst_after_small_ones() -> usize {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
     for _ in 0..60 {
-        let mut out: Vec<CallId> = Vec::new();
+        let mut in_flight: Vec<CallId> = Vec::new();
         for _ in 0..8 {
-            out.extend(sent(&proxy.call().1).iter().map(|s| s.0));
+            in_flight.extend(sent(&proxy.call().1).iter().map(|s| s.0));
         }
         proxy.now += 100 * MS;
-        while let Some(call) = out.pop() {
-            out.extend(sent(&proxy.end(call, 0, Outcome::Served, 100 * MS)).iter().map(|s| s.0));
+        while let Some(call) = in_flight.pop() {
+            in_flight.extend(sent(&proxy.end(call, 0, Outcome::Served, 100 * MS)).iter().map(|s| s.0));
         }
         proxy.wait(900 * MS);
     }
@@ -341,13 +341,13 @@
 fn mean_in_flight_with_capacity(capacity: usize) -> f64 {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
     let mut free_at = vec![0; capacity];
-    let mut out: Vec<(Micros, CallId, Micros)> = Vec::new();
+    let mut in_flight: Vec<(Micros, CallId, Micros)> = Vec::new();
     let gap = 40 * MS / (2 * capacity as u64);
     let (mut all, mut steps) = (0, 0);
     while proxy.now < 40_000 * MS {
         proxy.now += gap;
         let (now, mut actions) = (proxy.now, Vec::new());
-        for (_, call, at) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
+        for (_, call, at) in in_flight.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             actions.extend(proxy.end(call, 0, Outcome::Served, now - at));
         }
         // In the first ten seconds, half of what the servers can handle.
@@ -357,10 +357,10 @@
         for (call, _) in sent(&actions) {
             let first = free_at.iter_mut().min().expect("a worker");
             *first = (*first).max(now) + 40 * MS;
-            out.push((*first, call, now));
+            in_flight.push((*first, call, now));
         }
         if now > 30_000 * MS {
-            (all, steps) = (all + out.len(), steps + 1);
+            (all, steps) = (all + in_flight.len(), steps + 1);
         }
     }
     all as f64 / f64::from(steps)
@@ -381,12 +381,12 @@
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 30, limits, ..settings(Idempotency::SingleShot) }, 30);
     // For four seconds, three of four calls time out at any server; after that none does.
-    let mut out = Vec::<(Micros, CallId, Outcome)>::new();
+    let mut in_flight = Vec::<(Micros, CallId, Outcome)>::new();
     let (mut requested, mut served) = (0, 0);
     for step in 0..600 {
         proxy.now += 20 * MS;
         let (now, mut actions) = (proxy.now, Vec::new());
-        for (_, call, outcome) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
+        for (_, call, outcome) in in_flight.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             let elapsed = if outcome == Outcome::TimedOut { 500 * MS } else { 40 * MS };
             served += usize::from(step >= 400 && outcome == Outcome::Served);
             actions.extend(proxy.end(call, 0, outcome, elapsed));
@@ -396,7 +396,7 @@
         for (call, _) in sent(&actions) {
             let silent = (100..300).contains(&step) && !call.0.is_multiple_of(4);
             let (took, outcome) = if silent { (500, Outcome::TimedOut) } else { (40, Outcome::Served) };
-            out.push((now + took * MS, call, outcome));
+            in_flight.push((now + took * MS, call, outcome));
         }
     }
     assert!(
--- a/policy/tests/freshness.rs
+++ b/policy/tests/freshness.rs
@@ -127,7 +127,7 @@
     let mut proxy = watching(300, 7);
     break_watch(&mut proxy);
     let lost = proxy.now;
-    let (out, mut queued) = (proxy.call().0, Vec::new());
+    let (in_flight_call, mut queued) = (proxy.call().0, Vec::new());
     proxy.now = lost + LEASE - MS;
     // More calls than the limit permits, so that some are queued.
     for _ in 0..40 {
@@ -148,9 +148,9 @@
         |a: &Action| matches!(a, Action::Refuse { call: c, reason: r, .. } if (*c, *r) == (call, reason));
     assert!(actions.iter().any(list_expired), "{actions:?}");
     // The attempt was in flight before the expiry; the call is not retried.
-    let actions = proxy.end(out, 0, Outcome::TurnedAway, 5 * MS);
+    let actions = proxy.end(in_flight_call, 0, Outcome::TurnedAway, 5 * MS);
     assert_eq!(sent(&actions), []);
-    assert!(refused(&actions, out), "{actions:?}");
+    assert!(refused(&actions, in_flight_call), "{actions:?}");
     // After a new list, calls are sent again.
     let mut proxy = watching(300, 8);
     break_watch(&mut proxy);
--- a/policy/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -41,10 +41,10 @@
     proxy.end(b, 0, Outcome::Served, 100 * MS);
     proxy.wait(300 * MS);
     let (c, d, e) = (proxy.call().0, proxy.call().0, proxy.call().0);
-    let went: Vec<CallId> = sent(&proxy.actions).into_iter().map(|s| s.0).collect();
+    let sent_calls: Vec<CallId> = sent(&proxy.actions).into_iter().map(|s| s.0).collect();
     assert!(
-        went.ends_with(&[b, c, d]) && !went.contains(&e),
-        "then one more is sent, as the next probe request: {went:?}"
+        sent_calls.ends_with(&[b, c, d]) && !sent_calls.contains(&e),
+        "then one more is sent, as the next probe request: {sent_calls:?}"
     );
 }
 
@@ -76,9 +76,9 @@
     for (span, wanted) in spans.iter().zip([125, 250, 500, 1_000, 2_000, 2_000]) {
         assert!(span.abs_diff(wanted) <= 10, "{spans:?}");
     }
-    let mut out = sent(&proxy.end(probe, 0, Outcome::Served, MS));
-    while let Some((call, _)) = out.pop() {
-        out.extend(sent(&proxy.end(call, 0, Outcome::Served, MS)));
+    let mut in_flight = sent(&proxy.end(probe, 0, Outcome::Served, MS));
+    while let Some((call, _)) = in_flight.pop() {
+        in_flight.extend(sent(&proxy.end(call, 0, Outcome::Served, MS)));
     }
     proxy.wait(1_000 * MS);
     for _ in 0..12 {
@@ -294,16 +294,16 @@
 /// Returns how many servers it uses in the second half of thirty seconds.
 fn servers_used_at(gap: Micros) -> usize {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
-    let (mut out, mut used) = (Vec::<(Micros, CallId)>::new(), BTreeSet::new());
+    let (mut in_flight, mut used) = (Vec::<(Micros, CallId)>::new(), BTreeSet::new());
     for _ in 0..30_000 * MS / gap {
         proxy.now += gap;
         let (now, mut actions) = (proxy.now, Vec::new());
-        for (_, call) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
+        for (_, call) in in_flight.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             actions.extend(proxy.end(call, 0, Outcome::Served, 250 * MS));
         }
         actions.extend(proxy.call().1);
         for (call, server) in sent(&actions) {
-            out.push((now + 250 * MS, call));
+            in_flight.push((now + 250 * MS, call));
             used.extend((now > 16_000 * MS).then_some(server));
         }
     }
--- a/policy/tests/random.rs
+++ b/policy/tests/random.rs
@@ -109,10 +109,10 @@
                 let due: Vec<CallId> =
                     calls.iter().filter(|(_, c)| !c.ended && c.deadline <= proxy.now).map(|c| *c.0).collect();
                 for id in due {
-                    let outs: Vec<usize> = (0..calls[&id].attempts.len())
+                    let open_attempts: Vec<usize> = (0..calls[&id].attempts.len())
                         .filter(|&a| calls[&id].attempts[a].1.is_none())
                         .collect();
-                    for attempt in outs {
+                    for attempt in open_attempts {
                         let seen = calls.get_mut(&id).expect("known");
                         seen.attempts[attempt].1 = Some(Outcome::TimedOut);
                         let elapsed = proxy.now - seen.attempts[attempt].2;
@@ -167,8 +167,8 @@
                     "sent to a server that is not ready"
                 );
                 assert!(seen.attempts.len() < 4, "more attempts than allowed");
-                let out = seen.attempts.iter().filter(|a| a.1.is_none()).count();
-                assert!(out == 0 || hedging && out == 1);
+                let in_flight = seen.attempts.iter().filter(|a| a.1.is_none()).count();
+                assert!(in_flight == 0 || hedging && in_flight == 1);
                 let first = seen.attempts.iter().find(|a| a.1.is_none_or(|o| !o.never_ran()));
                 match (classes[seen.class].idempotency, first) {
                     (Idempotency::SingleShot, Some(_)) => panic!("an unsafe call was retried"),
--- a/policy/tests/rules.rs
+++ b/policy/tests/rules.rs
@@ -280,18 +280,18 @@
     let mut proxy = Proxy::new(Settings { balancers: 4, ..settings(Idempotency::Free) }, 0);
     let start = proxy.now;
     proxy.list(ListKind::Full, (1..=8).map(|id| Entry { started: start, ..ready(id) }).collect());
-    let (mut out, mut sent_in) = (Vec::new(), [0; 6]);
+    let (mut in_flight, mut sent_in) = (Vec::new(), [0; 6]);
     for step in 0..3_000 {
         // A call every 4 ms, answered within 26 ms.
         proxy.now = start + step * 2 * MS;
         let mut actions = if step % 2 == 0 { proxy.call().1 } else { proxy.event(Event::Timer) };
         let due: Vec<(Micros, CallId)> =
-            out.extract_if(.., |at: &mut (Micros, CallId)| at.0 <= proxy.now).collect();
+            in_flight.extract_if(.., |at: &mut (Micros, CallId)| at.0 <= proxy.now).collect();
         for (_, call) in due {
             actions.extend(proxy.end(call, 0, Outcome::Served, 26 * MS));
         }
         for (call, _) in sent(&actions) {
-            out.push((proxy.now + 26 * MS, call));
+            in_flight.push((proxy.now + 26 * MS, call));
             sent_in[step as usize / 500] += 1;
         }
     }
@@ -309,18 +309,18 @@
     }
     let start = proxy.now;
     proxy.list(ListKind::Delta, (1..=cold).map(|id| Entry { started: start, ..ready(id) }).collect());
-    let (mut out, mut counts) = (Vec::new(), vec![0; servers as usize]);
+    let (mut in_flight, mut counts) = (Vec::new(), vec![0; servers as usize]);
     for step in 0..1_000 {
         proxy.now = start + step * 2 * MS;
         let mut actions = if step % 2 == 0 { proxy.call().1 } else { proxy.event(Event::Timer) };
         let due: Vec<(Micros, CallId)> =
-            out.extract_if(.., |at: &mut (Micros, CallId)| at.0 <= proxy.now).collect();
+            in_flight.extract_if(.., |at: &mut (Micros, CallId)| at.0 <= proxy.now).collect();
         for (_, call) in due {
             actions.extend(proxy.end(call, 0, Outcome::Served, 10 * MS));
         }
         for (call, server) in sent(&actions) {
             counts[server.0 as usize - 1] += 1;
-            out.push((proxy.now + 10 * MS, call));
+            in_flight.push((proxy.now + 10 * MS, call));
         }
     }
     counts
@@ -559,21 +559,21 @@
 /// are in flight.
 fn balancer_at_shared_limit() -> (Proxy, Vec<CallId>) {
     let mut proxy = Proxy::new(Settings { balancers: 1_000, ..settings(Idempotency::Free) }, 20);
-    let out: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
+    let in_flight: Vec<CallId> = (0..4).map(|_| proxy.call().0).collect();
     assert_eq!(sent(&proxy.actions).len(), 4, "three at once, and one as the probe request");
-    (proxy, out)
+    (proxy, in_flight)
 }
 
 #[test]
 fn with_a_thousand_balancers_all_servers_share_one_limit_and_one_probe() {
-    let (mut proxy, out) = balancer_at_shared_limit();
+    let (mut proxy, in_flight) = balancer_at_shared_limit();
     let (queued, actions) = proxy.call();
     assert!(
         sent(&actions).is_empty(),
         "sixteen servers are idle, but the limit is used up and the probe request in flight"
     );
     proxy.now += 50 * MS;
-    let actions = proxy.end(out[3], 0, Outcome::Served, 50 * MS);
+    let actions = proxy.end(in_flight[3], 0, Outcome::Served, 50 * MS);
     assert_eq!(
         sent(&actions).first().map(|s| s.0),
         Some(queued),
@@ -583,10 +583,10 @@
 
 #[test]
 fn a_failed_probe_of_the_shared_limit_backs_off_from_all_servers() {
-    let (mut proxy, out) = balancer_at_shared_limit();
+    let (mut proxy, in_flight) = balancer_at_shared_limit();
     proxy.now += 400 * MS;
-    let actions = proxy.end(out[3], 0, Outcome::TimedOut, 400 * MS);
-    assert!(sent(&actions).iter().all(|s| s.0 == out[3]), "no other call is sent");
+    let actions = proxy.end(in_flight[3], 0, Outcome::TimedOut, 400 * MS);
+    assert!(sent(&actions).iter().all(|s| s.0 == in_flight[3]), "no other call is sent");
     assert!(sent(&proxy.call().1).is_empty(), "the backoff applies to all servers");
 }
 
@@ -607,25 +607,25 @@
 #[test]
 fn a_few_slow_servers_do_not_delay_calls_to_all_others() {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
-    let mut out: Vec<(Micros, CallId, Micros)> = Vec::new();
-    let (mut asked, mut went) = (0, 0);
+    let mut in_flight: Vec<(Micros, CallId, Micros)> = Vec::new();
+    let (mut call_count, mut sent_count) = (0, 0);
     for _ in 0..2_000 {
         proxy.now += 40 * MS;
         let now = proxy.now;
         let mut actions = Vec::new();
-        for (_, call, elapsed) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
+        for (_, call, elapsed) in in_flight.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             actions.extend(proxy.end(call, 0, Outcome::Served, elapsed));
         }
         actions.extend(proxy.call().1);
-        asked += 1;
+        call_count += 1;
         for (call, server) in sent(&actions) {
-            went += 1;
-            let slow = [ServerId(2), ServerId(4), ServerId(6)].contains(&server) || went % 10 == 0;
+            sent_count += 1;
+            let slow = [ServerId(2), ServerId(4), ServerId(6)].contains(&server) || sent_count % 10 == 0;
             let elapsed = if slow { 450 * MS } else { 40 * MS };
-            out.push((now + elapsed, call, elapsed));
+            in_flight.push((now + elapsed, call, elapsed));
         }
     }
-    assert!(went * 20 >= asked * 19, "{went} of {asked} calls were sent");
+    assert!(sent_count * 20 >= call_count * 19, "{sent_count} of {call_count} calls were sent");
 }
 
 /// Number of calls out of 400 that go to an impaired server, one of eight, from one of a hundred balancers
@@ -633,11 +633,11 @@
 /// `waiting` its reported queue.
 fn calls_to_impaired_server(elapsed: impl Fn(u32) -> Option<Micros>, waiting: f64) -> usize {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 8);
-    let (mut out, mut to_impaired) = (Vec::<(Micros, CallId, Micros, ServerId)>::new(), 0);
+    let (mut in_flight, mut to_impaired) = (Vec::<(Micros, CallId, Micros, ServerId)>::new(), 0);
     for _ in 0..400 {
         proxy.now += 100 * MS;
         let now = proxy.now;
-        for (_, call, elapsed, server) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
+        for (_, call, elapsed, server) in in_flight.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             let waiting = if server == ServerId(1) { waiting } else { 0.0 };
             let load = Load { active: Some(4.0 + waiting), waiting: Some(waiting), cpu: None };
             let outcome = Outcome::Served;
@@ -646,7 +646,7 @@
         for (call, server) in sent(&proxy.call().1) {
             to_impaired += usize::from(server == ServerId(1));
             let took = if server == ServerId(1) { elapsed(to_impaired as u32) } else { Some(40 * MS) };
-            out.extend(took.map(|t| (now + t, call, t, server)));
+            in_flight.extend(took.map(|t| (now + t, call, t, server)));
         }
     }
     to_impaired
@@ -851,7 +851,7 @@
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 0);
     proxy.list(ListKind::Full, (1..=30).map(|i| zoned(i, 0)).collect());
-    let (mut out, mut back) = (Vec::<(Micros, CallId, Micros, Outcome)>::new(), 0);
+    let (mut in_flight, mut back) = (Vec::<(Micros, CallId, Micros, Outcome)>::new(), 0);
     for step in 0..700 {
         proxy.now += 10 * MS;
         let now = proxy.now;
@@ -860,7 +860,7 @@
             let restarted = (1..=30).filter(|i| i % 3 == 0).map(|i| zoned(i, now)).collect();
             actions.extend(proxy.list(ListKind::Delta, restarted));
         }
-        for (_, call, elapsed, outcome) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
+        for (_, call, elapsed, outcome) in in_flight.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             actions.extend(proxy.end(call, 0, outcome, elapsed));
         }
         actions.extend(proxy.call().1);
@@ -869,7 +869,7 @@
             back += usize::from(in_zone && step >= 500);
             let silent = in_zone && (200..500).contains(&step);
             let (took, end) = if silent { (500 * MS, Outcome::TimedOut) } else { (40 * MS, Outcome::Served) };
-            out.push((now + took, call, took, end));
+            in_flight.push((now + took, call, took, end));
         }
     }
     // If they were warm, they would get 67 of 200 calls.
@@ -880,19 +880,19 @@
 #[test]
 fn replaced_servers_leave_no_state_behind() {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::Free) }, 4);
-    let (mut sizes, mut out) = (Vec::new(), Vec::new());
+    let (mut sizes, mut in_flight) = (Vec::new(), Vec::new());
     for i in 0..600 {
         let started = proxy.now;
         let gone = Entry { state: ServerState::Removed, ..ready(1 + i) };
         let new = Entry { started, zone: ZoneId(i), ..ready(5 + i) };
-        out.extend(sent(&proxy.list(ListKind::Delta, vec![gone, new])));
+        in_flight.extend(sent(&proxy.list(ListKind::Delta, vec![gone, new])));
         for _ in 0..5 {
-            out.extend(sent(&proxy.call().1));
-            while let Some((call, _)) = out.pop() {
+            in_flight.extend(sent(&proxy.call().1));
+            while let Some((call, _)) = in_flight.pop() {
                 proxy.now += 40 * MS;
-                out.extend(sent(&proxy.end(call, 0, Outcome::Served, 40 * MS)));
+                in_flight.extend(sent(&proxy.end(call, 0, Outcome::Served, 40 * MS)));
             }
-            out.extend(sent(&proxy.wait(60 * MS)));
+            in_flight.extend(sent(&proxy.wait(60 * MS)));
         }
         proxy.actions.clear();
         sizes.push(format!("{:?}", proxy.balancer).len());
@@ -950,12 +950,12 @@
     let limits = Limits { max_attempts: 1, ..Settings::default().limits };
     let mut proxy = Proxy::new(Settings { balancers: 100, limits, ..settings(Idempotency::SingleShot) }, 0);
     proxy.list(ListKind::Full, (1..=40).map(zoned).collect());
-    let (mut out, mut lost) = (Vec::<(Micros, CallId, Micros, Outcome)>::new(), 0);
+    let (mut in_flight, mut lost) = (Vec::<(Micros, CallId, Micros, Outcome)>::new(), 0);
     for step in 0..1_200 {
         proxy.now += each;
         let now = proxy.now;
         let mut actions = Vec::new();
-        for (_, call, elapsed, outcome) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
+        for (_, call, elapsed, outcome) in in_flight.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             actions.extend(proxy.end(call, 0, outcome, elapsed));
         }
         actions.extend(proxy.call().1);
@@ -967,7 +967,7 @@
             } else {
                 (40 * MS, Outcome::Served)
             };
-            out.push((now + took, call, took, end));
+            in_flight.push((now + took, call, took, end));
         }
     }
     lost
