--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -12,9 +12,9 @@
 use wire::{Batch, Command, Input, Reply};
 
 /// A call of an instance under its name on the wire.
-struct Name {
-    word: String,
-    out: u32,
+struct WireCall {
+    wire_id: String,
+    attempts_in_flight: u32,
     ended: bool,
 }
 
@@ -23,28 +23,28 @@
     balancer: Balancer,
     classes: Vec<String>,
     tenants: Vec<String>,
-    numbers: HashMap<String, CallId>,
-    names: HashMap<CallId, Name>,
-    next: u64,
+    ids_by_wire_id: HashMap<String, CallId>,
+    calls: HashMap<CallId, WireCall>,
+    next_id: u64,
 }
 
 impl Instance {
-    fn number(&mut self, word: &str) -> CallId {
-        if let Some(&id) = self.numbers.get(word) {
+    fn id_of(&mut self, wire_id: &str) -> CallId {
+        if let Some(&id) = self.ids_by_wire_id.get(wire_id) {
             return id;
         }
-        let id = CallId(self.next);
-        self.next += 1;
-        self.numbers.insert(word.to_owned(), id);
-        self.names.insert(id, Name { word: word.to_owned(), out: 0, ended: false });
+        let id = CallId(self.next_id);
+        self.next_id += 1;
+        self.ids_by_wire_id.insert(wire_id.to_owned(), id);
+        self.calls.insert(id, WireCall { wire_id: wire_id.to_owned(), attempts_in_flight: 0, ended: false });
         id
     }
 
     /// Forgets a call once it has ended and none of its attempts is out.
-    fn tidy(&mut self, id: CallId) {
-        if self.names.get(&id).is_some_and(|n| n.ended && n.out == 0) {
-            if let Some(name) = self.names.remove(&id) {
-                self.numbers.remove(&name.word);
+    fn forget_if_done(&mut self, id: CallId) {
+        if self.calls.get(&id).is_some_and(|c| c.ended && c.attempts_in_flight == 0) {
+            if let Some(wire_call) = self.calls.remove(&id) {
+                self.ids_by_wire_id.remove(&wire_call.wire_id);
             }
         }
     }
@@ -52,17 +52,17 @@
 
 /// All instances of this process, the lists, and the zones' numbers.
 #[derive(Default)]
-struct Host {
+struct Adapter {
     instances: HashMap<i64, Instance>,
     lists: HashMap<i64, Vec<wire::Element>>,
     actions: Vec<Action>,
 }
 
-fn need<T>(value: Option<T>, verb: &str, field: &str) -> Result<T, String> {
+fn required<T>(value: Option<T>, verb: &str, field: &str) -> Result<T, String> {
     value.ok_or_else(|| format!("{verb} without {field}"))
 }
 
-impl Host {
+impl Adapter {
     fn batch(&mut self, line: &str) -> Result<String, String> {
         let batch: Batch = serde_json::from_str(line).map_err(|e| format!("not a batch: {e}"))?;
         let mut reply = Reply { cmds: Vec::with_capacity(batch.input.len()) };
@@ -75,19 +75,19 @@
     fn input(&mut self, now: u64, input: Input, reply: &mut Reply) -> Result<(), String> {
         let verb = input.verb.as_ref();
         if verb == "POOL" {
-            let list = need(input.roster_id, verb, "roster_id")?;
+            let list = required(input.roster_id, verb, "roster_id")?;
             self.lists.insert(list, input.elements.unwrap_or_default());
             return Ok(());
         }
-        let proxy = need(input.proxy, verb, "proxy")?;
+        let proxy = required(input.proxy, verb, "proxy")?;
         if verb == "CREATE" {
-            let facts = need(input.facts, verb, "facts")?;
-            let seed = need(input.seed, verb, "seed")?;
+            let facts = required(input.facts, verb, "facts")?;
+            let seed = required(input.seed, verb, "seed")?;
             let (settings, classes, tenants) =
                 nettleworks_settings::read(&facts).map_err(|e| format!("facts: {e}"))?;
             let balancer = Balancer::new(seed, settings);
-            let (numbers, names) = (HashMap::new(), HashMap::new());
-            let instance = Instance { balancer, classes, tenants, numbers, names, next: 0 };
+            let (ids_by_wire_id, calls) = (HashMap::new(), HashMap::new());
+            let instance = Instance { balancer, classes, tenants, ids_by_wire_id, calls, next_id: 0 };
             self.instances.insert(proxy, instance);
         } else if verb == "DETACH" {
             self.instances.remove(&proxy);
@@ -95,11 +95,11 @@
         }
         let instance =
             self.instances.get_mut(&proxy).ok_or_else(|| format!("{verb} for unknown proxy {proxy}"))?;
-        let mut touched = None;
+        let mut call_to_check = None;
         let event = match verb {
             "CREATE" => Event::Start,
             "MEMBERS" => {
-                let kind = match need(input.scope, verb, "scope")? {
+                let kind = match required(input.scope, verb, "scope")? {
                     0 => ListKind::Failed,
                     1 => ListKind::Cached,
                     2 => ListKind::Delta,
@@ -109,7 +109,7 @@
                 let entries: Vec<Entry> = match kind {
                     ListKind::Failed | ListKind::Silent => Vec::new(),
                     _ => {
-                        let list = need(input.roster_id, verb, "roster_id")?;
+                        let list = required(input.roster_id, verb, "roster_id")?;
                         let list =
                             self.lists.get(&list).ok_or_else(|| format!("MEMBERS of unknown list {list}"))?;
                         list.iter().map(wire::Element::entry).collect::<Result<_, _>>()?
@@ -119,49 +119,54 @@
             }
             "ALARM" => Event::Timer,
             "PROBED" => Event::Probed {
-                server: ServerId(need(input.host, verb, "host")?),
-                outcome: wire::outcome(&need(input.result, verb, "result")?),
+                server: ServerId(required(input.host, verb, "host")?),
+                outcome: wire::outcome(&required(input.result, verb, "result")?),
                 load: input.stats.map(|s| s.load()).unwrap_or_default(),
             },
             "WHISPER" => return Ok(()),
             "JOB_IN" | "DONE" | "UNDER_WAY" | "CANCELLED_BY_CLIENT" => {
-                let word = need(input.call, verb, "call")?;
-                if verb != "JOB_IN" && !instance.numbers.contains_key(word.as_ref()) {
+                let wire_id = required(input.call, verb, "call")?;
+                if verb != "JOB_IN" && !instance.ids_by_wire_id.contains_key(wire_id.as_ref()) {
                     return Ok(());
                 }
-                let call = instance.number(&word);
-                touched = Some(call);
+                let call = instance.id_of(&wire_id);
+                call_to_check = Some(call);
                 match verb {
                     "JOB_IN" => {
-                        let class = need(input.tier_class, verb, "tier_class")?;
-                        let place = |all: &[String], name: &str| all.iter().position(|n| n == name);
+                        let class = required(input.tier_class, verb, "tier_class")?;
+                        let index_of = |all: &[String], name: &str| all.iter().position(|n| n == name);
                         Event::Request {
                             call,
-                            class: ClassId(place(&instance.classes, &class).unwrap_or(usize::MAX)),
-                            tenant: input.user_group.and_then(|t| place(&instance.tenants, &t)).map(TenantId),
-                            time_left: need(input.time_budget_us, verb, "time_budget_us")?,
+                            class: ClassId(index_of(&instance.classes, &class).unwrap_or(usize::MAX)),
+                            tenant: input
+                                .user_group
+                                .and_then(|t| index_of(&instance.tenants, &t))
+                                .map(TenantId),
+                            time_left: required(input.time_budget_us, verb, "time_budget_us")?,
                             resent: input.resent,
                         }
                     }
                     "DONE" => {
-                        let outcome: Outcome = wire::outcome(&need(input.result, verb, "result")?);
-                        if let Some(name) = instance.names.get_mut(&call) {
-                            name.out = name.out.saturating_sub(1);
-                            name.ended |= input.terminal;
+                        let outcome: Outcome = wire::outcome(&required(input.result, verb, "result")?);
+                        if let Some(wire_call) = instance.calls.get_mut(&call) {
+                            wire_call.attempts_in_flight = wire_call.attempts_in_flight.saturating_sub(1);
+                            wire_call.ended |= input.terminal;
                         }
                         Event::Outcome {
                             call,
-                            attempt: need(input.seq_no, verb, "seq_no")?,
+                            attempt: required(input.seq_no, verb, "seq_no")?,
                             outcome,
                             elapsed: input.elapsed_us.unwrap_or(0),
                             closed: input.terminal,
                             load: input.stats.map(|s| s.load()).unwrap_or_default(),
                         }
                     }
-                    "UNDER_WAY" => Event::Streaming { call, attempt: need(input.seq_no, verb, "seq_no")? },
+                    "UNDER_WAY" => {
+                        Event::Streaming { call, attempt: required(input.seq_no, verb, "seq_no")? }
+                    }
                     _ => {
-                        if let Some(name) = instance.names.get_mut(&call) {
-                            name.ended = true;
+                        if let Some(wire_call) = instance.calls.get_mut(&call) {
+                            wire_call.ended = true;
                         }
                         Event::Gone { call }
                     }
@@ -175,8 +180,8 @@
                 reply.cmds.push(command);
             }
         }
-        if let Some(call) = touched {
-            instance.tidy(call);
+        if let Some(call) = call_to_check {
+            instance.forget_if_done(call);
         }
         Ok(())
     }
@@ -184,29 +189,30 @@
 
 /// The wire's form of an action, with the names put back.
 fn command(proxy: i64, instance: &mut Instance, action: Action) -> Option<Command> {
-    let word = |id: CallId, names: &HashMap<CallId, Name>| names.get(&id).map(|n| n.word.clone());
+    let wire_id = |id: CallId, calls: &HashMap<CallId, WireCall>| calls.get(&id).map(|c| c.wire_id.clone());
     Some(match action {
         Action::Send { call, server, until } => {
-            let name = instance.names.get_mut(&call)?;
-            name.out += 1;
-            Command::Route { proxy, call: name.word.clone(), host: server.0, stop_at_us: until }
+            let wire_call = instance.calls.get_mut(&call)?;
+            wire_call.attempts_in_flight += 1;
+            Command::Route { proxy, call: wire_call.wire_id.clone(), host: server.0, stop_at_us: until }
         }
         Action::Refuse { call, retry_after, .. } => {
-            let name = instance.names.get_mut(&call)?;
-            name.ended = true;
-            let command = Command::Bounce { proxy, call: name.word.clone(), hold_off_us: retry_after };
-            instance.tidy(call);
+            let wire_call = instance.calls.get_mut(&call)?;
+            wire_call.ended = true;
+            let command =
+                Command::Bounce { proxy, call: wire_call.wire_id.clone(), hold_off_us: retry_after };
+            instance.forget_if_done(call);
             command
         }
         Action::Fail { call, .. } => {
-            let name = instance.names.get_mut(&call)?;
-            name.ended = true;
-            let command = Command::DropRequest { proxy, call: name.word.clone() };
-            instance.tidy(call);
+            let wire_call = instance.calls.get_mut(&call)?;
+            wire_call.ended = true;
+            let command = Command::DropRequest { proxy, call: wire_call.wire_id.clone() };
+            instance.forget_if_done(call);
             command
         }
         Action::Cancel { call, attempt } => {
-            Command::DropAttempt { proxy, call: word(call, &instance.names)?, seq_no: attempt }
+            Command::DropAttempt { proxy, call: wire_id(call, &instance.calls)?, seq_no: attempt }
         }
         Action::Probe { server } => Command::Test { proxy, host: server.0 },
         Action::Wake { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
@@ -218,18 +224,18 @@
 }
 
 fn main() {
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().lines().enumerate() {
-        let answer = line.map_err(|e| format!("unreadable: {e}")).and_then(|line| host.batch(&line));
+        let answer = line.map_err(|e| format!("unreadable: {e}")).and_then(|line| adapter.batch(&line));
         match answer {
             Ok(reply) => {
                 if writeln!(output, "{reply}").and_then(|()| output.flush()).is_err() {
                     std::process::exit(1);
                 }
             }
-            Err(fault) => {
-                eprintln!("nettleworks-simhost: line {}: {fault}", index + 1);
+            Err(error) => {
+                eprintln!("nettleworks-simhost: line {}: {error}", index + 1);
                 std::process::exit(1);
             }
         }
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! Messages of the wire, as they are read and written.
 
 use nettleworks_policy::{CellId, Entry, Load, Outcome, ServerId, State};
-use nettleworks_settings::zone;
+use nettleworks_settings::zone_id;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
@@ -75,12 +75,12 @@
             0 => State::Draining,
             1 => State::Ready,
             2 => State::Gone,
-            other => return Err(format!("host {} in unknown state {other}", self.host)),
+            unknown => return Err(format!("host {} in unknown state {unknown}", self.host)),
         };
         Ok(Entry {
             server: ServerId(self.host),
             state,
-            zone: zone(&self.az),
+            zone: zone_id(&self.az),
             cell: CellId(self.cohort),
             started: self.last_start_us,
             weight: self.weight,
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -3,11 +3,11 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const START: &str = r#"{"clock_us":5,"input":[{"verb":"CREATE","proxy":3,"seed":9,"facts":{"balancers":2,"unheard_of":1,
+const CREATE: &str = r#"{"clock_us":5,"input":[{"verb":"CREATE","proxy":3,"seed":9,"facts":{"balancers":2,"unheard_of":1,
 "classes":[{"name":"a","objective_us":500000,"deadline_us":900000,"worth":1.0,"idempotency":"free"}],"discovery":"ask",
 "limits":{"cancel":true,"max_attempts":3},"invariants":{"cold_from":0.2,"cold_us":9000000,"tip_after_us":2000000}}}]}"#;
-const LIST: &str = r#"{"clock_us":5,"input":[{"verb":"POOL","roster_id":0,"elements":[{"az":"z","weight":1,"cohort":0,"host":77,"state":1}]},{"verb":"MEMBERS","proxy":3,"scope":3,"version":1,"roster_id":0}]}"#;
-const JOB: &str = r#"{"clock_us":9,"input":[{"verb":"JOB_IN","proxy":3,"call":"r-x","tier_class":"a","time_budget_us":900000}]}"#;
+const MEMBERS: &str = r#"{"clock_us":5,"input":[{"verb":"POOL","roster_id":0,"elements":[{"az":"z","weight":1,"cohort":0,"host":77,"state":1}]},{"verb":"MEMBERS","proxy":3,"scope":3,"version":1,"roster_id":0}]}"#;
+const JOB_IN: &str = r#"{"clock_us":9,"input":[{"verb":"JOB_IN","proxy":3,"call":"r-x","tier_class":"a","time_budget_us":900000}]}"#;
 
 fn run(lines: &[&str]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_nettleworks-simhost"))
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn a_call_is_routed_and_answered() {
+fn a_call_is_routed_and_completed() {
     let done = r#"{"clock_us":99,"input":[{"verb":"DONE","proxy":3,"call":"r-x","seq_no":0,"host":77,"result":"served","elapsed_us":90,"terminal":true,"stats":{"odd":1,"cpu":0.5}}]}"#;
     let late = r#"{"clock_us":99,"input":[{"verb":"CANCELLED_BY_CLIENT","proxy":3,"call":"r-x"}]}"#;
-    let output = run(&[r#"{"clock_us":1,"input":[]}"#, START, LIST, JOB, done, late]);
+    let output = run(&[r#"{"clock_us":1,"input":[]}"#, CREATE, MEMBERS, JOB_IN, done, late]);
     assert!(output.status.success(), "end of input is no fault");
     let replies: Vec<String> = String::from_utf8_lossy(&output.stdout).lines().map(str::to_owned).collect();
     assert_eq!(replies.len(), 6);
@@ -42,8 +42,8 @@
 }
 
 #[test]
-fn malformed_lines_end_it_with_a_plain_message() {
-    let faults = [
+fn a_malformed_line_ends_the_process_with_an_error_message() {
+    let malformed_lines = [
         ("not json", "line 1"),
         (r#"{"clock_us":1}"#, "input"),
         (r#"{"clock_us":1,"input":[{"verb":"ALARM"}]}"#, "ALARM without proxy"),
@@ -52,14 +52,14 @@
         (r#"{"clock_us":1,"input":[{"verb":"CREATE","proxy":8,"seed":1,"facts":{}}]}"#, "facts"),
         (r#"{"clock_us":1,"input":[{"verb":"CREATE","proxy":8,"seed":1}]}"#, "CREATE without facts"),
     ];
-    for (line, wanted) in faults {
+    for (line, expected) in malformed_lines {
         let output = run(&[line]);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{line}");
-        assert!(message.contains(wanted) && message.contains("line 1"), "{line}: {message}");
+        assert!(message.contains(expected) && message.contains("line 1"), "{line}: {message}");
         assert!(!message.contains("panicked"), "{message}");
         assert!(output.stdout.is_empty());
     }
-    let output = run(&[START, r#"{"clock_us":9,"input":[{"verb":"JOB_IN","proxy":3,"call":"r-x"}]}"#]);
+    let output = run(&[CREATE, r#"{"clock_us":9,"input":[{"verb":"JOB_IN","proxy":3,"call":"r-x"}]}"#]);
     assert!(String::from_utf8_lossy(&output.stderr).contains("line 2: JOB_IN without"));
 }
--- a/engine/src/calls/call.rs
+++ b/engine/src/calls/call.rs
@@ -2,7 +2,7 @@
 
 use super::Owner;
 use crate::group::Place;
-use crate::meter::{Meter, Repeats};
+use crate::meter::{Meter, RepeatWindow};
 use crate::protocol::Protocol;
 use crate::task::Task;
 use nettleworks_policy::{CallId, Event, Load, Micros, Outcome, ServerId};
@@ -31,7 +31,7 @@
     /// An attempt has ended of which it is not sure that it never ran.
     pub may_have_run: bool,
     /// When its attempts may be written.
-    pub repeats: Repeats,
+    pub repeats: RepeatWindow,
     /// `None`: that attempt has ended.
     pub attempts: Vec<Option<Attempt>>,
 }
--- a/engine/src/clock.rs
+++ b/engine/src/clock.rs
@@ -10,19 +10,19 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Instant,
-    origin: Micros,
+    start_micros: Micros,
 }
 
 impl Clock {
     pub fn new() -> Clock {
-        Clock { start: Instant::now(), origin: net::since_1970().as_micros() as Micros }
+        Clock { start: Instant::now(), start_micros: net::unix_time().as_micros() as Micros }
     }
 
-    pub fn at(&self, instant: Instant) -> Micros {
-        self.origin + instant.saturating_duration_since(self.start).as_micros() as Micros
+    pub fn micros_at(&self, instant: Instant) -> Micros {
+        self.start_micros + instant.saturating_duration_since(self.start).as_micros() as Micros
     }
 
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros(at.saturating_sub(self.origin))
+    pub fn instant_at(&self, micros: Micros) -> Instant {
+        self.start + Duration::from_micros(micros.saturating_sub(self.start_micros))
     }
 }
--- a/engine/src/dial.rs
+++ b/engine/src/dial.rs
@@ -13,15 +13,15 @@
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
 /// After an error that costs the other side nothing the next try comes so much later.
-const AGAIN: Duration = Duration::from_millis(10);
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Linux's EADDRNOTAVAIL: this machine has no port left for the connection.
-const NO_PORT_LEFT: i32 = 99;
+const EADDRNOTAVAIL: i32 = 99;
 
 /// Why no connection came up.
 #[derive(Debug)]
 pub enum DialError {
     /// This machine was short of something: a packet never left it.
-    OfThisMachine(io::Error),
+    Local(io::Error),
     /// Nobody listens at the address.
     Refused(io::Error),
     /// Another error, of the network.
@@ -32,8 +32,8 @@
 
 impl DialError {
     fn new(error: io::Error) -> DialError {
-        if is_passing(&error) || error.raw_os_error() == Some(NO_PORT_LEFT) {
-            DialError::OfThisMachine(error)
+        if is_passing(&error) || error.raw_os_error() == Some(EADDRNOTAVAIL) {
+            DialError::Local(error)
         } else if error.kind() == io::ErrorKind::ConnectionRefused {
             DialError::Refused(error)
         } else {
@@ -45,7 +45,7 @@
 impl fmt::Display for DialError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DialError::OfThisMachine(error) => write!(f, "this machine: {error}"),
+            DialError::Local(error) => write!(f, "this machine: {error}"),
             DialError::Refused(error) | DialError::Network(error) => error.fmt(f),
             DialError::TimedOut => f.write_str("not up in time"),
         }
@@ -54,7 +54,7 @@
 
 impl Error for DialError {}
 
-/// Opens a TCP connection without Nagle's delay within `limit`. A try that fails in a way that `again` names is followed
+/// Opens a TCP connection without Nagle's delay within `connect_timeout`. A try that fails in a way that `should_retry` names is followed
 /// by another one.
 ///
 /// # Errors
@@ -62,20 +62,20 @@
 /// The last one.
 pub async fn dial(
     address: SocketAddr,
-    limit: Duration,
-    again: impl Fn(&DialError) -> bool,
+    connect_timeout: Duration,
+    should_retry: impl Fn(&DialError) -> bool,
 ) -> Result<Stream, DialError> {
-    let until = Instant::now() + limit;
+    let deadline = Instant::now() + connect_timeout;
     loop {
-        let error = match timeout_at(until, connect(address)).await {
+        let error = match timeout_at(deadline, connect(address)).await {
             Ok(Ok(stream)) => return Ok(stream),
             Ok(Err(error)) => DialError::new(error),
             Err(_) => return Err(DialError::TimedOut),
         };
-        if !again(&error) || Instant::now() + AGAIN >= until {
+        if !should_retry(&error) || Instant::now() + RETRY_DELAY >= deadline {
             return Err(error);
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
--- a/engine/src/discovery/call.rs
+++ b/engine/src/discovery/call.rs
@@ -1,6 +1,6 @@
 //! Calls to discovery, up to the head of their answers.
 
-use super::incoming::{Incoming, Observed};
+use super::received::{ObservedStream, ReceiveProgress};
 use crate::dial::{dial, BoxError, DialError};
 use crate::net::Stream;
 use crate::task::{self, Task};
@@ -18,11 +18,11 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 /// Time for a connection to discovery. Nobody queues there.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long an answer is waited for.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Patience {
+pub(super) struct CallTimeouts {
     /// In all.
     answer: Duration,
     /// After this a second call is made beside the first, whose connection may be dead. The first to be answered counts.
@@ -31,17 +31,17 @@
 
 /// Discovery that works through its calls in turn, and refuses what has waited for three seconds. A second call takes
 /// room from the first, and a crowd refuses both: it comes only when the first should have been answered or refused.
-pub(super) const ASKED: Patience =
-    Patience { answer: Duration::from_millis(6_000), hedge: Duration::from_millis(3_100) };
+pub(super) const DIRECT_TIMEOUTS: CallTimeouts =
+    CallTimeouts { answer: Duration::from_millis(6_000), hedge: Duration::from_millis(3_100) };
 /// An agent that pushes, which answers at once. What it has counts as notified, with a second's grace.
-pub(super) const PUSHED: Patience =
-    Patience { answer: Duration::from_millis(700), hedge: Duration::from_millis(350) };
+pub(super) const AGENT_TIMEOUTS: CallTimeouts =
+    CallTimeouts { answer: Duration::from_millis(700), hedge: Duration::from_millis(350) };
 
 /// A call that was answered with 200, and the task of its connection.
-pub(super) struct Answer {
+pub(super) struct WatchResponse {
     pub body: body::Incoming,
     /// What has come on the connection.
-    pub incoming: Rc<Incoming>,
+    pub received: Rc<ReceiveProgress>,
     pub _connection: Task,
 }
 
@@ -63,10 +63,10 @@
 /// A call that has failed.
 #[derive(Debug)]
 pub struct FailedCall {
-    /// How long it was out.
-    pub took: Duration,
-    /// When an answer began to come that is none to follow, nor a refusal.
-    pub cut_since: Option<Instant>,
+    /// How long it was pending_calls.
+    pub duration: Duration,
+    /// When an answer started_at to come that is none to follow, nor a refusal.
+    pub incomplete_since: Option<Instant>,
     /// How many bytes of an answer came.
     pub bytes: u64,
     /// How.
@@ -82,53 +82,62 @@
             CallFailure::Refused(status) => write!(f, "discovery answered {status}")?,
             CallFailure::TimedOut => f.write_str("no answer in time")?,
         }
-        write!(f, " after {:.3?} and {} bytes", self.took, self.bytes)
+        write!(f, " after {:.3?} and {} bytes", self.duration, self.bytes)
     }
 }
 
-/// What has come for the calls of a watch that are out.
+/// What has come for the calls of a watch that are pending_calls.
 #[derive(Debug, Default)]
-pub(super) struct Out(RefCell<Vec<Rc<Incoming>>>);
+pub(super) struct PendingCalls(RefCell<Vec<Rc<ReceiveProgress>>>);
 
-impl Out {
+impl PendingCalls {
     /// Since when an answer is on its way whose head is not whole.
-    pub fn answering_since(&self) -> Option<Instant> {
-        self.0.borrow().iter().filter_map(|incoming| incoming.first_byte()).min()
+    pub fn partial_head_since(&self) -> Option<Instant> {
+        self.0.borrow().iter().filter_map(|received| received.first_byte_at()).min()
     }
 
-    fn has_ended(&self, call: &Call) {
-        self.0.borrow_mut().retain(|incoming| !Rc::ptr_eq(incoming, &call.incoming));
+    fn remove(&self, call: &Call) {
+        self.0.borrow_mut().retain(|received| !Rc::ptr_eq(received, &call.received));
     }
 }
 
 /// One call, from its begin on.
 struct Call {
-    began: Instant,
-    incoming: Rc<Incoming>,
+    started_at: Instant,
+    received: Rc<ReceiveProgress>,
 }
 
 impl Call {
-    fn begin(out: &Out) -> Call {
-        let call = Call { began: Instant::now(), incoming: Rc::default() };
-        out.0.borrow_mut().push(call.incoming.clone());
+    fn start(pending_calls: &PendingCalls) -> Call {
+        let call = Call { started_at: Instant::now(), received: Rc::default() };
+        pending_calls.0.borrow_mut().push(call.received.clone());
         call
     }
 
     fn failed(&self, failure: CallFailure) -> FailedCall {
         let refused = matches!(failure, CallFailure::Refused(_));
-        let cut_since = self.incoming.first_byte().filter(|_| !refused);
-        FailedCall { took: self.began.elapsed(), cut_since, bytes: self.incoming.bytes(), failure }
+        let incomplete_since = self.received.first_byte_at().filter(|_| !refused);
+        FailedCall {
+            duration: self.started_at.elapsed(),
+            incomplete_since,
+            bytes: self.received.bytes(),
+            failure,
+        }
     }
 
     /// Asks for the list from version `since` on, and waits for the head of the answer.
-    async fn ask(&self, discovery: SocketAddr, since: Option<u64>) -> Result<Answer, CallFailure> {
-        let stream = Observed::new(connect(discovery).await?, self.incoming.clone());
+    async fn open_watch(
+        &self,
+        discovery: SocketAddr,
+        since: Option<u64>,
+    ) -> Result<WatchResponse, CallFailure> {
+        let stream = ObservedStream::new(connect(discovery).await?, self.received.clone());
         let broken = |error: hyper::Error| CallFailure::Broken(error.into());
         let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream));
         let (mut sender, connection) = handshake.await.map_err(broken)?;
         let connection = task::spawn(connection);
-        let since = since.map(|seq| format!("&since={seq}")).unwrap_or_default();
-        let request = Request::get(format!("/catalog/members?follow=1{since}"))
+        let since_parameter = since.map(|seq| format!("&since={seq}")).unwrap_or_default();
+        let request = Request::get(format!("/catalog/members?follow=1{since_parameter}"))
             .header(header::HOST, discovery.to_string())
             .body(Empty::<Bytes>::new())
             .map_err(|error| CallFailure::Broken(error.into()))?;
@@ -136,15 +145,15 @@
         if response.status() != StatusCode::OK {
             return Err(CallFailure::Refused(response.status()));
         }
-        let (body, incoming) = (response.into_body(), self.incoming.clone());
-        Ok(Answer { body, incoming, _connection: connection })
+        let (body, received) = (response.into_body(), self.received.clone());
+        Ok(WatchResponse { body, received, _connection: connection })
     }
 }
 
 /// Opens a connection. Whatever fails at once but a refusal costs discovery nothing, and is soon over as a rule.
 async fn connect(discovery: SocketAddr) -> Result<Stream, CallFailure> {
-    let dialed = dial(discovery, CONNECT, |error| !matches!(error, DialError::Refused(_))).await;
-    dialed.map_err(|error| match error {
+    let result = dial(discovery, CONNECT_TIMEOUT, |error| !matches!(error, DialError::Refused(_))).await;
+    result.map_err(|error| match error {
         DialError::Refused(_) => CallFailure::ConnectionRefused(error.into()),
         _ => CallFailure::NoConnection(error.into()),
     })
@@ -155,54 +164,54 @@
 /// # Errors
 ///
 /// How each call has failed, in the order in which they were begun.
-pub(super) async fn hedged(
+pub(super) async fn call_hedged(
     discovery: SocketAddr,
     since: Option<u64>,
-    patience: Patience,
-    out: &Out,
-) -> Result<Answer, Vec<FailedCall>> {
-    let began = Instant::now();
-    let first_call = Call::begin(out);
-    let mut first = pin!(first_call.ask(discovery, since));
-    if let Ok(done) = timeout(patience.hedge, &mut first).await {
-        return done.map_err(|failure| vec![first_call.failed(failure)]);
+    timeouts: CallTimeouts,
+    pending_calls: &PendingCalls,
+) -> Result<WatchResponse, Vec<FailedCall>> {
+    let started_at = Instant::now();
+    let first_call = Call::start(pending_calls);
+    let mut first = pin!(first_call.open_watch(discovery, since));
+    if let Ok(result) = timeout(timeouts.hedge, &mut first).await {
+        return result.map_err(|failure| vec![first_call.failed(failure)]);
     }
-    let second_call = Call::begin(out);
-    let mut second = pin!(second_call.ask(discovery, since));
-    let until = began + patience.answer;
+    let second_call = Call::start(pending_calls);
+    let mut second = pin!(second_call.open_watch(discovery, since));
+    let deadline = started_at + timeouts.answer;
     let both = async {
         // In this order, not in one drawn anew: the same events make the same course.
         tokio::select! {
             biased;
-            done = &mut first => match done {
+            result = &mut first => match result {
                 Ok(answer) => Ok(answer),
                 Err(failure) => {
                     let failed = first_call.failed(failure);
-                    out.has_ended(&first_call);
-                    let other = in_time(until, &mut second).await;
+                    pending_calls.remove(&first_call);
+                    let other = by_deadline(deadline, &mut second).await;
                     other.map_err(|failure| vec![failed, second_call.failed(failure)])
                 }
             },
-            done = &mut second => match done {
+            result = &mut second => match result {
                 Ok(answer) => Ok(answer),
                 Err(failure) => {
                     let failed = second_call.failed(failure);
-                    out.has_ended(&second_call);
-                    let other = in_time(until, &mut first).await;
+                    pending_calls.remove(&second_call);
+                    let other = by_deadline(deadline, &mut first).await;
                     other.map_err(|failure| vec![first_call.failed(failure), failed])
                 }
             },
         }
     };
-    timeout_at(until, both).await.unwrap_or_else(|_| {
+    timeout_at(deadline, both).await.unwrap_or_else(|_| {
         Err([&first_call, &second_call].map(|call| call.failed(CallFailure::TimedOut)).into())
     })
 }
 
 /// What a call gives by a moment.
-async fn in_time(
-    until: Instant,
-    call: impl Future<Output = Result<Answer, CallFailure>>,
-) -> Result<Answer, CallFailure> {
-    timeout_at(until, call).await.unwrap_or(Err(CallFailure::TimedOut))
+async fn by_deadline(
+    deadline: Instant,
+    call: impl Future<Output = Result<WatchResponse, CallFailure>>,
+) -> Result<WatchResponse, CallFailure> {
+    timeout_at(deadline, call).await.unwrap_or(Err(CallFailure::TimedOut))
 }
--- a/engine/src/discovery/incoming.rs
+++ b/engine/src/discovery/received.rs
@@ -14,71 +14,71 @@
 
 /// What has come on one connection.
 #[derive(Debug, Default)]
-pub(super) struct Incoming {
+pub(super) struct ReceiveProgress {
     bytes: Cell<u64>,
-    first_byte: Cell<Option<Instant>>,
+    first_byte_at: Cell<Option<Instant>>,
     /// Bytes since the last that belong to a whole value.
-    unparsed: Cell<u64>,
-    unparsed_since: Cell<Option<Instant>>,
+    unparsed_bytes: Cell<u64>,
+    incomplete_since: Cell<Option<Instant>>,
 }
 
-impl Incoming {
+impl ReceiveProgress {
     /// How many bytes have come.
     pub fn bytes(&self) -> u64 {
         self.bytes.get()
     }
 
     /// When the first of them came.
-    pub fn first_byte(&self) -> Option<Instant> {
-        self.first_byte.get()
+    pub fn first_byte_at(&self) -> Option<Instant> {
+        self.first_byte_at.get()
     }
 
     /// Since when something is on its way that is not whole.
-    pub fn unparsed_since(&self) -> Option<Instant> {
-        self.unparsed_since.get()
+    pub fn incomplete_since(&self) -> Option<Instant> {
+        self.incomplete_since.get()
     }
 
     /// All that has come is whole.
-    pub fn parsed(&self) {
-        self.unparsed.set(0);
-        self.unparsed_since.set(None);
+    pub fn mark_parsed(&self) {
+        self.unparsed_bytes.set(0);
+        self.incomplete_since.set(None);
     }
 
     /// What is on its way may have come since this moment.
-    pub fn unparsed_from(&self, moment: Instant) {
-        let since = self.unparsed_since.get();
-        self.unparsed_since.set(Some(since.map_or(moment, |since| since.min(moment))));
+    pub fn mark_incomplete_since(&self, moment: Instant) {
+        let since = self.incomplete_since.get();
+        self.incomplete_since.set(Some(since.map_or(moment, |since| since.min(moment))));
     }
 
-    fn came(&self, count: usize) {
+    fn record(&self, count: usize) {
         if count == 0 {
             return;
         }
         let now = Instant::now();
         self.bytes.set(self.bytes.get() + count as u64);
-        self.first_byte.set(self.first_byte.get().or(Some(now)));
-        self.unparsed.set(self.unparsed.get() + count as u64);
-        if self.unparsed.get() > CHUNK_END {
-            self.unparsed_since.set(self.unparsed_since.get().or(Some(now)));
+        self.first_byte_at.set(self.first_byte_at.get().or(Some(now)));
+        self.unparsed_bytes.set(self.unparsed_bytes.get() + count as u64);
+        if self.unparsed_bytes.get() > CHUNK_END {
+            self.incomplete_since.set(self.incomplete_since.get().or(Some(now)));
         }
     }
 }
 
 /// A stream that notes what comes on it.
 #[derive(Debug)]
-pub(super) struct Observed {
+pub(super) struct ObservedStream {
     stream: Stream,
-    incoming: Rc<Incoming>,
+    received: Rc<ReceiveProgress>,
 }
 
-impl Observed {
-    /// Notes in `incoming` what comes on `stream`.
-    pub fn new(stream: Stream, incoming: Rc<Incoming>) -> Observed {
-        Observed { stream, incoming }
+impl ObservedStream {
+    /// Notes in `received` what comes on `stream`.
+    pub fn new(stream: Stream, received: Rc<ReceiveProgress>) -> ObservedStream {
+        ObservedStream { stream, received }
     }
 }
 
-impl AsyncRead for Observed {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -86,12 +86,12 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
-        self.incoming.came(buffer.filled().len() - before);
+        self.received.record(buffer.filled().len() - before);
         read
     }
 }
 
-impl AsyncWrite for Observed {
+impl AsyncWrite for ObservedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -114,17 +114,17 @@
     use super::*;
 
     #[test]
-    fn the_end_of_a_chunk_is_no_value_on_its_way() {
-        let incoming = Incoming::default();
-        incoming.came(130);
-        assert!(incoming.first_byte().is_some() && incoming.unparsed_since().is_some());
-        incoming.parsed();
+    fn the_end_of_a_chunk_does_not_start_a_value() {
+        let received = ReceiveProgress::default();
+        received.record(130);
+        assert!(received.first_byte_at().is_some() && received.incomplete_since().is_some());
+        received.mark_parsed();
         for _ in 0..CHUNK_END {
-            incoming.came(1);
-            assert_eq!(incoming.unparsed_since(), None);
+            received.record(1);
+            assert_eq!(received.incomplete_since(), None);
         }
-        incoming.came(1);
-        assert!(incoming.unparsed_since().is_some(), "the size of the next chunk");
-        assert_eq!(incoming.bytes(), 133);
+        received.record(1);
+        assert!(received.incomplete_since().is_some(), "the size of the next chunk");
+        assert_eq!(received.bytes(), 133);
     }
 }
--- /dev/null
+++ b/engine/src/discovery/splitter.rs
@@ -0,0 +1,133 @@
+//! Cuts the body of a watch into its values: lists and empty lines.
+
+use crate::dial::BoxError;
+
+/// Longest list; a longer one is not that of any fleet that one proxy serves.
+const MAX_LIST_BYTES: usize = 4 << 20;
+
+/// Cuts what comes into its values, however they are set in lines. Each byte is looked at once.
+#[derive(Debug, Default)]
+pub(super) struct JsonSplitter {
+    /// Of a value whose end has not come.
+    pending: Vec<u8>,
+    /// Open brackets of it.
+    pub depth: usize,
+    /// In a text of it, and there behind a backslash.
+    in_string: bool,
+    escaped: bool,
+    /// Values so far.
+    pub count: usize,
+}
+
+impl JsonSplitter {
+    /// Takes further bytes, and whether they ended a value or, between two, a line.
+    pub fn push(
+        &mut self,
+        bytes: &[u8],
+        mut on_value: impl FnMut(&[u8]) -> serde_json::Result<()>,
+    ) -> Result<bool, BoxError> {
+        let mut saw_complete_item = false;
+        for &byte in bytes {
+            if self.depth == 0 && byte.is_ascii_whitespace() {
+                saw_complete_item |= byte == b'\n';
+                continue;
+            }
+            if self.depth == 0 && byte != b'{' {
+                let (next, first_byte) = (self.count + 1, byte.escape_ascii());
+                return Err(format!("list {next} of the watch begins with {first_byte}").into());
+            }
+            if self.pending.len() == MAX_LIST_BYTES {
+                return Err(format!(
+                    "list {} of the watch is over {MAX_LIST_BYTES} bytes long",
+                    self.count + 1
+                )
+                .into());
+            }
+            self.pending.push(byte);
+            match byte {
+                _ if self.escaped => self.escaped = false,
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' => self.in_string = !self.in_string,
+                b'{' | b'[' if !self.in_string => self.depth += 1,
+                b'}' | b']' if !self.in_string => self.depth -= 1,
+                _ => {}
+            }
+            if self.depth == 0 {
+                self.count += 1;
+                saw_complete_item = true;
+                on_value(&self.pending)
+                    .map_err(|error| format!("list {} of the watch: {error}", self.count))?;
+                self.pending.clear();
+            }
+        }
+        Ok(saw_complete_item)
+    }
+
+    /// What the end of the watch means here.
+    pub fn describe_end(&self) -> String {
+        match self.depth {
+            0 => "the watch ended".to_owned(),
+            _ => format!("the watch ended within list {}", self.count + 1),
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    /// Takes a text in pieces of a chunk_size. Gives what values came, and the failure.
+    fn split(text: &str, chunk_size: usize) -> (Vec<String>, Option<String>, JsonSplitter) {
+        let (mut splitter, mut values) = (JsonSplitter::default(), Vec::new());
+        for chunk in text.as_bytes().chunks(chunk_size) {
+            let pushed = splitter.push(chunk, |value| {
+                values.push(serde_json::from_slice::<serde_json::Value>(value)?.to_string());
+                Ok(())
+            });
+            if let Err(error) = pushed {
+                return (values, Some(error.to_string()), splitter);
+            }
+        }
+        (values, None, splitter)
+    }
+
+    #[test]
+    fn values_are_split_regardless_of_line_and_chunk_boundaries() {
+        let text = "\n{\"a\":1}\n\n {\n \"b\" : [ {\n}, \"}\\\"{\\\\\"\n]\n}\n{\"c\":{}}{\"d\":2}\n";
+        let whole = ["{\"a\":1}", "{\"b\":[{},\"}\\\"{\\\\\"]}", "{\"c\":{}}", "{\"d\":2}"];
+        for chunk_size in 1..text.len() {
+            let (values, error, splitter) = split(text, chunk_size);
+            assert_eq!((values, error), (whole.map(str::to_owned).to_vec(), None), "{chunk_size}");
+            assert_eq!(splitter.describe_end(), "the watch ended");
+        }
+        let (values, error, splitter) = split(&text[..20], 3);
+        assert_eq!((values.len(), error), (1, None));
+        assert_eq!(splitter.describe_end(), "the watch ended within list 2");
+    }
+
+    #[test]
+    fn an_error_names_the_position_of_the_invalid_list() {
+        for (text, message) in [
+            ("{}\nnull\n", "list 2 of the watch begins with n"),
+            ("}", "list 1 of the watch begins with }"),
+            ("{]", "list 1 of the watch: key must be a string at line 1 column 2"),
+            ("{\n\"a\":}", "list 1 of the watch: expected value at line 2 column 5"),
+        ] {
+            let error = split(text, 100).1.expect("it is none");
+            assert_eq!(error, message, "{text}");
+        }
+        let error = split(&format!("{{{}", " ".repeat(MAX_LIST_BYTES)), 1 << 16).1.expect("it is too long");
+        assert_eq!(error, "list 1 of the watch is over 4194304 bytes long");
+    }
+
+    /// A line's end within a list, or a part of one, is no sign of life; the end of a list or of a line between two is.
+    #[test]
+    fn only_complete_items_show_that_the_watch_is_alive() {
+        let mut splitter = JsonSplitter::default();
+        let mut push = |text: &str| splitter.push(text.as_bytes(), |_| Ok(())).expect("no failure");
+        assert_eq!(
+            ["\n", "{\n", "\n\"a\":\n", "1", "}", " ", "\r\n"].map(&mut push).to_vec(),
+            [true, false, false, false, true, false, true]
+        );
+    }
+}
--- a/engine/src/driver/attempts.rs
+++ b/engine/src/driver/attempts.rs
@@ -50,7 +50,7 @@
         // Without an end of its own an attempt ends with its call, whose end may move.
         let past_aim = call.past_aim && until.is_some();
         let limit = call.limit.clone().filter(|_| until.is_none() || past_aim);
-        let until = until.map_or(call.deadline, |at| self.desk.clock.instant(at).min(call.deadline));
+        let until = until.map_or(call.deadline, |at| self.desk.clock.instant_at(at).min(call.deadline));
         let to = self.hosts.ready(server).map(|address| Target { server, address });
         let to = to.filter(|_| call.owner.is_some() && now < until);
         let closed = call.owner.is_none();
@@ -152,7 +152,7 @@
         let mut driver = self.0.borrow_mut();
         let Some(call) = driver.desk.calls.get(&id) else { return false };
         let Some(&Owner::Station(at)) = call.owner.as_ref() else { return false };
-        if call.out().any(|out| !out.meter.is_whole()) {
+        if call.out().any(|out| !out.meter.is_fully_written()) {
             return false;
         }
         driver.desk.at = at;
@@ -173,7 +173,7 @@
         // Free before the module hears of it: it may send another at once.
         drop(out.place.take());
         if end.outcome.never_ran() {
-            call.repeats.never_ran(attempt);
+            call.repeats.forget_attempt(attempt);
         } else {
             call.may_have_run = true;
         }
--- a/engine/src/driver/group.rs
+++ b/engine/src/driver/group.rs
@@ -12,7 +12,7 @@
     /// What the group has to say, before the module's next event and after the last.
     pub(super) fn settle(&mut self) {
         if let Some(group) = &mut self.desk.group {
-            let now = self.desk.clock.at(tokio::time::Instant::now());
+            let now = self.desk.clock.micros_at(tokio::time::Instant::now());
             group.settle(now, &self.balancer, &mut self.desk.events);
         }
         self.heed_lease();
@@ -32,7 +32,7 @@
 
     /// All is taken in that the process was told up to here.
     pub fn caught_up(&self, told: u64) {
-        self.0.borrow().fresh.taken(told);
+        self.0.borrow().fresh.mark_applied(told);
     }
 
     /// Another engine has learned something of a host, so long ago.
--- a/engine/src/driver/members.rs
+++ b/engine/src/driver/members.rs
@@ -138,7 +138,7 @@
                 Health::Terminating => policy::State::Draining,
                 Health::Gone => policy::State::Gone,
             };
-            let (zone, cell) = (nettleworks_settings::zone(&entry.site), CellId(entry.block));
+            let (zone, cell) = (nettleworks_settings::zone_id(&entry.site), CellId(entry.block));
             let started = entry.born_ms.saturating_mul(1_000);
             entries.push(Entry { server, state, zone, cell, started, weight: entry.share });
         }
--- a/engine/src/driver/mod.rs
+++ b/engine/src/driver/mod.rs
@@ -14,7 +14,7 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::group::Group;
-use crate::meter::Fresh;
+use crate::meter::FreshnessGate;
 use crate::protocol::Protocol;
 use crate::state::{Observer, State};
 use crate::station::{Desk, Station};
@@ -58,7 +58,7 @@
     counts: Counts,
     observer: Option<Box<dyn Observer>>,
     /// Whether the list that this engine has may be written by.
-    fresh: Fresh,
+    fresh: FreshnessGate,
     /// When that list expires, as the module has last said.
     expires_at: Option<Micros>,
     /// That moment has come, and what was not written was taken back.
@@ -122,14 +122,14 @@
 impl<P: Protocol> Handle<P> {
     /// Starts the module with what the configuration holds. Its lines go to `log`.
     pub fn start(config: Rc<Config>, protocol: P, stations: Stations<P>, log: Log) -> Self {
-        Self::start_in(None, Fresh::default(), config, protocol, stations, log)
+        Self::start_in(None, FreshnessGate::default(), config, protocol, stations, log)
     }
 
     /// The same for one of several engines that serve as one. Its module must know that room is shared
     /// ([`nettleworks_policy::Settings::shared`]).
     pub fn start_in(
         group: Option<Box<dyn Group<P>>>,
-        fresh: Fresh,
+        fresh: FreshnessGate,
         config: Rc<Config>,
         protocol: P,
         stations: Stations<P>,
@@ -156,7 +156,7 @@
             balancer: Balancer::new(config.seed, config.settings.clone()),
             next_call: 0,
             // Its version is set before the start: the module subscribes at once, from the list it gets next.
-            hosts: Hosts::new(config.known.as_ref().map(|known| known.seq)),
+            hosts: Hosts::new(config.cached_list.as_ref().map(|known| known.seq)),
             watch: Watch::new(),
             wake: None,
             counts: Counts::default(),
@@ -168,7 +168,7 @@
         };
         let handle = Handle(Rc::new(RefCell::new(driver)));
         handle.run([Event::Start]);
-        if let Some(known) = config.known.clone() {
+        if let Some(known) = config.cached_list.clone() {
             handle.members(known, Source::Known);
             handle.list_is_from_before();
         }
@@ -222,7 +222,7 @@
     /// Goes on under a new configuration. Its discovery is watched at once, from the version of the list in hand.
     pub fn reload(&self, config: Config) {
         let mut driver = self.0.borrow_mut();
-        let (config, differs) = driver.desk.config.renewed(config);
+        let (config, differs) = driver.desk.config.reloaded(config);
         let moved = config.discovery != driver.desk.config.discovery;
         let left = if differs { "; what else changed takes a restart" } else { "" };
         driver.desk.log(&format!("configuration read again, discovery at {}{left}", config.discovery));
--- a/engine/src/driver/watch.rs
+++ b/engine/src/driver/watch.rs
@@ -2,7 +2,7 @@
 
 use super::members::Source;
 use super::{Driver, Handle};
-use crate::discovery::{self, End, FailedCall, Outage, Sign, Verdict};
+use crate::discovery::{self, DiscoveryStatus, FailedCall, OutageDetector, WatchEnd, WatchEvent};
 use crate::group::Lease;
 use crate::list::{Health, List};
 use crate::protocol::Protocol;
@@ -35,7 +35,7 @@
     /// When a watch last proved that the list was up to date; the start of the engine before the first.
     alive: Instant,
     /// What calls that failed have shown of discovery.
-    outage: Outage,
+    outage: OutageDetector,
     /// When the last watch was opened whose calls proved that discovery is down.
     unreached: Option<Instant>,
     /// Heartbeats of the present one; a list counts for as many as prove.
@@ -54,7 +54,7 @@
             failed: 0,
             opened: now,
             alive: now,
-            outage: Outage::default(),
+            outage: OutageDetector::default(),
             unreached: None,
             beats: 0,
             takes_over: false,
@@ -89,18 +89,18 @@
     }
 
     /// What the calls of a watch prove that has ended so. An answer that was cut off proves nothing of an outage.
-    fn judge(&mut self, end: &End) -> Verdict {
+    fn judge(&mut self, end: &WatchEnd) -> DiscoveryStatus {
         match end {
-            End::Unanswered(calls) if end.withheld_since().is_none() => {
-                self.outage.judge(calls, Instant::now())
+            WatchEnd::Unanswered(calls) if end.incomplete_since().is_none() => {
+                self.outage.assess(calls, Instant::now())
             }
-            _ => Verdict::Unknown,
+            _ => DiscoveryStatus::Unknown,
         }
     }
 
     /// After what time the next is opened where the list is pushed.
-    fn retry_after(&mut self, end: &End) -> Duration {
-        if matches!(end, End::Silent) {
+    fn retry_after(&mut self, end: &WatchEnd) -> Duration {
+        if matches!(end, WatchEnd::Silent) {
             return Duration::ZERO;
         }
         self.failed += 1;
@@ -125,7 +125,7 @@
             return;
         }
         let (handle, discovery, since) = (handle.clone(), self.desk.config.discovery, self.hosts.seq);
-        let last_look = self.fresh.last_look();
+        let last_poll = self.fresh.last_poll();
         let pushed = !self.desk.config.settings.ask;
         self.watch.number += 1;
         self.watch.opened = Instant::now();
@@ -135,7 +135,7 @@
         self.desk.log(&format!("watch {number}: opened from version {from}, last alive {silence:.3?} ago"));
         // The task of the last watch, if there is one, ends here.
         self.watch.task = Some(task::spawn(async move {
-            let end = discovery::watch(discovery, pushed, since, last_look, |sign| {
+            let end = discovery::watch(discovery, pushed, since, last_poll, |sign| {
                 handle.watch_shows(number, sign)
             })
             .await;
@@ -154,8 +154,8 @@
             self.publish_lease();
         }
         if at != self.expires_at {
-            let instant = at.map(|at| self.desk.clock.instant(at));
-            self.fresh.expires(instant);
+            let instant = at.map(|at| self.desk.clock.instant_at(at));
+            self.fresh.set_expiry(instant);
             let left = instant.map(|at| at.saturating_duration_since(Instant::now()));
             self.desk.log(&match left {
                 Some(left) => format!("list: not verified, expires in {left:.3?}"),
@@ -173,7 +173,7 @@
 
     /// Tells the other engines of the process what this one's watch knows of the list.
     fn publish_lease(&mut self) {
-        let expires = self.balancer.list_expires_at().map(|at| self.desk.clock.instant(at));
+        let expires = self.balancer.list_expires_at().map(|at| self.desk.clock.instant_at(at));
         let lease = Lease { alive: self.watch.unverified_since(), expires };
         if let Some(group) = self.desk.group.as_mut().filter(|group| group.watches()) {
             group.publish(lease);
@@ -188,7 +188,7 @@
         let (watches, Some(lease)) = (group.watches(), group.lease()) else { return };
         // Whatever an engine's watch has proven was told to all.
         self.watch.alive = self.watch.alive.max(lease.alive);
-        let at = lease.expires.map(|at| self.desk.clock.at(at));
+        let at = lease.expires.map(|at| self.desk.clock.micros_at(at));
         // Where the list is pushed its lease has no end.
         if !watches && self.desk.config.settings.ask && at != self.balancer.list_expires_at() {
             self.desk.events.push_front(Event::Freshness(Freshness::Expires { at }));
@@ -202,7 +202,7 @@
         if !self.desk.group.as_ref().is_some_and(|group| group.watches() && group.is_superseded()) {
             return;
         }
-        let since = self.desk.clock.at(self.watch.unverified_since());
+        let since = self.desk.clock.micros_at(self.watch.unverified_since());
         self.watch.takes_over = true;
         self.desk.events.push_front(Event::Freshness(Freshness::Unverified { since }));
     }
@@ -235,23 +235,23 @@
     fn unverified(&self, before: Micros) {
         let proven = {
             let driver = self.0.borrow();
-            driver.desk.clock.at(driver.watch.unverified_since())
+            driver.desk.clock.micros_at(driver.watch.unverified_since())
         };
         let since = proven.saturating_sub(before);
         self.run([Event::Freshness(Freshness::Unverified { since })]);
     }
 
-    fn watch_shows(&self, number: u64, sign: Sign) {
+    fn watch_shows(&self, number: u64, sign: WatchEvent) {
         if self.0.borrow().watch.number != number {
             return;
         }
         match sign {
-            Sign::Answered => {
+            WatchEvent::Answered => {
                 self.0.borrow_mut().watch.outage.answered();
                 let took = self.0.borrow().watch.opened.elapsed();
                 self.log(&format!("watch {number}: answered after {took:.3?}"));
             }
-            Sign::Alive => {
+            WatchEvent::Alive => {
                 let mut driver = self.0.borrow_mut();
                 let proves = driver.watch.beat();
                 let verifies = proves && driver.balancer.list_expires_at().is_some();
@@ -264,12 +264,12 @@
                 }
             }
             // The lease goes on from the last sign that was read in time.
-            Sign::AliveLately => self.unverified(0),
-            Sign::Partial(since) => {
-                let since = self.0.borrow().desk.clock.at(since);
+            WatchEvent::AliveAfterStall => self.unverified(0),
+            WatchEvent::Partial(since) => {
+                let since = self.0.borrow().desk.clock.micros_at(since);
                 self.run([Event::Freshness(Freshness::Withheld { since })]);
             }
-            Sign::List(list) => {
+            WatchEvent::List(list) => {
                 self.members(list, Source::Watch(number));
                 self.0.borrow_mut().watch.listed();
             }
@@ -277,7 +277,7 @@
     }
 
     /// A watch has ended. When the next one is to be opened, unless it was replaced meanwhile.
-    fn watch_ended(&self, number: u64, end: End) -> Option<Duration> {
+    fn watch_ended(&self, number: u64, end: WatchEnd) -> Option<Duration> {
         let mut driver = self.0.borrow_mut();
         if driver.watch.number != number {
             return None;
@@ -290,22 +290,24 @@
         driver.desk.log(&line);
         let retry = driver.watch.retry_after(&end);
         let clock = driver.desk.clock;
-        let since = clock.at(driver.watch.unverified_since());
+        let since = clock.micros_at(driver.watch.unverified_since());
         let more = match verdict {
-            Verdict::Down => {
+            DiscoveryStatus::Down => {
                 driver.watch.unreached = Some(driver.watch.opened);
-                Some(Freshness::Unreachable { since: clock.at(driver.watch.opened) })
+                Some(Freshness::Unreachable { since: clock.micros_at(driver.watch.opened) })
             }
-            Verdict::NeverDown => {
+            DiscoveryStatus::NeverDown => {
                 driver.watch.unreached = None;
                 Some(Freshness::Reachable)
             }
-            Verdict::Unknown => match end {
-                End::Ended { at, .. } => Some(Freshness::Ended { at: clock.at(at) }),
-                _ => end.withheld_since().map(|since| Freshness::Withheld { since: clock.at(since) }),
+            DiscoveryStatus::Unknown => match end {
+                WatchEnd::Ended { at, .. } => Some(Freshness::Ended { at: clock.micros_at(at) }),
+                _ => {
+                    end.incomplete_since().map(|since| Freshness::Withheld { since: clock.micros_at(since) })
+                }
             },
         };
-        let told_soon = matches!(end, End::Silent) || end.withheld_since().is_some();
+        let told_soon = matches!(end, WatchEnd::Silent) || end.incomplete_since().is_some();
         let kind = if told_soon { ListKind::Silent } else { ListKind::Failed };
         drop(driver);
         let freshness = std::iter::once(Freshness::Unverified { since }).chain(more);
@@ -315,25 +317,25 @@
 }
 
 /// How a watch has ended, in words.
-fn describe(end: &End) -> String {
+fn describe(end: &WatchEnd) -> String {
     let each = |calls: &[FailedCall]| calls.iter().map(FailedCall::to_string).collect::<Vec<_>>().join("; ");
     match end {
-        End::Silent => "fell silent".to_owned(),
-        End::Unanswered(calls) if end.withheld_since().is_some() => {
+        WatchEnd::Silent => "fell silent".to_owned(),
+        WatchEnd::Unanswered(calls) if end.incomplete_since().is_some() => {
             format!("not answered whole: {}", each(calls))
         }
-        End::Unanswered(calls) => format!("not answered: {}", each(calls)),
-        End::Failed(reason) => format!("failed: {reason}"),
-        End::Ended { reason, .. } => format!("was ended: {reason}"),
-        End::Cut { reason, .. } => format!("failed within a list: {reason}"),
+        WatchEnd::Unanswered(calls) => format!("not answered: {}", each(calls)),
+        WatchEnd::Failed(reason) => format!("failed: {reason}"),
+        WatchEnd::Ended { reason, .. } => format!("was ended: {reason}"),
+        WatchEnd::Truncated { reason, .. } => format!("failed within a list: {reason}"),
     }
 }
 
 /// What its calls have proven, in words that follow these.
-fn describe_verdict(verdict: Verdict) -> &'static str {
+fn describe_verdict(verdict: DiscoveryStatus) -> &'static str {
     match verdict {
-        Verdict::Unknown => "",
-        Verdict::Down => ", discovery is taken for down",
-        Verdict::NeverDown => ", discovery was never down",
+        DiscoveryStatus::Unknown => "",
+        DiscoveryStatus::Down => ", discovery is taken for down",
+        DiscoveryStatus::NeverDown => ", discovery was never down",
     }
 }
--- a/engine/src/driver/way.rs
+++ b/engine/src/driver/way.rs
@@ -3,7 +3,7 @@
 use super::Driver;
 use crate::calls::call::Call;
 use crate::calls::{Ask, Guest, Outlives, Owner};
-use crate::meter::Repeats;
+use crate::meter::RepeatWindow;
 use crate::protocol::Protocol;
 use crate::station::{Step, Told};
 use nettleworks_policy::{CallId, Event, Micros, Repeat};
@@ -42,7 +42,7 @@
             Some(Repeat::Guarded { window, .. }) => Some(Duration::from_micros(window)),
             _ => None,
         };
-        let repeats = Repeats::new(within);
+        let repeats = RepeatWindow::new(within);
         let call = Call {
             id,
             request,
--- a/engine/src/http1/exchange.rs
+++ b/engine/src/http1/exchange.rs
@@ -19,37 +19,37 @@
 use tokio::time::{timeout, Instant};
 
 /// Most bytes of a body, either way.
-pub const BODY_MOST: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// Most bytes of a head that are kept. Every connection may hold so much: with all of them at it, it must fit
 /// into the least memory.
-pub const HEAD_MOST: usize = 16 << 10;
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Most requests that a host can be thought to hold or to keep waiting: what reports more is no report.
-const LOAD_MOST: f64 = 10_000.0;
+const MAX_REPORTED_LOAD: f64 = 10_000.0;
 /// Time for the rest of an answer that is not passed on; past it the connection is given up instead.
-const REST: Duration = Duration::from_millis(20);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Bodies up to this size are copied out of what their connection reads into; a larger one fills most of its own.
-const COPIED_MOST: usize = 4 << 10;
+const MAX_COPIED_BODY_BYTES: usize = 4 << 10;
 /// A kept connection that breaks within this time of being written to was closed before the request came.
-const CROSSING: Duration = Duration::from_millis(20);
+const STALE_CLOSE_WINDOW: Duration = Duration::from_millis(20);
 
 /// A request's body on its way: it notes when all of it has been taken to be written.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingBody {
     body: Full<Bytes>,
     meter: Meter,
 }
 
-impl Outgoing {
+impl OutgoingBody {
     /// A body of an attempt with this meter.
-    pub fn new(body: Bytes, meter: &Meter) -> Outgoing {
+    pub fn new(body: Bytes, meter: &Meter) -> OutgoingBody {
         // One without a byte is not asked for any.
-        meter.made(body.is_empty());
-        Outgoing { body: Full::new(body), meter: meter.clone() }
+        meter.set_encoded(body.is_empty());
+        OutgoingBody { body: Full::new(body), meter: meter.clone() }
     }
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -58,7 +58,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         let frame = Pin::new(&mut self.body).poll_frame(context);
-        self.meter.made(self.body.is_end_stream());
+        self.meter.set_encoded(self.body.is_end_stream());
         frame
     }
 
@@ -75,53 +75,54 @@
 /// `None`: it was found closed before any of the request was written.
 pub async fn exchange(
     mut connection: Connection,
-    request: Request<Outgoing>,
+    request: Request<OutgoingBody>,
     meter: &Meter,
 ) -> Option<(End<Response<Bytes>>, Option<Connection>)> {
-    connection.socket.count(meter);
-    let (kept, started) = (connection.reads > 0, Instant::now());
+    connection.socket.set_meter(meter);
+    let (reused, started) = (connection.reads_at_response > 0, Instant::now());
     let response = match connection.sender.send_request(request).await {
         Ok(response) => response,
         Err(_) if meter.bytes() == 0 => return None,
         Err(error) => {
             // The one read since is that of its end: nothing of an answer has come.
-            let unanswered = kept && connection.socket.reads() <= connection.reads + 1;
-            let outcome = broken(&error);
-            let stale = outcome == Outcome::Reset && unanswered && started.elapsed() < CROSSING;
+            let unanswered = reused && connection.socket.read_count() <= connection.reads_at_response + 1;
+            let outcome = outcome_of_error(&error);
+            let stale = outcome == Outcome::Reset && unanswered && started.elapsed() < STALE_CLOSE_WINDOW;
             return Some((End::without_answer(if stale { Outcome::Stale } else { outcome }), None));
         }
     };
     let (head, body) = response.into_parts();
-    let load = report(&head.headers);
-    let body = Limited::new(body, BODY_MOST).collect();
-    let (outcome, answer, whole) = if head.status != StatusCode::OK {
+    let load = load_report(&head.headers);
+    let body = Limited::new(body, MAX_BODY_BYTES).collect();
+    let (outcome, answer, complete) = if head.status != StatusCode::OK {
         // The outcome is known: a rest that breaks or stalls must not change it.
-        let whole = matches!(timeout(REST, body).await, Ok(Ok(_)));
-        (refusal(head.status, &head.headers), None, whole)
+        let complete = matches!(timeout(DISCARD_TIMEOUT, body).await, Ok(Ok(_)));
+        (outcome_of_status(head.status, &head.headers), None, complete)
     } else if !is_framed(&head.headers) {
         (Outcome::Unknown, None, false)
     } else {
         match body.await {
-            Ok(body) => (Outcome::Served, Some(detached(head, body.to_bytes())), true),
+            Ok(body) => (Outcome::Served, Some(detach_from_read_buffer(head, body.to_bytes())), true),
             // It has run, and what it said is lost.
-            Err(error) => (broken(&*error), None, false),
+            Err(error) => (outcome_of_error(&*error), None, false),
         }
     };
     // Ready again before the outcome is told: else the next request would find no idle connection.
-    let mut again = whole && matches!(timeout(REST, connection.sender.ready()).await, Ok(Ok(())));
-    if again {
-        connection.reads = connection.socket.reads();
+    let mut reusable =
+        complete && matches!(timeout(DISCARD_TIMEOUT, connection.sender.ready()).await, Ok(Ok(())));
+    if reusable {
+        connection.reads_at_response = connection.socket.read_count();
         // Its task finds what it has read beyond the answer only when it is polled once more.
         yield_now().await;
-        again = connection.is_ready();
+        reusable = connection.is_ready();
     }
-    Some((End { outcome, load, answer }, again.then_some(connection)))
+    Some((End { outcome, load, answer }, reusable.then_some(connection)))
 }
 
 /// An answer that holds nothing of what its connection reads into: whoever keeps a few bytes of one would keep all of
 /// that buffer, and the connection would need another for the next answer.
-fn detached(mut head: Parts, body: Bytes) -> Response<Bytes> {
-    if body.len() > COPIED_MOST {
+fn detach_from_read_buffer(mut head: Parts, body: Bytes) -> Response<Bytes> {
+    if body.len() > MAX_COPIED_BODY_BYTES {
         return Response::from_parts(head, body);
     }
     for value in head.headers.values_mut() {
@@ -142,15 +143,15 @@
 
 /// What an exchange proves that broke after writing. An answer that cannot be read, or is too long, is no reset:
 /// the connection held. But the request may have run as well.
-fn broken(error: &(dyn Error + 'static)) -> Outcome {
+fn outcome_of_error(error: &(dyn Error + 'static)) -> Outcome {
     let mut causes = std::iter::successors(Some(error), |error| (*error).source());
-    let spoilt = causes.any(|cause| {
-        let bad = |kind| matches!(kind, io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData);
+    let invalid_response = causes.any(|cause| {
+        let is_invalid = |kind| matches!(kind, io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData);
         cause.is::<LengthLimitError>()
             || cause.downcast_ref::<hyper::Error>().is_some_and(hyper::Error::is_parse)
-            || cause.downcast_ref::<io::Error>().is_some_and(|error| bad(error.kind()))
+            || cause.downcast_ref::<io::Error>().is_some_and(|error| is_invalid(error.kind()))
     });
-    if spoilt {
+    if invalid_response {
         Outcome::Unknown
     } else {
         Outcome::Reset
@@ -158,10 +159,10 @@
 }
 
 /// What an answer other than 200 proves.
-fn refusal(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let unseen = headers.get("x-rejected").is_some_and(|v| v == "1");
+fn outcome_of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
+    let not_processed = headers.get("x-rejected").is_some_and(|v| v == "1");
     match status {
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unseen => Outcome::TurnedAway,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => Outcome::TurnedAway,
         StatusCode::INTERNAL_SERVER_ERROR => Outcome::Error,
         // The request is at fault: bad clients must not make good hosts look ill.
         status if status.is_client_error() => Outcome::Unusable,
@@ -170,26 +171,26 @@
 }
 
 /// The first load report that can be read: a spoilt one may stand beside it.
-fn report(headers: &HeaderMap) -> Load {
-    let mut loads = headers.get_all("x-load-report").iter().filter_map(|v| load(v.to_str().ok()?));
+fn load_report(headers: &HeaderMap) -> Load {
+    let mut loads = headers.get_all("x-load-report").iter().filter_map(|v| parse_load(v.to_str().ok()?));
     loads.next().unwrap_or_default()
 }
 
 /// Reads a load report, `name=value,name=value`. The names are those of the settings (`report.columns`), as on
 /// the simulator's wire: read under other names, every report would be lost without a sign. One that holds what
 /// no host can mean is none: a negative load would draw every call.
-fn load(text: &str) -> Option<Load> {
+fn parse_load(text: &str) -> Option<Load> {
     let mut load = Load::default();
     for pair in text.split(',') {
         let (name, value) = pair.split_once('=')?;
-        let (place, most) = match name.trim() {
-            "active" => (&mut load.in_hand, LOAD_MOST),
-            "waiting" => (&mut load.waiting, LOAD_MOST),
+        let (field, max) = match name.trim() {
+            "active" => (&mut load.in_hand, MAX_REPORTED_LOAD),
+            "waiting" => (&mut load.waiting, MAX_REPORTED_LOAD),
             "cpu" => (&mut load.busy, 1.0),
             _ => continue,
         };
-        let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=most).contains(v))?;
-        if place.replace(value).is_some() {
+        let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=max).contains(v))?;
+        if field.replace(value).is_some() {
             return None;
         }
     }
@@ -201,13 +202,13 @@
     use super::*;
 
     #[test]
-    fn a_load_report_is_read_under_the_names_of_the_settings() {
-        let read = load("active=7.5,waiting=2,avg_ms=14.766, cpu = 0.5");
+    fn a_load_report_uses_the_column_names_of_the_settings() {
+        let read = parse_load("active=7.5,waiting=2,avg_ms=14.766, cpu = 0.5");
         assert_eq!(read, Some(Load { in_hand: Some(7.5), waiting: Some(2.0), busy: Some(0.5) }));
     }
 
     #[test]
-    fn what_no_host_can_mean_is_no_load_report() {
+    fn a_malformed_or_implausible_load_report_is_ignored() {
         for text in [
             "",
             "=,=",
@@ -225,16 +226,16 @@
             "active=1,active=2",
             "active=1,waiting",
         ] {
-            assert_eq!(load(text), None, "{text}");
+            assert_eq!(parse_load(text), None, "{text}");
         }
     }
 
     #[test]
-    fn a_spoilt_load_report_does_not_hide_the_one_beside_it() {
+    fn an_invalid_load_report_does_not_hide_a_valid_one() {
         let mut headers = HeaderMap::new();
         headers.append("x-load-report", "{".parse().expect("a value"));
         headers.append("x-load-report", "active=1,waiting=0".parse().expect("a value"));
-        assert_eq!(report(&headers).in_hand, Some(1.0));
+        assert_eq!(load_report(&headers).in_hand, Some(1.0));
     }
 }
 
@@ -242,7 +243,7 @@
 mod connection_tests {
     use super::super::Slot;
     use super::*;
-    use crate::meter::{Fresh, Repeats};
+    use crate::meter::{FreshnessGate, RepeatWindow};
     use std::future::Future;
     use tokio::io::AsyncReadExt;
     use tokio::net::{TcpListener, TcpStream};
@@ -256,18 +257,19 @@
     async fn pair() -> (Connection, TcpStream) {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let open = Connection::open(address, Duration::from_secs(5), Slot::alone()).await.expect("it opens");
+        let open =
+            Connection::open(address, Duration::from_secs(5), Slot::for_test()).await.expect("it opens");
         (open, listener.accept().await.expect("accepted").0)
     }
 
     /// A request is with its connection's task, which has written nothing yet, when its attempt is withdrawn as one that
     /// never ran. That must stay true, though the attempt's own task ends only when it is polled next.
     #[test]
-    fn nothing_is_written_for_an_attempt_that_was_withdrawn() {
+    fn nothing_is_written_for_a_revoked_attempt() {
         run(async {
             let (connection, mut host) = pair().await;
             let meter = Meter::default();
-            let request = Request::new(Outgoing::new(Bytes::from_static(b"body"), &meter));
+            let request = Request::new(OutgoingBody::new(Bytes::from_static(b"body"), &meter));
             let mut exchange = Box::pin(exchange(connection, request, &meter));
             // It hands the request over.
             assert!(std::future::poll_fn(|c| Poll::Ready(exchange.as_mut().poll(c).is_pending())).await);
@@ -289,23 +291,24 @@
     /// The earlier of two attempts of a call has its connection only now, and the later one was written so long ago that
     /// no repeat may follow it: nothing is written of the earlier one, until the other is known never to have run.
     #[test]
-    fn nothing_is_written_past_the_window_of_another_attempt() {
+    fn nothing_is_written_after_the_repeat_window_of_another_attempt() {
         run(async {
-            for (window, proven, written) in [(0, false, false), (0, true, true), (3_600, false, true)] {
-                let repeats = Repeats::new(Some(Duration::from_secs(window)));
-                let [earlier, later] = [0, 1].map(|n| Meter::new(Fresh::default(), repeats.clone(), n));
+            for (window, never_ran, written) in [(0, false, false), (0, true, true), (3_600, false, true)] {
+                let repeats = RepeatWindow::new(Some(Duration::from_secs(window)));
+                let [earlier, later] =
+                    [0, 1].map(|n| Meter::new(FreshnessGate::default(), repeats.clone(), n));
                 let (connection, _host) = pair().await;
-                later.add(1);
-                if proven {
-                    repeats.never_ran(1);
+                later.record_written(1);
+                if never_ran {
+                    repeats.forget_attempt(1);
                 }
-                let request = Request::new(Outgoing::new(Bytes::from_static(b"body"), &earlier));
+                let request = Request::new(OutgoingBody::new(Bytes::from_static(b"body"), &earlier));
                 let mut exchange = Box::pin(exchange(connection, request, &earlier));
                 let polled =
                     std::future::poll_fn(|c| Poll::Ready(exchange.as_mut().poll(c).is_pending())).await;
                 assert!(polled);
                 yield_now().await;
-                assert_eq!(earlier.bytes() > 0, written, "{window} {proven}");
+                assert_eq!(earlier.bytes() > 0, written, "{window} {never_ran}");
             }
         });
     }
@@ -313,40 +316,42 @@
     /// A request was decided by a list that expires before its connection is up: nothing is written of it. One whose first
     /// byte is written goes on.
     #[test]
-    fn nothing_is_begun_by_a_list_that_has_expired() {
+    fn no_attempt_is_started_with_an_expired_list() {
         run(async {
-            for (begun, left, written) in
+            for (bytes_written, expires_in, written) in
                 [(0, None, true), (0, Some(60), true), (0, Some(0), false), (1, Some(0), true)]
             {
-                let fresh = Fresh::default();
-                fresh.expires(left.map(|left| Instant::now() + Duration::from_secs(left)));
-                let meter = Meter::new(fresh, Repeats::default(), 0);
-                meter.add(begun);
+                let fresh = FreshnessGate::default();
+                fresh.set_expiry(
+                    expires_in.map(|expires_in| Instant::now() + Duration::from_secs(expires_in)),
+                );
+                let meter = Meter::new(fresh, RepeatWindow::default(), 0);
+                meter.record_written(bytes_written);
                 let (connection, _host) = pair().await;
-                let request = Request::new(Outgoing::new(Bytes::from_static(b"body"), &meter));
+                let request = Request::new(OutgoingBody::new(Bytes::from_static(b"body"), &meter));
                 let mut exchange = Box::pin(exchange(connection, request, &meter));
                 let polled =
                     std::future::poll_fn(|c| Poll::Ready(exchange.as_mut().poll(c).is_pending())).await;
                 assert!(polled);
                 yield_now().await;
-                assert_eq!(meter.bytes() > begun, written, "{begun} {left:?}");
+                assert_eq!(meter.bytes() > bytes_written, written, "{bytes_written} {expires_in:?}");
             }
         });
     }
 
-    /// An attempt is whole when its last byte is written, with a body and without one, and not before.
+    /// An attempt is complete when its last byte is written, with a body and without one, and not before.
     #[test]
-    fn an_attempt_is_whole_when_its_last_byte_is_written() {
+    fn an_attempt_is_fully_written_when_its_last_byte_is_written() {
         run(async {
             for body in ["", "body"] {
                 let (connection, mut host) = pair().await;
                 let meter = Meter::default();
-                let request = Request::new(Outgoing::new(Bytes::from_static(body.as_bytes()), &meter));
+                let request = Request::new(OutgoingBody::new(Bytes::from_static(body.as_bytes()), &meter));
                 let mut exchange = Box::pin(exchange(connection, request, &meter));
                 assert!(std::future::poll_fn(|c| Poll::Ready(exchange.as_mut().poll(c).is_pending())).await);
-                assert!(!meter.is_whole());
+                assert!(!meter.is_fully_written());
                 yield_now().await;
-                assert!(meter.is_whole(), "{body:?}");
+                assert!(meter.is_fully_written(), "{body:?}");
                 let mut read = vec![0; meter.bytes()];
                 host.read_exact(&mut read).await.expect("all of it is there");
                 assert!(read.ends_with(body.as_bytes()));
--- a/engine/src/http1/mod.rs
+++ b/engine/src/http1/mod.rs
@@ -4,14 +4,14 @@
 mod exchange;
 
 pub use crate::dial::BoxError;
-pub use exchange::{BODY_MOST, HEAD_MOST};
+pub use exchange::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
 use crate::config::Config;
 use crate::meter::Meter;
 use crate::protocol::{Connections, End, Protocol, Target};
 use crate::quota::{Counted, Side};
 use connection::{Connection, OpenError};
-use exchange::{exchange, Outgoing};
+use exchange::{exchange, OutgoingBody};
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, Uri};
@@ -27,53 +27,53 @@
 /// Marks an answer that was made for an earlier request with the same key.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotency-replayed");
 /// Share of the time for which hosts keep an idle connection, after which it is no longer used.
-const IDLE_PART: f64 = 0.9;
+const IDLE_TIMEOUT_SHARE: f64 = 0.9;
 
 /// A second answer to a request may come some milliseconds after the first and would be taken for that of the next one
 /// on its connection: one that has been idle for as long goes before one that has not. Whatever came by then shows.
-const SETTLED: Duration = Duration::from_millis(10);
+const SETTLE_TIME: Duration = Duration::from_millis(10);
 
 /// A client's request as hosts get it.
 #[derive(Clone, Debug)]
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
     pub target: Uri,
     /// Its headers, without those of the client's connection.
     pub headers: HeaderMap,
-    /// Its body, [`BODY_MOST`] bytes at most.
+    /// Its body, [`MAX_BODY_BYTES`] bytes at most.
     pub body: Bytes,
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// The request for one attempt, which is given up at `until`.
-    fn request(&self, until: Instant, meter: &Meter) -> Request<Outgoing> {
-        let mut request = Request::new(Outgoing::new(self.body.clone(), meter));
+    fn for_attempt(&self, deadline: Instant, meter: &Meter) -> Request<OutgoingBody> {
+        let mut request = Request::new(OutgoingBody::new(self.body.clone(), meter));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         *request.headers_mut() = self.headers.clone();
-        let left = until.saturating_duration_since(Instant::now()).as_millis() as u64;
-        request.headers_mut().insert("x-budget-ms", HeaderValue::from(left.max(1)));
+        let time_left = deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
+        request.headers_mut().insert("x-budget-ms", HeaderValue::from(time_left.max(1)));
         request
     }
 }
 
 /// A host that takes requests, and the idle connections to it, the most recently used last.
-struct Kept {
+struct HostConnections {
     address: SocketAddr,
     idle: Vec<(Instant, Connection)>,
 }
 
-/// How many of these, in the order in which they were last used, have been idle for [`SETTLED`].
-fn settled<T>(idle: &[(Instant, T)], now: Instant) -> usize {
-    idle.partition_point(|(since, _)| now.saturating_duration_since(*since) >= SETTLED)
+/// How many of these, in the order in which they were last used, have been idle for [`SETTLE_TIME`].
+fn settled_count<T>(idle: &[(Instant, T)], now: Instant) -> usize {
+    idle.partition_point(|(since, _)| now.saturating_duration_since(*since) >= SETTLE_TIME)
 }
 
 struct Pool {
     config: Rc<Config>,
     /// In an order of their own: of two connections as old the same is closed in each run.
-    hosts: BTreeMap<ServerId, Kept>,
+    hosts: BTreeMap<ServerId, HostConnections>,
     /// One reference for each open connection to a host, and this one.
     slots: Rc<()>,
     counts: Connections,
@@ -82,8 +82,8 @@
 impl Pool {
     /// A place for one more connection to a host; the oldest idle one makes room when there is none.
     fn slot(&mut self) -> Option<Slot> {
-        let most = self.config.connections_to_hosts();
-        let place = self.config.quota.place(Side::Hosts, most);
+        let max = self.config.connections_to_hosts();
+        let place = self.config.quota.place(Side::Hosts, max);
         let place = place.or_else(|| {
             let oldest = self.hosts.values_mut().filter(|host| !host.idle.is_empty());
             let Some(host) = oldest.min_by_key(|host| host.idle[0].0) else {
@@ -91,7 +91,7 @@
                 return None;
             };
             drop(host.idle.remove(0));
-            self.config.quota.place(Side::Hosts, most)
+            self.config.quota.place(Side::Hosts, max)
         });
         Some(Slot { _own: self.slots.clone(), _place: place? })
     }
@@ -106,7 +106,7 @@
 
 #[cfg(test)]
 impl Slot {
-    fn alone() -> Slot {
+    fn for_test() -> Slot {
         let place = crate::quota::Quota::default().place(Side::Hosts, 1);
         Slot { _own: Rc::default(), _place: place.expect("none is open") }
     }
@@ -128,113 +128,118 @@
     }
 
     /// Keeps a connection, unless its host takes nothing there any more.
-    fn keep(&self, to: Target, connection: Connection) {
+    fn return_to_pool(&self, target: Target, connection: Connection) {
         let mut pool = self.0.borrow_mut();
-        if let Some(host) = pool.hosts.get_mut(&to.server).filter(|host| host.address == to.address) {
+        if let Some(host) = pool.hosts.get_mut(&target.server).filter(|host| host.address == target.address) {
             host.idle.push((Instant::now(), connection));
         }
     }
 
     async fn run(
         self,
-        to: Target,
-        kept: Option<Connection>,
-        forward: Rc<Forward>,
-        until: Instant,
+        target: Target,
+        reused: Option<Connection>,
+        request: Rc<ForwardedRequest>,
+        deadline: Instant,
         meter: Meter,
     ) -> End<Response<Bytes>> {
-        if let Some(connection) = kept {
-            let end = exchange(connection, forward.request(until, &meter), &meter).await;
+        if let Some(connection) = reused {
+            let end = exchange(connection, request.for_attempt(deadline, &meter), &meter).await;
             let broken = end.as_ref().is_none_or(|(end, _)| end.outcome == Outcome::Stale);
             self.count(|counts| counts.broken_reuse += u64::from(broken));
             if let Some((end, connection)) = end {
-                connection.into_iter().for_each(|connection| self.keep(to, connection));
+                connection.into_iter().for_each(|connection| self.return_to_pool(target, connection));
                 return end;
             }
         }
         // Nothing has been written yet, so this is no second sending. In a box: most attempts need none, and every
         // attempt's task would have the size of one.
-        Box::pin(self.run_on_new(to, forward, until, meter)).await
+        Box::pin(self.run_on_new(target, request, deadline, meter)).await
     }
 
     async fn run_on_new(
         self,
-        to: Target,
-        forward: Rc<Forward>,
-        until: Instant,
+        target: Target,
+        request: Rc<ForwardedRequest>,
+        deadline: Instant,
         meter: Meter,
     ) -> End<Response<Bytes>> {
         let Some(slot) = self.0.borrow_mut().slot() else {
             return End::without_answer(Outcome::NotSent);
         };
-        let limit = self.0.borrow().config.connect_timeout;
-        let written_by = meter.written_by();
-        let limit = written_by.map_or(limit, |by| limit.min(by.saturating_duration_since(Instant::now())));
-        let opened = Connection::open(to.address, limit, slot).await;
+        let connect_timeout = self.0.borrow().config.connect_timeout;
+        let write_deadline = meter.write_deadline();
+        let connect_timeout = write_deadline
+            .map_or(connect_timeout, |by| connect_timeout.min(by.saturating_duration_since(Instant::now())));
+        let opened = Connection::open(target.address, connect_timeout, slot).await;
         self.count(|counts| *if opened.is_ok() { &mut counts.opened } else { &mut counts.open_failed } += 1);
         let end = match opened {
-            Ok(connection) => exchange(connection, forward.request(until, &meter), &meter).await,
-            Err(OpenError::OfThisMachine) => return End::without_answer(Outcome::NotSent),
-            Err(OpenError::OfTheHost) => None,
+            Ok(connection) => exchange(connection, request.for_attempt(deadline, &meter), &meter).await,
+            Err(OpenError::Local) => return End::without_answer(Outcome::NotSent),
+            Err(OpenError::Remote) => None,
         };
         let Some((end, connection)) = end else {
             // That it came too late says nothing of the host.
-            let late = meter.is_too_late() || meter.has_expired();
-            let outcome = if late { Outcome::NotSent } else { Outcome::NoConnection };
+            let too_late = meter.is_past_write_deadline() || meter.list_has_expired();
+            let outcome = if too_late { Outcome::NotSent } else { Outcome::NoConnection };
             return End::without_answer(outcome);
         };
-        connection.into_iter().for_each(|connection| self.keep(to, connection));
+        connection.into_iter().for_each(|connection| self.return_to_pool(target, connection));
         end
     }
 }
 
 impl Protocol for Http1 {
     type Id = HeaderValue;
-    type Request = Forward;
+    type Request = ForwardedRequest;
     type Answer = Response<Bytes>;
 
-    fn identity(request: &Forward) -> Vec<&[u8]> {
+    fn identity(request: &ForwardedRequest) -> Vec<&[u8]> {
         let target = request.target.path_and_query().map_or("", |target| target.as_str());
         vec![request.method.as_str().as_bytes(), target.as_bytes(), &request.body]
     }
 
     fn replayed(answer: &Response<Bytes>) -> (usize, Response<Bytes>) {
-        let head: usize =
+        let head_bytes: usize =
             answer.headers().iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
         let mut replayed = answer.clone();
         replayed.headers_mut().insert(REPLAYED, HeaderValue::from_static("true"));
-        (head + answer.body().len(), replayed)
+        (head_bytes + answer.body().len(), replayed)
     }
 
     fn attempt(
         &self,
-        to: Target,
-        forward: Rc<Forward>,
-        until: Instant,
+        target: Target,
+        request: Rc<ForwardedRequest>,
+        deadline: Instant,
         meter: &Meter,
     ) -> impl Future<Output = End<Response<Bytes>>> + 'static {
         let mut pool = self.0.borrow_mut();
         // A request must not cross its host's close: old ones and those closed meanwhile are passed over.
-        let keep = pool.config.conn_idle.mul_f64(IDLE_PART);
-        let host = pool.hosts.get_mut(&to.server).filter(|host| host.address == to.address);
-        let kept = host.and_then(|host| {
+        let max_idle_time = pool.config.conn_idle.mul_f64(IDLE_TIMEOUT_SHARE);
+        let host = pool.hosts.get_mut(&target.server).filter(|host| host.address == target.address);
+        let reused = host.and_then(|host| {
             // Only the one that is used is looked at, which asks the system: the others may be many.
-            let fits = |kept: &(Instant, Connection)| kept.0.elapsed() < keep && kept.1.is_ready();
-            let mut fresh = host.idle.split_off(settled(&host.idle, Instant::now()));
-            let found = std::iter::from_fn(|| host.idle.pop()).find(&fits);
-            let found = found.or_else(|| std::iter::from_fn(|| fresh.pop()).find(&fits));
-            host.idle.append(&mut fresh);
+            let is_usable =
+                |entry: &(Instant, Connection)| entry.0.elapsed() < max_idle_time && entry.1.is_ready();
+            let mut unsettled = host.idle.split_off(settled_count(&host.idle, Instant::now()));
+            let found = std::iter::from_fn(|| host.idle.pop()).find(&is_usable);
+            let found = found.or_else(|| std::iter::from_fn(|| unsettled.pop()).find(&is_usable));
+            host.idle.append(&mut unsettled);
             found.map(|(_, connection)| connection)
         });
         // In a box: the tasks and time-outs around it would copy it each time that they take it over.
-        Box::pin(self.clone().run(to, kept, forward, until, meter.clone()))
+        Box::pin(self.clone().run(target, reused, request, deadline, meter.clone()))
     }
 
-    fn admit(&self, to: Target) {
+    fn admit(&self, target: Target) {
         let mut pool = self.0.borrow_mut();
-        let host = pool.hosts.entry(to.server).or_insert(Kept { address: to.address, idle: Vec::new() });
-        if host.address != to.address {
-            *host = Kept { address: to.address, idle: Vec::new() };
+        let host = pool
+            .hosts
+            .entry(target.server)
+            .or_insert(HostConnections { address: target.address, idle: Vec::new() });
+        if host.address != target.address {
+            *host = HostConnections { address: target.address, idle: Vec::new() };
         }
     }
 
@@ -244,10 +249,10 @@
 
     fn sweep(&self) {
         let mut pool = self.0.borrow_mut();
-        let keep = pool.config.conn_idle.mul_f64(IDLE_PART);
+        let max_idle_time = pool.config.conn_idle.mul_f64(IDLE_TIMEOUT_SHARE);
         // Those that their hosts have closed hold a descriptor for nothing.
         pool.hosts.values_mut().for_each(|host| {
-            host.idle.retain(|(since, connection)| since.elapsed() < keep && connection.is_ready());
+            host.idle.retain(|(since, connection)| since.elapsed() < max_idle_time && connection.is_ready());
         });
         // Another engine of the process needs connections, and has none of its own to close.
         if pool.config.quota.was_short() {
@@ -271,10 +276,10 @@
     use super::*;
 
     #[test]
-    fn a_connection_that_has_just_answered_goes_last() {
+    fn a_connection_that_has_just_answered_is_reused_last() {
         let start = Instant::now();
         let idle: Vec<_> = [0, 5, 6, 14].map(|ms| (start + Duration::from_millis(ms), ())).into();
-        let at = |ms| settled(&idle, start + Duration::from_millis(ms));
+        let at = |ms| settled_count(&idle, start + Duration::from_millis(ms));
         assert_eq!([at(0), at(9), at(10), at(15), at(16), at(23), at(24)], [0, 0, 1, 2, 3, 3, 4]);
     }
 }
--- a/engine/src/meter.rs
+++ b/engine/src/meter.rs
@@ -1,6 +1,6 @@
 //! What was written for one attempt, and when: the proof that rules 1 and 2 rest on.
 
-use crate::stall::LastLook;
+use crate::stall::LastPoll;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,49 +12,53 @@
 /// from when the process was told: an engine that is behind what its process knows, or that was stalled and has not read
 /// what came meanwhile, writes nothing new until it has caught up, and one whose list has expired writes nothing new at all.
 #[derive(Clone, Debug, Default)]
-pub struct Fresh {
-    known: Option<Rc<Known>>,
-    expires: Rc<Cell<Option<Instant>>>,
-    last_look: LastLook,
+pub struct FreshnessGate {
+    progress: Option<Rc<ListProgress>>,
+    expires_at: Rc<Cell<Option<Instant>>>,
+    last_poll: LastPoll,
 }
 
 #[derive(Debug)]
-struct Known {
-    told: Arc<AtomicU64>,
-    taken: Cell<u64>,
+struct ListProgress {
+    received: Arc<AtomicU64>,
+    applied: Cell<u64>,
 }
 
-impl Fresh {
-    /// Of an engine whose process counts in `told` what it was told.
-    pub fn new(told: Arc<AtomicU64>) -> Fresh {
-        Fresh { known: Some(Rc::new(Known { told, taken: Cell::new(0) })), ..Fresh::default() }
+impl FreshnessGate {
+    /// Of an engine whose process counts in `received` what it was told.
+    pub fn new(received: Arc<AtomicU64>) -> FreshnessGate {
+        FreshnessGate {
+            progress: Some(Rc::new(ListProgress { received, applied: Cell::new(0) })),
+            ..FreshnessGate::default()
+        }
     }
 
     /// Sets when the list expires; `None`: it is verified.
-    pub fn expires(&self, at: Option<Instant>) {
-        self.expires.set(at);
+    pub fn set_expiry(&self, at: Option<Instant>) {
+        self.expires_at.set(at);
     }
 
     /// Whether the list has expired.
     pub fn has_expired(&self) -> bool {
-        self.expires.get().is_some_and(|at| Instant::now() >= at)
+        self.expires_at.get().is_some_and(|at| Instant::now() >= at)
     }
 
     /// For the task that reads the list: while it is overdue nothing new is begun.
-    pub fn last_look(&self) -> LastLook {
-        self.last_look.clone()
+    pub fn last_poll(&self) -> LastPoll {
+        self.last_poll.clone()
     }
 
     /// This engine has taken in all up to here.
-    pub fn taken(&self, up_to: u64) {
-        if let Some(known) = &self.known {
-            known.taken.set(up_to);
+    pub fn mark_applied(&self, up_to: u64) {
+        if let Some(progress) = &self.progress {
+            progress.applied.set(up_to);
         }
     }
 
     fn is_behind(&self) -> bool {
-        let untold = |known: &Rc<Known>| known.told.load(Ordering::Acquire) > known.taken.get();
-        self.last_look.is_overdue() || self.known.as_ref().is_some_and(untold)
+        let has_unapplied =
+            |progress: &Rc<ListProgress>| progress.received.load(Ordering::Acquire) > progress.applied.get();
+        self.last_poll.is_overdue() || self.progress.as_ref().is_some_and(has_unapplied)
     }
 }
 
@@ -62,40 +66,40 @@
 /// attempt that may have run, and it counts writing: the module decides within that time, and a connection may come up
 /// long after. Clones are of the same call.
 #[derive(Clone, Debug, Default)]
-pub struct Repeats(Option<Rc<Begun>>);
+pub struct RepeatWindow(Option<Rc<WriteTimes>>);
 
 #[derive(Debug)]
-struct Begun {
-    within: Duration,
+struct WriteTimes {
+    window: Duration,
     /// By attempt, one that surely never ran left out; as many as the settings allow attempts.
-    first: RefCell<Vec<(u32, Instant)>>,
+    first_writes: RefCell<Vec<(u32, Instant)>>,
 }
 
-impl Repeats {
+impl RepeatWindow {
     /// Of a call that may be repeated within a time; without one, at any time that the module chooses.
-    pub fn new(within: Option<Duration>) -> Repeats {
-        Repeats(within.map(|within| Rc::new(Begun { within, first: RefCell::default() })))
+    pub fn new(window: Option<Duration>) -> RepeatWindow {
+        RepeatWindow(window.map(|window| Rc::new(WriteTimes { window, first_writes: RefCell::default() })))
     }
 
-    fn begins(&self, attempt: u32) {
-        if let Some(begun) = &self.0 {
-            begun.first.borrow_mut().push((attempt, Instant::now()));
+    fn record_first_write(&self, attempt: u32) {
+        if let Some(write_times) = &self.0 {
+            write_times.first_writes.borrow_mut().push((attempt, Instant::now()));
         }
     }
 
     /// An attempt has ended that surely never ran: it binds no other.
-    pub fn never_ran(&self, attempt: u32) {
-        if let Some(begun) = &self.0 {
-            begun.first.borrow_mut().retain(|(other, _)| *other != attempt);
+    pub fn forget_attempt(&self, attempt: u32) {
+        if let Some(write_times) = &self.0 {
+            write_times.first_writes.borrow_mut().retain(|(other, _)| *other != attempt);
         }
     }
 
     /// By when an attempt must be written whole because of another; `None` while there is none.
-    fn until(&self, attempt: u32) -> Option<Instant> {
-        let begun = self.0.as_ref()?;
-        let first = begun.first.borrow();
-        let others = first.iter().filter(|(other, _)| *other != attempt).map(|(_, at)| *at);
-        Some(others.min()? + begun.within)
+    fn deadline_for(&self, attempt: u32) -> Option<Instant> {
+        let write_times = self.0.as_ref()?;
+        let first_writes = write_times.first_writes.borrow();
+        let others = first_writes.iter().filter(|(other, _)| *other != attempt).map(|(_, at)| *at);
+        Some(others.min()? + write_times.window)
     }
 }
 
@@ -104,45 +108,45 @@
 /// whole needs nothing more to be sent for it, whoever waits for it or not, which is what rule 1 rests on when its
 /// client has gone.
 #[derive(Clone, Debug, Default)]
-pub struct Meter(Rc<Written>);
+pub struct Meter(Rc<WriteState>);
 
 #[derive(Debug, Default)]
-struct Written {
+struct WriteState {
     bytes: Cell<usize>,
     /// All of the request has been made into bytes.
-    made: Cell<bool>,
-    whole: Cell<bool>,
+    encoded: Cell<bool>,
+    fully_written: Cell<bool>,
     revoked: Cell<bool>,
-    fresh: Fresh,
-    repeats: Repeats,
+    freshness: FreshnessGate,
+    repeat_window: RepeatWindow,
     attempt: u32,
 }
 
 impl Meter {
     /// Of an engine that others may be ahead of, and of this attempt of a call.
-    pub fn new(fresh: Fresh, repeats: Repeats, attempt: u32) -> Meter {
-        Meter(Rc::new(Written { fresh, repeats, attempt, ..Written::default() }))
+    pub fn new(freshness: FreshnessGate, repeat_window: RepeatWindow, attempt: u32) -> Meter {
+        Meter(Rc::new(WriteState { freshness, repeat_window, attempt, ..WriteState::default() }))
     }
 
     /// By when all of it must be written, since it repeats another attempt that may have run; `None`: it repeats none,
     /// or may at any time. An earlier attempt that is written only now changes it.
-    pub fn written_by(&self) -> Option<Instant> {
-        self.0.repeats.until(self.0.attempt)
+    pub fn write_deadline(&self) -> Option<Instant> {
+        self.0.repeat_window.deadline_for(self.0.attempt)
     }
 
     /// Whether that moment has passed: nothing more may be written.
-    pub fn is_too_late(&self) -> bool {
-        self.written_by().is_some_and(|by| Instant::now() >= by)
+    pub fn is_past_write_deadline(&self) -> bool {
+        self.write_deadline().is_some_and(|by| Instant::now() >= by)
     }
 
     /// Whether the list by which the attempt was decided has expired before its first byte: none may be written.
-    pub fn has_expired(&self) -> bool {
-        self.bytes() == 0 && self.0.fresh.has_expired()
+    pub fn list_has_expired(&self) -> bool {
+        self.bytes() == 0 && self.0.freshness.has_expired()
     }
 
     /// Whether the attempt's first byte must wait: the engine has not yet heard all that the process was told.
-    pub fn must_wait(&self) -> bool {
-        self.bytes() == 0 && self.0.fresh.is_behind()
+    pub fn must_wait_for_list(&self) -> bool {
+        self.bytes() == 0 && self.0.freshness.is_behind()
     }
 
     /// How many bytes were written.
@@ -151,22 +155,22 @@
     }
 
     /// So many more were written.
-    pub fn add(&self, count: usize) {
+    pub fn record_written(&self, count: usize) {
         if self.bytes() == 0 && count > 0 {
-            self.0.repeats.begins(self.0.attempt);
+            self.0.repeat_window.record_first_write(self.0.attempt);
         }
         self.0.bytes.set(self.0.bytes.get() + count);
     }
 
     /// Whether all of the request has been made into bytes: what is flushed next is its end.
-    pub fn made(&self, all: bool) {
-        self.0.made.set(all);
+    pub fn set_encoded(&self, all: bool) {
+        self.0.encoded.set(all);
     }
 
     /// All bytes that were made so far are written.
-    pub fn flushed(&self) {
-        if self.0.made.get() && self.bytes() > 0 {
-            self.0.whole.set(true);
+    pub fn record_flush(&self) {
+        if self.0.encoded.get() && self.bytes() > 0 {
+            self.0.fully_written.set(true);
         }
     }
 
@@ -182,8 +186,8 @@
     }
 
     /// Whether all of it is written.
-    pub fn is_whole(&self) -> bool {
-        self.0.whole.get()
+    pub fn is_fully_written(&self) -> bool {
+        self.0.fully_written.get()
     }
 }
 
@@ -194,20 +198,23 @@
 
     /// After a stall nothing is begun until what came meanwhile is read; what was begun goes on.
     #[test]
-    fn nothing_is_begun_while_the_list_may_be_unread() {
-        let fresh = Fresh::default();
-        let (begun, new) = (Meter::new(fresh.clone(), Repeats::default(), 0), Meter::default());
-        begun.add(1);
-        let next = Meter::new(fresh.clone(), Repeats::default(), 1);
-        assert!(!next.must_wait(), "nobody reads a list");
+    fn no_attempt_is_started_while_list_updates_may_be_unread() {
+        let freshness = FreshnessGate::default();
+        let (partly_written, new) =
+            (Meter::new(freshness.clone(), RepeatWindow::default(), 0), Meter::default());
+        partly_written.record_written(1);
+        let next = Meter::new(freshness.clone(), RepeatWindow::default(), 1);
+        assert!(!next.must_wait_for_list(), "nobody reads a list");
         let stalled_from = Instant::now().checked_sub(Duration::from_secs(2)).expect("a moment");
-        let mut reader = StallDetector::new(stalled_from, fresh.last_look());
-        assert!(next.must_wait() && !begun.must_wait() && !new.must_wait());
-        assert!(!reader.idle(Instant::now()), "it looks late");
-        assert!(next.must_wait());
-        assert!(reader.idle(reader.look_at()));
-        assert!(!next.must_wait());
+        let mut reader = StallDetector::new(stalled_from, freshness.last_poll());
+        assert!(
+            next.must_wait_for_list() && !partly_written.must_wait_for_list() && !new.must_wait_for_list()
+        );
+        assert!(!reader.record_idle(Instant::now()), "it looks late");
+        assert!(next.must_wait_for_list());
+        assert!(reader.record_idle(reader.poll_at()));
+        assert!(!next.must_wait_for_list());
         drop(reader);
-        assert!(!next.must_wait());
+        assert!(!next.must_wait_for_list());
     }
 }
--- a/engine/src/net.rs
+++ b/engine/src/net.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 #[cfg(feature = "virtual-net")]
-pub use apart::{enter, Dialing, Entered, Network, VirtualListener, VirtualStream};
+pub use virtual_net::{enter, ConnectFuture, EnterGuard, Network, VirtualListener, VirtualStream};
 
 /// A stream of bytes to the other side.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     /// What the system says, or the network.
     pub async fn connect(address: SocketAddr) -> io::Result<Stream> {
         #[cfg(feature = "virtual-net")]
-        if let Some(dialing) = apart::network().map(|network| network.connect(address)) {
+        if let Some(dialing) = virtual_net::network().map(|network| network.connect(address)) {
             return Ok(Stream::Virtual(dialing.await?));
         }
         TcpStream::connect(address).await.map(Stream::Tcp)
@@ -59,7 +59,7 @@
     }
 
     /// Whether nothing waits to be read, not even the end. This asks the system.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_pending_input(&self) -> bool {
         match self {
             Stream::Tcp(stream) => {
                 let mut byte = [std::mem::MaybeUninit::uninit()];
@@ -67,7 +67,7 @@
                 peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
             }
             #[cfg(feature = "virtual-net")]
-            Stream::Virtual(stream) => stream.is_quiet(),
+            Stream::Virtual(stream) => stream.has_no_pending_input(),
         }
     }
 }
@@ -75,7 +75,7 @@
 impl Stream {
     /// Whether the other side has ended its sending or the connection has broken, however much it sent before. Nobody
     /// reads on to find it out.
-    pub fn is_left(&self) -> bool {
+    pub fn is_closed_by_peer(&self) -> bool {
         match self {
             Stream::Tcp(stream) => {
                 let mut ready = std::pin::pin!(stream.ready(Interest::READABLE));
@@ -83,7 +83,7 @@
                 matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
             }
             #[cfg(feature = "virtual-net")]
-            Stream::Virtual(stream) => stream.is_left(),
+            Stream::Virtual(stream) => stream.is_closed_by_peer(),
         }
     }
 }
@@ -99,7 +99,7 @@
     loop {
         ready!(stream.poll_read_ready(context))?;
         match stream.try_read_buf(buffer) {
-            Err(error) if is_passing(&error) => {}
+            Err(error) if should_retry(&error) => {}
             read => return Poll::Ready(read.map(drop)),
         }
     }
@@ -114,29 +114,29 @@
     loop {
         ready!(stream.poll_write_ready(context))?;
         match stream.try_write(bytes) {
-            Err(error) if is_passing(&error) => {}
+            Err(error) if should_retry(&error) => {}
             written => return Poll::Ready(written),
         }
     }
 }
 
 /// Whether the call is to be made again: at once, or when the system says that it may go on.
-fn is_passing(error: &io::Error) -> bool {
+fn should_retry(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
 /// Does the same with whichever stream it is.
-macro_rules! either {
-    ($stream:expr, $io:ident => $act:expr) => {
+macro_rules! with_stream {
+    ($stream:expr, $io:ident => $body:expr) => {
         match $stream.get_mut() {
             Stream::Tcp($io) => {
                 let $io = Pin::new($io);
-                $act
+                $body
             }
             #[cfg(feature = "virtual-net")]
             Stream::Virtual($io) => {
                 let $io = Pin::new(&mut **$io);
-                $act
+                $body
             }
         }
     };
@@ -166,11 +166,11 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        either!(self, io => io.poll_flush(context))
+        with_stream!(self, io => io.poll_flush(context))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        either!(self, io => io.poll_shutdown(context))
+        with_stream!(self, io => io.poll_shutdown(context))
     }
 }
 
@@ -208,16 +208,16 @@
 }
 
 /// The wall clock: since the start of 1970, by UTC.
-pub(crate) fn since_1970() -> Duration {
+pub(crate) fn unix_time() -> Duration {
     #[cfg(feature = "virtual-net")]
-    if let Some(network) = apart::network() {
-        return network.since_1970();
+    if let Some(network) = virtual_net::network() {
+        return network.unix_time();
     }
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default()
 }
 
 #[cfg(feature = "virtual-net")]
-mod apart {
+mod virtual_net {
     use std::cell::RefCell;
     use std::fmt::Debug;
     use std::future::Future;
@@ -232,10 +232,10 @@
     /// A stream of a network that is not the system's. Dropped, it is closed.
     pub trait VirtualStream: AsyncRead + AsyncWrite + Unpin + Debug {
         /// Whether nothing waits to be read, not even the end.
-        fn is_quiet(&self) -> bool;
+        fn has_no_pending_input(&self) -> bool;
 
         /// Whether the other side has ended its sending or the connection has broken, whatever waits to be read.
-        fn is_left(&self) -> bool;
+        fn is_closed_by_peer(&self) -> bool;
     }
 
     /// A listener of such a network.
@@ -245,15 +245,15 @@
     }
 
     /// A connection that is being opened.
-    pub type Dialing = Pin<Box<dyn Future<Output = io::Result<Box<dyn VirtualStream>>>>>;
+    pub type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Box<dyn VirtualStream>>>>>;
 
     /// The network as one of its nodes has it.
     pub trait Network {
         /// Connects to an address.
-        fn connect(&self, address: SocketAddr) -> Dialing;
+        fn connect(&self, address: SocketAddr) -> ConnectFuture;
 
         /// This node's wall clock: since the start of 1970.
-        fn since_1970(&self) -> Duration;
+        fn unix_time(&self) -> Duration;
     }
 
     thread_local! {
@@ -262,21 +262,21 @@
 
     /// What runs on this thread uses this network until the guard is dropped; then what it used before.
     #[must_use]
-    pub fn enter(network: Rc<dyn Network>) -> Entered {
-        Entered(NETWORK.with(|present| present.borrow_mut().replace(network)))
+    pub fn enter(network: Rc<dyn Network>) -> EnterGuard {
+        EnterGuard(NETWORK.with(|current| current.borrow_mut().replace(network)))
     }
 
     /// A thread's stay in a network.
-    pub struct Entered(Option<Rc<dyn Network>>);
+    pub struct EnterGuard(Option<Rc<dyn Network>>);
 
-    impl Drop for Entered {
+    impl Drop for EnterGuard {
         fn drop(&mut self) {
-            let before = self.0.take();
-            NETWORK.with(|present| *present.borrow_mut() = before);
+            let previous = self.0.take();
+            NETWORK.with(|current| *current.borrow_mut() = previous);
         }
     }
 
     pub(super) fn network() -> Option<Rc<dyn Network>> {
-        NETWORK.with(|present| present.borrow().clone())
+        NETWORK.with(|current| current.borrow().clone())
     }
 }
--- a/engine/src/socket.rs
+++ b/engine/src/socket.rs
@@ -18,9 +18,9 @@
     io: RefCell<Option<TokioIo<Stream>>>,
     /// Where the bytes of the attempt that has the connection now are counted.
     meter: RefCell<Meter>,
-    reads: Cell<u64>,
-    blocked: Cell<bool>,
-    read_at: Cell<Instant>,
+    read_count: Cell<u64>,
+    write_blocked: Cell<bool>,
+    last_read_at: Cell<Instant>,
 }
 
 /// The stream; clones are the same stream.
@@ -33,9 +33,9 @@
         Socket(Rc::new(Inner {
             io: RefCell::new(Some(TokioIo::new(stream.into()))),
             meter: RefCell::default(),
-            reads: Cell::new(0),
-            blocked: Cell::new(false),
-            read_at: Cell::new(Instant::now()),
+            read_count: Cell::new(0),
+            write_blocked: Cell::new(false),
+            last_read_at: Cell::new(Instant::now()),
         }))
     }
 
@@ -45,34 +45,34 @@
     }
 
     /// From here on, written bytes are counted here.
-    pub fn count(&self, meter: &Meter) {
+    pub fn set_meter(&self, meter: &Meter) {
         self.0.meter.replace(meter.clone());
     }
 
     /// How often something was read, its end included.
-    pub fn reads(&self) -> u64 {
-        self.0.reads.get()
+    pub fn read_count(&self) -> u64 {
+        self.0.read_count.get()
     }
 
     /// When something was last read; at first, when it was opened.
-    pub fn read_at(&self) -> Instant {
-        self.0.read_at.get()
+    pub fn last_read_at(&self) -> Instant {
+        self.0.last_read_at.get()
     }
 
     /// Whether it is open and nothing waits in it to be read, not even its end. This asks the system: what has
     /// come since the stream's task was last polled shows nowhere else.
-    pub fn is_quiet(&self) -> bool {
-        self.0.io.borrow().as_ref().is_some_and(|io| io.inner().is_quiet())
+    pub fn has_no_pending_input(&self) -> bool {
+        self.0.io.borrow().as_ref().is_some_and(|io| io.inner().has_no_pending_input())
     }
 
     /// Whether the other side has closed it, or it is broken, whatever still waits in it to be read.
-    pub fn is_left(&self) -> bool {
-        self.0.io.borrow().as_ref().is_none_or(|io| io.inner().is_left())
+    pub fn is_closed_by_peer(&self) -> bool {
+        self.0.io.borrow().as_ref().is_none_or(|io| io.inner().is_closed_by_peer())
     }
 
     /// Whether something that was to be written waits for the other side to read.
-    pub fn is_blocked(&self) -> bool {
-        self.0.blocked.get()
+    pub fn is_write_blocked(&self) -> bool {
+        self.0.write_blocked.get()
     }
 }
 
@@ -87,8 +87,8 @@
         let Some(io) = io.as_mut() else { return Poll::Ready(Ok(())) };
         let read = Pin::new(io).poll_read(context, buffer);
         if read.is_ready() {
-            self.0.reads.set(self.0.reads.get() + 1);
-            self.0.read_at.set(Instant::now());
+            self.0.read_count.set(self.0.read_count.get() + 1);
+            self.0.last_read_at.set(Instant::now());
         }
         read
     }
@@ -97,18 +97,19 @@
 impl Write for Socket {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let mut io = self.0.io.borrow_mut();
-        if self.0.meter.borrow().must_wait() {
+        if self.0.meter.borrow().must_wait_for_list() {
             // What the engine is to hear is read on this very thread, or is on its way to it.
             context.waker().wake_by_ref();
             return Poll::Pending;
         }
-        let barred = |meter: &Meter| meter.is_revoked() || meter.is_too_late() || meter.has_expired();
-        let open = io.as_mut().filter(|_| !barred(&self.0.meter.borrow()));
+        let write_is_forbidden =
+            |meter: &Meter| meter.is_revoked() || meter.is_past_write_deadline() || meter.list_has_expired();
+        let open = io.as_mut().filter(|_| !write_is_forbidden(&self.0.meter.borrow()));
         let Some(io) = open else { return Poll::Ready(Err(io::ErrorKind::NotConnected.into())) };
         let written = Pin::new(io).poll_write(context, bytes);
-        self.0.blocked.set(written.is_pending());
+        self.0.write_blocked.set(written.is_pending());
         if let Poll::Ready(Ok(count)) = written {
-            self.0.meter.borrow().add(count);
+            self.0.meter.borrow().record_written(count);
         }
         written
     }
@@ -119,7 +120,7 @@
         let flushed = Pin::new(io).poll_flush(context);
         // hyper flushes when it has written all that it had made.
         if matches!(flushed, Poll::Ready(Ok(()))) {
-            self.0.meter.borrow().flushed();
+            self.0.meter.borrow().record_flush();
         }
         flushed
     }
@@ -139,22 +140,22 @@
     /// Bytes behind an answer may come once its connection is idle, and no task has been polled since: they must
     /// be seen all the same, else they are taken for the next answer.
     #[test]
-    fn what_has_come_shows_without_being_polled_for() {
+    fn pending_input_is_detected_without_polling_the_stream() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let near =
+        let local =
             std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("connected");
-        let (mut far, _) = listener.accept().expect("accepted");
-        near.set_nonblocking(true).expect("nonblocking");
+        let (mut peer, _) = listener.accept().expect("accepted");
+        local.set_nonblocking(true).expect("nonblocking");
         let _inside = runtime.enter();
-        let socket = Socket::new(TcpStream::from_std(near).expect("a stream"));
-        assert!(socket.is_quiet());
-        far.write_all(b"x").expect("written");
-        assert!(!socket.is_quiet());
+        let socket = Socket::new(TcpStream::from_std(local).expect("a stream"));
+        assert!(socket.has_no_pending_input());
+        peer.write_all(b"x").expect("written");
+        assert!(!socket.has_no_pending_input());
         socket.close();
-        assert!(!socket.is_quiet());
+        assert!(!socket.has_no_pending_input());
         assert!(
-            std::io::Read::read(&mut far, &mut [0]).is_ok_and(|n| n == 0) || far.write_all(b"y").is_err()
+            std::io::Read::read(&mut peer, &mut [0]).is_ok_and(|n| n == 0) || peer.write_all(b"y").is_err()
         );
     }
 }
--- a/engine/src/station.rs
+++ b/engine/src/station.rs
@@ -143,17 +143,17 @@
 impl<P: Protocol> Desk<P> {
     /// The moment in the module's time, in microseconds; a station's core has no other clock.
     pub fn now(&self) -> Micros {
-        self.clock.at(Instant::now())
+        self.clock.micros_at(Instant::now())
     }
 
     /// A moment in the module's time.
     pub fn at(&self, instant: Instant) -> Micros {
-        self.clock.at(instant)
+        self.clock.micros_at(instant)
     }
 
     /// A moment of the module's time.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.clock.instant(at)
+        self.clock.instant_at(at)
     }
 
     /// The configuration.
@@ -255,7 +255,7 @@
 
     /// What is whole needs nothing more to be sent; what is half written is called off, where that is allowed.
     fn stays(&self, out: &Attempt) -> bool {
-        out.meter.is_whole() || !self.config.settings.limits.cancel && out.meter.bytes() > 0
+        out.meter.is_fully_written() || !self.config.settings.limits.cancel && out.meter.bytes() > 0
     }
 
     /// Lets it: nothing new is sent for it, what is not written is withdrawn and what is half written called off. Its
@@ -268,7 +268,7 @@
         call.lingers = true;
         call.withdraw(id, &mut self.events, |_| true);
         for (attempt, out) in (0..).zip(&mut call.attempts) {
-            if let Some(out) = out.take_if(|out| cancel && !out.meter.is_whole()) {
+            if let Some(out) = out.take_if(|out| cancel && !out.meter.is_fully_written()) {
                 call.may_have_run = true;
                 let elapsed = out.sent.elapsed();
                 self.events.push_back(ended(id, attempt, Outcome::CalledOff, elapsed, false));
--- a/engine/tests/chain.rs
+++ b/engine/tests/chain.rs
@@ -48,9 +48,9 @@
         self.0.borrow_mut().push_back((to.server, sender));
         let meter = meter.clone();
         async move {
-            meter.made(true);
-            meter.add(1);
-            meter.flushed();
+            meter.set_encoded(true);
+            meter.record_written(1);
+            meter.record_flush();
             end.await.unwrap_or(End::without_answer(Outcome::Reset))
         }
     }
--- a/engine/tests/net.rs
+++ b/engine/tests/net.rs
@@ -1,7 +1,9 @@
 //! The seam to the system: a thread that has entered a network uses that one and no other, until it has left.
 #![cfg(feature = "virtual-net")]
 
-use nettleworks_engine::net::{enter, Dialing, Listener, Network, Stream, VirtualListener, VirtualStream};
+use nettleworks_engine::net::{
+    enter, ConnectFuture, Listener, Network, Stream, VirtualListener, VirtualStream,
+};
 use nettleworks_engine::socket::Socket;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -46,43 +48,43 @@
 }
 
 impl VirtualStream for Pipe {
-    fn is_quiet(&self) -> bool {
+    fn has_no_pending_input(&self) -> bool {
         self.1.get()
     }
 
-    fn is_left(&self) -> bool {
+    fn is_closed_by_peer(&self) -> bool {
         false
     }
 }
 
 #[derive(Default)]
-struct Net {
-    dialled: RefCell<Vec<SocketAddr>>,
-    far: RefCell<Vec<DuplexStream>>,
-    quiet: Rc<Cell<bool>>,
+struct TestNetwork {
+    addresses: RefCell<Vec<SocketAddr>>,
+    peers: RefCell<Vec<DuplexStream>>,
+    no_pending_input: Rc<Cell<bool>>,
 }
 
-impl Network for Net {
-    fn connect(&self, address: SocketAddr) -> Dialing {
-        self.dialled.borrow_mut().push(address);
+impl Network for TestNetwork {
+    fn connect(&self, address: SocketAddr) -> ConnectFuture {
+        self.addresses.borrow_mut().push(address);
         if address.port() == 1 {
             return Box::pin(async { Err(io::ErrorKind::ConnectionRefused.into()) });
         }
-        let (near, far) = tokio::io::duplex(1_024);
-        self.far.borrow_mut().push(far);
-        let near = Pipe(near, self.quiet.clone());
-        Box::pin(async move { Ok(Box::new(near) as _) })
+        let (local, peer) = tokio::io::duplex(1_024);
+        self.peers.borrow_mut().push(peer);
+        let local = Pipe(local, self.no_pending_input.clone());
+        Box::pin(async move { Ok(Box::new(local) as _) })
     }
 
-    fn since_1970(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         Duration::from_secs(7)
     }
 }
 
 #[derive(Debug)]
-struct Door(RefCell<VecDeque<DuplexStream>>);
+struct QueueListener(RefCell<VecDeque<DuplexStream>>);
 
-impl VirtualListener for Door {
+impl VirtualListener for QueueListener {
     fn poll_accept(&self, _: &mut Context<'_>) -> Poll<io::Result<Box<dyn VirtualStream>>> {
         match self.0.borrow_mut().pop_front() {
             Some(stream) => Poll::Ready(Ok(Box::new(Pipe(stream, Rc::default())))),
@@ -96,8 +98,8 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn streams_are_those_of_the_network_that_was_entered_last() {
-    let (outer, inner) = (Rc::new(Net::default()), Rc::new(Net::default()));
+async fn streams_belong_to_the_network_entered_last() {
+    let (outer, inner) = (Rc::new(TestNetwork::default()), Rc::new(TestNetwork::default()));
     let entered = enter(outer.clone());
     {
         let _inside = enter(inner.clone());
@@ -105,47 +107,47 @@
         stream.set_nodelay().expect("it has no delay");
         stream.write_all(b"over").await.expect("written");
         stream.flush().await.expect("flushed");
-        let mut far = inner.far.borrow_mut().pop().expect("the other end");
+        let mut peer = inner.peers.borrow_mut().pop().expect("the other end");
         let mut read = [0; 4];
-        far.read_exact(&mut read).await.expect("read");
+        peer.read_exact(&mut read).await.expect("read");
         assert_eq!(&read, b"over");
-        far.write_all(b"back").await.expect("written");
+        peer.write_all(b"back").await.expect("written");
         stream.read_exact(&mut read).await.expect("read");
         assert_eq!(&read, b"back");
         stream.shutdown().await.expect("ended");
-        assert_eq!(far.read(&mut read).await.expect("its end"), 0);
+        assert_eq!(peer.read(&mut read).await.expect("its end"), 0);
     }
     Stream::connect(address(81)).await.expect("connected");
-    assert_eq!(*inner.dialled.borrow(), [address(80)]);
-    assert_eq!(*outer.dialled.borrow(), [address(81)]);
+    assert_eq!(*inner.addresses.borrow(), [address(80)]);
+    assert_eq!(*outer.addresses.borrow(), [address(81)]);
     let refused = Stream::connect(address(1)).await.expect_err("refused");
     assert_eq!(refused.kind(), io::ErrorKind::ConnectionRefused);
     drop(entered);
     // The system's again: nobody listens there.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let real = listener.local_addr().expect("an address");
-    assert!(matches!(Stream::connect(real).await, Ok(Stream::Tcp(_))));
-    assert_eq!(outer.dialled.borrow().len(), 2);
+    let system_address = listener.local_addr().expect("an address");
+    assert!(matches!(Stream::connect(system_address).await, Ok(Stream::Tcp(_))));
+    assert_eq!(outer.addresses.borrow().len(), 2);
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn whether_a_stream_is_quiet_is_its_networks_word() {
-    let net = Rc::new(Net::default());
+async fn a_virtual_stream_reports_whether_input_is_pending() {
+    let net = Rc::new(TestNetwork::default());
     let _entered = enter(net.clone());
     let socket = Socket::new(Stream::connect(address(80)).await.expect("connected"));
-    assert!(!socket.is_quiet());
-    net.quiet.set(true);
-    assert!(socket.is_quiet());
+    assert!(!socket.has_no_pending_input());
+    net.no_pending_input.set(true);
+    assert!(socket.has_no_pending_input());
     socket.close();
-    assert!(!socket.is_quiet(), "closed by its owner");
+    assert!(!socket.has_no_pending_input(), "closed by its owner");
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_listener_gives_what_its_network_has_and_waits_for_more() {
-    let (near, mut far) = tokio::io::duplex(64);
-    let listener = Listener::Virtual(Box::new(Door(RefCell::new(VecDeque::from([near])))));
+async fn a_virtual_listener_accepts_pending_connections_and_waits_for_more() {
+    let (local, mut peer) = tokio::io::duplex(64);
+    let listener = Listener::Virtual(Box::new(QueueListener(RefCell::new(VecDeque::from([local])))));
     let mut accepted = listener.accept().await.expect("one");
-    far.write_all(b"hello").await.expect("written");
+    peer.write_all(b"hello").await.expect("written");
     let mut read = [0; 5];
     accepted.read_exact(&mut read).await.expect("read");
     assert_eq!(&read, b"hello");
--- a/lab/src/full/socket.rs
+++ b/lab/src/full/socket.rs
@@ -1,7 +1,7 @@
 //! The proxies' ends of connections, as the engine has them.
 
 use super::net::{ConnId, World, OPENER, TAKER};
-use nettleworks_engine::net::{Dialing, Network, VirtualListener, VirtualStream};
+use nettleworks_engine::net::{ConnectFuture, Network, VirtualListener, VirtualStream};
 use std::cell::RefCell;
 use std::fmt;
 use std::future::Future;
@@ -23,12 +23,12 @@
 }
 
 impl Network for Node {
-    fn connect(&self, address: SocketAddr) -> Dialing {
+    fn connect(&self, address: SocketAddr) -> ConnectFuture {
         let conn = self.world.borrow_mut().dial(self.proxy, address);
         Box::pin(Dial { world: self.world.clone(), conn, done: false })
     }
 
-    fn since_1970(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         let world = self.world.borrow();
         let off = world.model.proxies[self.proxy].clock;
         let now = (crate::site::EPOCH * 1_000_000 + world.model.now) as i64;
@@ -114,11 +114,11 @@
 }
 
 impl VirtualStream for End {
-    fn is_quiet(&self) -> bool {
+    fn has_no_pending_input(&self) -> bool {
         self.world.borrow().is_quiet(self.conn, self.side)
     }
 
-    fn is_left(&self) -> bool {
+    fn is_closed_by_peer(&self) -> bool {
         self.world.borrow().is_left(self.conn, self.side)
     }
 }
--- a/library/src/builder.rs
+++ b/library/src/builder.rs
@@ -161,7 +161,7 @@
         if let Some(keys) = &self.keys {
             config = config.with_keys(keys).map_err(StartError::Configuration)?;
         }
-        let calls = self.calls.or(config.calls).unwrap_or(config.sockets / 3);
+        let calls = self.calls.or(config.max_calls).unwrap_or(config.max_descriptors / 3);
         if !(1..=SHARDS_MOST).contains(&self.engines) {
             return Err(StartError::Configuration(format!("{} cores: 1 to {SHARDS_MOST}", self.engines)));
         }
--- a/library/src/fleet.rs
+++ b/library/src/fleet.rs
@@ -11,7 +11,7 @@
 use nettleworks::requests;
 use nettleworks_engine::calls::{Ask, Caller, Reply};
 use nettleworks_engine::config::Config;
-use nettleworks_engine::http1::{Forward, BODY_MOST};
+use nettleworks_engine::http1::{ForwardedRequest, MAX_BODY_BYTES};
 use nettleworks_keys::KeyState;
 use nettleworks_keys_station::WithKeys;
 use std::fmt;
@@ -139,7 +139,7 @@
         place: OwnedSemaphorePermit,
     ) -> Result<Call, Error> {
         let (mut head, body) = request.into_parts();
-        if body.len() > BODY_MOST {
+        if body.len() > MAX_BODY_BYTES {
             return Err(Error::Unusable(http::StatusCode::PAYLOAD_TOO_LARGE));
         }
         let context = head.extensions.get::<CallContext>().cloned().unwrap_or_default();
@@ -178,7 +178,7 @@
     pub(crate) fn take_in(
         &self,
         ask: Ask<HeaderValue>,
-        forward: Forward,
+        forward: ForwardedRequest,
         place: OwnedSemaphorePermit,
     ) -> Result<Call, Error> {
         let (sender, reply) = oneshot::channel();
--- a/library/src/layer.rs
+++ b/library/src/layer.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Either, Full, LengthLimitError, Limited};
 use nettleworks::requests::{self, Answer};
 use nettleworks::server::WHOLE_TIME;
-use nettleworks_engine::http1::{BoxError, BODY_MOST};
+use nettleworks_engine::http1::{BoxError, MAX_BODY_BYTES};
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -136,10 +136,10 @@
     B: Body<Data = Bytes>,
     B::Error: Into<BoxError>,
 {
-    if body.size_hint().lower() > BODY_MOST as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    match timeout_at(until, Limited::new(body, BODY_MOST).collect()).await {
+    match timeout_at(until, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(StatusCode::PAYLOAD_TOO_LARGE),
         Ok(Err(_)) => Err(StatusCode::BAD_REQUEST),
--- a/library/src/thread.rs
+++ b/library/src/thread.rs
@@ -11,7 +11,7 @@
 use nettleworks_engine::calls::{Ask, Caller};
 use nettleworks_engine::config::Config;
 use nettleworks_engine::driver::Handle;
-use nettleworks_engine::http1::{Forward, Http1};
+use nettleworks_engine::http1::{ForwardedRequest, Http1};
 use nettleworks_engine::Log;
 use nettleworks_policy::CallId;
 use std::io;
@@ -39,7 +39,7 @@
 #[expect(clippy::large_enum_variant, reason = "nearly all commands are calls")]
 pub(crate) enum Command {
     /// A call. Its place among the open ones comes with it, so that the queue is bounded by their number.
-    Call { ask: Ask<HeaderValue>, forward: Forward, caller: Caller<Response<Bytes>>, ticket: Ticket },
+    Call { ask: Ask<HeaderValue>, forward: ForwardedRequest, caller: Caller<Response<Bytes>>, ticket: Ticket },
     /// Its caller has gone. There is one at most for each call that came before it in the queue.
     Gone(Ticket),
     /// A listener for the daemon's front, until `stop` is told or dropped.
--- a/measure/src/cores.rs
+++ b/measure/src/cores.rs
@@ -10,7 +10,7 @@
 use nettleworks::config::Config;
 use nettleworks::cores::{self, Shards, Spare, Told};
 use nettleworks_engine::calls::Ask;
-use nettleworks_engine::http1::{Forward, Http1};
+use nettleworks_engine::http1::{ForwardedRequest, Http1};
 use nettleworks_keys_station::WithKeys;
 use nettleworks_policy::ClassId;
 use nettleworks_standins::{over, run, Aftermath, Load, Plan, Site, Storm};
@@ -357,9 +357,9 @@
     Ask { id, class: ClassId(0), tenant: None, deadline, resent: false, key: None }
 }
 
-fn forward() -> Forward {
+fn forward() -> ForwardedRequest {
     let (method, target) = (http::Method::GET, http::Uri::from_static("/api"));
-    Forward { method, target, headers: http::HeaderMap::new(), body: bytes::Bytes::new() }
+    ForwardedRequest { method, target, headers: http::HeaderMap::new(), body: bytes::Bytes::new() }
 }
 
 /// The median time of a repeat's kept answer, in microseconds, at the engine that its key belongs to and at another.
--- a/proxy/src/files.rs
+++ b/proxy/src/files.rs
@@ -28,8 +28,10 @@
     pub fn load(&self) -> Result<Config, LoadError> {
         let config = Config::load(&self.config)?;
         let Some(path) = &self.keys else { return Ok(config) };
-        let bad =
-            |passing, reason: String| LoadError { passing, reason: format!("{}: {reason}", path.display()) };
+        let bad = |passing, reason: String| LoadError {
+            transient: passing,
+            reason: format!("{}: {reason}", path.display()),
+        };
         let text =
             std::fs::read_to_string(path).map_err(|error| bad(is_passing(&error), error.to_string()))?;
         config.with_keys(&text).map_err(|error| bad(false, error))
@@ -44,7 +46,7 @@
         let until = Instant::now() + most;
         loop {
             match self.load() {
-                Err(error) if error.passing && Instant::now() < until => sleep(AGAIN).await,
+                Err(error) if error.transient && Instant::now() < until => sleep(AGAIN).await,
                 done => return done.map_err(|error| error.reason),
             }
         }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -102,13 +102,13 @@
         settings.codec()?;
         say(&format!("{}: good, {} seeds", members.display(), settings.seeds.len()))?;
     }
-    for place in &config.unused {
+    for place in &config.unused_keys {
         say(&format!("{place}: not used"))?;
     }
-    if config.unknown.is_empty() {
+    if config.unknown_keys.is_empty() {
         return say(&format!("{}: good, {} classes", path.display(), config.classes.len()));
     }
-    Err(format!("{}: unknown keys: {}", path.display(), config.unknown.join(", ")))
+    Err(format!("{}: unknown keys: {}", path.display(), config.unknown_keys.join(", ")))
 }
 
 /// A runtime for this thread. It needs descriptors, of which the machine may be short for a moment.
@@ -126,7 +126,7 @@
         let bad = |e: std::io::Error| format!("{}: {e}", config.listen);
         let listener = keep_trying(|| server::listen(config.listen)).map_err(bad)?;
         let log = nettleworks_engine::log_to_stderr();
-        for place in &config.unknown {
+        for place in &config.unknown_keys {
             log(&format!("configuration: {place}: unknown key, not used"));
         }
         // Port 0 is any that is free.
@@ -164,7 +164,7 @@
         let listeners = keep_trying(|| server::bind_all(config.listen, cores)).map_err(bad)?;
         let spare = keep_trying(|| Spare::of(&listeners)).map_err(bad)?;
         let log = nettleworks_engine::log_to_stderr();
-        for place in &config.unknown {
+        for place in &config.unknown_keys {
             log(&format!("configuration: {place}: unknown key, not used"));
         }
         let address = listeners[0].local_addr().map_err(|e| e.to_string())?;
--- a/proxy/src/requests.rs
+++ b/proxy/src/requests.rs
@@ -9,7 +9,7 @@
 use nettleworks_engine::calls::{Ask, Doubt, Reply};
 use nettleworks_engine::config::Config;
 use nettleworks_engine::driver::Handle;
-use nettleworks_engine::http1::{BoxError, Forward, Http1, BODY_MOST};
+use nettleworks_engine::http1::{BoxError, ForwardedRequest, Http1, MAX_BODY_BYTES};
 use nettleworks_engine::socket::Socket;
 use nettleworks_keys::KeyState;
 use nettleworks_keys_station::{Keys, WithKeys};
@@ -47,11 +47,11 @@
         "/_health" => plain(StatusCode::SERVICE_UNAVAILABLE),
         "/api" => {
             let Arrival { socket, whole_by } = arrival;
-            match take_in(&driver.config(), request, whole_by, || socket.read_at()).await {
+            match take_in(&driver.config(), request, whole_by, || socket.last_read_at()).await {
                 Ok((mut ask, forward)) => {
                     // Nobody is there to hear of a request whose client has left, also where what that sent lay behind
                     // another.
-                    if socket.is_left() {
+                    if socket.is_closed_by_peer() {
                         return unusable(StatusCode::BAD_REQUEST);
                     }
                     ask.deadline = ending.at().map_or(ask.deadline, |at| ask.deadline.min(at));
@@ -93,26 +93,26 @@
     }
 }
 
-/// Reads a request whole: its body must be there by `whole_by` and hold [`BODY_MOST`] bytes at most. Its client's
+/// Reads a request whole: its body must be there by `whole_by` and hold [`MAX_BODY_BYTES`] bytes at most. Its client's
 /// time runs from `read_at`, asked when it is whole. What cannot be used is turned away with a status.
 pub async fn take_in<B>(
     config: &Config,
     request: Request<B>,
     whole_by: Instant,
     read_at: impl FnOnce() -> Instant,
-) -> Result<(Ask<HeaderValue>, Forward), TurnedAway<B>>
+) -> Result<(Ask<HeaderValue>, ForwardedRequest), TurnedAway<B>>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<BoxError>,
 {
     let (head, body) = request.into_parts();
-    let large = body.size_hint().lower() > BODY_MOST as u64;
+    let large = body.size_hint().lower() > MAX_BODY_BYTES as u64;
     let (mut ask, budget) = match ask(config, &head.method, &head.headers, body.is_end_stream()) {
         Ok(_) if large => return Err(TurnedAway::unread(StatusCode::PAYLOAD_TOO_LARGE, body)),
         Ok(usable) => usable,
         Err(status) => return Err(TurnedAway::unread(status, body)),
     };
-    let status = match timeout_at(whole_by, Limited::new(body, BODY_MOST).collect()).await {
+    let status = match timeout_at(whole_by, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => {
             ask.deadline = read_at() + budget.saturating_sub(WAY_BACK);
             return Ok((ask.clone(), forward(config, &ask, head, body.to_bytes())));
@@ -126,7 +126,7 @@
 
 /// What goes on to hosts of a request that can be used. A key that only the store of keys knows goes on where that is
 /// configured.
-pub fn forward(config: &Config, ask: &Ask<HeaderValue>, head: Parts, body: Bytes) -> Forward {
+pub fn forward(config: &Config, ask: &Ask<HeaderValue>, head: Parts, body: Bytes) -> ForwardedRequest {
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let mut headers = end_to_end(head.headers);
     let goes_on = |keys: &Keys| keys.forward.get(ask.class.0).copied().unwrap_or_default();
@@ -135,7 +135,7 @@
     if held && !config.keys().is_some_and(goes_on) {
         headers.remove("idempotency-key");
     }
-    Forward { method: head.method, target, headers, body }
+    ForwardedRequest { method: head.method, target, headers, body }
 }
 
 /// Reads on and throws away, within bounds: closing on a client that is sending would reset the connection, and the
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -5,7 +5,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::service::service_fn;
 use hyper_util::rt::TokioTimer;
-use nettleworks_engine::http1::HEAD_MOST;
+use nettleworks_engine::http1::MAX_HEAD_BYTES;
 use nettleworks_engine::net::{Listener, Stream};
 use nettleworks_engine::quota::{Counted, Side};
 use nettleworks_engine::socket::Socket;
@@ -191,7 +191,7 @@
     fn whole_by(self, socket: &Socket) -> Instant {
         match self {
             Phase::New(since) | Phase::Begun(since) => since + WHOLE_TIME,
-            Phase::Idle(_) | Phase::Open => socket.read_at() + WHOLE_TIME,
+            Phase::Idle(_) | Phase::Open => socket.last_read_at() + WHOLE_TIME,
         }
     }
 }
@@ -212,9 +212,9 @@
         match self.phase.get() {
             Phase::New(since) | Phase::Begun(since) => now >= since + WHOLE_TIME,
             // What has come and was not read may be a whole request.
-            Phase::Idle(since) => now >= since + idle && self.socket.is_quiet(),
+            Phase::Idle(since) => now >= since + idle && self.socket.has_no_pending_input(),
             // hyper does not look for the end of what it still has to read a further request from.
-            Phase::Open => self.socket.is_left(),
+            Phase::Open => self.socket.is_closed_by_peer(),
         }
     }
 
@@ -222,12 +222,12 @@
     /// be asking now can come again.
     fn may_leave(&self, now: Instant) -> bool {
         let silent = match self.phase.get() {
-            Phase::New(since) => self.socket.reads() == 0 && now >= since + NEW_LEAST,
-            Phase::Idle(_) => !self.socket.is_blocked(),
+            Phase::New(since) => self.socket.read_count() == 0 && now >= since + NEW_LEAST,
+            Phase::Idle(_) => !self.socket.is_write_blocked(),
             Phase::Begun(_) | Phase::Open => false,
         };
         // What has come and was not read may be a whole request.
-        silent && self.socket.is_quiet()
+        silent && self.socket.has_no_pending_input()
     }
 
     /// How well it can be spared, those with the least number first; `None`: not at all. A new one is given time
@@ -237,14 +237,14 @@
             Phase::New(since) | Phase::Begun(since) => (0, since),
             Phase::Idle(since) if now >= since + IDLE_LEAST => (1, since),
             // Its answer is not all written.
-            Phase::Idle(_) if self.socket.is_blocked() => return None,
+            Phase::Idle(_) if self.socket.is_write_blocked() => return None,
             // Those that come back keep theirs before those that have asked once, and may never again.
-            Phase::Idle(since) if self.socket.reads() <= 1 => (2, since),
+            Phase::Idle(since) if self.socket.read_count() <= 1 => (2, since),
             Phase::Idle(since) => (3, since),
             Phase::Open => return None,
         };
         // What has come and was not read may be a whole request.
-        let idle = rank > 0 && !self.socket.is_quiet();
+        let idle = rank > 0 && !self.socket.has_no_pending_input();
         (now >= since + BEGUN && !idle).then_some((rank, since))
     }
 
@@ -273,7 +273,7 @@
         let config = self.driver.config();
         let open = || config.quota.open(Side::Clients);
         let most = config.connections_to_clients();
-        self.crowded.set(open() > config.crowded_from());
+        self.crowded.set(open() > config.client_pressure_threshold());
         if open() >= most {
             self.open.retain(|client| !client.task.is_finished());
         }
@@ -294,7 +294,7 @@
         let idle = if self.crowded.get() { IDLE_LEAST } else { IDLE_MOST };
         self.open.retain(|client| {
             if let Phase::Idle(since) = client.phase.get() {
-                let read_at = client.socket.read_at();
+                let read_at = client.socket.last_read_at();
                 if read_at > since {
                     client.phase.set(Phase::Begun(read_at));
                 }
@@ -327,7 +327,7 @@
         let ending = self.ending.clone();
         let service = service_fn(move |request| {
             let arrival = Arrival { whole_by: state.get().whole_by(&read), socket: read.clone() };
-            let (driver, state, reads) = (driver.clone(), state.clone(), read.reads());
+            let (driver, state, reads) = (driver.clone(), state.clone(), read.read_count());
             let (crowded, first) = (crowded.clone(), !asked.replace(true));
             let ending = ending.clone();
             async move {
@@ -341,7 +341,7 @@
                 }
                 // What was read meanwhile may be half of the next request.
                 let now = Instant::now();
-                state.set(if socket.reads() == reads { Phase::Idle(now) } else { Phase::Begun(now) });
+                state.set(if socket.read_count() == reads { Phase::Idle(now) } else { Phase::Begun(now) });
                 Ok::<_, Infallible>(answer)
             }
         });
@@ -349,7 +349,7 @@
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(HEAD_MOST)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(socket.clone(), service);
         let close = Rc::new(Notify::new());
         let told = close.clone();
--- a/proxy/tests/cores.rs
+++ b/proxy/tests/cores.rs
@@ -7,7 +7,7 @@
 use nettleworks_cores::crossing::Crossed;
 use nettleworks_cores::Sizes;
 use nettleworks_engine::calls::{Ask, Reply};
-use nettleworks_engine::http1::Forward;
+use nettleworks_engine::http1::ForwardedRequest;
 use nettleworks_engine::list::List;
 use nettleworks_keys_station::WithKeys;
 use nettleworks_policy::ClassId;
@@ -328,12 +328,15 @@
     assert_eq!(site.ledger.runs().values().max(), Some(&1));
 }
 
-fn free(id: String) -> (Ask<HeaderValue>, Forward) {
+fn free(id: String) -> (Ask<HeaderValue>, ForwardedRequest) {
     let deadline = Instant::now() + Duration::from_secs(8);
     let id: HeaderValue = id.parse().expect("a value");
     let ask = Ask { id, class: ClassId(0), tenant: None, deadline, resent: false, key: None };
     let target = Uri::from_static("/api");
-    (ask, Forward { method: Method::GET, target, headers: HeaderMap::new(), body: Default::default() })
+    (
+        ask,
+        ForwardedRequest { method: Method::GET, target, headers: HeaderMap::new(), body: Default::default() },
+    )
 }
 
 /// A shard has decided where a call goes and not written it when the process is told that the host drains; its thread
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -8,25 +8,25 @@
 use serde_json::Value;
 
 #[derive(Deserialize)]
-struct Facts {
+struct SiteSettings {
     balancers: u32,
     #[serde(default)]
     me: u32,
-    classes: Vec<ClassFacts>,
+    classes: Vec<ClassSettings>,
     #[serde(default)]
-    tenants: Vec<TenantFacts>,
+    tenants: Vec<TenantSettings>,
     #[serde(default)]
     discovery: String,
-    limits: LimitFacts,
-    invariants: RuleFacts,
+    limits: LimitSettings,
+    invariants: RuleSettings,
     #[serde(default)]
-    result_mix: GoalFacts,
+    result_mix: GoalSettings,
     #[serde(default)]
     tick_us: u64,
 }
 
 #[derive(Deserialize)]
-struct ClassFacts {
+struct ClassSettings {
     name: String,
     objective_us: u64,
     deadline_us: u64,
@@ -42,7 +42,7 @@
 }
 
 #[derive(Deserialize)]
-struct TenantFacts {
+struct TenantSettings {
     name: String,
     #[serde(default)]
     portion: f64,
@@ -50,7 +50,7 @@
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct LimitFacts {
+struct LimitSettings {
     cancel: bool,
     probes: bool,
     second_copies: bool,
@@ -58,64 +58,64 @@
     max_retry_after_us: u64,
 }
 
-impl Default for LimitFacts {
+impl Default for LimitSettings {
     fn default() -> Self {
         let (cancel, probes, second_copies) = (false, false, false);
-        LimitFacts { cancel, probes, second_copies, max_attempts: 1, max_retry_after_us: 0 }
+        LimitSettings { cancel, probes, second_copies, max_attempts: 1, max_retry_after_us: 0 }
     }
 }
 
 #[derive(Deserialize)]
-struct RuleFacts {
+struct RuleSettings {
     cold_from: f64,
     cold_us: u64,
-    #[serde(default = "ask_every")]
+    #[serde(default = "default_ask_every")]
     ask_every_us: u64,
-    #[serde(default = "drain_grace")]
+    #[serde(default = "default_drain_grace")]
     drain_grace_us: u64,
-    #[serde(default = "bears")]
+    #[serde(default = "default_bears")]
     fall_multiple: f64,
 }
 
-fn bears() -> f64 {
+fn default_bears() -> f64 {
     Settings::default().rules.bears
 }
 
-fn ask_every() -> u64 {
+fn default_ask_every() -> u64 {
     Settings::default().rules.ask_every
 }
 
-fn drain_grace() -> u64 {
+fn default_drain_grace() -> u64 {
     Settings::default().rules.drain_grace
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct GoalFacts {
+struct GoalSettings {
     whole: f64,
     worst_class: f64,
 }
 
-impl Default for GoalFacts {
+impl Default for GoalSettings {
     fn default() -> Self {
-        GoalFacts { whole: 1.0, worst_class: 0.0 }
+        GoalSettings { whole: 1.0, worst_class: 0.0 }
     }
 }
 
 /// Settings, and the names of classes and tenants in their order.
 pub fn read(facts: &Value) -> Result<(Settings, Vec<String>, Vec<String>), String> {
-    read_noting(facts, |_| ())
+    read_reporting_unused(facts, |_| ())
 }
 
 /// As [`read`]; `unused` hears the place of each key that says nothing here. An error names its place too.
-pub fn read_noting(
+pub fn read_reporting_unused(
     facts: &Value,
     mut unused: impl FnMut(String),
 ) -> Result<(Settings, Vec<String>, Vec<String>), String> {
-    let mut track = serde_path_to_error::Track::new();
-    let tracked = serde_path_to_error::Deserializer::new(facts, &mut track);
-    let facts: Result<Facts, _> = serde_ignored::deserialize(tracked, |path| unused(path.to_string()));
-    let facts = facts.map_err(|error| format!("{}: {error}", track.path()))?;
+    let mut path_tracker = serde_path_to_error::Track::new();
+    let tracked = serde_path_to_error::Deserializer::new(facts, &mut path_tracker);
+    let facts: Result<SiteSettings, _> = serde_ignored::deserialize(tracked, |path| unused(path.to_string()));
+    let facts = facts.map_err(|error| format!("{}: {error}", path_tracker.path()))?;
     let mut classes = Vec::new();
     for class in &facts.classes {
         let scope = match class.dedup_scope.as_str() {
@@ -153,7 +153,7 @@
         },
         rules: Rules {
             // What cannot be meant is as if it were not there.
-            bears: if rules.fall_multiple > 0.0 { rules.fall_multiple } else { bears() },
+            bears: if rules.fall_multiple > 0.0 { rules.fall_multiple } else { default_bears() },
             cold_share: rules.cold_from,
             cold_time: rules.cold_us,
             ask_every: rules.ask_every_us,
@@ -166,7 +166,7 @@
 }
 
 /// A number for a zone's name (FNV-1a), the same wherever it is met.
-pub fn zone(name: &str) -> ZoneId {
+pub fn zone_id(name: &str) -> ZoneId {
     ZoneId(name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)))
 }
 
@@ -175,7 +175,7 @@
     use super::*;
 
     #[test]
-    fn what_a_cold_server_bears_is_the_settings_word_where_it_can_be_meant() {
+    fn the_fall_multiple_is_read_where_it_is_positive() {
         for (rules, bears) in [
             (r#""fall_multiple": 1.5, "#, 1.5),
             (r#""fall_multiple": 0, "#, 2.0),
--- a/shards/cores/src/member.rs
+++ b/shards/cores/src/member.rs
@@ -7,7 +7,7 @@
 use crate::hub::Hub;
 use nettleworks_engine::group::{Group, Lease, Place};
 use nettleworks_engine::list::List;
-use nettleworks_engine::meter::Fresh;
+use nettleworks_engine::meter::FreshnessGate;
 use nettleworks_engine::protocol::Protocol;
 use nettleworks_policy::{self as policy, Balancer, Event, Load, Micros, News, ServerId, Short};
 use nettleworks_shards::roll::Roll;
@@ -58,7 +58,7 @@
 pub struct Member<P: Protocol> {
     hub: Arc<Hub<P>>,
     me: Shard,
-    fresh: Fresh,
+    fresh: FreshnessGate,
     roll: Rc<RefCell<Roll>>,
     hosts: BTreeMap<ServerId, Known>,
     /// Where calls have ended since the last look; as many as there were calls.
@@ -77,7 +77,12 @@
 }
 
 impl<P: Protocol> Member<P> {
-    pub(crate) fn new(hub: Arc<Hub<P>>, me: Shard, fresh: Fresh, roll: Rc<RefCell<Roll>>) -> Member<P> {
+    pub(crate) fn new(
+        hub: Arc<Hub<P>>,
+        me: Shard,
+        fresh: FreshnessGate,
+        roll: Rc<RefCell<Roll>>,
+    ) -> Member<P> {
         Member {
             hub,
             me,
@@ -253,7 +258,7 @@
     }
 
     fn listed(&mut self, list: &List) {
-        self.fresh.taken(self.hub.list(self.me, list));
+        self.fresh.mark_applied(self.hub.list(self.me, list));
     }
 
     fn publish(&mut self, lease: Lease) {
--- a/shards/cores/src/seat.rs
+++ b/shards/cores/src/seat.rs
@@ -7,7 +7,7 @@
 use nettleworks_engine::config::Config;
 use nettleworks_engine::driver::{Handle, Stations};
 use nettleworks_engine::list::List;
-use nettleworks_engine::meter::Fresh;
+use nettleworks_engine::meter::FreshnessGate;
 use nettleworks_engine::protocol::Protocol;
 use nettleworks_engine::task::{self, Task};
 use nettleworks_engine::Log;
@@ -211,7 +211,7 @@
         let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         let (patience, remembered) = (micros(sizes.patience), micros(sizes.remembered));
         let roll = Rc::new(RefCell::new(Roll::new(me, sizes.shards, hub.now(), patience, remembered)));
-        let fresh = Fresh::new(hub.told.clone());
+        let fresh = FreshnessGate::new(hub.told.clone());
         let member = Member::new(hub.clone(), me, fresh.clone(), roll.clone());
         let mut way: Stations<P> = vec![Box::new(Crossing::new(hub, me, roll.clone()))];
         way.extend(stations);
