--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts balancers on the bench's wire: one JSON batch a line in, one JSON reply a line out. Decides nothing.
+//! Runs balancers for a simulator: reads one JSON batch of events per line from standard input and writes one JSON
+//! reply of commands per line to standard output. All decisions are the balancers'.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -11,14 +12,14 @@
 use std::io::{self, BufRead, Write};
 use wire::{Batch, Command, Input, Reply};
 
-/// A call of an instance under its name on the wire.
+/// A call of an instance, with its id on the wire.
 struct WireCall {
     wire_id: String,
     attempts_in_flight: u32,
     ended: bool,
 }
 
-/// One instance: its balancer and the names that the wire uses for what the balancer numbers.
+/// One balancer, with the mapping between the wire's string ids and the balancer's numeric ids.
 struct Instance {
     balancer: Balancer,
     classes: Vec<String>,
@@ -29,6 +30,7 @@
 }
 
 impl Instance {
+    /// The balancer's id of a call; assigns a new one if the wire id is unknown.
     fn id_of(&mut self, wire_id: &str) -> CallId {
         if let Some(&id) = self.ids_by_wire_id.get(wire_id) {
             return id;
@@ -40,7 +42,7 @@
         id
     }
 
-    /// Forgets a call once it has ended and none of its attempts is out.
+    /// Forgets a call once it has ended and none of its attempts is in flight.
     fn forget_if_done(&mut self, id: CallId) {
         if self.calls.get(&id).is_some_and(|c| c.ended && c.attempts_in_flight == 0) {
             if let Some(wire_call) = self.calls.remove(&id) {
@@ -50,7 +52,7 @@
     }
 }
 
-/// All instances of this process, the lists, and the zones' numbers.
+/// All balancer instances of this process, and the server lists by their id on the wire.
 #[derive(Default)]
 struct Adapter {
     instances: HashMap<i64, Instance>,
@@ -58,20 +60,23 @@
     actions: Vec<Action>,
 }
 
+/// The value of a field that an event must have.
 fn required<T>(value: Option<T>, verb: &str, field: &str) -> Result<T, String> {
     value.ok_or_else(|| format!("{verb} without {field}"))
 }
 
 impl Adapter {
+    /// Handles one line of input and returns the line of output.
     fn batch(&mut self, line: &str) -> Result<String, String> {
-        let batch: Batch = serde_json::from_str(line).map_err(|e| format!("not a batch: {e}"))?;
+        let batch: Batch = serde_json::from_str(line).map_err(|e| format!("invalid batch: {e}"))?;
         let mut reply = Reply { cmds: Vec::with_capacity(batch.input.len()) };
         for input in batch.input {
             self.input(batch.clock_us, input, &mut reply)?;
         }
-        serde_json::to_string(&reply).map_err(|e| format!("no reply: {e}"))
+        serde_json::to_string(&reply).map_err(|e| format!("cannot serialize the reply: {e}"))
     }
 
+    /// Handles one event and adds the resulting commands to `reply`.
     fn input(&mut self, now: u64, input: Input, reply: &mut Reply) -> Result<(), String> {
         let verb = input.verb.as_ref();
         if verb == "POOL" {
@@ -187,7 +192,7 @@
     }
 }
 
-/// The wire's form of an action, with the names put back.
+/// Converts an action to a command of the wire. `None` if the wire has no such command or the call is unknown.
 fn command(proxy: i64, instance: &mut Instance, action: Action) -> Option<Command> {
     let wire_id = |id: CallId, calls: &HashMap<CallId, WireCall>| calls.get(&id).map(|c| c.wire_id.clone());
     Some(match action {
@@ -218,7 +223,7 @@
         Action::Wake { after } => Command::SetAlarm { proxy, offset_us: after, tag: 0 },
         Action::Subscribe => Command::Listen { proxy, enable: true },
         Action::Log { text } => Command::Trace { proxy, note_text: text },
-        // Only where several balancers of one process share their room.
+        // Emitted only where several balancers of one process share their capacity.
         Action::Tell { .. } => return None,
     })
 }
@@ -227,7 +232,9 @@
     let mut adapter = Adapter::default();
     let mut output = io::stdout().lock();
     for (index, line) in io::stdin().lock().lines().enumerate() {
-        let answer = line.map_err(|e| format!("unreadable: {e}")).and_then(|line| adapter.batch(&line));
+        let answer = line
+            .map_err(|e| format!("cannot read standard input: {e}"))
+            .and_then(|line| adapter.batch(&line));
         match answer {
             Ok(reply) => {
                 if writeln!(output, "{reply}").and_then(|()| output.flush()).is_err() {
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,10 +1,11 @@
-//! Messages of the wire, as they are read and written.
+//! The JSON messages exchanged with the simulator.
 
 use nettleworks_policy::{CellId, Entry, Load, Outcome, ServerId, State};
 use nettleworks_settings::zone_id;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
+/// A batch of events that happen at the same time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
     pub clock_us: u64,
@@ -12,7 +13,7 @@
     pub input: Vec<Input<'a>>,
 }
 
-/// Any event; which fields it has depends on its verb.
+/// An event of any kind; its verb determines which fields it has.
 #[derive(Deserialize)]
 pub struct Input<'a> {
     #[serde(borrow)]
@@ -42,6 +43,7 @@
     pub stats: Option<Stats>,
 }
 
+/// A host's load report.
 #[derive(Deserialize)]
 pub struct Stats {
     active: Option<f64>,
@@ -50,11 +52,13 @@
 }
 
 impl Stats {
+    /// The load in the decision module's form.
     pub fn load(&self) -> Load {
         Load { in_hand: self.active, waiting: self.waiting, busy: self.cpu }
     }
 }
 
+/// One host of a server list.
 #[derive(Deserialize)]
 pub struct Element {
     #[serde(default)]
@@ -70,12 +74,13 @@
 }
 
 impl Element {
+    /// The list entry in the decision module's form.
     pub fn entry(&self) -> Result<Entry, String> {
         let state = match self.state {
             0 => State::Draining,
             1 => State::Ready,
             2 => State::Gone,
-            unknown => return Err(format!("host {} in unknown state {unknown}", self.host)),
+            unknown => return Err(format!("host {} has unknown state {unknown}", self.host)),
         };
         Ok(Entry {
             server: ServerId(self.host),
@@ -88,6 +93,7 @@
     }
 }
 
+/// The outcome of an attempt from its code on the wire.
 pub fn outcome(code: &str) -> Outcome {
     match code {
         "served" => Outcome::Served,
@@ -102,11 +108,13 @@
     }
 }
 
+/// The commands that answer a batch.
 #[derive(Serialize)]
 pub struct Reply {
     pub cmds: Vec<Command>,
 }
 
+/// A command to the simulator.
 #[derive(Serialize)]
 #[serde(tag = "verb", rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Command {
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as the bench meets it: lines in, lines out, plain messages on what is malformed.
+//! Runs the adapter as a process: one line of output for each line of input, and an error message for malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -18,7 +18,7 @@
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("piped");
     for line in lines {
-        // A child that has already left closes the pipe; its exit code is what is judged.
+        // A child that has already exited has closed the pipe; the tests check its exit code.
         if writeln!(input, "{}", line.replace('\n', " ")).is_err() {
             break;
         }
@@ -32,7 +32,7 @@
     let done = r#"{"clock_us":99,"input":[{"verb":"DONE","proxy":3,"call":"r-x","seq_no":0,"host":77,"result":"served","elapsed_us":90,"terminal":true,"stats":{"odd":1,"cpu":0.5}}]}"#;
     let late = r#"{"clock_us":99,"input":[{"verb":"CANCELLED_BY_CLIENT","proxy":3,"call":"r-x"}]}"#;
     let output = run(&[r#"{"clock_us":1,"input":[]}"#, CREATE, MEMBERS, JOB_IN, done, late]);
-    assert!(output.status.success(), "end of input is no fault");
+    assert!(output.status.success(), "end of input is not an error");
     let replies: Vec<String> = String::from_utf8_lossy(&output.stdout).lines().map(str::to_owned).collect();
     assert_eq!(replies.len(), 6);
     assert_eq!(replies[0], r#"{"cmds":[]}"#);
--- a/engine/src/config.rs
+++ b/engine/src/config.rs
@@ -1,4 +1,4 @@
-//! What the proxy is told at start: the file that `ROUTER_CONFIG` names.
+//! The configuration of the proxy, read from the file that `ROUTER_CONFIG` names.
 
 use crate::extras::Extras;
 use crate::list::List;
@@ -11,46 +11,48 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Descriptors for all but connections of clients and hosts: standard streams, event queue, listener, discovery,
-/// and some to spare.
+/// File descriptors reserved for everything except connections to clients and hosts: standard streams, event queue,
+/// listener, discovery, and a margin.
 const SPARE_DESCRIPTORS: usize = 32;
 
-/// The configuration, checked.
+/// The validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where the application connects.
+    /// The address at which the proxy accepts clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// Seed of the random number generator; a new one with each start.
     pub seed: u64,
-    /// Most file descriptors that the process may hold.
+    /// Limit of file descriptors of the process.
     pub max_descriptors: usize,
-    /// The hosts as this proxy last had them; maybe old.
+    /// The last server list that this proxy had before it was restarted; it may be outdated.
     pub cached_list: Option<List>,
-    /// What the decision module is told.
+    /// The settings of the decision module.
     pub settings: Settings,
     /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of the settings.
     pub tenants: Vec<String>,
-    /// When a connection must be up.
+    /// Timeout for establishing a connection to a host.
     pub connect_timeout: Duration,
-    /// How long hosts keep an idle connection.
+    /// How long hosts keep an idle connection open.
     pub conn_idle: Duration,
-    /// Most calls that an application may have open through the library; `None`: a third of the descriptors.
+    /// Limit of concurrent calls that an application makes through the library; `None` means a third of the file
+    /// descriptors.
     pub max_calls: Option<usize>,
-    /// What stations are told; each reads a file of its own.
+    /// Configurations of the interceptors; each interceptor reads a file of its own.
     pub extras: Extras,
-    /// Connections that are open. Engines of one process count together.
+    /// Counts open connections. The engines of one process share it.
     pub quota: Quota,
-    /// Places of the keys that are not known, outside the settings. They may be a later platform's, or slips.
+    /// Paths of unknown keys outside `settings`. They may be typing errors or belong to a later version of the platform.
     pub unknown_keys: Vec<String>,
-    /// Places of the settings that are not used here. The platform tells more than it takes.
+    /// Paths of keys in `settings` that are not used. The platform provides more settings than the proxy needs.
     pub unused_keys: Vec<String>,
 }
 
-/// The file. What the platform tells and nothing here uses is named all the same: any other key is a slip.
+/// The configuration file. Keys that the platform sets but the proxy does not use are listed too, so that any other
+/// key can be reported as unknown.
 #[derive(Deserialize)]
 struct File {
     listen: SocketAddr,
@@ -89,7 +91,7 @@
     }
 }
 
-/// What is told and not used: read, so that it is known, and dropped.
+/// The value of a known but unused key: accepted and discarded.
 #[derive(Default)]
 struct IgnoredValue;
 
@@ -99,21 +101,21 @@
     }
 }
 
-/// Keys of our own. The platform sets none of them, so one that is not known is an error.
+/// Keys specific to nettleworks. The platform sets none of them, so an unknown key is an error.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct NettleworksOptions {
     calls: Option<usize>,
 }
 
-/// The part of the settings that is about connections; the rest is the decision module's.
+/// The part of `settings` that concerns connections; the decision module reads the rest.
 #[derive(Deserialize)]
 struct ConnectionSettings {
     #[serde(default)]
     limits: ConnectionLimits,
 }
 
-/// Their places among the settings.
+/// Paths of the keys that [`ConnectionSettings`] reads.
 const CONNECTION_KEYS: [&str; 2] = ["settings.limits.connect_timeout_us", "settings.limits.conn_idle_us"];
 
 #[derive(Deserialize)]
@@ -129,21 +131,21 @@
     }
 }
 
-/// Why a configuration file was not read.
+/// Why a configuration file could not be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadError {
-    /// Whether it may be read a moment later: the system is short of something.
+    /// Whether a retry may succeed, because the system is temporarily short of a resource.
     pub transient: bool,
-    /// In words, with the file's path.
+    /// The error message, with the path of the file.
     pub reason: String,
 }
 
 impl Config {
-    /// Reads a configuration file.
+    /// Loads a configuration file.
     ///
     /// # Errors
     ///
-    /// What keeps the file from being read, and whether that may pass; what is wrong with its text.
+    /// The file cannot be read, or its content is invalid.
     pub fn load(path: &Path) -> Result<Config, LoadError> {
         let with_path = |reason: String| format!("{}: {reason}", path.display());
         let text = std::fs::read_to_string(path)
@@ -151,22 +153,22 @@
         Config::parse(&text).map_err(|e| LoadError { transient: false, reason: with_path(e.to_string()) })
     }
 
-    /// Reads a configuration's text.
+    /// Parses the text of a configuration file. An error is a message that names the path of the key.
     pub fn parse(text: &str) -> Result<Config, String> {
         let (mut unknown_keys, mut unused_keys) = (Vec::new(), Vec::new());
         let mut json = serde_json::Deserializer::from_str(text);
         let mut path_tracker = serde_path_to_error::Track::new();
         let parsed: Result<File, _> = serde_ignored::deserialize(
             serde_path_to_error::Deserializer::new(&mut json, &mut path_tracker),
-            // Where there may be a value or none, its place has a step of its own.
+            // serde_ignored adds a `?` step to a path for each `Option`.
             |path| unknown_keys.push(path.to_string().replace(".?", "")),
         );
         let file = parsed.map_err(|error| match path_tracker.path().to_string() {
-            // The whole file has no place.
+            // An error of the whole file has no path.
             key if key == "." || key == "?" => error.to_string(),
             key => format!("{key}: {error}"),
         })?;
-        // A host's machine type is discovery's word, of which nothing here makes use.
+        // Discovery gives each host a machine type (`class`), which the proxy does not use.
         unknown_keys.retain(|key| !(key.starts_with("known.hosts.") && key.ends_with(".class")));
         json.end().map_err(|error| error.to_string())?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed: {e}"))?;
@@ -179,7 +181,7 @@
         let connection_limits =
             ConnectionSettings::deserialize(&file.settings).map_err(|e| format!("settings: {e}"))?.limits;
         if file.limits.sockets < 2 * SPARE_DESCRIPTORS {
-            return Err(format!("limits: {} sockets are too few", file.limits.sockets));
+            return Err(format!("limits.sockets: {} is too small", file.limits.sockets));
         }
         Ok(Config {
             listen: file.listen,
@@ -200,29 +202,30 @@
         })
     }
 
-    /// What a running proxy takes over from a new configuration. The rest is for its whole life; whether the two
-    /// differ there comes back too.
+    /// The configuration of a running proxy after a reload: only some values are taken from `new`, all others stay
+    /// until a restart. Also returns whether `new` differs in a value that is not reloaded.
     pub fn reloaded(&self, new: Config) -> (Config, bool) {
         let Config { discovery, max_descriptors, connect_timeout, conn_idle, .. } = new;
-        // What a station is told may change; which there are is for the whole life.
+        // The configuration of an interceptor can be reloaded, but the set of interceptors is fixed at start.
         let (extras, extras_differ) = self.extras.renewed(new.extras);
         let current = (self.listen, &self.settings, &self.classes, &self.tenants);
         let differs = extras_differ || current != (new.listen, &new.settings, &new.classes, &new.tenants);
         (Config { discovery, max_descriptors, connect_timeout, conn_idle, extras, ..self.clone() }, differs)
     }
 
-    /// Most connections to hosts: clients hold a third of the descriptors at most for requests, and each request
-    /// has one connection to a host.
+    /// Limit of connections to hosts. Clients use at most a third of the descriptors for requests in flight, and each
+    /// request needs one connection to a host.
     pub fn connections_to_hosts(&self) -> usize {
         (self.max_descriptors - SPARE_DESCRIPTORS) * 2 / 5
     }
 
-    /// Most connections to clients: the rest, as some clients connect and ask for nothing.
+    /// Limit of connections to clients: all other descriptors, since some clients connect and send no request.
     pub fn connections_to_clients(&self) -> usize {
         self.max_descriptors - SPARE_DESCRIPTORS - self.connections_to_hosts()
     }
 
-    /// Connections to clients beyond which idle ones are dear: half of what clients hold at most for requests.
+    /// Number of connections to clients above which idle ones should be closed: half of the connections that clients
+    /// use at most for requests in flight.
     pub fn client_pressure_threshold(&self) -> usize {
         self.max_descriptors / 6
     }
--- a/engine/src/dial.rs
+++ b/engine/src/dial.rs
@@ -1,4 +1,4 @@
-//! Opening a connection.
+//! Opens TCP connections, with a timeout and retries of cheap failures.
 
 use crate::net::Stream;
 use crate::passing::is_passing;
@@ -9,24 +9,24 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Any failure, in words.
+/// A boxed error of any type.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
-/// After an error that costs the other side nothing the next try comes so much later.
+/// Delay before the next try after an error that puts no load on the peer.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Linux's EADDRNOTAVAIL: this machine has no port left for the connection.
+/// Linux's `EADDRNOTAVAIL`: no local port is left for the connection.
 const EADDRNOTAVAIL: i32 = 99;
 
-/// Why no connection came up.
+/// Why a connection was not established.
 #[derive(Debug)]
 pub enum DialError {
-    /// This machine was short of something: a packet never left it.
+    /// A local resource was exhausted; no packet left this machine.
     Local(io::Error),
-    /// Nobody listens at the address.
+    /// The peer refused the connection: nothing listens at the address.
     Refused(io::Error),
-    /// Another error, of the network.
+    /// Any other network error.
     Network(io::Error),
-    /// It did not come up in time.
+    /// The connection was not established in time.
     TimedOut,
 }
 
@@ -45,21 +45,21 @@
 impl fmt::Display for DialError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DialError::Local(error) => write!(f, "this machine: {error}"),
+            DialError::Local(error) => write!(f, "local error: {error}"),
             DialError::Refused(error) | DialError::Network(error) => error.fmt(f),
-            DialError::TimedOut => f.write_str("not up in time"),
+            DialError::TimedOut => f.write_str("connect timeout"),
         }
     }
 }
 
 impl Error for DialError {}
 
-/// Opens a TCP connection without Nagle's delay within `connect_timeout`. A try that fails in a way that `should_retry` names is followed
-/// by another one.
+/// Opens a TCP connection with `TCP_NODELAY` set, within `connect_timeout`. After a failure for which `should_retry`
+/// returns true it tries again while time is left.
 ///
 /// # Errors
 ///
-/// The last one.
+/// The error of the last try, or [`DialError::TimedOut`].
 pub async fn dial(
     address: SocketAddr,
     connect_timeout: Duration,
--- a/engine/src/discovery/call.rs
+++ b/engine/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery, up to the head of their answers.
+//! Calls that open a watch at discovery, up to the head of the response.
 
 use super::received::{ObservedStream, ReceiveProgress};
 use crate::dial::{dial, BoxError, DialError};
@@ -17,91 +17,92 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Time for a connection to discovery. Nobody queues there.
+/// Timeout for a connection to discovery, where connections do not queue.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an answer is waited for.
+/// How long to wait for a response.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallTimeouts {
-    /// In all.
+    /// Timeout of all calls together.
     answer: Duration,
-    /// After this a second call is made beside the first, whose connection may be dead. The first to be answered counts.
+    /// Delay until a second call is made beside the first, whose connection may be dead. The first response is used.
     hedge: Duration,
 }
 
-/// Discovery that works through its calls in turn, and refuses what has waited for three seconds. A second call takes
-/// room from the first, and a crowd refuses both: it comes only when the first should have been answered or refused.
+/// For a discovery service that queues calls and refuses those that have waited for 3 s. Under overload a second call
+/// competes with the first and both are refused, so it is made only when the first should have been answered or refused.
 pub(super) const DIRECT_TIMEOUTS: CallTimeouts =
     CallTimeouts { answer: Duration::from_millis(6_000), hedge: Duration::from_millis(3_100) };
-/// An agent that pushes, which answers at once. What it has counts as notified, with a second's grace.
+/// For an agent that pushes the list and answers at once. What it has received counts as notified, with a grace of 1 s.
 pub(super) const AGENT_TIMEOUTS: CallTimeouts =
     CallTimeouts { answer: Duration::from_millis(700), hedge: Duration::from_millis(350) };
 
-/// A call that was answered with 200, and the task of its connection.
+/// The response to a call that was answered with 200, and the task of its connection.
 pub(super) struct WatchResponse {
     pub body: body::Incoming,
-    /// What has come on the connection.
+    /// What was received on the connection.
     pub received: Rc<ReceiveProgress>,
     pub _connection: Task,
 }
 
-/// Why a call has no answer to follow.
+/// Why a call did not open a watch.
 #[derive(Debug)]
 pub enum CallFailure {
-    /// Nobody listens at discovery's address.
+    /// Nothing listens at discovery's address.
     ConnectionRefused(BoxError),
-    /// No connection came up for another reason: this machine's, the network's, or in time.
+    /// No connection was established for another reason: a local error, a network error, or a timeout.
     NoConnection(BoxError),
-    /// The connection broke before the head of an answer had come.
+    /// The connection broke before the head of the response was complete.
     Broken(BoxError),
-    /// The answer was not 200.
+    /// The status of the response was not 200.
     Refused(StatusCode),
-    /// Nothing came in time.
+    /// There was no response in time.
     TimedOut,
 }
 
-/// A call that has failed.
+/// A failed call.
 #[derive(Debug)]
 pub struct FailedCall {
-    /// How long it was pending_calls.
+    /// How long the call took until it failed.
     pub duration: Duration,
-    /// When an answer started_at to come that is none to follow, nor a refusal.
+    /// When a response began to arrive that was neither completed nor a refusal.
     pub incomplete_since: Option<Instant>,
-    /// How many bytes of an answer came.
+    /// The number of response bytes received.
     pub bytes: u64,
-    /// How.
+    /// Why the call failed.
     pub failure: CallFailure,
 }
 
 impl fmt::Display for FailedCall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.failure {
-            CallFailure::ConnectionRefused(error) => write!(f, "nobody listens ({error})")?,
-            CallFailure::NoConnection(error) => write!(f, "no connection ({error})")?,
-            CallFailure::Broken(error) => write!(f, "connection broke ({error})")?,
+            CallFailure::ConnectionRefused(error) => write!(f, "connection refused ({error})")?,
+            CallFailure::NoConnection(error) => write!(f, "connect failed ({error})")?,
+            CallFailure::Broken(error) => write!(f, "connection lost ({error})")?,
             CallFailure::Refused(status) => write!(f, "discovery answered {status}")?,
-            CallFailure::TimedOut => f.write_str("no answer in time")?,
+            CallFailure::TimedOut => f.write_str("timed out")?,
         }
         write!(f, " after {:.3?} and {} bytes", self.duration, self.bytes)
     }
 }
 
-/// What has come for the calls of a watch that are pending_calls.
+/// What was received so far for the calls of a watch that have not ended.
 #[derive(Debug, Default)]
 pub(super) struct PendingCalls(RefCell<Vec<Rc<ReceiveProgress>>>);
 
 impl PendingCalls {
-    /// Since when an answer is on its way whose head is not whole.
+    /// When the first byte of a response arrived whose head is not complete yet.
     pub fn partial_head_since(&self) -> Option<Instant> {
         self.0.borrow().iter().filter_map(|received| received.first_byte_at()).min()
     }
 
+    /// Removes a call that has ended.
     fn remove(&self, call: &Call) {
         self.0.borrow_mut().retain(|received| !Rc::ptr_eq(received, &call.received));
     }
 }
 
-/// One call, from its begin on.
+/// One call, from its start.
 struct Call {
     started_at: Instant,
     received: Rc<ReceiveProgress>,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Asks for the list from version `since` on, and waits for the head of the answer.
+    /// Requests the list and its changes since version `since`, and waits for the head of the response.
     async fn open_watch(
         &self,
         discovery: SocketAddr,
@@ -150,7 +151,8 @@
     }
 }
 
-/// Opens a connection. Whatever fails at once but a refusal costs discovery nothing, and is soon over as a rule.
+/// Opens a connection. Any failure other than a refused connection puts no load on discovery and is usually transient,
+/// so the connection is retried.
 async fn connect(discovery: SocketAddr) -> Result<Stream, CallFailure> {
     let result = dial(discovery, CONNECT_TIMEOUT, |error| !matches!(error, DialError::Refused(_))).await;
     result.map_err(|error| match error {
@@ -159,11 +161,11 @@
     })
 }
 
-/// Calls discovery, and a second time beside the first where that is not answered soon. The first answer counts.
+/// Calls discovery, with a hedge: a second call if the first is not answered soon. The first response is used.
 ///
 /// # Errors
 ///
-/// How each call has failed, in the order in which they were begun.
+/// The failure of each call, in the order in which they were started.
 pub(super) async fn call_hedged(
     discovery: SocketAddr,
     since: Option<u64>,
@@ -180,7 +182,7 @@
     let mut second = pin!(second_call.open_watch(discovery, since));
     let deadline = started_at + timeouts.answer;
     let both = async {
-        // In this order, not in one drawn anew: the same events make the same course.
+        // A fixed polling order keeps simulated runs reproducible.
         tokio::select! {
             biased;
             result = &mut first => match result {
@@ -208,7 +210,7 @@
     })
 }
 
-/// What a call gives by a moment.
+/// The result of a call, which fails at `deadline` at the latest.
 async fn by_deadline(
     deadline: Instant,
     call: impl Future<Output = Result<WatchResponse, CallFailure>>,
--- a/engine/src/discovery/mod.rs
+++ b/engine/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The watch that brings the changes of the list of hosts.
+//! The watch: a long-lived response of discovery that streams changes of the server list.
 
 mod call;
 mod outage;
@@ -21,42 +21,43 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// A heartbeat comes every 2 s: a watch on which one of them and a half bring nothing whole is taken for dead. What it hid
-/// counts as notified 6 s after it fell silent: what is left is for another one to be opened.
+/// A watch that brings nothing complete for this long is considered dead. Heartbeats come every 2 s, so this is one and
+/// a half intervals. Changes it missed count as notified 6 s after it fell silent; the remaining time is for opening
+/// another watch.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// No heartbeat comes sooner after the head of an response.
+/// The first heartbeat comes no earlier than this after the head of the response.
 const MIN_HEARTBEAT_DELAY: Duration = Duration::from_secs(1);
-/// The pieces of a list follow each other sooner than this.
+/// The parts of a list normally arrive within this time; a list that takes longer is reported as partial.
 const PARTIAL_LIST_DELAY: Duration = Duration::from_millis(100);
 
 /// How a watch ended.
 #[derive(Debug)]
 pub enum WatchEnd {
-    /// It was open, and nothing came for too long: it is not known since when it tells nothing.
+    /// The watch was open and brought nothing for too long. Since when it has missed changes is unknown.
     Silent,
-    /// It was never open: all its calls failed. In the order in which they were begun.
+    /// The watch was never open: all its calls failed. They are in the order in which they were started.
     Unanswered(Vec<FailedCall>),
-    /// It was open, and its connection broke.
+    /// The watch was open and its connection broke.
     Failed(BoxError),
-    /// It was open, and discovery ended it in order, with nothing on its way.
+    /// The watch was open and discovery closed it in order, with no list incomplete.
     Ended {
-        /// When that came, at the earliest.
+        /// The earliest time at which the end may have arrived.
         at: Instant,
-        /// In words.
+        /// A description for the log.
         reason: BoxError,
     },
-    /// The connection broke or ended while a list was on its way, or what came is no list. What was written counts as
-    /// notified, whether or not it arrived.
+    /// The connection broke or ended within a list, or what arrived is not a valid list. What discovery has written
+    /// counts as notified, whether or not it arrived.
     Truncated {
-        /// When the list began to come, or the call was answered for it.
+        /// When the list began to arrive, or the call that requested it was answered.
         since: Instant,
-        /// What happened.
+        /// A description for the log.
         reason: BoxError,
     },
 }
 
 impl WatchEnd {
-    /// Since when something was on its way that did not arrive whole; `None`: nothing was.
+    /// When a list began to arrive that did not arrive completely; `None` if there was none.
     pub fn incomplete_since(&self) -> Option<Instant> {
         match self {
             WatchEnd::Truncated { since, .. } => Some(*since),
@@ -66,24 +67,25 @@
     }
 }
 
-/// What a watch shows while it is open.
+/// An event of an open watch.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// The call was answered with 200; its lists follow.
+    /// The call was answered with 200; lists follow.
     Answered,
-    /// A whole line or list has come: the watch is alive. Of a list it comes after [`WatchEvent::List`].
+    /// A complete line or list has arrived, so the watch is alive. For a list this follows [`WatchEvent::List`].
     Alive,
-    /// The same, read read_late_since: this process was stalled, and the watch may have broken since.
+    /// The same, but read late: this process was stalled, and the watch may have broken since.
     AliveAfterStall,
-    /// A list.
+    /// A list has arrived.
     List(List),
-    /// A list has begun to come at this moment, and its end is long in coming.
+    /// A list began to arrive at this instant and is still incomplete after a delay.
     Partial(Instant),
 }
 
-/// Watches the list from version `since` on and passes on what comes, until the watch ends. It returns how.
-/// `pushed`: it is an agent, which never lets a call wait. `last_poll` tells when the task last looked whether anything has
-/// come.
+/// Opens a watch of the list from version `since` on, reports its events to `on_event`, and returns how it ended.
+///
+/// `pushed` means that discovery is an agent that pushes the list and never lets a call wait. `last_poll` records when
+/// this task was last polled in time.
 pub async fn watch(
     discovery: SocketAddr,
     pushed: bool,
@@ -121,22 +123,23 @@
     follow_lists(response, stall, &mut on_event).await
 }
 
-/// An error and what caused it, in turn.
+/// An error followed by its chain of sources.
 fn causes<'a>(error: &'a (dyn Error + 'static)) -> impl Iterator<Item = &'a (dyn Error + 'static)> {
     std::iter::successors(Some(error), |error| (*error).source())
 }
 
-/// An error with its causes, in words.
+/// The messages of an error and its sources.
 fn describe_with_causes(error: &(dyn Error + 'static)) -> String {
     causes(error).map(ToString::to_string).collect::<Vec<_>>().join(": ")
 }
 
-/// Whether the other side has closed the connection in order, though not the body of its response.
+/// Whether the peer closed the connection in order but within the body of its response.
 fn is_end_of_file(error: &(dyn Error + 'static)) -> bool {
     let is_eof = |cause: &io::Error| cause.kind() == io::ErrorKind::UnexpectedEof;
     causes(error).any(|cause| cause.downcast_ref::<io::Error>().is_some_and(is_eof))
 }
 
+/// Reads lists from an open watch until it ends.
 async fn follow_lists(
     response: WatchResponse,
     mut stall: StallDetector,
@@ -145,11 +148,11 @@
     let WatchResponse { mut body, received, _connection } = response;
     let (mut splitter, answered) = (JsonSplitter::default(), Instant::now());
     let mut last_alive = answered;
-    // Since when the first list is on its way: from the first byte of the head on.
+    // The first list counts as incomplete from the first byte of the response head on.
     let head_at = received.first_byte_at().unwrap_or(answered);
     let mut first_list_since =
         Some(stall.record_read(answered).map_or(head_at, |read_late_since| read_late_since.min(head_at)));
-    // Where nothing has changed nothing may follow the head.
+    // If nothing has changed, nothing may follow the head.
     received.mark_parsed();
     let mut partial_reported = false;
     loop {
@@ -159,7 +162,7 @@
         let Ok(frame) = timeout_at(stall.poll_at_or(until), body.frame()).await else {
             let now = Instant::now();
             if !stall.record_idle(now) {
-                // What came meanwhile is still to be read.
+                // Data that arrived during the stall is still unread.
                 continue;
             }
             if now >= last_alive + SILENCE_TIMEOUT {
@@ -183,7 +186,7 @@
             }
         };
         let data = match frame {
-            // The last bytes were those that say so.
+            // The last bytes received were those that end the body.
             None => {
                 return ended(
                     splitter.describe_end(),
@@ -197,7 +200,7 @@
             Some(Ok(frame)) => frame.into_data(),
         };
         let Ok(data) = data else { continue };
-        // Bytes that never make a whole list are no sign of life.
+        // Only complete lists and lines show that the watch is alive.
         match splitter
             .push(&data, |value| serde_json::from_slice(value).map(|list| on_event(WatchEvent::List(list))))
         {
@@ -211,7 +214,7 @@
                 last_alive = now;
                 partial_reported = false;
                 received.mark_parsed();
-                // An empty line may come ahead of the first list; a heartbeat comes later.
+                // An empty line may precede the first list; a later one is a heartbeat.
                 if splitter.count > 0 || now - answered >= MIN_HEARTBEAT_DELAY {
                     first_list_since = None;
                 }
--- a/engine/src/discovery/outage.rs
+++ b/engine/src/discovery/outage.rs
@@ -1,46 +1,47 @@
-//! Whether calls that have failed prove that discovery is down.
+//! Decides whether failed calls prove that discovery is down.
 //!
-//! While discovery is down nothing new counts as notified, and the list in hand may be sent by for longer. What one process
-//! sees of a broken path, of a crowd, or of errors of its own looks much alike, and proves nothing: then discovery may be
-//! up, and what it has counts.
+//! While discovery is down no change counts as notified, so the present list may be used for longer. A broken network
+//! path, an overloaded discovery and local errors look much the same to one process and prove nothing: discovery may be
+//! up, and the changes it has sent count.
 
 use super::call::{CallFailure, FailedCall};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A discovery that is up refuses at was_single what it has no room for.
+/// A discovery that is up but overloaded refuses calls within this time.
 const IMMEDIATE_REFUSAL: Duration = Duration::from_millis(100);
-/// A refusal or a reset after this or more is that of a discovery that is down: the call was let run out.
+/// A refusal or reset after at least this time means that discovery is down: the call was held until it expired.
 const HELD_CALL: Duration = Duration::from_secs(1);
-/// For so long a sign that discovery is up speaks against calls that seem to have run out.
+/// How long evidence that discovery is up outweighs calls that seem to have been held.
 const UP_EVIDENCE_LIFETIME: Duration = Duration::from_secs(6);
 
-/// What failed calls prove.
+/// What failed calls prove about discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryStatus {
-    /// Nothing.
+    /// The calls prove nothing.
     Unknown,
     /// Discovery is down.
     Down,
-    /// Discovery is up, and what one call before has shown was no outage.
+    /// Discovery is up, and the outage reported for the preceding watch was none.
     NeverDown,
 }
 
-/// What the calls of one process have shown of discovery.
+/// Collects what the calls of one process have shown about discovery.
 #[derive(Debug, Default)]
 pub struct OutageDetector {
-    /// When a call last showed that discovery is up and refuses.
+    /// When a call last showed that discovery is up and refuses calls.
     last_seen_up: Option<Instant>,
-    /// How many watches in a row have shown that it is down.
+    /// The number of consecutive watches that showed discovery to be down.
     consecutive_down: u32,
 }
 
 impl OutageDetector {
-    /// Takes in the calls of a watch that all failed by `now`, in the order in which they were begun.
+    /// Evaluates the calls of a watch that have all failed by `now`, in the order in which they were started.
     pub fn assess(&mut self, calls: &[FailedCall], now: Instant) -> DiscoveryStatus {
         if calls.iter().any(shows_discovery_up) {
             self.last_seen_up = Some(now);
-            // A crowd may let one call run out. Two are an outage, which may be over now.
+            // An overloaded discovery may hold one call until it expires. Two such calls were an outage, which may have
+            // ended.
             let was_single = std::mem::take(&mut self.consecutive_down) == 1;
             return if was_single { DiscoveryStatus::NeverDown } else { DiscoveryStatus::Unknown };
         }
@@ -65,13 +66,13 @@
         }
     }
 
-    /// A call was answered.
+    /// Records that a call was answered.
     pub fn answered(&mut self) {
         self.consecutive_down = 0;
     }
 }
 
-/// Whether a call was read and refused by a discovery that is up.
+/// Whether a call was refused so soon that discovery must be up.
 fn shows_discovery_up(call: &FailedCall) -> bool {
     matches!(call.failure, CallFailure::Refused(_)) && call.duration < IMMEDIATE_REFUSAL
 }
@@ -97,7 +98,7 @@
     fn held_or_connection_refused_calls_prove_an_outage() {
         assert!(proves_outage(&[refused(2_000)]));
         assert!(proves_outage(&[refused(3_000), refused(750)]));
-        // The protocol has a call that fails end with 503 or a reset.
+        // By discovery's protocol a failed call ends with 503 or a reset.
         assert!(proves_outage(&[call(2_000, CallFailure::Broken("connection reset".into()))]));
         assert!(proves_outage(&[call(0, CallFailure::ConnectionRefused("refused".into()))]));
     }
@@ -132,12 +133,8 @@
         assert_eq!(outage.assess(&[refused(2_900)], start + UP_EVIDENCE_LIFETIME), DiscoveryStatus::Down);
         let not_listening = [call(0, CallFailure::ConnectionRefused("refused".into()))];
         assert_eq!(outage.assess(&not_listening, at(20)), DiscoveryStatus::Down);
-        assert_eq!(outage.assess(&[refused(5)], at(21)), DiscoveryStatus::Unknown, "it is back");
-        assert_eq!(
-            outage.assess(&not_listening, at(22)),
-            DiscoveryStatus::Down,
-            "nobody listens there any more"
-        );
+        assert_eq!(outage.assess(&[refused(5)], at(21)), DiscoveryStatus::Unknown, "it is up again");
+        assert_eq!(outage.assess(&not_listening, at(22)), DiscoveryStatus::Down, "nothing listens any more");
     }
 
     #[test]
@@ -149,9 +146,17 @@
         for second in [20, 23] {
             assert_eq!(outage.assess(&[refused(2_900)], at(second)), DiscoveryStatus::Down);
         }
-        assert_eq!(outage.assess(&[refused(5)], at(24)), DiscoveryStatus::Unknown, "two were one");
+        assert_eq!(
+            outage.assess(&[refused(5)], at(24)),
+            DiscoveryStatus::Unknown,
+            "two held calls were an outage"
+        );
         assert_eq!(outage.assess(&[refused(2_900)], at(40)), DiscoveryStatus::Down);
         outage.answered();
-        assert_eq!(outage.assess(&[refused(5)], at(41)), DiscoveryStatus::Unknown, "a list came meanwhile");
+        assert_eq!(
+            outage.assess(&[refused(5)], at(41)),
+            DiscoveryStatus::Unknown,
+            "a call was answered meanwhile"
+        );
     }
 }
--- a/engine/src/discovery/received.rs
+++ b/engine/src/discovery/received.rs
@@ -1,4 +1,4 @@
-//! What has come on a connection to discovery, whether or not it is whole enough to be passed on.
+//! Tracks the bytes received on a connection to discovery, including those that do not form a complete value yet.
 
 use crate::net::Stream;
 use std::cell::Cell;
@@ -9,47 +9,48 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-/// What may follow a value without belonging to the next one: the end of its chunk.
+/// Bytes that may follow a value without belonging to the next one: the CRLF that ends its chunk.
 const CHUNK_END: u64 = 2;
 
-/// What has come on one connection.
+/// What was received on one connection.
 #[derive(Debug, Default)]
 pub(super) struct ReceiveProgress {
     bytes: Cell<u64>,
     first_byte_at: Cell<Option<Instant>>,
-    /// Bytes since the last that belong to a whole value.
+    /// Bytes received since the end of the last complete value.
     unparsed_bytes: Cell<u64>,
     incomplete_since: Cell<Option<Instant>>,
 }
 
 impl ReceiveProgress {
-    /// How many bytes have come.
+    /// The number of bytes received.
     pub fn bytes(&self) -> u64 {
         self.bytes.get()
     }
 
-    /// When the first of them came.
+    /// When the first byte was received.
     pub fn first_byte_at(&self) -> Option<Instant> {
         self.first_byte_at.get()
     }
 
-    /// Since when something is on its way that is not whole.
+    /// When the first byte of a value arrived that is still incomplete; `None` if nothing is incomplete.
     pub fn incomplete_since(&self) -> Option<Instant> {
         self.incomplete_since.get()
     }
 
-    /// All that has come is whole.
+    /// Records that everything received so far is complete.
     pub fn mark_parsed(&self) {
         self.unparsed_bytes.set(0);
         self.incomplete_since.set(None);
     }
 
-    /// What is on its way may have come since this moment.
+    /// Records that the incomplete value may have begun to arrive at `moment`, if that is earlier than known so far.
     pub fn mark_incomplete_since(&self, moment: Instant) {
         let since = self.incomplete_since.get();
         self.incomplete_since.set(Some(since.map_or(moment, |since| since.min(moment))));
     }
 
+    /// Records `count` received bytes.
     fn record(&self, count: usize) {
         if count == 0 {
             return;
@@ -64,7 +65,7 @@
     }
 }
 
-/// A stream that notes what comes on it.
+/// A stream that records what is received on it.
 #[derive(Debug)]
 pub(super) struct ObservedStream {
     stream: Stream,
@@ -72,7 +73,7 @@
 }
 
 impl ObservedStream {
-    /// Notes in `received` what comes on `stream`.
+    /// Records in `received` what is received on `stream`.
     pub fn new(stream: Stream, received: Rc<ReceiveProgress>) -> ObservedStream {
         ObservedStream { stream, received }
     }
@@ -124,7 +125,7 @@
             assert_eq!(received.incomplete_since(), None);
         }
         received.record(1);
-        assert!(received.incomplete_since().is_some(), "the size of the next chunk");
+        assert!(received.incomplete_since().is_some(), "the size line of the next chunk");
         assert_eq!(received.bytes(), 133);
     }
 }
--- a/engine/src/discovery/splitter.rs
+++ b/engine/src/discovery/splitter.rs
@@ -1,26 +1,27 @@
-//! Cuts the body of a watch into its values: lists and empty lines.
+//! Splits the body of a watch into its values: lists and empty lines.
 
 use crate::dial::BoxError;
 
-/// Longest list; a longer one is not that of any fleet that one proxy serves.
+/// Maximum size of a list; a longer one does not belong to any fleet that one proxy serves.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Cuts what comes into its values, however they are set in lines. Each byte is looked at once.
+/// Splits a byte stream into JSON objects, regardless of line breaks. Examines each byte once.
 #[derive(Debug, Default)]
 pub(super) struct JsonSplitter {
-    /// Of a value whose end has not come.
+    /// The bytes of the incomplete value.
     pending: Vec<u8>,
-    /// Open brackets of it.
+    /// The number of open brackets of the incomplete value.
     pub depth: usize,
-    /// In a text of it, and there behind a backslash.
+    /// Whether the position is within a string, and there after a backslash.
     in_string: bool,
     escaped: bool,
-    /// Values so far.
+    /// The number of complete values so far.
     pub count: usize,
 }
 
 impl JsonSplitter {
-    /// Takes further bytes, and whether they ended a value or, between two, a line.
+    /// Adds received bytes and passes each completed value to `on_value`. Returns whether the bytes completed a value, or
+    /// a line between two values.
     pub fn push(
         &mut self,
         bytes: &[u8],
@@ -63,7 +64,7 @@
         Ok(saw_complete_item)
     }
 
-    /// What the end of the watch means here.
+    /// Describes the end of the stream at this position, for the log.
     pub fn describe_end(&self) -> String {
         match self.depth {
             0 => "the watch ended".to_owned(),
@@ -76,7 +77,7 @@
 mod tests {
     use super::*;
 
-    /// Takes a text in pieces of a chunk_size. Gives what values came, and the failure.
+    /// Splits a text that arrives in chunks. Returns the values, the error if any, and the splitter.
     fn split(text: &str, chunk_size: usize) -> (Vec<String>, Option<String>, JsonSplitter) {
         let (mut splitter, mut values) = (JsonSplitter::default(), Vec::new());
         for chunk in text.as_bytes().chunks(chunk_size) {
@@ -113,14 +114,15 @@
             ("{]", "list 1 of the watch: key must be a string at line 1 column 2"),
             ("{\n\"a\":}", "list 1 of the watch: expected value at line 2 column 5"),
         ] {
-            let error = split(text, 100).1.expect("it is none");
+            let error = split(text, 100).1.expect("an invalid list");
             assert_eq!(error, message, "{text}");
         }
-        let error = split(&format!("{{{}", " ".repeat(MAX_LIST_BYTES)), 1 << 16).1.expect("it is too long");
+        let error =
+            split(&format!("{{{}", " ".repeat(MAX_LIST_BYTES)), 1 << 16).1.expect("a list that is too long");
         assert_eq!(error, "list 1 of the watch is over 4194304 bytes long");
     }
 
-    /// A line's end within a list, or a part of one, is no sign of life; the end of a list or of a line between two is.
+    /// A line break within a list and a part of a list do not count; the end of a list or of a line between two lists does.
     #[test]
     fn only_complete_items_show_that_the_watch_is_alive() {
         let mut splitter = JsonSplitter::default();
--- a/engine/src/http1/connection.rs
+++ b/engine/src/http1/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts.
+//! A single connection to a host.
 
 use super::exchange::{OutgoingBody, MAX_HEAD_BYTES};
 use super::Slot;
@@ -9,21 +9,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why no connection to a host came up.
+/// Why a connection to a host was not established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// This machine was short of something, which says nothing of the host.
+    /// A local resource was exhausted, which says nothing about the host.
     Local,
-    /// The host, or the way to it.
+    /// The host or the network failed.
     Remote,
 }
 
-/// A connection to a host. It is closed when this is dropped, also with a request out on it.
+/// A connection to a host. Dropping it closes it, even if a request is in flight on it.
 #[derive(Debug)]
 pub struct Connection {
     pub(super) sender: SendRequest<OutgoingBody>,
     pub(super) socket: Socket,
-    /// How often it had been read when its last answer was whole.
+    /// The read count of the socket when the last response was complete; 0 before the first.
     pub(super) reads_at_response: u64,
     _task: Task,
     _slot: Slot,
@@ -31,17 +31,18 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // The place that it held is free now, and so must its descriptor be; its task ends later.
+        // Dropping the slot makes room for another connection, so the file descriptor must be closed now; the
+        // connection's task ends later.
         self.socket.close();
     }
 }
 
 impl Connection {
-    /// Opens a connection; `slot` is held for as long as it is open.
+    /// Opens a connection. `slot` is held for as long as the connection is open.
     ///
     /// # Errors
     ///
-    /// Why it did not come up. What this machine is short of is waited for.
+    /// Why the connection was not established. Local errors are retried until `connect_timeout`.
     pub async fn open(
         address: SocketAddr,
         connect_timeout: Duration,
@@ -58,8 +59,8 @@
         Ok(Connection { sender, socket, reads_at_response: 0, _task: spawn(connection), _slot: slot })
     }
 
-    /// Whether a request can be written to it now. Anything that has come since its last answer, its end or a
-    /// second answer, makes it useless: it would be taken for the next request's.
+    /// Whether the next request can be sent. Any input since the last response, be it end of stream or a second
+    /// response, makes the connection unusable: it would be parsed as the response to the next request.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
             && self.socket.read_count() == self.reads_at_response
--- a/engine/src/http1/exchange.rs
+++ b/engine/src/http1/exchange.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts, and one exchange on one of them.
+//! One request and its response on a connection to a host.
 
 use super::connection::Connection;
 use crate::meter::Meter;
@@ -18,22 +18,24 @@
 use tokio::task::yield_now;
 use tokio::time::{timeout, Instant};
 
-/// Most bytes of a body, either way.
+/// Maximum size of the body of a request or response.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Most bytes of a head that are kept. Every connection may hold so much: with all of them at it, it must fit
-/// into the least memory.
+/// Maximum size of the head of a message. Every connection may buffer this much, so all connections together must fit
+/// into the smallest memory that a proxy may have.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Most requests that a host can be thought to hold or to keep waiting: what reports more is no report.
+/// Maximum plausible number of requests that a host reports as active or waiting; a larger one makes the report invalid.
 const MAX_REPORTED_LOAD: f64 = 10_000.0;
-/// Time for the rest of an answer that is not passed on; past it the connection is given up instead.
+/// Timeout for reading the rest of a response that is not passed on; after it the connection is closed instead.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Bodies up to this size are copied out of what their connection reads into; a larger one fills most of its own.
+/// Bodies up to this size are copied out of the read buffer of their connection; a larger one occupies most of the
+/// buffer anyway.
 const MAX_COPIED_BODY_BYTES: usize = 4 << 10;
-/// A kept connection that breaks within this time of being written to was closed before the request came.
+/// A reused connection that breaks within this time after a request was written was closed by the host before the
+/// request arrived.
 const STALE_CLOSE_WINDOW: Duration = Duration::from_millis(20);
 
-/// A request's body on its way: it notes when all of it has been taken to be written.
+/// A request body that records in the meter when hyper has taken all of it.
 #[derive(Debug)]
 pub struct OutgoingBody {
     body: Full<Bytes>,
@@ -41,9 +43,9 @@
 }
 
 impl OutgoingBody {
-    /// A body of an attempt with this meter.
+    /// The body of the attempt that `meter` belongs to.
     pub fn new(body: Bytes, meter: &Meter) -> OutgoingBody {
-        // One without a byte is not asked for any.
+        // hyper does not poll an empty body.
         meter.set_encoded(body.is_empty());
         OutgoingBody { body: Full::new(body), meter: meter.clone() }
     }
@@ -71,8 +73,8 @@
     }
 }
 
-/// Sends a request on a connection and reads the whole answer. The connection comes back if it can be used again.
-/// `None`: it was found closed before any of the request was written.
+/// Sends a request on a connection and reads the whole response. Also returns the connection if it can be reused.
+/// Returns `None` if the connection turned out to be closed before any byte of the request was written.
 pub async fn exchange(
     mut connection: Connection,
     request: Request<OutgoingBody>,
@@ -84,7 +86,7 @@
         Ok(response) => response,
         Err(_) if meter.bytes() == 0 => return None,
         Err(error) => {
-            // The one read since is that of its end: nothing of an answer has come.
+            // At most the end of the stream was read since: no part of a response has arrived.
             let unanswered = reused && connection.socket.read_count() <= connection.reads_at_response + 1;
             let outcome = outcome_of_error(&error);
             let stale = outcome == Outcome::Reset && unanswered && started.elapsed() < STALE_CLOSE_WINDOW;
@@ -95,7 +97,7 @@
     let load = load_report(&head.headers);
     let body = Limited::new(body, MAX_BODY_BYTES).collect();
     let (outcome, answer, complete) = if head.status != StatusCode::OK {
-        // The outcome is known: a rest that breaks or stalls must not change it.
+        // The outcome is known: a body that breaks or stalls must not change it.
         let complete = matches!(timeout(DISCARD_TIMEOUT, body).await, Ok(Ok(_)));
         (outcome_of_status(head.status, &head.headers), None, complete)
     } else if !is_framed(&head.headers) {
@@ -103,30 +105,30 @@
     } else {
         match body.await {
             Ok(body) => (Outcome::Served, Some(detach_from_read_buffer(head, body.to_bytes())), true),
-            // It has run, and what it said is lost.
+            // The request has run, but its response is lost.
             Err(error) => (outcome_of_error(&*error), None, false),
         }
     };
-    // Ready again before the outcome is told: else the next request would find no idle connection.
+    // Make the connection ready before the outcome is reported, or the next request would find no idle connection.
     let mut reusable =
         complete && matches!(timeout(DISCARD_TIMEOUT, connection.sender.ready()).await, Ok(Ok(())));
     if reusable {
         connection.reads_at_response = connection.socket.read_count();
-        // Its task finds what it has read beyond the answer only when it is polled once more.
+        // The connection's task detects bytes beyond the response only when it is polled once more.
         yield_now().await;
         reusable = connection.is_ready();
     }
     Some((End { outcome, load, answer }, reusable.then_some(connection)))
 }
 
-/// An answer that holds nothing of what its connection reads into: whoever keeps a few bytes of one would keep all of
-/// that buffer, and the connection would need another for the next answer.
+/// Copies a response out of the read buffer of its connection. Otherwise whoever keeps a few bytes of the response
+/// keeps the whole buffer, and the connection has to allocate another for the next response.
 fn detach_from_read_buffer(mut head: Parts, body: Bytes) -> Response<Bytes> {
     if body.len() > MAX_COPIED_BODY_BYTES {
         return Response::from_parts(head, body);
     }
     for value in head.headers.values_mut() {
-        // What was a value is one.
+        // Always succeeds, since the bytes come from a valid value.
         if let Ok(copy) = HeaderValue::from_bytes(value.as_bytes()) {
             *value = copy;
         }
@@ -134,15 +136,15 @@
     Response::from_parts(head, Bytes::copy_from_slice(&body))
 }
 
-/// Whether a head tells for sure where its body ends. Two lengths or two framings may be read in two ways, and
-/// what lasts until the connection ends may have been cut short.
+/// Whether the head delimits the body unambiguously. Several lengths or both framings are ambiguous, and a body that
+/// lasts until the connection closes may have been truncated.
 fn is_framed(headers: &HeaderMap) -> bool {
     let count = |name| headers.get_all(name).iter().count();
     matches!((count(header::CONTENT_LENGTH), count(header::TRANSFER_ENCODING)), (1, 0) | (0, 1))
 }
 
-/// What an exchange proves that broke after writing. An answer that cannot be read, or is too long, is no reset:
-/// the connection held. But the request may have run as well.
+/// The outcome of an exchange that failed after writing. A response that is invalid or too long is not a reset, since
+/// the connection held, but the request may have run all the same.
 fn outcome_of_error(error: &(dyn Error + 'static)) -> Outcome {
     let mut causes = std::iter::successors(Some(error), |error| (*error).source());
     let invalid_response = causes.any(|cause| {
@@ -158,27 +160,27 @@
     }
 }
 
-/// What an answer other than 200 proves.
+/// The outcome of a response with a status other than 200.
 fn outcome_of_status(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let not_processed = headers.get("x-rejected").is_some_and(|v| v == "1");
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => Outcome::TurnedAway,
         StatusCode::INTERNAL_SERVER_ERROR => Outcome::Error,
-        // The request is at fault: bad clients must not make good hosts look ill.
+        // The request is at fault: faulty clients must not make healthy hosts look unhealthy.
         status if status.is_client_error() => Outcome::Unusable,
         _ => Outcome::Unknown,
     }
 }
 
-/// The first load report that can be read: a spoilt one may stand beside it.
+/// The first valid load report among the headers; there may be invalid ones beside it.
 fn load_report(headers: &HeaderMap) -> Load {
     let mut loads = headers.get_all("x-load-report").iter().filter_map(|v| parse_load(v.to_str().ok()?));
     loads.next().unwrap_or_default()
 }
 
-/// Reads a load report, `name=value,name=value`. The names are those of the settings (`report.columns`), as on
-/// the simulator's wire: read under other names, every report would be lost without a sign. One that holds what
-/// no host can mean is none: a negative load would draw every call.
+/// Parses a load report, `name=value,name=value`. The names are those of the settings (`report.columns`), as on the
+/// simulator's wire; with other names every report would be ignored silently. A report with an implausible value is
+/// invalid as a whole: a negative load would attract every call.
 fn parse_load(text: &str) -> Option<Load> {
     let mut load = Load::default();
     for pair in text.split(',') {
@@ -262,8 +264,8 @@
         (open, listener.accept().await.expect("accepted").0)
     }
 
-    /// A request is with its connection's task, which has written nothing yet, when its attempt is withdrawn as one that
-    /// never ran. That must stay true, though the attempt's own task ends only when it is polled next.
+    /// An attempt is revoked, as one that never ran, after its request was passed to the connection's task but before
+    /// that task has written anything. Nothing may be written then, although the attempt's own task has not ended yet.
     #[test]
     fn nothing_is_written_for_a_revoked_attempt() {
         run(async {
@@ -271,25 +273,26 @@
             let meter = Meter::default();
             let request = Request::new(OutgoingBody::new(Bytes::from_static(b"body"), &meter));
             let mut exchange = Box::pin(exchange(connection, request, &meter));
-            // It hands the request over.
+            // Passes the request to the connection's task.
             assert!(std::future::poll_fn(|c| Poll::Ready(exchange.as_mut().poll(c).is_pending())).await);
             assert_eq!(meter.bytes(), 0);
             meter.revoke();
-            // The connection's task is polled, and the attempt's is still there.
+            // The connection's task is polled while the attempt's task still exists.
             for _ in 0..8 {
                 yield_now().await;
             }
             assert_eq!(meter.bytes(), 0);
             drop(exchange);
             let mut read = Vec::new();
-            // Closed or reset, with nothing before it.
+            // Closed or reset, without any data before.
             let _ = host.read_to_end(&mut read).await;
             assert_eq!(read, b"");
         });
     }
 
-    /// The earlier of two attempts of a call has its connection only now, and the later one was written so long ago that
-    /// no repeat may follow it: nothing is written of the earlier one, until the other is known never to have run.
+    /// The connection of the earlier of two attempts of a call is established late, when the repeat window of the later
+    /// attempt, which has been written, is over. Nothing of the earlier attempt may be written, unless the later one
+    /// certainly never ran.
     #[test]
     fn nothing_is_written_after_the_repeat_window_of_another_attempt() {
         run(async {
@@ -313,8 +316,8 @@
         });
     }
 
-    /// A request was decided by a list that expires before its connection is up: nothing is written of it. One whose first
-    /// byte is written goes on.
+    /// The list by which an attempt was decided expires before its connection is established: nothing of it may be
+    /// written. An attempt whose first byte is written continues.
     #[test]
     fn no_attempt_is_started_with_an_expired_list() {
         run(async {
@@ -339,7 +342,7 @@
         });
     }
 
-    /// An attempt is complete when its last byte is written, with a body and without one, and not before.
+    /// An attempt counts as fully written when its last byte is written and not before, with and without a body.
     #[test]
     fn an_attempt_is_fully_written_when_its_last_byte_is_written() {
         run(async {
--- a/engine/src/http1/mod.rs
+++ b/engine/src/http1/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 behind the driver's seam: what a call carries, and the connections that are kept to hosts.
+//! The HTTP/1.1 implementation of [`Protocol`]: forwarded requests, and the pool of connections to hosts.
 
 mod connection;
 mod exchange;
@@ -24,30 +24,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Marks an answer that was made for an earlier request with the same key.
+/// Marks a response that replays the response to an earlier request with the same idempotency key.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotency-replayed");
-/// Share of the time for which hosts keep an idle connection, after which it is no longer used.
+/// Share of the hosts' idle timeout after which an idle connection is no longer used.
 const IDLE_TIMEOUT_SHARE: f64 = 0.9;
 
-/// A second answer to a request may come some milliseconds after the first and would be taken for that of the next one
-/// on its connection: one that has been idle for as long goes before one that has not. Whatever came by then shows.
+/// Idle time after which a connection is preferred for the next request. A faulty host may send a second response some
+/// milliseconds after the first, which would be parsed as the response to the next request on the connection; by this
+/// time it has arrived and is detected.
 const SETTLE_TIME: Duration = Duration::from_millis(10);
 
-/// A client's request as hosts get it.
+/// A client's request as it is forwarded to hosts.
 #[derive(Clone, Debug)]
 pub struct ForwardedRequest {
-    /// Its method.
+    /// The request method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub target: Uri,
-    /// Its headers, without those of the client's connection.
+    /// The headers, without the hop-by-hop headers of the client's connection.
     pub headers: HeaderMap,
-    /// Its body, [`MAX_BODY_BYTES`] bytes at most.
+    /// The body, at most [`MAX_BODY_BYTES`] bytes.
     pub body: Bytes,
 }
 
 impl ForwardedRequest {
-    /// The request for one attempt, which is given up at `until`.
+    /// The request for one attempt, which is abandoned at `deadline`.
     fn for_attempt(&self, deadline: Instant, meter: &Meter) -> Request<OutgoingBody> {
         let mut request = Request::new(OutgoingBody::new(self.body.clone(), meter));
         *request.method_mut() = self.method.clone();
@@ -59,32 +60,34 @@
     }
 }
 
-/// A host that takes requests, and the idle connections to it, the most recently used last.
+/// The idle connections to a host that takes requests, with the time of their last use, the most recently used last.
 struct HostConnections {
     address: SocketAddr,
     idle: Vec<(Instant, Connection)>,
 }
 
-/// How many of these, in the order in which they were last used, have been idle for [`SETTLE_TIME`].
+/// How many of the connections, which are in the order of their last use, have been idle for [`SETTLE_TIME`].
 fn settled_count<T>(idle: &[(Instant, T)], now: Instant) -> usize {
     idle.partition_point(|(since, _)| now.saturating_duration_since(*since) >= SETTLE_TIME)
 }
 
+/// The connections to all hosts.
 struct Pool {
     config: Rc<Config>,
-    /// In an order of their own: of two connections as old the same is closed in each run.
+    /// Ordered, so that simulated runs are reproducible: of two connections of the same age the same one is closed.
     hosts: BTreeMap<ServerId, HostConnections>,
-    /// One reference for each open connection to a host, and this one.
+    /// Counts open connections to hosts: one reference for each, besides this one.
     slots: Rc<()>,
     counts: Connections,
 }
 
 impl Pool {
-    /// A place for one more connection to a host; the oldest idle one makes room when there is none.
+    /// Reserves a slot for one more connection to a host. If the limit is reached, closes the oldest idle connection;
+    /// `None` if there is none to close.
     fn slot(&mut self) -> Option<Slot> {
         let max = self.config.connections_to_hosts();
-        let place = self.config.quota.place(Side::Hosts, max);
-        let place = place.or_else(|| {
+        let permit = self.config.quota.place(Side::Hosts, max);
+        let permit = permit.or_else(|| {
             let oldest = self.hosts.values_mut().filter(|host| !host.idle.is_empty());
             let Some(host) = oldest.min_by_key(|host| host.idle[0].0) else {
                 self.config.quota.is_short();
@@ -93,31 +96,31 @@
             drop(host.idle.remove(0));
             self.config.quota.place(Side::Hosts, max)
         });
-        Some(Slot { _own: self.slots.clone(), _place: place? })
+        Some(Slot { _engine_count: self.slots.clone(), _permit: permit? })
     }
 }
 
-/// A connection's place among those of this engine, and of the process.
+/// Counts one open connection for its engine and for the process.
 #[derive(Debug)]
 struct Slot {
-    _own: Rc<()>,
-    _place: Counted,
+    _engine_count: Rc<()>,
+    _permit: Counted,
 }
 
 #[cfg(test)]
 impl Slot {
     fn for_test() -> Slot {
-        let place = crate::quota::Quota::default().place(Side::Hosts, 1);
-        Slot { _own: Rc::default(), _place: place.expect("none is open") }
+        let permit = crate::quota::Quota::default().place(Side::Hosts, 1);
+        Slot { _engine_count: Rc::default(), _permit: permit.expect("none is open") }
     }
 }
 
-/// HTTP/1.1 over TCP: one request at a time on a connection, kept alive.
+/// HTTP/1.1 over TCP with persistent connections and without pipelining. Clones share their connections.
 #[derive(Clone)]
 pub struct Http1(Rc<RefCell<Pool>>);
 
 impl Http1 {
-    /// Without a connection yet.
+    /// A pool without connections.
     pub fn new(config: &Rc<Config>) -> Http1 {
         let (hosts, slots, counts) = Default::default();
         Http1(Rc::new(RefCell::new(Pool { config: config.clone(), hosts, slots, counts })))
@@ -127,7 +130,7 @@
         count(&mut self.0.borrow_mut().counts);
     }
 
-    /// Keeps a connection, unless its host takes nothing there any more.
+    /// Returns an idle connection to the pool, or closes it if its host takes no more requests at that address.
     fn return_to_pool(&self, target: Target, connection: Connection) {
         let mut pool = self.0.borrow_mut();
         if let Some(host) = pool.hosts.get_mut(&target.server).filter(|host| host.address == target.address) {
@@ -135,6 +138,7 @@
         }
     }
 
+    /// Runs one attempt, on a reused connection if there is one, else on a new one.
     async fn run(
         self,
         target: Target,
@@ -152,11 +156,12 @@
                 return end;
             }
         }
-        // Nothing has been written yet, so this is no second sending. In a box: most attempts need none, and every
-        // attempt's task would have the size of one.
+        // Nothing has been written yet, so the request is not sent twice. The future is boxed because most attempts do
+        // not need it, and it would enlarge the task of every attempt.
         Box::pin(self.run_on_new(target, request, deadline, meter)).await
     }
 
+    /// Runs one attempt on a new connection.
     async fn run_on_new(
         self,
         target: Target,
@@ -179,7 +184,7 @@
             Err(OpenError::Remote) => None,
         };
         let Some((end, connection)) = end else {
-            // That it came too late says nothing of the host.
+            // A connection that was established too late is not the host's failure.
             let too_late = meter.is_past_write_deadline() || meter.list_has_expired();
             let outcome = if too_late { Outcome::NotSent } else { Outcome::NoConnection };
             return End::without_answer(outcome);
@@ -215,11 +220,12 @@
         meter: &Meter,
     ) -> impl Future<Output = End<Response<Bytes>>> + 'static {
         let mut pool = self.0.borrow_mut();
-        // A request must not cross its host's close: old ones and those closed meanwhile are passed over.
+        // The host may close an idle connection just when a request is sent on it, so connections close to its idle
+        // timeout and those closed meanwhile are not used.
         let max_idle_time = pool.config.conn_idle.mul_f64(IDLE_TIMEOUT_SHARE);
         let host = pool.hosts.get_mut(&target.server).filter(|host| host.address == target.address);
         let reused = host.and_then(|host| {
-            // Only the one that is used is looked at, which asks the system: the others may be many.
+            // Checking a connection makes a system call, so only the one to be used is checked.
             let is_usable =
                 |entry: &(Instant, Connection)| entry.0.elapsed() < max_idle_time && entry.1.is_ready();
             let mut unsettled = host.idle.split_off(settled_count(&host.idle, Instant::now()));
@@ -228,7 +234,7 @@
             host.idle.append(&mut unsettled);
             found.map(|(_, connection)| connection)
         });
-        // In a box: the tasks and time-outs around it would copy it each time that they take it over.
+        // Boxed, because the tasks and timeouts that wrap the future would copy it each time it is moved.
         Box::pin(self.clone().run(target, reused, request, deadline, meter.clone()))
     }
 
@@ -250,11 +256,11 @@
     fn sweep(&self) {
         let mut pool = self.0.borrow_mut();
         let max_idle_time = pool.config.conn_idle.mul_f64(IDLE_TIMEOUT_SHARE);
-        // Those that their hosts have closed hold a descriptor for nothing.
+        // Connections closed by their hosts only occupy a file descriptor.
         pool.hosts.values_mut().for_each(|host| {
             host.idle.retain(|(since, connection)| since.elapsed() < max_idle_time && connection.is_ready());
         });
-        // Another engine of the process needs connections, and has none of its own to close.
+        // Another engine of the process needs connections and has no idle one to close: close half of each host's.
         if pool.config.quota.was_short() {
             pool.hosts.values_mut().for_each(|host| drop(host.idle.drain(..host.idle.len().div_ceil(2))));
         }
--- a/engine/src/list.rs
+++ b/engine/src/list.rs
@@ -1,49 +1,49 @@
-//! The list of hosts: its form.
+//! The format of the server list, as discovery sends it and the configuration file may contain it.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The whole list of hosts, or the entries that changed.
+/// A full list of hosts, or the entries that have changed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct List {
-    /// Version of the list.
+    /// The version of the list.
     pub seq: u64,
-    /// Whether this is all of it.
+    /// Whether this is the full list, rather than only the changed entries.
     pub whole: bool,
-    /// The entries.
+    /// The entries of the list.
     pub hosts: Vec<Host>,
 }
 
-/// An entry of the list.
+/// One host of the list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Host {
-    /// Its name, the same for every proxy.
+    /// The name of the host, the same for every proxy.
     pub host: String,
-    /// Where it listens.
+    /// The address at which the host listens.
     pub dial: SocketAddr,
-    /// Its zone.
+    /// The zone of the host.
     #[serde(default)]
     pub site: String,
-    /// The set of hosts that drop each other's repeats.
+    /// The set of hosts that deduplicate requests among each other.
     #[serde(default)]
     pub block: u32,
-    /// What it does.
+    /// Whether the host takes requests.
     pub health: Health,
-    /// Its size beside the others'.
+    /// The relative capacity of the host.
     #[serde(default)]
     pub share: f64,
-    /// When it last started, Unix time in milliseconds; 0: long ago.
+    /// When the host last started, in milliseconds of Unix time; 0 means long ago.
     #[serde(default)]
     pub born_ms: u64,
 }
 
-/// What the list says of a host.
+/// The state of a host in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub enum Health {
-    /// It takes requests.
+    /// The host takes requests.
     Ready,
-    /// It finishes what it has.
+    /// The host drains: it finishes the requests it has and takes no new ones.
     Terminating,
-    /// It has been removed.
+    /// The host has been removed from the fleet.
     Gone,
 }
--- a/engine/src/meter.rs
+++ b/engine/src/meter.rs
@@ -1,4 +1,7 @@
-//! What was written for one attempt, and when: the proof that rules 1 and 2 rest on.
+//! Records what was written for one attempt, and when, and decides whether more may be written.
+//!
+//! Two guarantees rest on these records: nothing is sent for a request after its final answer, and no request takes
+//! effect twice. A third, that nothing new is sent to a draining host, rests on the [`FreshnessGate`].
 
 use crate::stall::LastPoll;
 use std::cell::{Cell, RefCell};
@@ -8,9 +11,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whether the list that this engine decides by may be written by. Rule 3 (nothing new to a host that drains) counts
-/// from when the process was told: an engine that is behind what its process knows, or that was stalled and has not read
-/// what came meanwhile, writes nothing new until it has caught up, and one whose list has expired writes nothing new at all.
+/// Whether the server list of this engine is fresh enough to start writing attempts that were decided with it.
+///
+/// The time within which a draining host must get no new requests counts from when the process was notified. So an
+/// engine that has not yet applied what its process has received, or that was stalled and may have unread updates,
+/// starts no new attempt until it has caught up. An engine whose list has expired starts no new attempt at all.
 #[derive(Clone, Debug, Default)]
 pub struct FreshnessGate {
     progress: Option<Rc<ListProgress>>,
@@ -25,7 +30,7 @@
 }
 
 impl FreshnessGate {
-    /// Of an engine whose process counts in `received` what it was told.
+    /// For an engine of a process that counts the list updates it has received in `received`.
     pub fn new(received: Arc<AtomicU64>) -> FreshnessGate {
         FreshnessGate {
             progress: Some(Rc::new(ListProgress { received, applied: Cell::new(0) })),
@@ -33,7 +38,7 @@
         }
     }
 
-    /// Sets when the list expires; `None`: it is verified.
+    /// Sets when the list expires; `None` means that the list is verified.
     pub fn set_expiry(&self, at: Option<Instant>) {
         self.expires_at.set(at);
     }
@@ -43,18 +48,19 @@
         self.expires_at.get().is_some_and(|at| Instant::now() >= at)
     }
 
-    /// For the task that reads the list: while it is overdue nothing new is begun.
+    /// The record of the task that reads the list. While that task is overdue, no new attempt is started.
     pub fn last_poll(&self) -> LastPoll {
         self.last_poll.clone()
     }
 
-    /// This engine has taken in all up to here.
+    /// Records that this engine has applied all list updates up to number `up_to`.
     pub fn mark_applied(&self, up_to: u64) {
         if let Some(progress) = &self.progress {
             progress.applied.set(up_to);
         }
     }
 
+    /// Whether list updates may exist that this engine has not applied.
     fn is_behind(&self) -> bool {
         let has_unapplied =
             |progress: &Rc<ListProgress>| progress.received.load(Ordering::Acquire) > progress.applied.get();
@@ -62,39 +68,43 @@
     }
 }
 
-/// When the attempts of one call were first written to. Rule 2 allows a repeat for a time that begins with the first
-/// attempt that may have run, and it counts writing: the module decides within that time, and a connection may come up
-/// long after. Clones are of the same call.
+/// The first write of each attempt of one call, and the repeat window that begins with it.
+///
+/// A call that hosts deduplicate may be repeated only within a window that begins with the first attempt that may have
+/// run. What counts is the time of writing: the decision module decides within the window, but the connection may be
+/// established long after. Clones refer to the same call.
 #[derive(Clone, Debug, Default)]
 pub struct RepeatWindow(Option<Rc<WriteTimes>>);
 
 #[derive(Debug)]
 struct WriteTimes {
     window: Duration,
-    /// By attempt, one that surely never ran left out; as many as the settings allow attempts.
+    /// The time of the first write of each attempt, except attempts that certainly never ran. Bounded by the maximum
+    /// number of attempts in the settings.
     first_writes: RefCell<Vec<(u32, Instant)>>,
 }
 
 impl RepeatWindow {
-    /// Of a call that may be repeated within a time; without one, at any time that the module chooses.
+    /// For a call that may be repeated within `window`; `None` means without a time limit.
     pub fn new(window: Option<Duration>) -> RepeatWindow {
         RepeatWindow(window.map(|window| Rc::new(WriteTimes { window, first_writes: RefCell::default() })))
     }
 
+    /// Records that the first byte of an attempt is written now.
     fn record_first_write(&self, attempt: u32) {
         if let Some(write_times) = &self.0 {
             write_times.first_writes.borrow_mut().push((attempt, Instant::now()));
         }
     }
 
-    /// An attempt has ended that surely never ran: it binds no other.
+    /// Removes an attempt that certainly never ran, so that it no longer limits the others.
     pub fn forget_attempt(&self, attempt: u32) {
         if let Some(write_times) = &self.0 {
             write_times.first_writes.borrow_mut().retain(|(other, _)| *other != attempt);
         }
     }
 
-    /// By when an attempt must be written whole because of another; `None` while there is none.
+    /// When an attempt must be fully written because another one may have run; `None` if there is no other.
     fn deadline_for(&self, attempt: u32) -> Option<Instant> {
         let write_times = self.0.as_ref()?;
         let first_writes = write_times.first_writes.borrow();
@@ -103,17 +113,18 @@
     }
 }
 
-/// What was written for one attempt. No byte means that no host can have seen it, which is what rule 2 (no effect
-/// twice) rests on: a protocol counts here *every* byte of an attempt that it gives to the system. An attempt that is
-/// whole needs nothing more to be sent for it, whoever waits for it or not, which is what rule 1 rests on when its
-/// client has gone.
+/// Counts what was written for one attempt.
+///
+/// An attempt without a written byte cannot have been seen by any host, so it may safely be retried. This holds only
+/// if a protocol records *every* byte of an attempt that it passes to the operating system. A fully written attempt
+/// needs nothing more to be sent, so it may continue after its client has disconnected.
 #[derive(Clone, Debug, Default)]
 pub struct Meter(Rc<WriteState>);
 
 #[derive(Debug, Default)]
 struct WriteState {
     bytes: Cell<usize>,
-    /// All of the request has been made into bytes.
+    /// The whole request has been encoded.
     encoded: Cell<bool>,
     fully_written: Cell<bool>,
     revoked: Cell<bool>,
@@ -123,38 +134,38 @@
 }
 
 impl Meter {
-    /// Of an engine that others may be ahead of, and of this attempt of a call.
+    /// For attempt number `attempt` of a call; `freshness` is that of its engine, `repeat_window` that of the call.
     pub fn new(freshness: FreshnessGate, repeat_window: RepeatWindow, attempt: u32) -> Meter {
         Meter(Rc::new(WriteState { freshness, repeat_window, attempt, ..WriteState::default() }))
     }
 
-    /// By when all of it must be written, since it repeats another attempt that may have run; `None`: it repeats none,
-    /// or may at any time. An earlier attempt that is written only now changes it.
+    /// When the attempt must be fully written, because it repeats another attempt that may have run; `None` if it
+    /// repeats none or the call has no repeat window. The deadline may change when an earlier attempt is written late.
     pub fn write_deadline(&self) -> Option<Instant> {
         self.0.repeat_window.deadline_for(self.0.attempt)
     }
 
-    /// Whether that moment has passed: nothing more may be written.
+    /// Whether [`Meter::write_deadline`] has passed: nothing more may be written.
     pub fn is_past_write_deadline(&self) -> bool {
         self.write_deadline().is_some_and(|by| Instant::now() >= by)
     }
 
-    /// Whether the list by which the attempt was decided has expired before its first byte: none may be written.
+    /// Whether the server list expired before the first byte of the attempt was written: nothing may be written.
     pub fn list_has_expired(&self) -> bool {
         self.bytes() == 0 && self.0.freshness.has_expired()
     }
 
-    /// Whether the attempt's first byte must wait: the engine has not yet heard all that the process was told.
+    /// Whether the first byte of the attempt must wait until the engine has applied all list updates of its process.
     pub fn must_wait_for_list(&self) -> bool {
         self.bytes() == 0 && self.0.freshness.is_behind()
     }
 
-    /// How many bytes were written.
+    /// The number of bytes written.
     pub fn bytes(&self) -> usize {
         self.0.bytes.get()
     }
 
-    /// So many more were written.
+    /// Records that `count` more bytes were written.
     pub fn record_written(&self, count: usize) {
         if self.bytes() == 0 && count > 0 {
             self.0.repeat_window.record_first_write(self.0.attempt);
@@ -162,30 +173,30 @@
         self.0.bytes.set(self.0.bytes.get() + count);
     }
 
-    /// Whether all of the request has been made into bytes: what is flushed next is its end.
+    /// Sets whether the whole request has been encoded, so that the next flush completes it.
     pub fn set_encoded(&self, all: bool) {
         self.0.encoded.set(all);
     }
 
-    /// All bytes that were made so far are written.
+    /// Records that all bytes encoded so far are written.
     pub fn record_flush(&self) {
         if self.0.encoded.get() && self.bytes() > 0 {
             self.0.fully_written.set(true);
         }
     }
 
-    /// Nothing more may be written for the attempt. Its task may be told to end and be polled only later, and what it
-    /// has handed to its connection is written by another.
+    /// Forbids all further writes for the attempt. Aborting its task is not enough: the task ends only when it is polled
+    /// next, and what it has passed to its connection is written by the connection's task.
     pub fn revoke(&self) {
         self.0.revoked.set(true);
     }
 
-    /// Whether nothing more may be written.
+    /// Whether the attempt has been revoked.
     pub fn is_revoked(&self) -> bool {
         self.0.revoked.get()
     }
 
-    /// Whether all of it is written.
+    /// Whether the whole request is written.
     pub fn is_fully_written(&self) -> bool {
         self.0.fully_written.get()
     }
@@ -196,7 +207,8 @@
     use super::*;
     use crate::stall::StallDetector;
 
-    /// After a stall nothing is begun until what came meanwhile is read; what was begun goes on.
+    /// After a stall no attempt is started until the updates that arrived meanwhile are read; attempts that have started
+    /// continue.
     #[test]
     fn no_attempt_is_started_while_list_updates_may_be_unread() {
         let freshness = FreshnessGate::default();
@@ -204,13 +216,13 @@
             (Meter::new(freshness.clone(), RepeatWindow::default(), 0), Meter::default());
         partly_written.record_written(1);
         let next = Meter::new(freshness.clone(), RepeatWindow::default(), 1);
-        assert!(!next.must_wait_for_list(), "nobody reads a list");
-        let stalled_from = Instant::now().checked_sub(Duration::from_secs(2)).expect("a moment");
+        assert!(!next.must_wait_for_list(), "no task reads a list");
+        let stalled_from = Instant::now().checked_sub(Duration::from_secs(2)).expect("an instant");
         let mut reader = StallDetector::new(stalled_from, freshness.last_poll());
         assert!(
             next.must_wait_for_list() && !partly_written.must_wait_for_list() && !new.must_wait_for_list()
         );
-        assert!(!reader.record_idle(Instant::now()), "it looks late");
+        assert!(!reader.record_idle(Instant::now()), "it is polled late");
         assert!(next.must_wait_for_list());
         assert!(reader.record_idle(reader.poll_at()));
         assert!(!next.must_wait_for_list());
--- a/engine/src/net.rs
+++ b/engine/src/net.rs
@@ -1,7 +1,9 @@
-//! The seam to the system: streams, listeners and the wall clock. A build for the daemon knows TCP and the system's
-//! clock alone, and the types here are theirs. With the feature `virtual-net` a thread may [`enter`] a network of its
-//! own: streams, connecting and the wall clock are then that network's. Time that passes is tokio's in both, which can
-//! be paused; tasks are those of the [`tokio::task::LocalSet`] that polls.
+//! Abstraction over the operating system's network and wall clock.
+//!
+//! By default streams and listeners are TCP and the wall clock is the system's. With the feature `virtual-net`, a
+//! thread may [`enter`] a simulated network: its streams, connection attempts and wall clock are then provided by an
+//! implementation of [`Network`]. In both cases elapsed time is tokio's, which a test can pause, and tasks run on the
+//! [`tokio::task::LocalSet`] that polls them.
 
 use std::future::Future;
 use std::io;
@@ -15,12 +17,12 @@
 #[cfg(feature = "virtual-net")]
 pub use virtual_net::{enter, ConnectFuture, EnterGuard, Network, VirtualListener, VirtualStream};
 
-/// A stream of bytes to the other side.
+/// A bidirectional byte stream to a peer.
 #[derive(Debug)]
 pub enum Stream {
-    /// The system's.
+    /// A TCP stream of the operating system.
     Tcp(TcpStream),
-    /// Another network's.
+    /// A stream of a virtual network.
     #[cfg(feature = "virtual-net")]
     Virtual(Box<dyn VirtualStream>),
 }
@@ -32,11 +34,11 @@
 }
 
 impl Stream {
-    /// Connects, without a time-out of its own.
+    /// Connects to `address`. No timeout is applied here.
     ///
     /// # Errors
     ///
-    /// What the system says, or the network.
+    /// The error of the operating system or of the virtual network.
     pub async fn connect(address: SocketAddr) -> io::Result<Stream> {
         #[cfg(feature = "virtual-net")]
         if let Some(dialing) = virtual_net::network().map(|network| network.connect(address)) {
@@ -45,11 +47,11 @@
         TcpStream::connect(address).await.map(Stream::Tcp)
     }
 
-    /// Sends small pieces at once (`TCP_NODELAY`).
+    /// Disables Nagle's algorithm (`TCP_NODELAY`), so that small writes are sent at once.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// The error of the operating system.
     pub fn set_nodelay(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.set_nodelay(true),
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Whether nothing waits to be read, not even the end. This asks the system.
+    /// Whether there is nothing to read, neither data nor end of stream nor an error. Makes a system call.
     pub fn has_no_pending_input(&self) -> bool {
         match self {
             Stream::Tcp(stream) => {
@@ -73,8 +75,8 @@
 }
 
 impl Stream {
-    /// Whether the other side has ended its sending or the connection has broken, however much it sent before. Nobody
-    /// reads on to find it out.
+    /// Whether the peer has closed its sending side or the connection has broken, even if data it sent before is still
+    /// unread. Reads nothing.
     pub fn is_closed_by_peer(&self) -> bool {
         match self {
             Stream::Tcp(stream) => {
@@ -88,9 +90,9 @@
     }
 }
 
-/// Reads what there is. The runtime's own reading takes a read of less than was asked for as proof that nothing is left,
-/// and waits for an event that may never come; a read may be short for other reasons. Here only the system's word
-/// (`EWOULDBLOCK`) counts.
+/// Reads whatever is available. Tokio's `poll_read` takes a short read as proof that the socket is drained and waits
+/// for a readiness event that may never come, but a read may be short for other reasons. Here only `EWOULDBLOCK`
+/// counts as drained.
 fn read_until_blocked(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -105,7 +107,7 @@
     }
 }
 
-/// Writes what there is room for. As with reading, a short write does not prove that there is no more room.
+/// Writes as much as the socket accepts. As with reads, a short write does not prove that the send buffer is full.
 fn write_until_blocked(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -120,12 +122,12 @@
     }
 }
 
-/// Whether the call is to be made again: at once, or when the system says that it may go on.
+/// Whether to repeat the system call: at once if it was interrupted, or once the socket is ready.
 fn should_retry(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Does the same with whichever stream it is.
+/// Evaluates `$body` with a pinned reference to the underlying stream, whichever variant it is.
 macro_rules! with_stream {
     ($stream:expr, $io:ident => $body:expr) => {
         match $stream.get_mut() {
@@ -174,12 +176,12 @@
     }
 }
 
-/// Where connections come in.
+/// A listener for incoming connections.
 #[derive(Debug)]
 pub enum Listener {
-    /// The system's.
+    /// A TCP listener of the operating system.
     Tcp(TcpListener),
-    /// Another network's.
+    /// A listener of a virtual network.
     #[cfg(feature = "virtual-net")]
     Virtual(Box<dyn VirtualListener>),
 }
@@ -191,11 +193,11 @@
 }
 
 impl Listener {
-    /// The next connection. Dropped before it is ready, it has taken none.
+    /// Accepts the next connection. Cancel safe: no connection is lost if the future is dropped before it is ready.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// The error of the operating system or of the virtual network.
     pub async fn accept(&self) -> io::Result<Stream> {
         match self {
             Listener::Tcp(listener) => listener.accept().await.map(|(stream, _)| Stream::Tcp(stream)),
@@ -207,7 +209,7 @@
     }
 }
 
-/// The wall clock: since the start of 1970, by UTC.
+/// The wall clock as Unix time: the time since 1970-01-01 00:00 UTC.
 pub(crate) fn unix_time() -> Duration {
     #[cfg(feature = "virtual-net")]
     if let Some(network) = virtual_net::network() {
@@ -229,30 +231,30 @@
     use std::time::Duration;
     use tokio::io::{AsyncRead, AsyncWrite};
 
-    /// A stream of a network that is not the system's. Dropped, it is closed.
+    /// A stream of a virtual network. Dropping it closes it.
     pub trait VirtualStream: AsyncRead + AsyncWrite + Unpin + Debug {
-        /// Whether nothing waits to be read, not even the end.
+        /// Whether there is nothing to read, neither data nor end of stream nor an error.
         fn has_no_pending_input(&self) -> bool;
 
-        /// Whether the other side has ended its sending or the connection has broken, whatever waits to be read.
+        /// Whether the peer has closed its sending side or the connection has broken, even if data is still unread.
         fn is_closed_by_peer(&self) -> bool;
     }
 
-    /// A listener of such a network.
+    /// A listener of a virtual network.
     pub trait VirtualListener: Debug {
-        /// The next connection.
+        /// Polls for the next incoming connection.
         fn poll_accept(&self, context: &mut Context<'_>) -> Poll<io::Result<Box<dyn VirtualStream>>>;
     }
 
-    /// A connection that is being opened.
+    /// A pending connection attempt.
     pub type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Box<dyn VirtualStream>>>>>;
 
-    /// The network as one of its nodes has it.
+    /// A virtual network as seen by one of its nodes.
     pub trait Network {
-        /// Connects to an address.
+        /// Starts to connect to `address`.
         fn connect(&self, address: SocketAddr) -> ConnectFuture;
 
-        /// This node's wall clock: since the start of 1970.
+        /// This node's wall clock as Unix time.
         fn unix_time(&self) -> Duration;
     }
 
@@ -260,13 +262,13 @@
         static NETWORK: RefCell<Option<Rc<dyn Network>>> = const { RefCell::new(None) };
     }
 
-    /// What runs on this thread uses this network until the guard is dropped; then what it used before.
+    /// Makes this thread use `network` until the returned guard is dropped, which restores the previous one.
     #[must_use]
     pub fn enter(network: Rc<dyn Network>) -> EnterGuard {
         EnterGuard(NETWORK.with(|current| current.borrow_mut().replace(network)))
     }
 
-    /// A thread's stay in a network.
+    /// Restores the network that the thread used before [`enter`] when it is dropped.
     pub struct EnterGuard(Option<Rc<dyn Network>>);
 
     impl Drop for EnterGuard {
--- a/engine/src/socket.rs
+++ b/engine/src/socket.rs
@@ -1,5 +1,5 @@
-//! A TCP stream that hyper's task and the connection's owner share. The owner can close it at once, whatever that
-//! task does, can look at what has come and was not read, and knows what was written and read.
+//! A stream shared between hyper's connection task and the owner of the connection. The owner can close it at once
+//! whatever that task does, can check for unread input, and observes reads and writes.
 
 use crate::meter::Meter;
 use crate::net::Stream;
@@ -14,16 +14,16 @@
 
 #[derive(Debug)]
 struct Inner {
-    /// `None`: closed by its owner.
+    /// `None` after the owner has closed the socket.
     io: RefCell<Option<TokioIo<Stream>>>,
-    /// Where the bytes of the attempt that has the connection now are counted.
+    /// Counts the bytes written for the attempt that uses the connection now, and may forbid writing them.
     meter: RefCell<Meter>,
     read_count: Cell<u64>,
     write_blocked: Cell<bool>,
     last_read_at: Cell<Instant>,
 }
 
-/// The stream; clones are the same stream.
+/// A shared stream. Clones refer to the same stream.
 #[derive(Clone, Debug)]
 pub struct Socket(Rc<Inner>);
 
@@ -39,38 +39,40 @@
         }))
     }
 
-    /// Closes it. Its descriptor is free when this returns; an aborted task would hold it for a while yet.
+    /// Closes the stream. Its file descriptor is free when this returns, whereas an aborted task holds its own until it
+    /// is dropped.
     pub fn close(&self) {
         self.0.io.borrow_mut().take();
     }
 
-    /// From here on, written bytes are counted here.
+    /// Uses `meter` for all bytes written from now on.
     pub fn set_meter(&self, meter: &Meter) {
         self.0.meter.replace(meter.clone());
     }
 
-    /// How often something was read, its end included.
+    /// The number of completed reads; a read of the end of the stream counts.
     pub fn read_count(&self) -> u64 {
         self.0.read_count.get()
     }
 
-    /// When something was last read; at first, when it was opened.
+    /// When a read last completed; before the first read, when the socket was created.
     pub fn last_read_at(&self) -> Instant {
         self.0.last_read_at.get()
     }
 
-    /// Whether it is open and nothing waits in it to be read, not even its end. This asks the system: what has
-    /// come since the stream's task was last polled shows nowhere else.
+    /// Whether the socket is open and there is nothing to read, not even the end of the stream. Makes a system call,
+    /// since input that arrived after the stream's task was last polled is visible nowhere else.
     pub fn has_no_pending_input(&self) -> bool {
         self.0.io.borrow().as_ref().is_some_and(|io| io.inner().has_no_pending_input())
     }
 
-    /// Whether the other side has closed it, or it is broken, whatever still waits in it to be read.
+    /// Whether the peer has closed the stream, the connection has broken, or the owner has closed the socket, even if
+    /// data is still unread.
     pub fn is_closed_by_peer(&self) -> bool {
         self.0.io.borrow().as_ref().is_none_or(|io| io.inner().is_closed_by_peer())
     }
 
-    /// Whether something that was to be written waits for the other side to read.
+    /// Whether the last write is pending because the peer does not read.
     pub fn is_write_blocked(&self) -> bool {
         self.0.write_blocked.get()
     }
@@ -83,7 +85,7 @@
         buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let mut io = self.0.io.borrow_mut();
-        // Closed by its owner, it is at its end.
+        // A socket closed by its owner reads as end of stream.
         let Some(io) = io.as_mut() else { return Poll::Ready(Ok(())) };
         let read = Pin::new(io).poll_read(context, buffer);
         if read.is_ready() {
@@ -98,7 +100,7 @@
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let mut io = self.0.io.borrow_mut();
         if self.0.meter.borrow().must_wait_for_list() {
-            // What the engine is to hear is read on this very thread, or is on its way to it.
+            // The list update that the write waits for is read by this thread or is on its way to it: poll again.
             context.waker().wake_by_ref();
             return Poll::Pending;
         }
@@ -118,7 +120,7 @@
         let mut io = self.0.io.borrow_mut();
         let Some(io) = io.as_mut() else { return Poll::Ready(Ok(())) };
         let flushed = Pin::new(io).poll_flush(context);
-        // hyper flushes when it has written all that it had made.
+        // hyper flushes after it has written all that it has encoded.
         if matches!(flushed, Poll::Ready(Ok(()))) {
             self.0.meter.borrow().record_flush();
         }
@@ -137,8 +139,8 @@
     use std::io::Write as _;
     use tokio::net::TcpStream;
 
-    /// Bytes behind an answer may come once its connection is idle, and no task has been polled since: they must
-    /// be seen all the same, else they are taken for the next answer.
+    /// Surplus bytes after a response may arrive on an idle connection whose task has not been polled since. They must
+    /// still be detected, or they would be parsed as the next response.
     #[test]
     fn pending_input_is_detected_without_polling_the_stream() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
--- a/engine/src/stall.rs
+++ b/engine/src/stall.rs
@@ -1,37 +1,40 @@
-//! Notices that a task was not run for a while: what it reads next may have lain there since.
+//! Detects that a task was not run for a while, so that data it reads next may have arrived long before.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often the task looks while nothing comes.
+/// How often the task is polled while nothing arrives.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// A task that looks so much later than it meant to was stalled. As long a process may be held up in any case.
+/// A task that is polled later than planned by more than this was stalled. Any process may be delayed for this long.
 const LATE_TOLERANCE: Duration = Duration::from_millis(250);
-/// After a stall it looks again so soon: by then what lies in its socket is read.
+/// Delay of the next poll after a stall; by then the data pending in the socket has been read.
 const RECHECK_DELAY: Duration = Duration::from_millis(5);
-/// What came since it last looked may be unknown for so long: the grace of a drain, less what a process may be held up.
+/// How long updates may remain unread since the last poll in time: the grace of a drain less the delay that any process
+/// may have.
 const MAX_UNREAD_TIME: Duration = Duration::from_millis(750);
 
-/// When the task that reads the list last looked in time. Clones are of the same task.
+/// When the task that reads the server list was last polled in time; empty without such a task. Clones refer to the
+/// same task.
 #[derive(Clone, Debug, Default)]
 pub struct LastPoll(Rc<Cell<Option<Instant>>>);
 
 impl LastPoll {
-    /// Whether there is such a task, and it may have left unread what this process was told over the grace ago.
+    /// Whether there is such a task and it may have left updates unread for longer than the grace allows.
     pub fn is_overdue(&self) -> bool {
         self.0.get().is_some_and(|at| Instant::now() > at + MAX_UNREAD_TIME)
     }
 }
 
-/// Follows when a task that reads from a socket was run.
+/// Tracks when a task that reads from a socket is polled.
 ///
-/// A stalled process finds its timers run out and its sockets full in the same moment, in any order. So it is not the
-/// first look after a stall that shows that all is read, but the next one that is in time.
+/// After a stall the timers have expired and the sockets hold data at the same moment, and the task may be woken for
+/// either first. So the first poll after a stall does not prove that everything has been read; the next poll in time
+/// does.
 #[derive(Debug)]
 pub struct StallDetector {
-    /// When the task last looked in time, and nothing was to be read.
+    /// When the task was last polled in time with nothing to read.
     last_idle: Instant,
     last_poll: LastPoll,
     poll_at: Instant,
@@ -39,18 +42,19 @@
 }
 
 impl StallDetector {
-    /// Of a task that runs now, and shows when it looks until this is dropped.
+    /// For a task that runs now. `last_poll` is kept up to date until the detector is dropped.
     pub fn new(now: Instant, last_poll: LastPoll) -> StallDetector {
         last_poll.0.set(Some(now));
         StallDetector { last_idle: now, last_poll, poll_at: now + POLL_INTERVAL, stalled: false }
     }
 
-    /// When the task must look at the latest.
+    /// When the task must be polled at the latest.
     pub fn poll_at(&self) -> Instant {
         self.poll_at
     }
 
-    /// When to look where the task has something to do at a moment: then, if that is sooner and it is not stalled.
+    /// When to poll the task if it also has something to do at `moment`: then, if that is earlier and the task is not
+    /// stalled.
     pub fn poll_at_or(&self, moment: Instant) -> Instant {
         if self.stalled {
             self.poll_at
@@ -59,7 +63,8 @@
         }
     }
 
-    /// The task looks, and nothing is to be read. Whether it does so in time, so that nothing more can lie there.
+    /// Records that the task was polled and found nothing to read. Returns whether the poll was in time, so that nothing
+    /// can be unread.
     pub fn record_idle(&mut self, now: Instant) -> bool {
         if now < self.poll_at {
             return !self.stalled;
@@ -73,7 +78,8 @@
         !self.stalled
     }
 
-    /// The task has read something. `Some`: it was stalled, and what it read may have come at any time after this moment.
+    /// Records that the task has read something. Returns `Some` if it was stalled: the data may have arrived at any time
+    /// after the returned instant.
     pub fn record_read(&mut self, now: Instant) -> Option<Instant> {
         self.stalled |= self.is_late(now);
         self.stalled.then_some(self.last_idle)
@@ -105,13 +111,13 @@
         for step in 1..=40 {
             let poll_at = stall.poll_at();
             assert_eq!(stall.record_read(poll_at), None, "step {step}");
-            // Late by as much as is allowed.
+            // As late as is tolerated.
             stall.record_idle(poll_at + LATE_TOLERANCE);
             assert_eq!(stall.record_read(poll_at + LATE_TOLERANCE), None, "step {step}");
         }
     }
 
-    /// Whichever of its timer and its socket the task is run for first after a stall.
+    /// After a stall the task may be woken for its timer or for its socket first; the result is the same.
     #[test]
     fn data_read_after_a_stall_may_date_from_its_start() {
         let start = Instant::now();
@@ -127,7 +133,7 @@
                 stall.record_idle(resumed);
             }
             assert_eq!(stall.record_read(after(resumed, 4)), Some(after(start, 250)), "{timer_first}");
-            // All is read by the next look that is in time, and not by one that comes for another reason.
+            // Only the next scheduled poll proves that everything is read, not an earlier poll for another reason.
             assert_eq!(stall.poll_at_or(resumed), resumed + RECHECK_DELAY);
             assert!(!stall.record_idle(after(resumed, 4)));
             assert!(stall.record_idle(stall.poll_at()));
@@ -147,14 +153,14 @@
     #[test]
     fn a_poll_is_overdue_only_while_a_reader_exists_and_is_late() {
         let (start, last_poll) = (Instant::now(), LastPoll::default());
-        assert!(!last_poll.is_overdue(), "nobody reads it");
+        assert!(!last_poll.is_overdue(), "there is no reader");
         let mut stall = StallDetector::new(start, last_poll.clone());
         assert!(!last_poll.is_overdue());
-        let before = start.checked_sub(MAX_UNREAD_TIME * 2).expect("a moment");
+        let before = start.checked_sub(MAX_UNREAD_TIME * 2).expect("an instant");
         last_poll.0.set(Some(before));
         assert!(last_poll.is_overdue());
         stall.record_idle(stall.poll_at());
-        assert!(!last_poll.is_overdue(), "it has looked");
+        assert!(!last_poll.is_overdue(), "it was polled in time");
         last_poll.0.set(Some(before));
         drop(stall);
         assert!(!last_poll.is_overdue());
--- a/engine/src/task.rs
+++ b/engine/src/task.rs
@@ -1,9 +1,9 @@
-//! Tasks of the engine's thread that end with their owner.
+//! Tasks of the engine's thread that are aborted when their owner is dropped.
 
 use std::future::Future;
 use tokio::task::AbortHandle;
 
-/// A task that ends when this is dropped.
+/// Aborts its task when dropped.
 #[derive(Debug)]
 pub struct Task(AbortHandle);
 
@@ -13,7 +13,8 @@
     }
 }
 
-/// Runs a future on this thread for as long as the returned task is kept. Needs a [`tokio::task::LocalSet`].
+/// Spawns a future on this thread and aborts it when the returned handle is dropped. Must be called within a
+/// [`tokio::task::LocalSet`].
 pub fn spawn(future: impl Future + 'static) -> Task {
     Task(tokio::task::spawn_local(async move { drop(future.await) }).abort_handle())
 }
--- a/engine/tests/net.rs
+++ b/engine/tests/net.rs
@@ -1,4 +1,4 @@
-//! The seam to the system: a thread that has entered a network uses that one and no other, until it has left.
+//! The network abstraction: a thread that has entered a virtual network uses it, and only it, until the guard is dropped.
 #![cfg(feature = "virtual-net")]
 
 use nettleworks_engine::net::{
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, DuplexStream, ReadBuf};
 
-/// A pipe in memory that knows whether it is quiet.
+/// An in-memory pipe with a flag that says whether it has no pending input.
 #[derive(Debug)]
 struct Pipe(DuplexStream, Rc<Cell<bool>>);
 
@@ -123,7 +123,7 @@
     let refused = Stream::connect(address(1)).await.expect_err("refused");
     assert_eq!(refused.kind(), io::ErrorKind::ConnectionRefused);
     drop(entered);
-    // The system's again: nobody listens there.
+    // The thread uses the operating system's network again.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let system_address = listener.local_addr().expect("an address");
     assert!(matches!(Stream::connect(system_address).await, Ok(Stream::Tcp(_))));
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! A site's settings, as the simulator's first message and a proxy's configuration hold them. Unknown keys
-//! are ignored, absent ones get harmless values.
+//! Reads the settings of a site from JSON, as they appear in a proxy's configuration file and in the simulator's
+//! first message. Unknown keys are ignored; missing optional keys get harmless defaults.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -73,11 +73,11 @@
     ask_every_us: u64,
     #[serde(default = "default_drain_grace")]
     drain_grace_us: u64,
-    #[serde(default = "default_bears")]
+    #[serde(default = "default_fall_multiple")]
     fall_multiple: f64,
 }
 
-fn default_bears() -> f64 {
+fn default_fall_multiple() -> f64 {
     Settings::default().rules.bears
 }
 
@@ -102,29 +102,37 @@
     }
 }
 
-/// Settings, and the names of classes and tenants in their order.
-pub fn read(facts: &Value) -> Result<(Settings, Vec<String>, Vec<String>), String> {
-    read_reporting_unused(facts, |_| ())
+/// Reads the settings. Also returns the names of the classes and of the tenants, in the order of the settings.
+///
+/// # Errors
+///
+/// A message with the path of the invalid key.
+pub fn read(json: &Value) -> Result<(Settings, Vec<String>, Vec<String>), String> {
+    read_reporting_unused(json, |_| ())
 }
 
-/// As [`read`]; `unused` hears the place of each key that says nothing here. An error names its place too.
+/// Like [`read`], but calls `unused` with the path of each key that is not used.
+///
+/// # Errors
+///
+/// A message with the path of the invalid key.
 pub fn read_reporting_unused(
-    facts: &Value,
+    json: &Value,
     mut unused: impl FnMut(String),
 ) -> Result<(Settings, Vec<String>, Vec<String>), String> {
     let mut path_tracker = serde_path_to_error::Track::new();
-    let tracked = serde_path_to_error::Deserializer::new(facts, &mut path_tracker);
-    let facts: Result<SiteSettings, _> = serde_ignored::deserialize(tracked, |path| unused(path.to_string()));
-    let facts = facts.map_err(|error| format!("{}: {error}", path_tracker.path()))?;
+    let tracked = serde_path_to_error::Deserializer::new(json, &mut path_tracker);
+    let site: Result<SiteSettings, _> = serde_ignored::deserialize(tracked, |path| unused(path.to_string()));
+    let site = site.map_err(|error| format!("{}: {error}", path_tracker.path()))?;
     let mut classes = Vec::new();
-    for class in &facts.classes {
+    for class in &site.classes {
         let scope = match class.dedup_scope.as_str() {
             "all" => Some(Scope::All),
             "zone" => Some(Scope::Zone),
             "cell" => Some(Scope::Cell),
             _ => None,
         };
-        // A kind or a scope that is not known is taken to allow no repeat.
+        // An unknown kind or scope is taken to allow no retry.
         let repeat = match (class.idempotency.as_str(), scope) {
             ("free", _) => Repeat::Free,
             ("guarded", Some(scope)) => Repeat::Guarded { scope, window: class.repeat_window_us },
@@ -133,39 +141,39 @@
         let (aim, deadline) = (class.objective_us, class.deadline_us);
         classes.push(Class { aim, deadline, worth: class.worth, late_value: class.late_value, repeat });
     }
-    let limits = &facts.limits;
-    let rules = &facts.invariants;
+    let limits = &site.limits;
+    let rules = &site.invariants;
     let settings = Settings {
-        balancers: facts.balancers,
-        me: facts.me,
-        tick: facts.tick_us,
-        ask: facts.discovery == "ask",
+        balancers: site.balancers,
+        me: site.me,
+        tick: site.tick_us,
+        ask: site.discovery == "ask",
         shared: false,
         classes,
-        tenants: facts.tenants.iter().map(|t| Tenant { share: t.portion }).collect(),
+        tenants: site.tenants.iter().map(|t| Tenant { share: t.portion }).collect(),
         limits: Limits {
             cancel: limits.cancel,
             probes: limits.probes,
             second_copies: limits.second_copies,
             max_attempts: limits.max_attempts,
-            // Also where clients are said not to heed it: a refusal on sockets always says when to come back.
+            // Read even where the settings say that clients ignore it: a refusal over HTTP always has a Retry-After.
             max_retry_after: limits.max_retry_after_us,
         },
         rules: Rules {
-            // What cannot be meant is as if it were not there.
-            bears: if rules.fall_multiple > 0.0 { rules.fall_multiple } else { default_bears() },
+            // A value that makes no sense counts as missing.
+            bears: if rules.fall_multiple > 0.0 { rules.fall_multiple } else { default_fall_multiple() },
             cold_share: rules.cold_from,
             cold_time: rules.cold_us,
             ask_every: rules.ask_every_us,
             drain_grace: rules.drain_grace_us,
         },
-        goal: Goal { whole: facts.result_mix.whole, worst_class: facts.result_mix.worst_class },
+        goal: Goal { whole: site.result_mix.whole, worst_class: site.result_mix.worst_class },
     };
-    let names = facts.classes.into_iter().map(|c| c.name).collect();
-    Ok((settings, names, facts.tenants.into_iter().map(|t| t.name).collect()))
+    let names = site.classes.into_iter().map(|c| c.name).collect();
+    Ok((settings, names, site.tenants.into_iter().map(|t| t.name).collect()))
 }
 
-/// A number for a zone's name (FNV-1a), the same wherever it is met.
+/// The numeric id of a zone: the 32-bit FNV-1a hash of its name, so that every process gives it the same id.
 pub fn zone_id(name: &str) -> ZoneId {
     ZoneId(name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)))
 }
@@ -176,7 +184,7 @@
 
     #[test]
     fn the_fall_multiple_is_read_where_it_is_positive() {
-        for (rules, bears) in [
+        for (rules, expected) in [
             (r#""fall_multiple": 1.5, "#, 1.5),
             (r#""fall_multiple": 0, "#, 2.0),
             (r#""fall_multiple": -1, "#, 2.0),
@@ -186,7 +194,7 @@
             let facts =
                 format!(r#"{{"balancers": 1, "classes": [], "limits": {{}}, "invariants": {invariants}}}"#);
             let (settings, ..) = read(&serde_json::from_str(&facts).expect("JSON")).expect("settings");
-            assert!((settings.rules.bears - bears).abs() < 1e-9, "{rules}");
+            assert!((settings.rules.bears - expected).abs() < 1e-9, "{rules}");
         }
     }
 }
