--- a/engine/src/config.rs
+++ b/engine/src/config.rs
@@ -75,6 +75,7 @@
     _peers_all: IgnoredValue,
 }
 
+/// Resource limits of the process.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
@@ -105,6 +106,7 @@
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct NettleworksOptions {
+    /// See [`Config::max_calls`].
     calls: Option<usize>,
 }
 
@@ -118,6 +120,7 @@
 /// Paths of the keys that [`ConnectionSettings`] reads.
 const CONNECTION_KEYS: [&str; 2] = ["settings.limits.connect_timeout_us", "settings.limits.conn_idle_us"];
 
+/// Timeouts of connections to hosts, in microseconds.
 #[derive(Deserialize)]
 #[serde(default)]
 struct ConnectionLimits {
--- a/engine/src/discovery/splitter.rs
+++ b/engine/src/discovery/splitter.rs
@@ -122,7 +122,7 @@
         assert_eq!(error, "list 1 of the watch is over 4194304 bytes long");
     }
 
-    /// A line break within a list and a part of a list do not count; the end of a list or of a line between two lists does.
+    /// A line break within a list or a part of a list does not count; the end of a list or of a line between lists does.
     #[test]
     fn only_complete_items_show_that_the_watch_is_alive() {
         let mut splitter = JsonSplitter::default();
--- a/engine/src/meter.rs
+++ b/engine/src/meter.rs
@@ -23,6 +23,7 @@
     last_poll: LastPoll,
 }
 
+/// How many list updates the process has received and this engine has applied.
 #[derive(Debug)]
 struct ListProgress {
     received: Arc<AtomicU64>,
@@ -76,6 +77,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RepeatWindow(Option<Rc<WriteTimes>>);
 
+/// The first writes of the attempts of a call with a repeat window.
 #[derive(Debug)]
 struct WriteTimes {
     window: Duration,
@@ -121,6 +123,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Meter(Rc<WriteState>);
 
+/// The state of a [`Meter`], shared by its clones.
 #[derive(Debug, Default)]
 struct WriteState {
     bytes: Cell<usize>,
--- a/engine/src/net.rs
+++ b/engine/src/net.rs
@@ -2,7 +2,7 @@
 //!
 //! By default streams and listeners are TCP and the wall clock is the system's. With the feature `virtual-net`, a
 //! thread may [`enter`] a simulated network: its streams, connection attempts and wall clock are then provided by an
-//! implementation of [`Network`]. In both cases elapsed time is tokio's, which a test can pause, and tasks run on the
+//! implementation of `Network`. In both cases elapsed time is tokio's, which a test can pause, and tasks run on the
 //! [`tokio::task::LocalSet`] that polls them.
 
 use std::future::Future;
--- a/engine/src/socket.rs
+++ b/engine/src/socket.rs
@@ -12,6 +12,7 @@
 use std::task::{Context, Poll};
 use tokio::time::Instant;
 
+/// The state that all clones of a [`Socket`] share.
 #[derive(Debug)]
 struct Inner {
     /// `None` after the owner has closed the socket.
--- a/engine/src/stall.rs
+++ b/engine/src/stall.rs
@@ -85,6 +85,7 @@
         self.stalled.then_some(self.last_idle)
     }
 
+    /// Whether a poll at `now` comes so late that the task was stalled.
     fn is_late(&self, now: Instant) -> bool {
         now > self.poll_at + LATE_TOLERANCE
     }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -7,6 +7,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
+/// The settings as they appear in JSON. Names that end in `_us` are times in microseconds.
 #[derive(Deserialize)]
 struct SiteSettings {
     balancers: u32,
@@ -48,6 +49,7 @@
     portion: f64,
 }
 
+/// What the balancer may do.
 #[derive(Deserialize)]
 #[serde(default)]
 struct LimitSettings {
@@ -65,6 +67,7 @@
     }
 }
 
+/// The parameters of the rules that must always hold.
 #[derive(Deserialize)]
 struct RuleSettings {
     cold_from: f64,
@@ -89,6 +92,7 @@
     Settings::default().rules.drain_grace
 }
 
+/// The weights of the overall result and of the worst class.
 #[derive(Deserialize)]
 #[serde(default)]
 struct GoalSettings {
