--- a/engine/src/config.rs
+++ b/engine/src/config.rs
@@ -210,9 +210,9 @@
     pub fn reloaded(&self, new: Config) -> (Config, bool) {
         let Config { discovery, max_descriptors, connect_timeout, conn_idle, .. } = new;
         // The configuration of an interceptor can be reloaded, but the set of interceptors is fixed at start.
-        let (extras, extras_differ) = self.extras.renewed(new.extras);
+        let (extras, extensions_differ) = self.extras.renewed(new.extras);
         let current = (self.listen, &self.settings, &self.classes, &self.tenants);
-        let differs = extras_differ || current != (new.listen, &new.settings, &new.classes, &new.tenants);
+        let differs = extensions_differ || current != (new.listen, &new.settings, &new.classes, &new.tenants);
         (Config { discovery, max_descriptors, connect_timeout, conn_idle, extras, ..self.clone() }, differs)
     }
 
