--- a/engine/src/config.rs
+++ b/engine/src/config.rs
@@ -1,4 +1,4 @@
-//! What the proxy is told at start: the file that `ROUTER_CONFIG` names.
+//! The configuration of the proxy, read from the file that `ROUTER_CONFIG` names.
 
 use crate::extras::Extras;
 use crate::list::List;
@@ -11,46 +11,48 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Descriptors for all but connections of clients and hosts: standard streams, event queue, listener, discovery,
-/// and some to spare.
+/// File descriptors reserved for everything except connections to clients and hosts: standard streams, event queue,
+/// listener, discovery, and a margin.
 const SPARE_DESCRIPTORS: usize = 32;
 
-/// The configuration, checked.
+/// The validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where the application connects.
+    /// The address at which the proxy accepts clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// Seed of the random number generator; a new one with each start.
     pub seed: u64,
-    /// Most file descriptors that the process may hold.
-    pub sockets: usize,
-    /// The hosts as this proxy last had them; maybe old.
-    pub known: Option<List>,
-    /// What the decision module is told.
+    /// Limit of file descriptors of the process.
+    pub max_descriptors: usize,
+    /// The last server list that this proxy had before it was restarted; it may be outdated.
+    pub cached_list: Option<List>,
+    /// The settings of the decision module.
     pub settings: Settings,
     /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of the settings.
     pub tenants: Vec<String>,
-    /// When a connection must be up.
+    /// Timeout for establishing a connection to a host.
     pub connect_timeout: Duration,
-    /// How long hosts keep an idle connection.
+    /// How long hosts keep an idle connection open.
     pub conn_idle: Duration,
-    /// Most calls that an application may have open through the library; `None`: a third of the descriptors.
-    pub calls: Option<usize>,
-    /// What stations are told; each reads a file of its own.
+    /// Limit of concurrent calls that an application makes through the library; `None` means a third of the file
+    /// descriptors.
+    pub max_calls: Option<usize>,
+    /// Configurations of the interceptors; each interceptor reads a file of its own.
     pub extras: Extras,
-    /// Connections that are open. Engines of one process count together.
+    /// Counts open connections. The engines of one process share it.
     pub quota: Quota,
-    /// Places of the keys that are not known, outside the settings. They may be a later platform's, or slips.
-    pub unknown: Vec<String>,
-    /// Places of the settings that are not used here. The platform tells more than it takes.
-    pub unused: Vec<String>,
+    /// Paths of unknown keys outside `settings`. They may be typing errors or belong to a later version of the platform.
+    pub unknown_keys: Vec<String>,
+    /// Paths of keys in `settings` that are not used. The platform provides more settings than the proxy needs.
+    pub unused_keys: Vec<String>,
 }
 
-/// The file. What the platform tells and nothing here uses is named all the same: any other key is a slip.
+/// The configuration file. Keys that the platform sets but the proxy does not use are listed too, so that any other
+/// key can be reported as unknown.
 #[derive(Deserialize)]
 struct File {
     listen: SocketAddr,
@@ -62,166 +64,172 @@
     known: Option<List>,
     settings: Value,
     #[serde(default)]
-    nettleworks: Own,
+    nettleworks: NettleworksOptions,
     #[serde(default, rename = "name")]
-    _name: Told,
+    _name: IgnoredValue,
     #[serde(default, rename = "peer_listen")]
-    _peer_listen: Told,
+    _peer_listen: IgnoredValue,
     #[serde(default, rename = "peers")]
-    _peers: Told,
+    _peers: IgnoredValue,
     #[serde(default, rename = "peers_all")]
-    _peers_all: Told,
+    _peers_all: IgnoredValue,
 }
 
+/// Resource limits of the process.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
     sockets: usize,
     #[serde(rename = "cores")]
-    _cores: Told,
+    _cores: IgnoredValue,
     #[serde(rename = "memory_mb")]
-    _memory_mb: Told,
+    _memory_mb: IgnoredValue,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1_024, _cores: Told, _memory_mb: Told }
+        Limits { sockets: 1_024, _cores: IgnoredValue, _memory_mb: IgnoredValue }
     }
 }
 
-/// What is told and not used: read, so that it is known, and dropped.
+/// The value of a known but unused key: accepted and discarded.
 #[derive(Default)]
-struct Told;
+struct IgnoredValue;
 
-impl<'de> Deserialize<'de> for Told {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Told, D::Error> {
-        Value::deserialize(from).map(|_| Told)
+impl<'de> Deserialize<'de> for IgnoredValue {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<IgnoredValue, D::Error> {
+        Value::deserialize(from).map(|_| IgnoredValue)
     }
 }
 
-/// Keys of our own. The platform sets none of them, so one that is not known is an error.
+/// Keys specific to nettleworks. The platform sets none of them, so an unknown key is an error.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-struct Own {
+struct NettleworksOptions {
+    /// See [`Config::max_calls`].
     calls: Option<usize>,
 }
 
-/// The part of the settings that is about connections; the rest is the decision module's.
+/// The part of `settings` that concerns connections; the decision module reads the rest.
 #[derive(Deserialize)]
-struct Site {
+struct ConnectionSettings {
     #[serde(default)]
-    limits: Connections,
+    limits: ConnectionLimits,
 }
 
-/// Their places among the settings.
-const SITE: [&str; 2] = ["settings.limits.connect_timeout_us", "settings.limits.conn_idle_us"];
+/// Paths of the keys that [`ConnectionSettings`] reads.
+const CONNECTION_KEYS: [&str; 2] = ["settings.limits.connect_timeout_us", "settings.limits.conn_idle_us"];
 
+/// Timeouts of connections to hosts, in microseconds.
 #[derive(Deserialize)]
 #[serde(default)]
-struct Connections {
+struct ConnectionLimits {
     connect_timeout_us: u64,
     conn_idle_us: u64,
 }
 
-impl Default for Connections {
+impl Default for ConnectionLimits {
     fn default() -> Self {
-        Connections { connect_timeout_us: 250_000, conn_idle_us: 15_000_000 }
+        ConnectionLimits { connect_timeout_us: 250_000, conn_idle_us: 15_000_000 }
     }
 }
 
-/// Why a configuration file was not read.
+/// Why a configuration file could not be loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadError {
-    /// Whether it may be read a moment later: the system is short of something.
-    pub passing: bool,
-    /// In words, with the file's path.
+    /// Whether a retry may succeed, because the system is temporarily short of a resource.
+    pub transient: bool,
+    /// The error message, with the path of the file.
     pub reason: String,
 }
 
 impl Config {
-    /// Reads a configuration file.
+    /// Loads a configuration file.
     ///
     /// # Errors
     ///
-    /// What keeps the file from being read, and whether that may pass; what is wrong with its text.
+    /// The file cannot be read, or its content is invalid.
     pub fn load(path: &Path) -> Result<Config, LoadError> {
-        let at = |reason: String| format!("{}: {reason}", path.display());
+        let with_path = |reason: String| format!("{}: {reason}", path.display());
         let text = std::fs::read_to_string(path)
-            .map_err(|e| LoadError { passing: is_passing(&e), reason: at(e.to_string()) })?;
-        Config::parse(&text).map_err(|e| LoadError { passing: false, reason: at(e.to_string()) })
+            .map_err(|e| LoadError { transient: is_passing(&e), reason: with_path(e.to_string()) })?;
+        Config::parse(&text).map_err(|e| LoadError { transient: false, reason: with_path(e.to_string()) })
     }
 
-    /// Reads a configuration's text.
+    /// Parses the text of a configuration file. An error is a message that names the path of the key.
     pub fn parse(text: &str) -> Result<Config, String> {
-        let (mut unknown, mut unused) = (Vec::new(), Vec::new());
+        let (mut unknown_keys, mut unused_keys) = (Vec::new(), Vec::new());
         let mut json = serde_json::Deserializer::from_str(text);
-        let mut track = serde_path_to_error::Track::new();
-        let read: Result<File, _> = serde_ignored::deserialize(
-            serde_path_to_error::Deserializer::new(&mut json, &mut track),
-            // Where there may be a value or none, its place has a step of its own.
-            |path| unknown.push(path.to_string().replace(".?", "")),
+        let mut path_tracker = serde_path_to_error::Track::new();
+        let parsed: Result<File, _> = serde_ignored::deserialize(
+            serde_path_to_error::Deserializer::new(&mut json, &mut path_tracker),
+            // serde_ignored adds a `?` step to a path for each `Option`.
+            |path| unknown_keys.push(path.to_string().replace(".?", "")),
         );
-        let file = read.map_err(|error| match track.path().to_string() {
-            // The whole file has no place.
-            place if place == "." || place == "?" => error.to_string(),
-            place => format!("{place}: {error}"),
+        let file = parsed.map_err(|error| match path_tracker.path().to_string() {
+            // An error of the whole file has no path.
+            key if key == "." || key == "?" => error.to_string(),
+            key => format!("{key}: {error}"),
         })?;
-        // A host's machine type is discovery's word, of which nothing here makes use.
-        unknown.retain(|place| !(place.starts_with("known.hosts.") && place.ends_with(".class")));
+        // Discovery gives each host a machine type (`class`), which the proxy does not use.
+        unknown_keys.retain(|key| !(key.starts_with("known.hosts.") && key.ends_with(".class")));
         json.end().map_err(|error| error.to_string())?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed: {e}"))?;
-        let (settings, classes, tenants) = nettleworks_settings::read_noting(&file.settings, |place| {
-            unused.push(format!("settings.{place}"))
-        })
-        .map_err(|e| format!("settings.{e}"))?;
-        unused.retain(|place| !SITE.contains(&place.as_str()));
-        let site = Site::deserialize(&file.settings).map_err(|e| format!("settings: {e}"))?.limits;
+        let (settings, classes, tenants) =
+            nettleworks_settings::read_reporting_unused(&file.settings, |key| {
+                unused_keys.push(format!("settings.{key}"))
+            })
+            .map_err(|e| format!("settings.{e}"))?;
+        unused_keys.retain(|key| !CONNECTION_KEYS.contains(&key.as_str()));
+        let connection_limits =
+            ConnectionSettings::deserialize(&file.settings).map_err(|e| format!("settings: {e}"))?.limits;
         if file.limits.sockets < 2 * SPARE_DESCRIPTORS {
-            return Err(format!("limits: {} sockets are too few", file.limits.sockets));
+            return Err(format!("limits.sockets: {} is too small", file.limits.sockets));
         }
         Ok(Config {
             listen: file.listen,
             discovery: file.discovery,
             seed,
-            sockets: file.limits.sockets,
-            known: file.known,
+            max_descriptors: file.limits.sockets,
+            cached_list: file.known,
             settings,
             classes,
             tenants,
-            connect_timeout: Duration::from_micros(site.connect_timeout_us),
-            conn_idle: Duration::from_micros(site.conn_idle_us),
-            calls: file.nettleworks.calls,
+            connect_timeout: Duration::from_micros(connection_limits.connect_timeout_us),
+            conn_idle: Duration::from_micros(connection_limits.conn_idle_us),
+            max_calls: file.nettleworks.calls,
             extras: Extras::default(),
             quota: Quota::default(),
-            unknown,
-            unused,
+            unknown_keys,
+            unused_keys,
         })
     }
 
-    /// What a running proxy takes over from a new configuration. The rest is for its whole life; whether the two
-    /// differ there comes back too.
-    pub fn renewed(&self, new: Config) -> (Config, bool) {
-        let Config { discovery, sockets, connect_timeout, conn_idle, .. } = new;
-        // What a station is told may change; which there are is for the whole life.
-        let (extras, more) = self.extras.renewed(new.extras);
-        let old = (self.listen, &self.settings, &self.classes, &self.tenants);
-        let differs = more || old != (new.listen, &new.settings, &new.classes, &new.tenants);
-        (Config { discovery, sockets, connect_timeout, conn_idle, extras, ..self.clone() }, differs)
+    /// The configuration of a running proxy after a reload: only some values are taken from `new`, all others stay
+    /// until a restart. Also returns whether `new` differs in a value that is not reloaded.
+    pub fn reloaded(&self, new: Config) -> (Config, bool) {
+        let Config { discovery, max_descriptors, connect_timeout, conn_idle, .. } = new;
+        // The configuration of an interceptor can be reloaded, but the set of interceptors is fixed at start.
+        let (extras, extensions_differ) = self.extras.renewed(new.extras);
+        let current = (self.listen, &self.settings, &self.classes, &self.tenants);
+        let differs = extensions_differ || current != (new.listen, &new.settings, &new.classes, &new.tenants);
+        (Config { discovery, max_descriptors, connect_timeout, conn_idle, extras, ..self.clone() }, differs)
     }
 
-    /// Most connections to hosts: clients hold a third of the descriptors at most for requests, and each request
-    /// has one connection to a host.
+    /// Limit of connections to hosts. Clients use at most a third of the descriptors for requests in flight, and each
+    /// request needs one connection to a host.
     pub fn connections_to_hosts(&self) -> usize {
-        (self.sockets - SPARE_DESCRIPTORS) * 2 / 5
+        (self.max_descriptors - SPARE_DESCRIPTORS) * 2 / 5
     }
 
-    /// Most connections to clients: the rest, as some clients connect and ask for nothing.
+    /// Limit of connections to clients: all other descriptors, since some clients connect and send no request.
     pub fn connections_to_clients(&self) -> usize {
-        self.sockets - SPARE_DESCRIPTORS - self.connections_to_hosts()
+        self.max_descriptors - SPARE_DESCRIPTORS - self.connections_to_hosts()
     }
 
-    /// Connections to clients beyond which idle ones are dear: half of what clients hold at most for requests.
-    pub fn crowded_from(&self) -> usize {
-        self.sockets / 6
+    /// Number of connections to clients above which idle ones should be closed: half of the connections that clients
+    /// use at most for requests in flight.
+    pub fn client_pressure_threshold(&self) -> usize {
+        self.max_descriptors / 6
     }
 }
--- a/engine/src/net.rs
+++ b/engine/src/net.rs
@@ -1,7 +1,9 @@
-//! The seam to the system: streams, listeners and the wall clock. A build for the daemon knows TCP and the system's
-//! clock alone, and the types here are theirs. With the feature `virtual-net` a thread may [`enter`] a network of its
-//! own: streams, connecting and the wall clock are then that network's. Time that passes is tokio's in both, which can
-//! be paused; tasks are those of the [`tokio::task::LocalSet`] that polls.
+//! Abstraction over the operating system's network and wall clock.
+//!
+//! By default streams and listeners are TCP and the wall clock is the system's. With the feature `virtual-net`, a
+//! thread may [`enter`] a simulated network: its streams, connection attempts and wall clock are then provided by an
+//! implementation of `Network`. In both cases elapsed time is tokio's, which a test can pause, and tasks run on the
+//! [`tokio::task::LocalSet`] that polls them.
 
 use std::future::Future;
 use std::io;
@@ -13,14 +15,14 @@
 use tokio::net::{TcpListener, TcpStream};
 
 #[cfg(feature = "virtual-net")]
-pub use apart::{enter, Dialing, Entered, Network, VirtualListener, VirtualStream};
+pub use virtual_net::{enter, ConnectFuture, EnterGuard, Network, VirtualListener, VirtualStream};
 
-/// A stream of bytes to the other side.
+/// A bidirectional byte stream to a peer.
 #[derive(Debug)]
 pub enum Stream {
-    /// The system's.
+    /// A TCP stream of the operating system.
     Tcp(TcpStream),
-    /// Another network's.
+    /// A stream of a virtual network.
     #[cfg(feature = "virtual-net")]
     Virtual(Box<dyn VirtualStream>),
 }
@@ -32,24 +34,24 @@
 }
 
 impl Stream {
-    /// Connects, without a time-out of its own.
+    /// Connects to `address`. No timeout is applied here.
     ///
     /// # Errors
     ///
-    /// What the system says, or the network.
+    /// The error of the operating system or of the virtual network.
     pub async fn connect(address: SocketAddr) -> io::Result<Stream> {
         #[cfg(feature = "virtual-net")]
-        if let Some(dialing) = apart::network().map(|network| network.connect(address)) {
+        if let Some(dialing) = virtual_net::network().map(|network| network.connect(address)) {
             return Ok(Stream::Virtual(dialing.await?));
         }
         TcpStream::connect(address).await.map(Stream::Tcp)
     }
 
-    /// Sends small pieces at once (`TCP_NODELAY`).
+    /// Disables Nagle's algorithm (`TCP_NODELAY`), so that small writes are sent at once.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// The error of the operating system.
     pub fn set_nodelay(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.set_nodelay(true),
@@ -58,8 +60,8 @@
         }
     }
 
-    /// Whether nothing waits to be read, not even the end. This asks the system.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether there is nothing to read, neither data nor end of stream nor an error. Makes a system call.
+    pub fn has_no_pending_input(&self) -> bool {
         match self {
             Stream::Tcp(stream) => {
                 let mut byte = [std::mem::MaybeUninit::uninit()];
@@ -67,15 +69,15 @@
                 peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
             }
             #[cfg(feature = "virtual-net")]
-            Stream::Virtual(stream) => stream.is_quiet(),
+            Stream::Virtual(stream) => stream.has_no_pending_input(),
         }
     }
 }
 
 impl Stream {
-    /// Whether the other side has ended its sending or the connection has broken, however much it sent before. Nobody
-    /// reads on to find it out.
-    pub fn is_left(&self) -> bool {
+    /// Whether the peer has closed its sending side or the connection has broken, even if data it sent before is still
+    /// unread. Reads nothing.
+    pub fn is_closed_by_peer(&self) -> bool {
         match self {
             Stream::Tcp(stream) => {
                 let mut ready = std::pin::pin!(stream.ready(Interest::READABLE));
@@ -83,14 +85,14 @@
                 matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
             }
             #[cfg(feature = "virtual-net")]
-            Stream::Virtual(stream) => stream.is_left(),
+            Stream::Virtual(stream) => stream.is_closed_by_peer(),
         }
     }
 }
 
-/// Reads what there is. The runtime's own reading takes a read of less than was asked for as proof that nothing is left,
-/// and waits for an event that may never come; a read may be short for other reasons. Here only the system's word
-/// (`EWOULDBLOCK`) counts.
+/// Reads whatever is available. Tokio's `poll_read` takes a short read as proof that the socket is drained and waits
+/// for a readiness event that may never come, but a read may be short for other reasons. Here only `EWOULDBLOCK`
+/// counts as drained.
 fn read_until_blocked(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -99,13 +101,13 @@
     loop {
         ready!(stream.poll_read_ready(context))?;
         match stream.try_read_buf(buffer) {
-            Err(error) if is_passing(&error) => {}
+            Err(error) if should_retry(&error) => {}
             read => return Poll::Ready(read.map(drop)),
         }
     }
 }
 
-/// Writes what there is room for. As with reading, a short write does not prove that there is no more room.
+/// Writes as much as the socket accepts. As with reads, a short write does not prove that the send buffer is full.
 fn write_until_blocked(
     stream: &TcpStream,
     context: &mut Context<'_>,
@@ -114,29 +116,29 @@
     loop {
         ready!(stream.poll_write_ready(context))?;
         match stream.try_write(bytes) {
-            Err(error) if is_passing(&error) => {}
+            Err(error) if should_retry(&error) => {}
             written => return Poll::Ready(written),
         }
     }
 }
 
-/// Whether the call is to be made again: at once, or when the system says that it may go on.
-fn is_passing(error: &io::Error) -> bool {
+/// Whether to repeat the system call: at once if it was interrupted, or once the socket is ready.
+fn should_retry(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Does the same with whichever stream it is.
-macro_rules! either {
-    ($stream:expr, $io:ident => $act:expr) => {
+/// Evaluates `$body` with a pinned reference to the underlying stream, whichever variant it is.
+macro_rules! with_stream {
+    ($stream:expr, $io:ident => $body:expr) => {
         match $stream.get_mut() {
             Stream::Tcp($io) => {
                 let $io = Pin::new($io);
-                $act
+                $body
             }
             #[cfg(feature = "virtual-net")]
             Stream::Virtual($io) => {
                 let $io = Pin::new(&mut **$io);
-                $act
+                $body
             }
         }
     };
@@ -166,20 +168,20 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        either!(self, io => io.poll_flush(context))
+        with_stream!(self, io => io.poll_flush(context))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        either!(self, io => io.poll_shutdown(context))
+        with_stream!(self, io => io.poll_shutdown(context))
     }
 }
 
-/// Where connections come in.
+/// A listener for incoming connections.
 #[derive(Debug)]
 pub enum Listener {
-    /// The system's.
+    /// A TCP listener of the operating system.
     Tcp(TcpListener),
-    /// Another network's.
+    /// A listener of a virtual network.
     #[cfg(feature = "virtual-net")]
     Virtual(Box<dyn VirtualListener>),
 }
@@ -191,11 +193,11 @@
 }
 
 impl Listener {
-    /// The next connection. Dropped before it is ready, it has taken none.
+    /// Accepts the next connection. Cancel safe: no connection is lost if the future is dropped before it is ready.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// The error of the operating system or of the virtual network.
     pub async fn accept(&self) -> io::Result<Stream> {
         match self {
             Listener::Tcp(listener) => listener.accept().await.map(|(stream, _)| Stream::Tcp(stream)),
@@ -207,17 +209,17 @@
     }
 }
 
-/// The wall clock: since the start of 1970, by UTC.
-pub(crate) fn since_1970() -> Duration {
+/// The wall clock as Unix time: the time since 1970-01-01 00:00 UTC.
+pub(crate) fn unix_time() -> Duration {
     #[cfg(feature = "virtual-net")]
-    if let Some(network) = apart::network() {
-        return network.since_1970();
+    if let Some(network) = virtual_net::network() {
+        return network.unix_time();
     }
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default()
 }
 
 #[cfg(feature = "virtual-net")]
-mod apart {
+mod virtual_net {
     use std::cell::RefCell;
     use std::fmt::Debug;
     use std::future::Future;
@@ -229,54 +231,54 @@
     use std::time::Duration;
     use tokio::io::{AsyncRead, AsyncWrite};
 
-    /// A stream of a network that is not the system's. Dropped, it is closed.
+    /// A stream of a virtual network. Dropping it closes it.
     pub trait VirtualStream: AsyncRead + AsyncWrite + Unpin + Debug {
-        /// Whether nothing waits to be read, not even the end.
-        fn is_quiet(&self) -> bool;
+        /// Whether there is nothing to read, neither data nor end of stream nor an error.
+        fn has_no_pending_input(&self) -> bool;
 
-        /// Whether the other side has ended its sending or the connection has broken, whatever waits to be read.
-        fn is_left(&self) -> bool;
+        /// Whether the peer has closed its sending side or the connection has broken, even if data is still unread.
+        fn is_closed_by_peer(&self) -> bool;
     }
 
-    /// A listener of such a network.
+    /// A listener of a virtual network.
     pub trait VirtualListener: Debug {
-        /// The next connection.
+        /// Polls for the next incoming connection.
         fn poll_accept(&self, context: &mut Context<'_>) -> Poll<io::Result<Box<dyn VirtualStream>>>;
     }
 
-    /// A connection that is being opened.
-    pub type Dialing = Pin<Box<dyn Future<Output = io::Result<Box<dyn VirtualStream>>>>>;
+    /// A pending connection attempt.
+    pub type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Box<dyn VirtualStream>>>>>;
 
-    /// The network as one of its nodes has it.
+    /// A virtual network as seen by one of its nodes.
     pub trait Network {
-        /// Connects to an address.
-        fn connect(&self, address: SocketAddr) -> Dialing;
+        /// Starts to connect to `address`.
+        fn connect(&self, address: SocketAddr) -> ConnectFuture;
 
-        /// This node's wall clock: since the start of 1970.
-        fn since_1970(&self) -> Duration;
+        /// This node's wall clock as Unix time.
+        fn unix_time(&self) -> Duration;
     }
 
     thread_local! {
         static NETWORK: RefCell<Option<Rc<dyn Network>>> = const { RefCell::new(None) };
     }
 
-    /// What runs on this thread uses this network until the guard is dropped; then what it used before.
+    /// Makes this thread use `network` until the returned guard is dropped, which restores the previous one.
     #[must_use]
-    pub fn enter(network: Rc<dyn Network>) -> Entered {
-        Entered(NETWORK.with(|present| present.borrow_mut().replace(network)))
+    pub fn enter(network: Rc<dyn Network>) -> EnterGuard {
+        EnterGuard(NETWORK.with(|current| current.borrow_mut().replace(network)))
     }
 
-    /// A thread's stay in a network.
-    pub struct Entered(Option<Rc<dyn Network>>);
+    /// Restores the network that the thread used before [`enter`] when it is dropped.
+    pub struct EnterGuard(Option<Rc<dyn Network>>);
 
-    impl Drop for Entered {
+    impl Drop for EnterGuard {
         fn drop(&mut self) {
-            let before = self.0.take();
-            NETWORK.with(|present| *present.borrow_mut() = before);
+            let previous = self.0.take();
+            NETWORK.with(|current| *current.borrow_mut() = previous);
         }
     }
 
     pub(super) fn network() -> Option<Rc<dyn Network>> {
-        NETWORK.with(|present| present.borrow().clone())
+        NETWORK.with(|current| current.borrow().clone())
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! A site's settings, as the simulator's first message and a proxy's configuration hold them. Unknown keys
-//! are ignored, absent ones get harmless values.
+//! Reads the settings of a site from JSON, as they appear in a proxy's configuration file and in the simulator's
+//! first message. Unknown keys are ignored; missing optional keys get harmless defaults.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -9,26 +9,27 @@
 use serde::Deserialize;
 use serde_json::Value;
 
+/// The settings as they appear in JSON. Names that end in `_us` are times in microseconds.
 #[derive(Deserialize)]
-struct Facts {
+struct SiteSettings {
     balancers: u32,
     #[serde(default)]
     me: u32,
-    classes: Vec<ClassFacts>,
+    classes: Vec<ClassSettings>,
     #[serde(default)]
-    tenants: Vec<TenantFacts>,
+    tenants: Vec<TenantSettings>,
     #[serde(default)]
     discovery: String,
-    limits: LimitFacts,
-    invariants: RuleFacts,
+    limits: LimitSettings,
+    invariants: RuleSettings,
     #[serde(default)]
-    result_mix: GoalFacts,
+    result_mix: GoalSettings,
     #[serde(default)]
     tick_us: u64,
 }
 
 #[derive(Deserialize)]
-struct ClassFacts {
+struct ClassSettings {
     name: String,
     objective_us: u64,
     deadline_us: u64,
@@ -44,15 +45,16 @@
 }
 
 #[derive(Deserialize)]
-struct TenantFacts {
+struct TenantSettings {
     name: String,
     #[serde(default)]
     portion: f64,
 }
 
+/// What the balancer may do.
 #[derive(Deserialize)]
 #[serde(default)]
-struct LimitFacts {
+struct LimitSettings {
     cancel: bool,
     probes: bool,
     second_copies: bool,
@@ -60,73 +62,83 @@
     max_retry_after_us: u64,
 }
 
-impl Default for LimitFacts {
+impl Default for LimitSettings {
     fn default() -> Self {
         let (cancel, probes, second_copies) = (false, false, false);
-        LimitFacts { cancel, probes, second_copies, max_attempts: 1, max_retry_after_us: 0 }
+        LimitSettings { cancel, probes, second_copies, max_attempts: 1, max_retry_after_us: 0 }
     }
 }
 
+/// The parameters of the rules that must always hold.
 #[derive(Deserialize)]
-struct RuleFacts {
+struct RuleSettings {
     cold_from: f64,
     cold_us: u64,
-    #[serde(default = "ask_every")]
+    #[serde(default = "default_ask_every")]
     ask_every_us: u64,
-    #[serde(default = "drain_grace")]
+    #[serde(default = "default_drain_grace")]
     drain_grace_us: u64,
-    #[serde(default = "bears")]
+    #[serde(default = "default_fall_multiple")]
     fall_multiple: f64,
 }
 
-fn bears() -> f64 {
+fn default_fall_multiple() -> f64 {
     Settings::default().rules.cold_overload_limit
 }
 
-fn ask_every() -> u64 {
+fn default_ask_every() -> u64 {
     Settings::default().rules.list_refresh_interval
 }
 
-fn drain_grace() -> u64 {
+fn default_drain_grace() -> u64 {
     Settings::default().rules.drain_grace
 }
 
+/// The weights of the overall result and of the worst class.
 #[derive(Deserialize)]
 #[serde(default)]
-struct GoalFacts {
+struct GoalSettings {
     whole: f64,
     worst_class: f64,
 }
 
-impl Default for GoalFacts {
+impl Default for GoalSettings {
     fn default() -> Self {
-        GoalFacts { whole: 1.0, worst_class: 0.0 }
+        GoalSettings { whole: 1.0, worst_class: 0.0 }
     }
 }
 
-/// Settings, and the names of classes and tenants in their order.
-pub fn read(facts: &Value) -> Result<(Settings, Vec<String>, Vec<String>), String> {
-    read_noting(facts, |_| ())
+/// Reads the settings. Also returns the names of the classes and of the tenants, in the order of the settings.
+///
+/// # Errors
+///
+/// A message with the path of the invalid key.
+pub fn read(json: &Value) -> Result<(Settings, Vec<String>, Vec<String>), String> {
+    read_reporting_unused(json, |_| ())
 }
 
-/// As [`read`]; `unused` hears the place of each key that says nothing here. An error names its place too.
-pub fn read_noting(
-    facts: &Value,
+/// Like [`read`], but calls `unused` with the path of each key that is not used.
+///
+/// # Errors
+///
+/// A message with the path of the invalid key.
+pub fn read_reporting_unused(
+    json: &Value,
     mut unused: impl FnMut(String),
 ) -> Result<(Settings, Vec<String>, Vec<String>), String> {
-    let mut track = serde_path_to_error::Track::new();
-    let tracked = serde_path_to_error::Deserializer::new(facts, &mut track);
-    let facts: Result<Facts, _> = serde_ignored::deserialize(tracked, |path| unused(path.to_string()));
-    let facts = facts.map_err(|error| format!("{}: {error}", track.path()))?;
+    let mut path_tracker = serde_path_to_error::Track::new();
+    let tracked = serde_path_to_error::Deserializer::new(json, &mut path_tracker);
+    let site: Result<SiteSettings, _> = serde_ignored::deserialize(tracked, |path| unused(path.to_string()));
+    let site = site.map_err(|error| format!("{}: {error}", path_tracker.path()))?;
     let mut classes = Vec::new();
-    for class in &facts.classes {
+    for class in &site.classes {
         let scope = match class.dedup_scope.as_str() {
             "all" => Some(DedupScope::All),
             "zone" => Some(DedupScope::Zone),
             "cell" => Some(DedupScope::Cell),
             _ => None,
         };
-        // A kind or a scope that is not known is taken to allow no repeat.
+        // An unknown kind or scope is taken to allow no retry.
         let idempotency = match (class.idempotency.as_str(), scope) {
             ("free", _) => Idempotency::Free,
             ("guarded", Some(scope)) => Idempotency::Guarded { scope, window: class.repeat_window_us },
@@ -141,43 +153,47 @@
             idempotency,
         });
     }
-    let limits = &facts.limits;
-    let rules = &facts.invariants;
+    let limits = &site.limits;
+    let rules = &site.invariants;
     let settings = Settings {
-        balancers: facts.balancers,
-        balancer_index: facts.me,
-        tick: facts.tick_us,
-        pull_list: facts.discovery == "ask",
+        balancers: site.balancers,
+        balancer_index: site.me,
+        tick: site.tick_us,
+        pull_list: site.discovery == "ask",
         shares_capacity: false,
         classes,
-        tenants: facts.tenants.iter().map(|t| Tenant { share: t.portion }).collect(),
+        tenants: site.tenants.iter().map(|t| Tenant { share: t.portion }).collect(),
         limits: Limits {
             cancel: limits.cancel,
             health_checks: limits.probes,
             hedging: limits.second_copies,
             max_attempts: limits.max_attempts,
-            // Also where clients are said not to heed it: a refusal on sockets always says when to come back.
+            // Read even where the settings say that clients ignore it: a refusal over HTTP always has a Retry-After.
             max_retry_after: limits.max_retry_after_us,
         },
         rules: Rules {
-            // What cannot be meant is as if it were not there.
-            cold_overload_limit: if rules.fall_multiple > 0.0 { rules.fall_multiple } else { bears() },
+            // A value that makes no sense counts as missing.
+            cold_overload_limit: if rules.fall_multiple > 0.0 {
+                rules.fall_multiple
+            } else {
+                default_fall_multiple()
+            },
             cold_share: rules.cold_from,
             cold_time: rules.cold_us,
             list_refresh_interval: rules.ask_every_us,
             drain_grace: rules.drain_grace_us,
         },
         score_weights: ScoreWeights {
-            overall: facts.result_mix.whole,
-            worst_class: facts.result_mix.worst_class,
+            overall: site.result_mix.whole,
+            worst_class: site.result_mix.worst_class,
         },
     };
-    let names = facts.classes.into_iter().map(|c| c.name).collect();
-    Ok((settings, names, facts.tenants.into_iter().map(|t| t.name).collect()))
+    let names = site.classes.into_iter().map(|c| c.name).collect();
+    Ok((settings, names, site.tenants.into_iter().map(|t| t.name).collect()))
 }
 
-/// A number for a zone's name (FNV-1a), the same wherever it is met.
-pub fn zone(name: &str) -> ZoneId {
+/// The numeric id of a zone: the 32-bit FNV-1a hash of its name, so that every process gives it the same id.
+pub fn zone_id(name: &str) -> ZoneId {
     ZoneId(name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)))
 }
 
@@ -186,8 +202,8 @@
     use super::*;
 
     #[test]
-    fn what_a_cold_server_bears_is_the_settings_word_where_it_can_be_meant() {
-        for (rules, bears) in [
+    fn the_fall_multiple_is_read_where_it_is_positive() {
+        for (rules, expected) in [
             (r#""fall_multiple": 1.5, "#, 1.5),
             (r#""fall_multiple": 0, "#, 2.0),
             (r#""fall_multiple": -1, "#, 2.0),
@@ -197,7 +213,7 @@
             let facts =
                 format!(r#"{{"balancers": 1, "classes": [], "limits": {{}}, "invariants": {invariants}}}"#);
             let (settings, ..) = read(&serde_json::from_str(&facts).expect("JSON")).expect("settings");
-            assert!((settings.rules.cold_overload_limit - bears).abs() < 1e-9, "{rules}");
+            assert!((settings.rules.cold_overload_limit - expected).abs() < 1e-9, "{rules}");
         }
     }
 }
