--- a/engine/src/calls/call.rs
+++ b/engine/src/calls/call.rs
@@ -1,7 +1,7 @@
 //! A call from its request until its answer is given and none of its attempts is out.
 
-use super::Owner;
-use crate::group::Place;
+use super::Recipient;
+use crate::group::HostPermit;
 use crate::meter::{Meter, Repeats};
 use crate::protocol::Protocol;
 use crate::task::Task;
@@ -18,20 +18,20 @@
     pub request: Rc<P::Request>,
     pub deadline: Instant,
     /// `None`: it is over.
-    pub owner: Option<Owner<P::Answer>>,
+    pub recipient: Option<Recipient<P::Answer>>,
     /// The station that has given it up, and hears of an answer that comes all the same.
-    pub late: Option<usize>,
+    pub late_recipient: Option<usize>,
     /// When its attempts end, for one that a station owns: it may move while they are out, and is later than the
     /// deadline of those who wait where it may go on without them.
-    pub limit: Option<Rc<Cell<Instant>>>,
+    pub extendable_deadline: Option<Rc<Cell<Instant>>>,
     /// Its attempts go on past an end that the module has set.
-    pub past_aim: bool,
+    pub past_attempt_deadline: bool,
     /// Nobody waits for it, and what is out of it goes on.
-    pub lingers: bool,
+    pub detached: bool,
     /// An attempt has ended of which it is not sure that it never ran.
     pub may_have_run: bool,
     /// When its attempts may be written.
-    pub repeats: Repeats,
+    pub repeat_window: Repeats,
     /// `None`: that attempt has ended.
     pub attempts: Vec<Option<Attempt>>,
 }
@@ -39,11 +39,11 @@
 impl<P: Protocol> Call<P> {
     /// Whether any attempt so far may have run.
     pub fn may_have_run(&self) -> bool {
-        self.may_have_run || self.out().any(|out| out.meter.bytes() > 0)
+        self.may_have_run || self.in_flight().any(|in_flight| in_flight.meter.bytes() > 0)
     }
 
     /// The attempts that are out.
-    pub fn out(&self) -> impl Iterator<Item = &Attempt> {
+    pub fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().flatten()
     }
 
@@ -55,17 +55,31 @@
         events: &mut VecDeque<Event>,
         unwanted: impl Fn(&Attempt) -> bool,
     ) {
-        let closed = self.owner.is_none();
-        for (attempt, out) in (0..).zip(&mut self.attempts) {
-            if let Some(out) = out.take_if(|out| out.meter.bytes() == 0 && unwanted(out)) {
-                events.push_back(ended(id, attempt, Outcome::NotSent, out.sent.elapsed(), closed));
+        let closed = self.recipient.is_none();
+        for (attempt, in_flight) in (0..).zip(&mut self.attempts) {
+            if let Some(in_flight) =
+                in_flight.take_if(|in_flight| in_flight.meter.bytes() == 0 && unwanted(in_flight))
+            {
+                events.push_back(outcome_event(
+                    id,
+                    attempt,
+                    Outcome::NotSent,
+                    in_flight.sent.elapsed(),
+                    closed,
+                ));
             }
         }
     }
 }
 
 /// The outcome of an attempt that the proxy itself has ended.
-pub(crate) fn ended(call: CallId, attempt: u32, outcome: Outcome, elapsed: Duration, closed: bool) -> Event {
+pub(crate) fn outcome_event(
+    call: CallId,
+    attempt: u32,
+    outcome: Outcome,
+    elapsed: Duration,
+    closed: bool,
+) -> Event {
     let (elapsed, load) = (elapsed.as_micros() as Micros, Load::default());
     Event::Outcome { call, attempt, outcome, elapsed, closed, load }
 }
@@ -77,7 +91,7 @@
     pub sent: Instant,
     pub meter: Meter,
     /// Its place at the host, where room there is shared.
-    pub place: Option<Place>,
+    pub permit: Option<HostPermit>,
     /// Ends the exchange and closes its connection when dropped.
     pub _task: Task,
 }
--- a/engine/src/calls/mod.rs
+++ b/engine/src/calls/mod.rs
@@ -16,7 +16,7 @@
 
 /// What the decision module is told of a request.
 #[derive(Clone, Debug)]
-pub struct Ask<I> {
+pub struct RequestInfo<I> {
     /// Its id, which no other open request has.
     pub id: I,
     /// Its class.
@@ -33,9 +33,9 @@
 
 /// What is known of a request that may have run and has no answer to give.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubt {
+pub struct KeyStatus {
     /// What it is at, by a name that does not change.
-    pub at: &'static str,
+    pub state: &'static str,
     /// How long ago it first came.
     pub age: Duration,
 }
@@ -50,13 +50,13 @@
     /// Failed; it may have run.
     Failed,
     /// It may have run and there is no answer, and this is what is known of it.
-    Unsure(Doubt),
+    Unsure(KeyStatus),
     /// Its id is that of an open call: hosts would take the two for one. It never ran.
-    IdOpen,
+    DuplicateId,
     /// Its key belongs to another request. It never ran.
-    KeyTaken,
+    KeyReused,
     /// Its key cannot be one. It never ran.
-    BadKey,
+    InvalidKey,
 }
 
 /// Who waits for a call's answer.
@@ -65,13 +65,13 @@
     /// Where its one answer goes.
     pub reply: oneshot::Sender<Reply<A>>,
     /// A place among the open calls, set free when it is answered or its caller has gone.
-    pub place: Option<OwnedSemaphorePermit>,
+    pub permit: Option<OwnedSemaphorePermit>,
 }
 
 impl<A> Caller<A> {
     pub(crate) fn answer(self, reply: Reply<A>) {
         // Free before the answer is there: whoever has it may ask again at once.
-        drop(self.place);
+        drop(self.permit);
         // A client that has just gone has no use for it.
         let _ = self.reply.send(reply);
     }
@@ -79,23 +79,23 @@
 
 /// Who hears of a call's end.
 #[derive(Debug)]
-pub(crate) enum Owner<A> {
+pub(crate) enum Recipient<A> {
     /// One caller.
     Caller(Caller<A>),
     /// The station of this place on the way, which has taken it.
-    Station(usize),
+    Interceptor(usize),
 }
 
 /// A request on its way in, from station to station, until it is a call that the module hears of. Who waits for it goes
-/// with it: whoever takes it in answers it once, by [`crate::station::Desk::answer`].
-pub struct Guest<P: Protocol> {
+/// with it: whoever takes it in answers it once, by [`crate::interceptor::ChainContext::answer`].
+pub struct IncomingRequest<P: Protocol> {
     pub(crate) number: CallId,
-    pub(crate) ask: Ask<P::Id>,
+    pub(crate) info: RequestInfo<P::Id>,
     pub(crate) request: Rc<P::Request>,
-    pub(crate) owner: Owner<P::Answer>,
-    pub(crate) outlives: Option<Outlives>,
+    pub(crate) recipient: Recipient<P::Answer>,
+    pub(crate) detach: Option<DetachPolicy>,
     /// Its id is that of a call at hosts, which sets it free.
-    pub(crate) id_is_out: bool,
+    pub(crate) id_moved: bool,
 }
 
 /// The ids of an engine's open calls, and whether they were opened here.
@@ -115,7 +115,7 @@
         own: bool,
         group: &mut Option<Box<dyn Group<P>>>,
     ) -> bool {
-        if self.0.contains_key(id) || own && !group.as_mut().is_none_or(|group| group.open(id)) {
+        if self.0.contains_key(id) || own && !group.as_mut().is_none_or(|group| group.open_id(id)) {
             return false;
         }
         self.0.insert(id.clone(), own);
@@ -124,34 +124,34 @@
 
     pub fn close<P: Protocol<Id = I>>(&mut self, id: &I, group: &mut Option<Box<dyn Group<P>>>) {
         if self.0.remove(id) == Some(true) {
-            group.iter_mut().for_each(|group| group.close(id));
+            group.iter_mut().for_each(|group| group.close_id(id));
         }
     }
 
     /// How many were opened here.
-    pub fn own(&self) -> usize {
+    pub fn opened_here(&self) -> usize {
         self.0.values().filter(|own| **own).count()
     }
 }
 
 /// How a call may go on when nobody waits for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outlives {
+pub struct DetachPolicy {
     /// Until when its attempts may go on.
     pub until: Instant,
     /// Also past an end that the module has set for an attempt, as it can never go again.
-    pub past_aim: bool,
+    pub past_attempt_deadline: bool,
 }
 
-impl<P: Protocol> Guest<P> {
+impl<P: Protocol> IncomingRequest<P> {
     /// Its number, which names its call too.
     pub fn number(&self) -> CallId {
         self.number
     }
 
     /// What it says of itself.
-    pub fn ask(&self) -> &Ask<P::Id> {
-        &self.ask
+    pub fn info(&self) -> &RequestInfo<P::Id> {
+        &self.info
     }
 
     /// What it carries.
@@ -160,7 +160,7 @@
     }
 }
 
-impl<P: Protocol> fmt::Debug for Guest<P> {
+impl<P: Protocol> fmt::Debug for IncomingRequest<P> {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.debug_struct("Guest").field("number", &self.number).finish_non_exhaustive()
     }
--- a/engine/src/config.rs
+++ b/engine/src/config.rs
@@ -1,9 +1,9 @@
 //! What the proxy is told at start: the file that `ROUTER_CONFIG` names.
 
-use crate::extras::Extras;
+use crate::extensions::Extensions;
 use crate::list::List;
-use crate::passing::is_passing;
 use crate::quota::Quota;
+use crate::transient::is_transient;
 use nettleworks_policy::Settings;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
@@ -41,7 +41,7 @@
     /// Most calls that an application may have open through the library; `None`: a third of the descriptors.
     pub calls: Option<usize>,
     /// What stations are told; each reads a file of its own.
-    pub extras: Extras,
+    pub extensions: Extensions,
     /// Connections that are open. Engines of one process count together.
     pub quota: Quota,
     /// Places of the keys that are not known, outside the settings. They may be a later platform's, or slips.
@@ -147,7 +147,7 @@
     pub fn load(path: &Path) -> Result<Config, LoadError> {
         let at = |reason: String| format!("{}: {reason}", path.display());
         let text = std::fs::read_to_string(path)
-            .map_err(|e| LoadError { passing: is_passing(&e), reason: at(e.to_string()) })?;
+            .map_err(|e| LoadError { passing: is_transient(&e), reason: at(e.to_string()) })?;
         Config::parse(&text).map_err(|e| LoadError { passing: false, reason: at(e.to_string()) })
     }
 
@@ -191,7 +191,7 @@
             connect_timeout: Duration::from_micros(site.connect_timeout_us),
             conn_idle: Duration::from_micros(site.conn_idle_us),
             calls: file.nettleworks.calls,
-            extras: Extras::default(),
+            extensions: Extensions::default(),
             quota: Quota::default(),
             unknown,
             unused,
@@ -203,10 +203,10 @@
     pub fn renewed(&self, new: Config) -> (Config, bool) {
         let Config { discovery, sockets, connect_timeout, conn_idle, .. } = new;
         // What a station is told may change; which there are is for the whole life.
-        let (extras, more) = self.extras.renewed(new.extras);
+        let (extensions, more) = self.extensions.merged_on_reload(new.extensions);
         let old = (self.listen, &self.settings, &self.classes, &self.tenants);
         let differs = more || old != (new.listen, &new.settings, &new.classes, &new.tenants);
-        (Config { discovery, sockets, connect_timeout, conn_idle, extras, ..self.clone() }, differs)
+        (Config { discovery, sockets, connect_timeout, conn_idle, extensions, ..self.clone() }, differs)
     }
 
     /// Most connections to hosts: clients hold a third of the descriptors at most for requests, and each request
--- a/engine/src/dial.rs
+++ b/engine/src/dial.rs
@@ -1,7 +1,7 @@
 //! Opening a connection.
 
 use crate::net::Stream;
-use crate::passing::is_passing;
+use crate::transient::is_transient;
 use std::error::Error;
 use std::fmt;
 use std::io;
@@ -32,7 +32,7 @@
 
 impl DialError {
     fn new(error: io::Error) -> DialError {
-        if is_passing(&error) || error.raw_os_error() == Some(NO_PORT_LEFT) {
+        if is_transient(&error) || error.raw_os_error() == Some(NO_PORT_LEFT) {
             DialError::OfThisMachine(error)
         } else if error.kind() == io::ErrorKind::ConnectionRefused {
             DialError::Refused(error)
--- a/engine/src/driver/attempts.rs
+++ b/engine/src/driver/attempts.rs
@@ -1,13 +1,13 @@
 //! The module's actions on calls, and how attempts begin and end.
 
 use super::{Driver, Handle};
-use crate::calls::call::{ended, Attempt};
-use crate::calls::{Owner, Reply};
-use crate::group::Place;
+use crate::calls::call::{outcome_event, Attempt};
+use crate::calls::{Recipient, Reply};
+use crate::group::HostPermit;
+use crate::interceptor::{ChainContext, Notification};
 use crate::meter::Meter;
 use crate::mutant::{self, Mutant};
-use crate::protocol::{End, Protocol, Target};
-use crate::station::{Desk, Told};
+use crate::protocol::{AttemptEnd, Protocol, Target};
 use crate::task;
 use nettleworks_policy::{Action, CallId, Event, Micros, Outcome, ServerId};
 use std::cell::Cell;
@@ -17,7 +17,7 @@
 use tokio::time::{timeout_at, Instant};
 
 impl<P: Protocol> Driver<P> {
-    pub(super) fn carry_out(&mut self, handle: &Handle<P>, action: Action) {
+    pub(super) fn perform(&mut self, handle: &Handle<P>, action: Action) {
         match action {
             Action::Send { call, server, until } => self.send(handle, call, server, until),
             Action::Refuse { call, retry_after, reason } => {
@@ -28,15 +28,15 @@
                 *self.counts.failed.entry(reason).or_default() += 1;
                 self.answer(call, Reply::Failed);
             }
-            Action::Cancel { call, attempt } => self.cancel(call, attempt),
+            Action::Cancel { call, attempt } => self.cancel_attempt(call, attempt),
             Action::Wake { after } => {
                 self.wake = Some(Instant::now() + Duration::from_micros(after));
-                self.desk.woken.notify_one();
+                self.context.timer_changed.notify_one();
             }
             Action::Subscribe => self.subscribe(handle),
-            Action::Log { text } => self.desk.log(&text),
+            Action::Log { text } => self.context.log(&text),
             Action::Tell { server, news } => {
-                self.desk.group.iter_mut().for_each(|group| group.tell(server, news));
+                self.context.group.iter_mut().for_each(|group| group.share_observation(server, news));
             }
             // The module asks for none where the settings allow none, and this program has none to offer.
             Action::Probe { .. } => {}
@@ -45,25 +45,33 @@
 
     fn send(&mut self, handle: &Handle<P>, id: CallId, server: ServerId, until: Option<Micros>) {
         let now = Instant::now();
-        let Some(call) = self.desk.calls.get(&id) else { return };
+        let Some(call) = self.context.calls.get(&id) else { return };
         let attempt = call.attempts.len() as u32;
         // Without an end of its own an attempt ends with its call, whose end may move.
-        let past_aim = call.past_aim && until.is_some();
-        let limit = call.limit.clone().filter(|_| until.is_none() || past_aim);
-        let until = until.map_or(call.deadline, |at| self.desk.clock.instant(at).min(call.deadline));
+        let past_attempt_deadline = call.past_attempt_deadline && until.is_some();
+        let limit = call.extendable_deadline.clone().filter(|_| until.is_none() || past_attempt_deadline);
+        let until = until.map_or(call.deadline, |at| self.context.clock.instant(at).min(call.deadline));
         let to = self.hosts.ready(server).map(|address| Target { server, address });
-        let to = to.filter(|_| call.owner.is_some() && now < until);
-        let closed = call.owner.is_none();
+        let to = to.filter(|_| call.recipient.is_some() && now < until);
+        let closed = call.recipient.is_none();
         // The stations first: what they refuse takes no place.
-        let place = to.filter(|to| self.allowed(id, *to)).and_then(|to| Some((to, self.place(to)?)));
-        let Some((to, place)) = place else {
-            if let Some(call) = self.desk.calls.get_mut(&id) {
+        let permit = to
+            .filter(|to| self.interceptors_allow(id, *to))
+            .and_then(|to| Some((to, self.acquire_permit(to)?)));
+        let Some((to, permit)) = permit else {
+            if let Some(call) = self.context.calls.get_mut(&id) {
                 call.attempts.push(None);
             }
-            return self.desk.events.push_back(ended(id, attempt, Outcome::NotSent, Duration::ZERO, closed));
+            return self.context.events.push_back(outcome_event(
+                id,
+                attempt,
+                Outcome::NotSent,
+                Duration::ZERO,
+                closed,
+            ));
         };
-        let Some(call) = self.desk.calls.get_mut(&id) else { return };
-        let meter = Meter::new(self.fresh.clone(), call.repeats.clone(), attempt);
+        let Some(call) = self.context.calls.get_mut(&id) else { return };
+        let meter = Meter::new(self.freshness_gate.clone(), call.repeat_window.clone(), attempt);
         let exchange = self.protocol.attempt(to, call.request.clone(), until, &meter);
         let task = {
             let (handle, meter) = (handle.clone(), meter.clone());
@@ -71,163 +79,175 @@
                 // It is over then, whatever the protocol does.
                 let end = match limit {
                     None => timeout_at(until, exchange).await.ok(),
-                    Some(limit) if past_aim => {
+                    Some(limit) if past_attempt_deadline => {
                         let mut exchange = pin!(exchange);
                         match timeout_at(until, &mut exchange).await {
                             Ok(end) => Some(end),
-                            Err(_) if handle.time_is_up(id) => until_moved(&limit, exchange).await,
+                            Err(_) if handle.on_attempt_deadline(id) => {
+                                within_extendable_deadline(&limit, exchange).await
+                            }
                             Err(_) => None,
                         }
                     }
-                    Some(limit) => until_moved(&limit, exchange).await,
+                    Some(limit) => within_extendable_deadline(&limit, exchange).await,
                 };
                 let end = end.unwrap_or_else(|| match meter.bytes() {
-                    0 => End::without_answer(Outcome::NoConnection),
-                    _ => End::without_answer(Outcome::TimedOut),
+                    0 => AttemptEnd::without_answer(Outcome::NoConnection),
+                    _ => AttemptEnd::without_answer(Outcome::TimedOut),
                 });
-                handle.finish(id, attempt, end);
+                handle.finish_attempt(id, attempt, end);
             })
         };
         self.counts.attempts += 1;
         self.counts.by_unverified_list += u64::from(self.expires_at.is_some());
-        if let Some(host) = self.hosts.by_number.get_mut(&server) {
+        if let Some(host) = self.hosts.by_id.get_mut(&server) {
             host.sent_at = Some(now);
         }
-        self.counts.oldest_list = self.counts.oldest_list.max(self.watch.silence());
+        self.counts.oldest_list = self.counts.oldest_list.max(self.watch.time_since_verified());
         call.attempts.push(Some(Attempt {
             server,
             address: to.address,
             sent: now,
             meter,
-            place,
+            permit,
             _task: task,
         }));
     }
 
     /// A place at a host, where there are others that send to it; `None`: there is no room.
     #[expect(clippy::option_option, reason = "without others none is needed")]
-    fn place(&mut self, to: Target) -> Option<Option<Place>> {
-        match &mut self.desk.group {
+    fn acquire_permit(&mut self, to: Target) -> Option<Option<HostPermit>> {
+        match &mut self.context.group {
             None => Some(None),
-            Some(group) => group.begin(to.server).map(Some),
+            Some(group) => group.acquire(to.server).map(Some),
         }
     }
 
     /// Whether the stations let an attempt go.
-    fn allowed(&mut self, call: CallId, to: Target) -> bool {
-        (0..self.stations.len()).all(|at| {
-            self.desk.at = at;
-            self.stations[at].attempt(&mut self.desk, call, to)
+    fn interceptors_allow(&mut self, call: CallId, to: Target) -> bool {
+        (0..self.chain.len()).all(|index| {
+            self.context.current = index;
+            self.chain[index].allow_attempt(&mut self.context, call, to)
         })
     }
 
     /// Calls an attempt off: its connection closes.
-    fn cancel(&mut self, id: CallId, attempt: u32) {
-        let Some(call) = self.desk.calls.get_mut(&id) else { return };
-        let Some(out) = call.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
-        let closed = call.owner.is_none();
-        call.may_have_run |= out.meter.bytes() > 0;
-        self.desk.events.push_back(ended(id, attempt, Outcome::CalledOff, out.sent.elapsed(), closed));
-        self.desk.tidy(id);
+    fn cancel_attempt(&mut self, id: CallId, attempt: u32) {
+        let Some(call) = self.context.calls.get_mut(&id) else { return };
+        let Some(in_flight) = call.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
+        let closed = call.recipient.is_none();
+        call.may_have_run |= in_flight.meter.bytes() > 0;
+        self.context.events.push_back(outcome_event(
+            id,
+            attempt,
+            Outcome::CalledOff,
+            in_flight.sent.elapsed(),
+            closed,
+        ));
+        self.context.remove_if_finished(id);
     }
 
     fn answer(&mut self, id: CallId, reply: Reply<P::Answer>) {
-        let lost = mutant::is_planted(Mutant::LosesAnswers) && mutant::nth(10);
-        if let Some(call) = self.desk.calls.get_mut(&id) {
-            if lost {
-                std::mem::forget(call.owner.take());
+        let dropped_by_mutant = mutant::is_active(Mutant::DropsAnswers) && mutant::nth(10);
+        if let Some(call) = self.context.calls.get_mut(&id) {
+            if dropped_by_mutant {
+                std::mem::forget(call.recipient.take());
             }
             let may_have_run = call.may_have_run();
-            if let Some(owner) = call.owner.take() {
-                self.desk.tell(id, owner, reply, may_have_run);
+            if let Some(recipient) = call.recipient.take() {
+                self.context.deliver(id, recipient, reply, may_have_run);
             }
         }
-        self.desk.tidy(id);
+        self.context.remove_if_finished(id);
     }
 }
 
 impl<P: Protocol> Handle<P> {
     /// The time of all who wait for a call is up, as the module has set it. Whether the call goes on without them.
-    fn time_is_up(&self, id: CallId) -> bool {
+    fn on_attempt_deadline(&self, id: CallId) -> bool {
         let mut driver = self.0.borrow_mut();
-        let Some(call) = driver.desk.calls.get(&id) else { return false };
-        let Some(&Owner::Station(at)) = call.owner.as_ref() else { return false };
-        if call.out().any(|out| !out.meter.is_whole()) {
+        let Some(call) = driver.context.calls.get(&id) else { return false };
+        let Some(&Recipient::Interceptor(index)) = call.recipient.as_ref() else { return false };
+        if call.in_flight().any(|in_flight| !in_flight.meter.is_whole()) {
             return false;
         }
-        driver.desk.at = at;
-        let Driver { desk, stations, .. } = &mut *driver;
-        stations[at].time_is_up(desk, id);
-        let goes_on = desk.calls.get(&id).is_some_and(|call| call.lingers);
+        driver.context.current = index;
+        let Driver { context, chain, .. } = &mut *driver;
+        chain[index].on_attempt_deadline(context, id);
+        let continues = context.calls.get(&id).is_some_and(|call| call.detached);
         drop(driver);
-        self.run([]);
-        goes_on
+        self.process([]);
+        continues
     }
 
-    pub(super) fn finish(&self, id: CallId, attempt: u32, mut end: End<P::Answer>) {
+    pub(super) fn finish_attempt(&self, id: CallId, attempt: u32, mut end: AttemptEnd<P::Answer>) {
         let mut driver = self.0.borrow_mut();
-        let desk = &mut driver.desk;
-        let Some(call) = desk.calls.get_mut(&id) else { return };
-        let taken = call.attempts.get_mut(attempt as usize).and_then(Option::take);
-        let Some(mut out) = taken else { return };
+        let context = &mut driver.context;
+        let Some(call) = context.calls.get_mut(&id) else { return };
+        let removed = call.attempts.get_mut(attempt as usize).and_then(Option::take);
+        let Some(mut in_flight) = removed else { return };
         // Free before the module hears of it: it may send another at once.
-        drop(out.place.take());
+        drop(in_flight.permit.take());
         if end.outcome.never_ran() {
-            call.repeats.never_ran(attempt);
+            call.repeat_window.never_ran(attempt);
         } else {
             call.may_have_run = true;
         }
         let answer = end.answer.take();
-        let owner = answer.as_ref().and_then(|_| call.owner.take());
-        let (elapsed, closed) = (out.sent.elapsed().as_micros() as Micros, call.owner.is_none());
-        let (mut outcome, load, lingers) = (end.outcome, end.load, call.lingers);
-        if mutant::is_planted(Mutant::RepeatsWritten) && answer.is_none() {
+        let recipient = answer.as_ref().and_then(|_| call.recipient.take());
+        let (elapsed, closed) = (in_flight.sent.elapsed().as_micros() as Micros, call.recipient.is_none());
+        let (mut outcome, load, detached) = (end.outcome, end.load, call.detached);
+        if mutant::is_active(Mutant::RetriesWritten) && answer.is_none() {
             outcome = Outcome::NoConnection;
         }
-        desk.group.iter_mut().for_each(|group| group.reported(out.server, load));
-        desk.events.push_back(Event::Outcome { call: id, attempt, outcome, elapsed, closed, load });
-        match (owner, answer) {
-            (Some(owner), Some(answer)) => {
-                let owner = mixed(desk, id, owner);
-                desk.tell(id, owner, Reply::Served(answer), true);
+        context.group.iter_mut().for_each(|group| group.load_reported(in_flight.server, load));
+        context.events.push_back(Event::Outcome { call: id, attempt, outcome, elapsed, closed, load });
+        match (recipient, answer) {
+            (Some(recipient), Some(answer)) => {
+                let recipient = swapped_by_mutant(context, id, recipient);
+                context.deliver(id, recipient, Reply::Served(answer), true);
             }
             (None, Some(answer)) => {
-                if let Some(at) = call.late.take() {
-                    desk.told.push_back((at, id, Told::Late(Some(answer))));
+                if let Some(index) = call.late_recipient.take() {
+                    context.notifications.push_back((index, id, Notification::LateEnd(Some(answer))));
                 }
             }
             _ => {}
         }
-        if lingers {
-            desk.spent(id);
+        if detached {
+            context.end_if_idle(id);
         }
-        desk.tidy(id);
-        let Driver { desk, stations, .. } = &mut *driver;
-        for (at, station) in (0..).zip(stations) {
-            desk.at = at;
-            station.outcome(desk, id, out.server, outcome);
+        context.remove_if_finished(id);
+        let Driver { context, chain, .. } = &mut *driver;
+        for (index, interceptor) in (0..).zip(chain) {
+            context.current = index;
+            interceptor.on_outcome(context, id, in_flight.server, outcome);
         }
         drop(driver);
-        self.run([]);
+        self.process([]);
         // Dropped last: this may be the very task of the attempt.
-        drop(out);
+        drop(in_flight);
     }
 }
 
 /// Who hears of a call's answer: its owner, but for a fault planted on purpose.
-fn mixed<P: Protocol>(desk: &mut Desk<P>, id: CallId, owner: Owner<P::Answer>) -> Owner<P::Answer> {
-    if !mutant::is_planted(Mutant::MixesCallers) || !mutant::nth(40) {
-        return owner;
+fn swapped_by_mutant<P: Protocol>(
+    context: &mut ChainContext<P>,
+    id: CallId,
+    recipient: Recipient<P::Answer>,
+) -> Recipient<P::Answer> {
+    if !mutant::is_active(Mutant::SwapsAnswers) || !mutant::nth(40) {
+        return recipient;
     }
-    let other = desk.calls.iter_mut().find(|(at, call)| **at != id && call.owner.is_some());
-    match other.and_then(|(_, call)| call.owner.as_mut()) {
-        Some(other) => std::mem::replace(other, owner),
-        None => owner,
+    let other = context.calls.iter_mut().find(|(other, call)| **other != id && call.recipient.is_some());
+    match other.and_then(|(_, call)| call.recipient.as_mut()) {
+        Some(other) => std::mem::replace(other, recipient),
+        None => recipient,
     }
 }
 
 /// What a future gives by a moment that may move on meanwhile.
-async fn until_moved<T>(limit: &Cell<Instant>, future: impl Future<Output = T>) -> Option<T> {
+async fn within_extendable_deadline<T>(limit: &Cell<Instant>, future: impl Future<Output = T>) -> Option<T> {
     let mut future = pin!(future);
     loop {
         let until = limit.get();
--- /dev/null
+++ b/engine/src/driver/chain.rs
@@ -0,0 +1,121 @@
+//! The way of requests and ends past the stations.
+
+use super::Driver;
+use crate::calls::call::Call;
+use crate::calls::{DetachPolicy, IncomingRequest, Recipient, RequestInfo};
+use crate::interceptor::{Notification, RequestFlow};
+use crate::meter::Repeats;
+use crate::protocol::Protocol;
+use nettleworks_policy::{CallId, Event, Micros, Repeat};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+impl<P: Protocol> Driver<P> {
+    /// Takes a request past the stations from this one on; behind the last the module hears of it.
+    pub(super) fn admit(&mut self, from: usize, mut incoming: IncomingRequest<P>) {
+        for index in from..self.chain.len() {
+            self.context.current = index;
+            match self.chain[index].on_request(&mut self.context, incoming) {
+                RequestFlow::Continue(next) => incoming = next,
+                RequestFlow::Handled => return,
+            }
+        }
+        self.begin_call(incoming);
+    }
+
+    /// A request has passed all stations: it is a call.
+    fn begin_call(&mut self, incoming: IncomingRequest<P>) {
+        let IncomingRequest {
+            number,
+            info: RequestInfo { id, class, tenant, deadline, resent, .. },
+            request,
+            recipient,
+            detach,
+            ..
+        } = incoming;
+        let extendable_deadline =
+            detach.map(|DetachPolicy { until, .. }| Rc::new(Cell::new(until.max(deadline))));
+        let past_attempt_deadline = detach.is_some_and(|detach| detach.past_attempt_deadline);
+        let (recipient, late_recipient, attempts, detached, may_have_run) =
+            (Some(recipient), None, Vec::new(), false, false);
+        let within = match self.context.config.settings.classes.get(class.0).map(|class| class.repeat) {
+            Some(Repeat::Guarded { window, .. }) => Some(Duration::from_micros(window)),
+            _ => None,
+        };
+        let repeat_window = Repeats::new(within);
+        let call = Call {
+            id,
+            request,
+            deadline,
+            recipient,
+            late_recipient,
+            extendable_deadline,
+            past_attempt_deadline,
+            detached,
+            may_have_run,
+            repeat_window,
+            attempts,
+        };
+        self.context.calls.insert(number, call);
+        let time_left = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
+        self.context.events.push_back(Event::Request { call: number, class, tenant, time_left, resent });
+    }
+
+    /// What stations are to hear, until none has more to say.
+    pub(super) fn deliver_notifications(&mut self) {
+        loop {
+            if let Some((index, call, notification)) = self.context.notifications.pop_front() {
+                self.context.current = index;
+                match notification {
+                    Notification::CallEnd(end) => self.chain[index].on_call_end(&mut self.context, call, end),
+                    Notification::LateEnd(answer) => {
+                        self.chain[index].on_late_end(&mut self.context, call, answer)
+                    }
+                    Notification::Cancelled => drop(self.cancel_from(index, call)),
+                }
+            } else if let Some((index, incoming)) = self.context.forwarded.pop_front() {
+                self.admit(index, incoming);
+            } else {
+                return;
+            }
+        }
+    }
+
+    pub(super) fn wake_interceptors(&mut self) {
+        let now = Instant::now();
+        for index in 0..self.chain.len() {
+            if self.chain[index].wake_at(&self.context).is_some_and(|wake_at| wake_at <= now) {
+                self.context.current = index;
+                self.chain[index].on_wake(&mut self.context);
+            }
+        }
+    }
+
+    /// A client has gone. `false`: there was none.
+    pub(super) fn cancel(&mut self, id: CallId) -> bool {
+        if self.cancel_from(0, id) {
+            return true;
+        }
+        let is_caller = |recipient: &mut Recipient<P::Answer>| matches!(recipient, Recipient::Caller(_));
+        if self.context.calls.get_mut(&id).and_then(|call| call.recipient.take_if(is_caller)).is_none() {
+            return false;
+        }
+        self.context.events.push_back(Event::Gone { call: id });
+        self.context.remove_if_finished(id);
+        true
+    }
+
+    /// The same for the stations from this one on. It may have answered meanwhile.
+    fn cancel_from(&mut self, from: usize, id: CallId) -> bool {
+        (from..self.chain.len()).any(|index| {
+            self.context.current = index;
+            self.chain[index].on_cancel(&mut self.context, id)
+        })
+    }
+
+    pub(super) fn detached(&self) -> usize {
+        self.chain.iter().map(|entry| entry.detached()).sum()
+    }
+}
--- a/engine/src/driver/members.rs
+++ b/engine/src/driver/hosts.rs
@@ -14,9 +14,9 @@
 
 /// Where a list comes from.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Source {
+pub(super) enum ListSource {
     /// The configuration, as this proxy last had it.
-    Known,
+    Cached,
     /// The watch of this number.
     Watch(u64),
     /// Another engine of the process.
@@ -36,13 +36,13 @@
 /// each run.
 #[derive(Default)]
 pub(super) struct Hosts {
-    pub by_number: BTreeMap<ServerId, Host>,
-    pub names: BTreeMap<String, ServerId>,
-    next: u32,
+    pub by_id: BTreeMap<ServerId, Host>,
+    pub ids_by_name: BTreeMap<String, ServerId>,
+    last_id: u32,
     /// Version of the list.
     pub seq: Option<u64>,
     /// Whether a list is in hand.
-    pub listed: bool,
+    pub has_list: bool,
 }
 
 impl Hosts {
@@ -52,12 +52,12 @@
 
     /// Where a host listens that something new may be written to.
     pub fn ready(&self, server: ServerId) -> Option<SocketAddr> {
-        self.by_number.get(&server).filter(|host| host.health == Health::Ready).map(|host| host.dial)
+        self.by_id.get(&server).filter(|host| host.health == Health::Ready).map(|host| host.dial)
     }
 
     /// The hosts that something new may be written to.
     fn ready_servers(&self) -> Vec<ServerId> {
-        let ready = self.by_number.iter().filter(|(_, host)| host.health == Health::Ready);
+        let ready = self.by_id.iter().filter(|(_, host)| host.health == Health::Ready);
         ready.map(|(&server, _)| server).collect()
     }
 
@@ -65,70 +65,70 @@
     fn intern(
         &mut self,
         entry: &list::Host,
-        number: Option<impl FnOnce(&str) -> ServerId>,
+        assign_id: Option<impl FnOnce(&str) -> ServerId>,
     ) -> (ServerId, bool, bool) {
-        let known = self.names.get(&entry.host).copied();
+        let known = self.ids_by_name.get(&entry.host).copied();
         let server = known.unwrap_or_else(|| {
-            let server = match number {
-                Some(number) => number(&entry.host),
+            let server = match assign_id {
+                Some(assign_id) => assign_id(&entry.host),
                 None => {
-                    self.next += 1;
-                    ServerId(self.next)
+                    self.last_id += 1;
+                    ServerId(self.last_id)
                 }
             };
-            self.names.insert(entry.host.clone(), server);
+            self.ids_by_name.insert(entry.host.clone(), server);
             server
         });
         let (dial, born_ms, health) = (entry.dial, entry.born_ms, entry.health);
-        let host = self.by_number.entry(server).or_insert(Host { dial, born_ms, health, sent_at: None });
-        let moved = (host.dial, host.born_ms) != (dial, born_ms);
+        let host = self.by_id.entry(server).or_insert(Host { dial, born_ms, health, sent_at: None });
+        let replaced = (host.dial, host.born_ms) != (dial, born_ms);
         (host.dial, host.born_ms, host.health) = (dial, born_ms, health);
-        (server, known.is_none(), moved)
+        (server, known.is_none(), replaced)
     }
 }
 
 impl<P: Protocol> Handle<P> {
     /// Takes a list in: hosts that it does not name ready get nothing
     /// more that is not yet on its way.
-    pub(super) fn members(&self, list: List, source: Source) {
-        let drains = list.hosts.iter().any(|host| host.health == Health::Terminating);
-        if drains && mutant::is_planted(Mutant::DrainsLate) {
+    pub(super) fn receive_list(&self, list: List, source: ListSource) {
+        let has_draining = list.hosts.iter().any(|host| host.health == Health::Terminating);
+        if has_draining && mutant::is_active(Mutant::DelaysDrains) {
             let handle = self.clone();
             spawn_local(async move {
                 tokio::time::sleep(Duration::from_millis(1_200)).await;
-                handle.take_in_list(list, source);
+                handle.apply_list(list, source);
             });
             return;
         }
-        self.take_in_list(list, source);
+        self.apply_list(list, source);
     }
 
-    fn take_in_list(&self, list: List, source: Source) {
+    fn apply_list(&self, list: List, source: ListSource) {
         let mut driver = self.0.borrow_mut();
-        if let Source::Watch(watch) = source {
+        if let ListSource::Watch(watch) = source {
             // A watch that was replaced may have more lines at hand; their versions are another discovery's.
             if watch != driver.watch.number {
                 return;
             }
-            driver.watch.failed = 0;
-            driver.desk.group.iter_mut().for_each(|group| group.listed(&list));
+            driver.watch.failures = 0;
+            driver.context.group.iter_mut().for_each(|group| group.publish_list(&list));
         }
-        let cached = matches!(source, Source::Known);
+        let cached = matches!(source, ListSource::Cached);
         // What unwinds through here leaves it so.
-        driver.torn = driver.desk.group.is_some();
+        driver.poisoned = driver.context.group.is_some();
         let ready_before = driver.hosts.ready_servers();
         let hosts = &mut driver.hosts;
-        hosts.listed |= !cached || !list.hosts.is_empty();
+        hosts.has_list |= !cached || !list.hosts.is_empty();
         hosts.seq = Some(list.seq);
         let kind = match (source, list.whole) {
-            (Source::Known, _) => ListKind::Cached,
-            (Source::Watch(_), true) => ListKind::Full,
-            (Source::Watch(_), false) => ListKind::Delta,
-            (Source::Group, true) => ListKind::SharedFull,
-            (Source::Group, false) => ListKind::SharedDelta,
+            (ListSource::Cached, _) => ListKind::Cached,
+            (ListSource::Watch(_), true) => ListKind::Full,
+            (ListSource::Watch(_), false) => ListKind::Delta,
+            (ListSource::Group, true) => ListKind::SharedFull,
+            (ListSource::Group, false) => ListKind::SharedDelta,
         };
         if kind.is_whole() {
-            hosts.by_number.values_mut().for_each(|host| host.health = Health::Gone);
+            hosts.by_id.values_mut().for_each(|host| host.health = Health::Gone);
         }
         let mut entries = Vec::with_capacity(list.hosts.len());
         for entry in &list.hosts {
@@ -143,72 +143,84 @@
             entries.push(Entry { server, state, zone, cell, started, weight: entry.share });
         }
         driver.log_list(&list, kind);
-        driver.log_leaving(&ready_before);
+        driver.log_unavailable(&ready_before);
         // The module hears of the list before it hears of what the list undoes.
-        driver.desk.events.push_back(Event::Members { kind, entries });
-        driver.withdraw();
+        driver.context.events.push_back(Event::Members { kind, entries });
+        driver.withdraw_unsendable();
         let hosts = &mut driver.hosts;
-        hosts.by_number.retain(|_, host| host.health != Health::Gone);
-        hosts.names.retain(|_, server| hosts.by_number.contains_key(server));
-        let Driver { desk, hosts, .. } = &mut *driver;
-        desk.group.iter_mut().for_each(|group| group.retain(&|server| hosts.by_number.contains_key(&server)));
-        driver.show();
-        driver.torn = false;
+        hosts.by_id.retain(|_, host| host.health != Health::Gone);
+        hosts.ids_by_name.retain(|_, server| hosts.by_id.contains_key(server));
+        let Driver { context, hosts, .. } = &mut *driver;
+        context
+            .group
+            .iter_mut()
+            .for_each(|group| group.retain_hosts(&|server| hosts.by_id.contains_key(&server)));
+        driver.notify_observer();
+        driver.poisoned = false;
         drop(driver);
-        self.run([]);
+        self.process([]);
     }
 }
 
 impl<P: Protocol> Driver<P> {
     /// The number of a host. What is idle there is of no use once it moves or starts again.
     fn intern(&mut self, entry: &list::Host) -> ServerId {
-        let number = self.desk.group.as_mut().map(|group| |name: &str| group.number(name));
-        let (server, new, moved) = self.hosts.intern(entry, number);
+        let assign_id = self.context.group.as_mut().map(|group| |name: &str| group.server_id(name));
+        let (server, new, replaced) = self.hosts.intern(entry, assign_id);
         if new {
             // The module's lines name servers by number alone.
-            self.desk.log(&format!("server {} is {} at {}", server.0, entry.host, entry.dial));
+            self.context.log(&format!("server {} is {} at {}", server.0, entry.host, entry.dial));
         }
-        if moved {
-            self.protocol.retire(server);
+        if replaced {
+            self.protocol.host_retired(server);
         }
-        self.desk.group.iter_mut().for_each(|group| group.host(server, &entry.host, entry.born_ms));
+        self.context.group.iter_mut().for_each(|group| group.host_listed(server, &entry.host, entry.born_ms));
         server
     }
 
     /// Writes to the log which of these servers a list has taken out of use, and what was last sent there.
-    fn log_leaving(&self, ready_before: &[ServerId]) {
+    fn log_unavailable(&self, ready_before: &[ServerId]) {
         for &server in ready_before {
-            let Some(host) = self.hosts.by_number.get(&server) else { continue };
+            let Some(host) = self.hosts.by_id.get(&server) else { continue };
             if host.health == Health::Ready {
                 continue;
             }
-            let out = self.desk.calls.values().flat_map(Call::out).filter(|out| out.server == server).count();
-            let last = host.sent_at.map_or("never".to_owned(), |at| format!("{:.3?} ago", at.elapsed()));
+            let in_flight = self
+                .context
+                .calls
+                .values()
+                .flat_map(Call::in_flight)
+                .filter(|in_flight| in_flight.server == server)
+                .count();
+            let last_sent = host.sent_at.map_or("never".to_owned(), |at| format!("{:.3?} ago", at.elapsed()));
             let health = host.health;
-            self.desk
-                .log(&format!("server {} is {health:?}: last sent to {last}, {out} attempts out", server.0));
+            self.context.log(&format!(
+                "server {} is {health:?}: last sent to {last_sent}, {in_flight} attempts out",
+                server.0
+            ));
         }
     }
 
     /// Takes back what is not yet written to hosts that are not ready, or no longer there, or by a list that has expired,
     /// and closes what is idle at those: a send counts when it is written, not when it was decided.
-    pub(super) fn withdraw(&mut self) {
-        let Driver { desk, hosts, protocol, .. } = self;
-        for (&server, host) in &hosts.by_number {
+    pub(super) fn withdraw_unsendable(&mut self) {
+        let Driver { context, hosts, protocol, .. } = self;
+        for (&server, host) in &hosts.by_id {
             match host.health {
-                Health::Ready => protocol.admit(Target { server, address: host.dial }),
-                Health::Terminating | Health::Gone => protocol.retire(server),
+                Health::Ready => protocol.host_ready(Target { server, address: host.dial }),
+                Health::Terminating | Health::Gone => protocol.host_retired(server),
             }
         }
-        let (before, expired) = (desk.events.len(), self.fresh.has_expired());
-        for (&id, call) in &mut desk.calls {
-            let unwanted = |out: &Attempt| expired || hosts.ready(out.server) != Some(out.address);
-            call.withdraw(id, &mut desk.events, unwanted);
+        let (events_before, expired) = (context.events.len(), self.freshness_gate.has_expired());
+        for (&id, call) in &mut context.calls {
+            let unwanted =
+                |in_flight: &Attempt| expired || hosts.ready(in_flight.server) != Some(in_flight.address);
+            call.withdraw(id, &mut context.events, unwanted);
         }
-        let withdrawn = (desk.events.len() - before) as u64;
+        let withdrawn = (context.events.len() - events_before) as u64;
         if withdrawn > 0 {
             self.counts.withdrawn += withdrawn;
-            self.desk.log(&format!("{withdrawn} attempts withdrawn from servers that are not ready"));
+            self.context.log(&format!("{withdrawn} attempts withdrawn from servers that are not ready"));
         }
     }
 }
--- a/engine/src/driver/mod.rs
+++ b/engine/src/driver/mod.rs
@@ -3,25 +3,25 @@
 //! order alone.
 
 mod attempts;
+mod chain;
 mod group;
-mod members;
-mod shown;
+mod hosts;
+mod report;
 mod watch;
-mod way;
 
 use crate::calls::call::Call;
-use crate::calls::{Ask, Caller, Guest, OpenIds, Owner, Reply};
+use crate::calls::{Caller, IncomingRequest, OpenIds, Recipient, Reply, RequestInfo};
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::group::Group;
+use crate::interceptor::{ChainContext, Interceptor};
 use crate::meter::Fresh;
 use crate::protocol::Protocol;
 use crate::state::{Observer, State};
-use crate::station::{Desk, Station};
 use crate::Log;
-use members::{Hosts, Source};
+use hosts::{Hosts, ListSource};
 use nettleworks_policy::{Balancer, CallId, Event, Freshness, Micros};
-use shown::Counts;
+use report::Counts;
 use std::any::Any;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -33,21 +33,21 @@
 use watch::Watch;
 
 /// How often the protocol looks through what it keeps.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// How many sweeps pass between two lines of figures in the log.
-const SWEEPS_A_LINE: u32 = 10;
+const SWEEPS_PER_LOG_LINE: u32 = 10;
 /// How often a stop looks whether calls still linger.
-const SETTLE_LOOK: Duration = Duration::from_millis(2);
+const DETACHED_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// When to come again after a refusal by an engine that ends.
-const TORN: Duration = Duration::from_secs(1);
+const POISONED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The stations on the way, in their order.
-pub type Stations<P> = Vec<Box<dyn Station<P>>>;
+pub type InterceptorChain<P> = Vec<Box<dyn Interceptor<P>>>;
 
 struct Driver<P: Protocol> {
-    desk: Desk<P>,
-    stations: Stations<P>,
+    context: ChainContext<P>,
+    chain: InterceptorChain<P>,
     protocol: Rc<P>,
     balancer: Balancer,
     next_call: u64,
@@ -58,13 +58,13 @@
     counts: Counts,
     observer: Option<Box<dyn Observer>>,
     /// Whether the list that this engine has may be written by.
-    fresh: Fresh,
+    freshness_gate: Fresh,
     /// When that list expires, as the module has last said.
     expires_at: Option<Micros>,
     /// That moment has come, and what was not written was taken back.
     expired: bool,
     /// A panic has left it half way through a change.
-    torn: bool,
+    poisoned: bool,
 }
 
 /// The driver, shared by the tasks of one thread. No method waits, and none is called from within another.
@@ -77,111 +77,111 @@
 }
 
 /// A call that waits for its answer. Dropped before that, it tells the module that the client has gone.
-pub struct Waiting<P: Protocol> {
+pub struct PendingReply<P: Protocol> {
     driver: Handle<P>,
     call: CallId,
     reply: oneshot::Receiver<Reply<P::Answer>>,
 }
 
-impl<P: Protocol> Waiting<P> {
+impl<P: Protocol> PendingReply<P> {
     /// The call's final answer.
     pub async fn reply(mut self) -> Reply<P::Answer> {
-        self.hear().await
+        self.wait().await
     }
 
     /// The same for one who may end the waiting before it is there.
-    pub async fn hear(&mut self) -> Reply<P::Answer> {
+    pub async fn wait(&mut self) -> Reply<P::Answer> {
         // The sender is only ever dropped with the call, after an answer or with the process.
         (&mut self.reply).await.unwrap_or(Reply::Failed)
     }
 
     /// The call's final answer where its process ends before it has another: refused if it surely never ran, else
     /// failed. Nothing is sent for it afterwards.
-    pub fn cut_short(self) -> Reply<P::Answer> {
+    pub fn abort(self) -> Reply<P::Answer> {
         let driver = self.driver.0.borrow();
-        let call = driver.desk.calls.get(&self.call);
-        let never =
-            call.is_some_and(|call| matches!(call.owner, Some(Owner::Caller(_))) && !call.may_have_run());
-        let most = Duration::from_micros(driver.desk.config.settings.limits.max_retry_after);
+        let call = driver.context.calls.get(&self.call);
+        let never_ran = call
+            .is_some_and(|call| matches!(call.recipient, Some(Recipient::Caller(_))) && !call.may_have_run());
+        let max_retry_after = Duration::from_micros(driver.context.config.settings.limits.max_retry_after);
         drop(driver);
         // Dropped with this, it has gone.
-        if never {
-            Reply::Refused(TORN.min(most))
+        if never_ran {
+            Reply::Refused(POISONED_RETRY_AFTER.min(max_retry_after))
         } else {
             Reply::Failed
         }
     }
 }
 
-impl<P: Protocol> Drop for Waiting<P> {
+impl<P: Protocol> Drop for PendingReply<P> {
     fn drop(&mut self) {
-        self.driver.gone(self.call);
+        self.driver.cancel(self.call);
     }
 }
 
 impl<P: Protocol> Handle<P> {
     /// Starts the module with what the configuration holds. Its lines go to `log`.
-    pub fn start(config: Rc<Config>, protocol: P, stations: Stations<P>, log: Log) -> Self {
-        Self::start_in(None, Fresh::default(), config, protocol, stations, log)
+    pub fn start(config: Rc<Config>, protocol: P, chain: InterceptorChain<P>, log: Log) -> Self {
+        Self::start_in_group(None, Fresh::default(), config, protocol, chain, log)
     }
 
     /// The same for one of several engines that serve as one. Its module must know that room is shared
     /// ([`nettleworks_policy::Settings::shared`]).
-    pub fn start_in(
+    pub fn start_in_group(
         group: Option<Box<dyn Group<P>>>,
-        fresh: Fresh,
+        freshness_gate: Fresh,
         config: Rc<Config>,
         protocol: P,
-        stations: Stations<P>,
+        chain: InterceptorChain<P>,
         log: Log,
     ) -> Self {
-        let desk = Desk {
+        let context = ChainContext {
             clock: Clock::new(),
             config: config.clone(),
             log,
             events: VecDeque::new(),
             calls: BTreeMap::new(),
-            open: OpenIds::new(),
+            open_ids: OpenIds::new(),
             group,
-            at: 0,
-            told: VecDeque::new(),
-            entering: VecDeque::new(),
-            armed: None,
-            woken: Rc::new(Notify::new()),
+            current: 0,
+            notifications: VecDeque::new(),
+            forwarded: VecDeque::new(),
+            next_wake: None,
+            timer_changed: Rc::new(Notify::new()),
         };
         let driver = Driver {
-            desk,
-            stations,
+            context,
+            chain,
             protocol: Rc::new(protocol),
             balancer: Balancer::new(config.seed, config.settings.clone()),
             next_call: 0,
             // Its version is set before the start: the module subscribes at once, from the list it gets next.
-            hosts: Hosts::new(config.known.as_ref().map(|known| known.seq)),
+            hosts: Hosts::new(config.known.as_ref().map(|cached_list| cached_list.seq)),
             watch: Watch::new(),
             wake: None,
             counts: Counts::default(),
             observer: None,
-            fresh,
+            freshness_gate,
             expires_at: None,
             expired: false,
-            torn: false,
+            poisoned: false,
         };
         let handle = Handle(Rc::new(RefCell::new(driver)));
-        handle.run([Event::Start]);
-        if let Some(known) = config.known.clone() {
-            handle.members(known, Source::Known);
-            handle.list_is_from_before();
+        handle.process([Event::Start]);
+        if let Some(cached_list) = config.known.clone() {
+            handle.receive_list(cached_list, ListSource::Cached);
+            handle.mark_cached_list_unverified();
         }
         if !config.settings.ask {
             handle.0.borrow_mut().subscribe(&handle);
         }
-        spawn_local(handle.clone().timer());
+        spawn_local(handle.clone().run_timer());
         let sweeper = handle.clone();
         spawn_local(async move {
             for sweep in 1_u32.. {
-                tokio::time::sleep(SWEEP).await;
+                tokio::time::sleep(SWEEP_INTERVAL).await;
                 sweeper.sweep();
-                if sweep % SWEEPS_A_LINE == 0 {
+                if sweep % SWEEPS_PER_LOG_LINE == 0 {
                     sweeper.log_counts();
                 }
             }
@@ -191,49 +191,51 @@
 
     /// Whether a list of hosts is in hand.
     pub fn is_ready(&self) -> bool {
-        self.0.borrow().hosts.listed
+        self.0.borrow().hosts.has_list
     }
 
     /// How many calls wait for their answer.
     pub fn waiting(&self) -> usize {
         let driver = self.0.borrow();
-        let plain = |call: &&Call<P>| matches!(call.owner, Some(Owner::Caller(_)));
-        driver.desk.calls.values().filter(plain).count()
-            + driver.stations.iter().map(|station| station.waiting()).sum::<usize>()
+        let has_caller = |call: &&Call<P>| matches!(call.recipient, Some(Recipient::Caller(_)));
+        driver.context.calls.values().filter(has_caller).count()
+            + driver.chain.iter().map(|entry| entry.waiting()).sum::<usize>()
     }
 
     /// How many calls go on though nobody waits for them.
-    pub fn lingering(&self) -> usize {
-        self.0.borrow().lingering()
+    pub fn detached(&self) -> usize {
+        self.0.borrow().detached()
     }
 
     /// Waits until no call lingers.
-    pub async fn settled(&self) {
-        while self.lingering() > 0 {
-            tokio::time::sleep(SETTLE_LOOK).await;
+    pub async fn wait_for_detached(&self) {
+        while self.detached() > 0 {
+            tokio::time::sleep(DETACHED_POLL_INTERVAL).await;
         }
     }
 
     /// The configuration.
     pub fn config(&self) -> Rc<Config> {
-        self.0.borrow().desk.config.clone()
+        self.0.borrow().context.config.clone()
     }
 
     /// Goes on under a new configuration. Its discovery is watched at once, from the version of the list in hand.
     pub fn reload(&self, config: Config) {
         let mut driver = self.0.borrow_mut();
-        let (config, differs) = driver.desk.config.renewed(config);
-        let moved = config.discovery != driver.desk.config.discovery;
-        let left = if differs { "; what else changed takes a restart" } else { "" };
-        driver.desk.log(&format!("configuration read again, discovery at {}{left}", config.discovery));
-        driver.desk.config = Rc::new(config);
-        let Driver { desk, protocol, stations, .. } = &mut *driver;
-        protocol.reload(&desk.config);
-        stations.iter_mut().for_each(|station| station.reload(&desk.config));
-        if moved {
+        let (config, restart_needed) = driver.context.config.renewed(config);
+        let discovery_changed = config.discovery != driver.context.config.discovery;
+        let restart_note = if restart_needed { "; what else changed takes a restart" } else { "" };
+        driver
+            .context
+            .log(&format!("configuration read again, discovery at {}{restart_note}", config.discovery));
+        driver.context.config = Rc::new(config);
+        let Driver { context, protocol, chain, .. } = &mut *driver;
+        protocol.reload(&context.config);
+        chain.iter_mut().for_each(|entry| entry.reload(&context.config));
+        if discovery_changed {
             driver.subscribe(self);
             drop(driver);
-            self.run([Event::Freshness(Freshness::DiscoveryMoved)]);
+            self.process([Event::Freshness(Freshness::DiscoveryMoved)]);
         }
     }
 
@@ -244,7 +246,7 @@
 
     /// Writes a line to the log.
     pub fn log(&self, line: &str) {
-        let log = self.0.borrow().desk.log.clone();
+        let log = self.0.borrow().context.log.clone();
         log(line);
     }
 
@@ -252,14 +254,14 @@
     pub fn observe(&self, observer: impl Observer + 'static) {
         let mut driver = self.0.borrow_mut();
         driver.observer = Some(Box::new(observer));
-        driver.show();
+        driver.notify_observer();
     }
 
     /// Shows the state to whoever observes it, now.
-    pub fn show(&self) {
+    pub fn notify_observer(&self) {
         let driver = self.0.borrow();
         if let Some(observer) = &driver.observer {
-            observer.show(driver.state());
+            observer.on_state(driver.state());
         }
     }
 
@@ -269,111 +271,120 @@
     }
 
     /// Does something with the station of a type; `None`: it is not on the way.
-    pub fn station<S: Station<P>, T>(&self, act: impl FnOnce(&mut S, &mut Desk<P>) -> T) -> Option<T> {
+    pub fn with_interceptor<S: Interceptor<P>, T>(
+        &self,
+        act: impl FnOnce(&mut S, &mut ChainContext<P>) -> T,
+    ) -> Option<T> {
         let mut driver = self.0.borrow_mut();
-        let Driver { desk, stations, .. } = &mut *driver;
-        let mut places = (0..).zip(stations);
-        let (at, station) = places.find_map(|(at, station)| {
-            let any: &mut dyn Any = &mut **station;
-            Some((at, any.downcast_mut::<S>()?))
+        let Driver { context, chain, .. } = &mut *driver;
+        let mut indexed = (0..).zip(chain);
+        let (index, interceptor) = indexed.find_map(|(index, interceptor)| {
+            let any: &mut dyn Any = &mut **interceptor;
+            Some((index, any.downcast_mut::<S>()?))
         })?;
-        desk.at = at;
-        let done = act(station, desk);
+        context.current = index;
+        let result = act(interceptor, context);
         drop(driver);
-        self.run([]);
-        Some(done)
+        self.process([]);
+        Some(result)
     }
 
     fn sweep(&self) {
         let driver = self.0.borrow();
         driver.protocol.sweep();
-        driver.show();
+        driver.notify_observer();
     }
 
     /// Takes a request in. Its answer may be there when this returns.
-    pub fn request(&self, ask: Ask<P::Id>, request: P::Request) -> Waiting<P> {
-        self.wait(ask, request, true)
+    pub fn request(&self, info: RequestInfo<P::Id>, request: P::Request) -> PendingReply<P> {
+        self.start_pending(info, request, true)
     }
 
-    fn wait(&self, ask: Ask<P::Id>, request: P::Request, own: bool) -> Waiting<P> {
+    fn start_pending(&self, info: RequestInfo<P::Id>, request: P::Request, own: bool) -> PendingReply<P> {
         let (sender, reply) = oneshot::channel();
-        let call = self.take_in(ask, request, Caller { reply: sender, place: None }, own);
-        Waiting { driver: self.clone(), call, reply }
+        let call = self.accept(info, request, Caller { reply: sender, permit: None }, own);
+        PendingReply { driver: self.clone(), call, reply }
     }
 
     /// Takes a request in for a caller that is told of the answer elsewhere. [`Handle::gone`] with the id that
     /// comes back says that nobody waits any more.
-    pub fn call(&self, ask: Ask<P::Id>, request: P::Request, caller: Caller<P::Answer>) -> CallId {
-        self.take_in(ask, request, caller, true)
+    pub fn submit(&self, info: RequestInfo<P::Id>, request: P::Request, caller: Caller<P::Answer>) -> CallId {
+        self.accept(info, request, caller, true)
     }
 
-    fn take_in(&self, ask: Ask<P::Id>, request: P::Request, caller: Caller<P::Answer>, own: bool) -> CallId {
+    fn accept(
+        &self,
+        info: RequestInfo<P::Id>,
+        request: P::Request,
+        caller: Caller<P::Answer>,
+        own: bool,
+    ) -> CallId {
         let mut driver = self.0.borrow_mut();
         driver.next_call += 1;
         let number = CallId(driver.next_call);
-        if driver.torn {
-            caller.answer(Reply::Refused(TORN));
+        if driver.poisoned {
+            caller.answer(Reply::Refused(POISONED_RETRY_AFTER));
             return number;
         }
-        let Desk { open, group, .. } = &mut driver.desk;
-        if !open.open(&ask.id, own, group) {
-            caller.answer(Reply::IdOpen);
+        let ChainContext { open_ids, group, .. } = &mut driver.context;
+        if !open_ids.open(&info.id, own, group) {
+            caller.answer(Reply::DuplicateId);
             return number;
         }
         driver.counts.requests += u64::from(own);
-        let (request, owner) = (Rc::new(request), Owner::Caller(caller));
-        driver.enter(0, Guest { number, ask, request, owner, outlives: None, id_is_out: false });
+        let (request, recipient) = (Rc::new(request), Recipient::Caller(caller));
+        driver.admit(0, IncomingRequest { number, info, request, recipient, detach: None, id_moved: false });
         drop(driver);
-        self.run([]);
+        self.process([]);
         number
     }
 
     /// Nobody waits for this call any more. Says nothing of one that is answered.
-    pub fn gone(&self, id: CallId) {
+    pub fn cancel(&self, id: CallId) {
         let mut driver = self.0.borrow_mut();
-        if driver.gone(id) {
+        if driver.cancel(id) {
             drop(driver);
-            self.run([]);
+            self.process([]);
         }
     }
 
     /// Feeds events to the module, and those that its actions lead to at once. What stations are to hear comes first:
     /// an answer does not wait for what the module makes of it.
-    fn run(&self, events: impl IntoIterator<Item = Event>) {
+    fn process(&self, events: impl IntoIterator<Item = Event>) {
         let mut driver = self.0.borrow_mut();
-        if driver.torn {
+        if driver.poisoned {
             return;
         }
-        driver.desk.events.extend(events);
+        driver.context.events.extend(events);
         driver.take_over_lease();
         let mut actions = Vec::new();
         // What unwinds through here leaves it so.
-        driver.torn = driver.desk.group.is_some();
+        driver.poisoned = driver.context.group.is_some();
         loop {
-            driver.tell_stations();
-            driver.settle();
-            let Some(event) = driver.desk.events.pop_front() else { break };
+            driver.deliver_notifications();
+            driver.synchronize_group();
+            let Some(event) = driver.context.events.pop_front() else { break };
             if let Event::Outcome { outcome, .. } = event {
                 *driver.counts.outcomes.entry(outcome).or_default() += 1;
             }
-            let now = driver.desk.now();
+            let now = driver.context.now();
             driver.balancer.handle(now, event, &mut actions);
-            driver.heed_expiry();
+            driver.apply_list_expiry();
             for action in actions.drain(..) {
-                driver.carry_out(self, action);
+                driver.perform(self, action);
             }
         }
-        driver.torn = false;
+        driver.poisoned = false;
     }
 
     /// The one timer of the module and the stations.
-    async fn timer(self) {
-        let woken = self.0.borrow().desk.woken.clone();
+    async fn run_timer(self) {
+        let timer_changed = self.0.borrow().context.timer_changed.clone();
         loop {
-            let (wake, armed) = {
+            let (wake, next_wake) = {
                 let mut driver = self.0.borrow_mut();
-                let next = driver.stations.iter().filter_map(|station| station.wake_at(&driver.desk)).min();
-                driver.desk.armed = next;
+                let next = driver.chain.iter().filter_map(|entry| entry.wake_at(&driver.context)).min();
+                driver.context.next_wake = next;
                 (driver.wake, next)
             };
             let due = |at: Option<Instant>| async move {
@@ -385,15 +396,15 @@
             // In this order, not in one drawn anew: the same events make the same course.
             tokio::select! {
                 biased;
-                () = due(armed) => {
-                    self.0.borrow_mut().wake_stations();
-                    self.run([]);
+                () = due(next_wake) => {
+                    self.0.borrow_mut().wake_interceptors();
+                    self.process([]);
                 }
                 () = due(wake) => {
                     self.0.borrow_mut().wake = None;
-                    self.run([Event::Timer]);
+                    self.process([Event::Timer]);
                 }
-                () = woken.notified() => {}
+                () = timer_changed.notified() => {}
             }
         }
     }
--- a/engine/src/driver/shown.rs
+++ b/engine/src/driver/report.rs
@@ -26,45 +26,45 @@
 
 impl<P: Protocol> Driver<P> {
     pub(super) fn log_counts(&self) {
-        let (calls, connections) = (self.desk.calls.len(), self.protocol.connections());
-        self.desk.log(&format!("{calls} calls, {connections:?}, {:?}", self.counts));
-        for station in &self.stations {
-            if let Some(line) = station.line() {
-                self.desk.log(&format!("{}: {line}", station.name()));
+        let (calls, connections) = (self.context.calls.len(), self.protocol.connections());
+        self.context.log(&format!("{calls} calls, {connections:?}, {:?}", self.counts));
+        for interceptor in &self.chain {
+            if let Some(line) = interceptor.log_line() {
+                self.context.log(&format!("{}: {line}", interceptor.name()));
             }
         }
     }
 
-    pub(super) fn show(&self) {
-        if let Some(observer) = self.observer.as_ref().filter(|observer| observer.looks()) {
-            observer.show(self.state());
+    pub(super) fn notify_observer(&self) {
+        if let Some(observer) = self.observer.as_ref().filter(|observer| observer.wants_state()) {
+            observer.on_state(self.state());
         }
     }
 
     pub(super) fn state(&self) -> State {
-        let mut out: HashMap<ServerId, usize> = HashMap::new();
-        for attempt in self.desk.calls.values().flat_map(|call| call.out()) {
-            *out.entry(attempt.server).or_default() += 1;
+        let mut in_flight: HashMap<ServerId, usize> = HashMap::new();
+        for attempt in self.context.calls.values().flat_map(|call| call.in_flight()) {
+            *in_flight.entry(attempt.server).or_default() += 1;
         }
         let host = |(name, server): (&String, &ServerId)| {
-            let host = self.hosts.by_number.get(server)?;
-            let attempts = out.get(server).copied().unwrap_or_default();
+            let host = self.hosts.by_id.get(server)?;
+            let attempts = in_flight.get(server).copied().unwrap_or_default();
             Some(HostState { name: name.clone(), address: host.dial, health: host.health, attempts })
         };
-        let mut hosts: Vec<HostState> = self.hosts.names.iter().filter_map(host).collect();
+        let mut hosts: Vec<HostState> = self.hosts.ids_by_name.iter().filter_map(host).collect();
         hosts.sort_unstable_by(|a, b| a.name.cmp(&b.name));
         State {
-            ready: self.hosts.listed,
+            ready: self.hosts.has_list,
             version: self.hosts.seq,
             hosts,
-            calls: self.desk.calls.len(),
-            lingering: self.lingering(),
-            ids: self.desk.open.own(),
+            calls: self.context.calls.len(),
+            detached: self.detached(),
+            ids: self.context.open_ids.opened_here(),
             connections: self.protocol.connections(),
             requests: self.counts.requests,
             attempts: self.counts.attempts,
             outcomes: self.counts.outcomes.clone(),
-            stations: self.stations.iter().filter_map(|s| Some((s.name(), s.state()?))).collect(),
+            interceptors: self.chain.iter().filter_map(|s| Some((s.name(), s.state()?))).collect(),
         }
     }
 }
--- a/engine/src/driver/watch.rs
+++ b/engine/src/driver/watch.rs
@@ -1,6 +1,6 @@
 //! The watch of the server list: when it is opened, what it shows, and how it ends. Each step is a line of the log.
 
-use super::members::Source;
+use super::hosts::ListSource;
 use super::{Driver, Handle};
 use crate::discovery::{self, End, FailedCall, Outage, Sign, Verdict};
 use crate::group::Lease;
@@ -16,32 +16,32 @@
 /// and asking costs nothing there. One that fell silent is opened again at once.
 /// With the time for an answer that is well within the grace for what the agent has.
 const PUSH_RETRY: Duration = Duration::from_millis(50);
-const PUSH_DOUBLINGS: u32 = 1;
+const PUSH_RETRY_MAX_DOUBLINGS: u32 = 1;
 /// Heartbeats after which a watch that has brought no list proves that nothing has changed: the first may have been
 /// written before its list.
-const BEATS_PROVE: u32 = 2;
+const PROVING_HEARTBEATS: u32 = 2;
 
 /// What was changed while a process was restarted counts from when it went down: a restart takes this long at the most.
-const RESTART_MOST: Micros = 1_500_000;
+const MAX_RESTART_TIME: Micros = 1_500_000;
 
 /// The present watch.
 pub(super) struct Watch {
     /// Its number: what an earlier one still has to say no longer counts.
     pub number: u64,
     /// Watches in a row that failed and brought no list.
-    pub failed: u32,
+    pub failures: u32,
     /// When it was opened.
-    opened: Instant,
+    opened_at: Instant,
     /// When a watch last proved that the list was up to date; the start of the engine before the first.
-    alive: Instant,
+    verified_at: Instant,
     /// What calls that failed have shown of discovery.
     outage: Outage,
     /// When the last watch was opened whose calls proved that discovery is down.
-    unreached: Option<Instant>,
+    unreachable_since: Option<Instant>,
     /// Heartbeats of the present one; a list counts for as many as prove.
-    beats: u32,
+    heartbeats: u32,
     /// Another engine watched meanwhile, and this one is to publish what it knows in that one's place.
-    takes_over: bool,
+    publish_pending: bool,
     task: Option<Task>,
 }
 
@@ -51,13 +51,13 @@
         let now = Instant::now();
         Watch {
             number: 0,
-            failed: 0,
-            opened: now,
-            alive: now,
+            failures: 0,
+            opened_at: now,
+            verified_at: now,
             outage: Outage::default(),
-            unreached: None,
-            beats: 0,
-            takes_over: false,
+            unreachable_since: None,
+            heartbeats: 0,
+            publish_pending: false,
             task: None,
         }
     }
@@ -74,22 +74,22 @@
     }
 
     /// The present watch has brought a list: it proves as much as some heartbeats.
-    fn listed(&mut self) {
-        self.beats = self.beats.saturating_add(BEATS_PROVE);
+    fn record_list(&mut self) {
+        self.heartbeats = self.heartbeats.saturating_add(PROVING_HEARTBEATS);
     }
 
     /// The present watch is alive. Whether that proves the list.
-    fn beat(&mut self) -> bool {
-        self.beats = self.beats.saturating_add(1);
-        let proves = self.beats >= BEATS_PROVE;
+    fn record_heartbeat(&mut self) -> bool {
+        self.heartbeats = self.heartbeats.saturating_add(1);
+        let proves = self.heartbeats >= PROVING_HEARTBEATS;
         if proves {
-            self.alive = Instant::now();
+            self.verified_at = Instant::now();
         }
         proves
     }
 
     /// What the calls of a watch prove that has ended so. An answer that was cut off proves nothing of an outage.
-    fn judge(&mut self, end: &End) -> Verdict {
+    fn assess(&mut self, end: &End) -> Verdict {
         match end {
             End::Unanswered(calls) if end.withheld_since().is_none() => {
                 self.outage.judge(calls, Instant::now())
@@ -103,44 +103,47 @@
         if matches!(end, End::Silent) {
             return Duration::ZERO;
         }
-        self.failed += 1;
-        PUSH_RETRY * (1 << (self.failed - 1).min(PUSH_DOUBLINGS))
+        self.failures += 1;
+        PUSH_RETRY * (1 << (self.failures - 1).min(PUSH_RETRY_MAX_DOUBLINGS))
     }
 
     /// From when on a change may have been missed that discovery could have told.
     fn unverified_since(&self) -> Instant {
-        self.unreached.map_or(self.alive, |unreached| self.alive.max(unreached))
+        self.unreachable_since
+            .map_or(self.verified_at, |unreachable_since| self.verified_at.max(unreachable_since))
     }
 
     /// For how long no watch has shown that it is alive: as old the list may be.
-    pub fn silence(&self) -> Duration {
-        self.alive.elapsed()
+    pub fn time_since_verified(&self) -> Duration {
+        self.verified_at.elapsed()
     }
 }
 
 impl<P: Protocol> Driver<P> {
     /// Opens a watch in the place of the present one, if this engine watches.
     pub(super) fn subscribe(&mut self, handle: &Handle<P>) {
-        if !self.desk.group.as_ref().is_none_or(|group| group.watches()) {
+        if !self.context.group.as_ref().is_none_or(|group| group.is_watcher()) {
             return;
         }
-        let (handle, discovery, since) = (handle.clone(), self.desk.config.discovery, self.hosts.seq);
-        let last_look = self.fresh.last_look();
-        let pushed = !self.desk.config.settings.ask;
+        let (handle, discovery, since) = (handle.clone(), self.context.config.discovery, self.hosts.seq);
+        let last_look = self.freshness_gate.last_look();
+        let pushed = !self.context.config.settings.ask;
         self.watch.number += 1;
-        self.watch.opened = Instant::now();
-        self.watch.beats = 0;
+        self.watch.opened_at = Instant::now();
+        self.watch.heartbeats = 0;
         let number = self.watch.number;
-        let (from, silence) = (since.map_or("none".to_owned(), |seq| seq.to_string()), self.watch.silence());
-        self.desk.log(&format!("watch {number}: opened from version {from}, last alive {silence:.3?} ago"));
+        let (from, unverified_for) =
+            (since.map_or("none".to_owned(), |seq| seq.to_string()), self.watch.time_since_verified());
+        self.context
+            .log(&format!("watch {number}: opened from version {from}, last alive {unverified_for:.3?} ago"));
         // The task of the last watch, if there is one, ends here.
         self.watch.task = Some(task::spawn(async move {
             let end = discovery::watch(discovery, pushed, since, last_look, |sign| {
-                handle.watch_shows(number, sign)
+                handle.on_watch_event(number, sign)
             })
             .await;
-            if let Some(retry) = handle.watch_ended(number, end).filter(|_| pushed) {
-                tokio::time::sleep(retry).await;
+            if let Some(retry_after) = handle.on_watch_end(number, end).filter(|_| pushed) {
+                tokio::time::sleep(retry_after).await;
                 handle.0.borrow_mut().subscribe(&handle);
             }
         }));
@@ -148,50 +151,50 @@
 
     /// Heeds what the module has made of the list's lease. Once it has expired nothing is written by it: what is not yet
     /// written is taken back, and the gate at the socket holds for whatever is decided in the same moment.
-    pub(super) fn heed_expiry(&mut self) {
+    pub(super) fn apply_list_expiry(&mut self) {
         let at = self.balancer.list_expires_at();
-        if std::mem::take(&mut self.watch.takes_over) || at != self.expires_at {
+        if std::mem::take(&mut self.watch.publish_pending) || at != self.expires_at {
             self.publish_lease();
         }
         if at != self.expires_at {
-            let instant = at.map(|at| self.desk.clock.instant(at));
-            self.fresh.expires(instant);
+            let instant = at.map(|at| self.context.clock.instant(at));
+            self.freshness_gate.expires(instant);
             let left = instant.map(|at| at.saturating_duration_since(Instant::now()));
-            self.desk.log(&match left {
+            self.context.log(&match left {
                 Some(left) => format!("list: not verified, expires in {left:.3?}"),
                 None => "list: verified".to_owned(),
             });
             self.expires_at = at;
             self.expired = false;
         }
-        if !self.expired && self.fresh.has_expired() {
+        if !self.expired && self.freshness_gate.has_expired() {
             self.expired = true;
-            self.desk.log("list: expired, nothing new is sent until it is verified");
-            self.withdraw();
+            self.context.log("list: expired, nothing new is sent until it is verified");
+            self.withdraw_unsendable();
         }
     }
 
     /// Tells the other engines of the process what this one's watch knows of the list.
     fn publish_lease(&mut self) {
-        let expires = self.balancer.list_expires_at().map(|at| self.desk.clock.instant(at));
-        let lease = Lease { alive: self.watch.unverified_since(), expires };
-        if let Some(group) = self.desk.group.as_mut().filter(|group| group.watches()) {
-            group.publish(lease);
+        let expires = self.balancer.list_expires_at().map(|at| self.context.clock.instant(at));
+        let lease = Lease { verified_at: self.watch.unverified_since(), expires_at: expires };
+        if let Some(group) = self.context.group.as_mut().filter(|group| group.is_watcher()) {
+            group.publish_lease(lease);
         }
     }
 
     /// Brings the module in step with what the engine that watches has published of the list's lease, ahead of whatever it
     /// decides next. What the module has is compared, and not what was seen before: it may have changed since by a watch of
     /// this engine's own.
-    pub(super) fn heed_lease(&mut self) {
-        let Some(group) = &self.desk.group else { return };
-        let (watches, Some(lease)) = (group.watches(), group.lease()) else { return };
+    pub(super) fn apply_published_lease(&mut self) {
+        let Some(group) = &self.context.group else { return };
+        let (is_watcher, Some(lease)) = (group.is_watcher(), group.lease()) else { return };
         // Whatever an engine's watch has proven was told to all.
-        self.watch.alive = self.watch.alive.max(lease.alive);
-        let at = lease.expires.map(|at| self.desk.clock.at(at));
+        self.watch.verified_at = self.watch.verified_at.max(lease.verified_at);
+        let at = lease.expires_at.map(|at| self.context.clock.at(at));
         // Where the list is pushed its lease has no end.
-        if !watches && self.desk.config.settings.ask && at != self.balancer.list_expires_at() {
-            self.desk.events.push_front(Event::Freshness(Freshness::Expires { at }));
+        if !is_watcher && self.context.config.settings.ask && at != self.balancer.list_expires_at() {
+            self.context.events.push_front(Event::Freshness(Freshness::Expires { at }));
         }
     }
 
@@ -199,22 +202,22 @@
     /// meanwhile. It proves itself anew, and publishes what it knows. Once for all events that come together: for a moment
     /// two engines may take themselves for the one that watches.
     pub(super) fn take_over_lease(&mut self) {
-        if !self.desk.group.as_ref().is_some_and(|group| group.watches() && group.is_superseded()) {
+        if !self.context.group.as_ref().is_some_and(|group| group.is_watcher() && group.is_superseded()) {
             return;
         }
-        let since = self.desk.clock.at(self.watch.unverified_since());
-        self.watch.takes_over = true;
-        self.desk.events.push_front(Event::Freshness(Freshness::Unverified { since }));
+        let since = self.context.clock.at(self.watch.unverified_since());
+        self.watch.publish_pending = true;
+        self.context.events.push_front(Event::Freshness(Freshness::Unverified { since }));
     }
 
     /// Writes what a list says to the log.
     pub(super) fn log_list(&self, list: &List, kind: ListKind) {
         let count = |health| list.hosts.iter().filter(|host| host.health == health).count();
         let (ready, draining, gone) = (count(Health::Ready), count(Health::Terminating), count(Health::Gone));
-        self.desk.log(&format!(
+        self.context.log(&format!(
             "list: version {}, {kind:?}: {ready} ready, {draining} draining, {gone} gone, last alive {:.3?} ago",
             list.seq,
-            self.watch.silence()
+            self.watch.time_since_verified()
         ));
     }
 }
@@ -222,82 +225,82 @@
 impl<P: Protocol> Handle<P> {
     /// The list is from before the start: until it is verified it is as after a watch that was lost when the process went
     /// down.
-    pub(super) fn list_is_from_before(&self) {
-        self.unverified(RESTART_MOST);
+    pub(super) fn mark_cached_list_unverified(&self) {
+        self.mark_unverified_before(MAX_RESTART_TIME);
     }
 
     /// The engine that watched for the process answers no more.
-    pub(super) fn watch_is_lost(&self) {
-        self.unverified(0);
+    pub(super) fn mark_list_unverified(&self) {
+        self.mark_unverified_before(0);
     }
 
     /// So much time before the last proof changes may have been missed.
-    fn unverified(&self, before: Micros) {
+    fn mark_unverified_before(&self, before: Micros) {
         let proven = {
             let driver = self.0.borrow();
-            driver.desk.clock.at(driver.watch.unverified_since())
+            driver.context.clock.at(driver.watch.unverified_since())
         };
         let since = proven.saturating_sub(before);
-        self.run([Event::Freshness(Freshness::Unverified { since })]);
+        self.process([Event::Freshness(Freshness::Unverified { since })]);
     }
 
-    fn watch_shows(&self, number: u64, sign: Sign) {
+    fn on_watch_event(&self, number: u64, sign: Sign) {
         if self.0.borrow().watch.number != number {
             return;
         }
         match sign {
             Sign::Answered => {
                 self.0.borrow_mut().watch.outage.answered();
-                let took = self.0.borrow().watch.opened.elapsed();
+                let took = self.0.borrow().watch.opened_at.elapsed();
                 self.log(&format!("watch {number}: answered after {took:.3?}"));
             }
             Sign::Alive => {
                 let mut driver = self.0.borrow_mut();
-                let proves = driver.watch.beat();
+                let proves = driver.watch.record_heartbeat();
                 let verifies = proves && driver.balancer.list_expires_at().is_some();
                 if proves && !verifies {
                     driver.publish_lease();
                 }
                 drop(driver);
                 if verifies {
-                    self.run([Event::Freshness(Freshness::Verified)]);
+                    self.process([Event::Freshness(Freshness::Verified)]);
                 }
             }
             // The lease goes on from the last sign that was read in time.
-            Sign::AliveLately => self.unverified(0),
+            Sign::AliveLately => self.mark_unverified_before(0),
             Sign::Partial(since) => {
-                let since = self.0.borrow().desk.clock.at(since);
-                self.run([Event::Freshness(Freshness::Withheld { since })]);
+                let since = self.0.borrow().context.clock.at(since);
+                self.process([Event::Freshness(Freshness::Withheld { since })]);
             }
             Sign::List(list) => {
-                self.members(list, Source::Watch(number));
-                self.0.borrow_mut().watch.listed();
+                self.receive_list(list, ListSource::Watch(number));
+                self.0.borrow_mut().watch.record_list();
             }
         }
     }
 
     /// A watch has ended. When the next one is to be opened, unless it was replaced meanwhile.
-    fn watch_ended(&self, number: u64, end: End) -> Option<Duration> {
+    fn on_watch_end(&self, number: u64, end: End) -> Option<Duration> {
         let mut driver = self.0.borrow_mut();
         if driver.watch.number != number {
             return None;
         }
-        let verdict = driver.watch.judge(&end);
-        let (open, silence) = (driver.watch.opened.elapsed(), driver.watch.silence());
-        let (what, judged) = (describe(&end), describe_verdict(verdict));
+        let status = driver.watch.assess(&end);
+        let (open, unverified_for) = (driver.watch.opened_at.elapsed(), driver.watch.time_since_verified());
+        let (end_text, status_text) = (describe(&end), describe_status(status));
         let line =
-            format!("watch {number}: {what}{judged}, opened {open:.3?} ago, last alive {silence:.3?} ago");
-        driver.desk.log(&line);
-        let retry = driver.watch.retry_after(&end);
-        let clock = driver.desk.clock;
+            format!("watch {number}: {end_text}{status_text}, opened {open:.3?} ago, last alive {unverified_for:.3?} ago");
+        driver.context.log(&line);
+        let retry_after = driver.watch.retry_after(&end);
+        let clock = driver.context.clock;
         let since = clock.at(driver.watch.unverified_since());
-        let more = match verdict {
+        let status_change = match status {
             Verdict::Down => {
-                driver.watch.unreached = Some(driver.watch.opened);
-                Some(Freshness::Unreachable { since: clock.at(driver.watch.opened) })
+                driver.watch.unreachable_since = Some(driver.watch.opened_at);
+                Some(Freshness::Unreachable { since: clock.at(driver.watch.opened_at) })
             }
             Verdict::NeverDown => {
-                driver.watch.unreached = None;
+                driver.watch.unreachable_since = None;
                 Some(Freshness::Reachable)
             }
             Verdict::Unknown => match end {
@@ -305,12 +308,12 @@
                 _ => end.withheld_since().map(|since| Freshness::Withheld { since: clock.at(since) }),
             },
         };
-        let told_soon = matches!(end, End::Silent) || end.withheld_since().is_some();
-        let kind = if told_soon { ListKind::Silent } else { ListKind::Failed };
+        let soon_available = matches!(end, End::Silent) || end.withheld_since().is_some();
+        let kind = if soon_available { ListKind::Silent } else { ListKind::Failed };
         drop(driver);
-        let freshness = std::iter::once(Freshness::Unverified { since }).chain(more);
-        self.run(freshness.map(Event::Freshness).chain([Event::Members { kind, entries: Vec::new() }]));
-        Some(retry)
+        let freshness = std::iter::once(Freshness::Unverified { since }).chain(status_change);
+        self.process(freshness.map(Event::Freshness).chain([Event::Members { kind, entries: Vec::new() }]));
+        Some(retry_after)
     }
 }
 
@@ -330,8 +333,8 @@
 }
 
 /// What its calls have proven, in words that follow these.
-fn describe_verdict(verdict: Verdict) -> &'static str {
-    match verdict {
+fn describe_status(status: Verdict) -> &'static str {
+    match status {
         Verdict::Unknown => "",
         Verdict::Down => ", discovery is taken for down",
         Verdict::NeverDown => ", discovery was never down",
--- a/engine/src/group.rs
+++ b/engine/src/group.rs
@@ -12,15 +12,15 @@
 use tokio::time::Instant;
 
 /// A call's place at a host; dropped, it is free.
-pub type Place = Box<dyn Any>;
+pub type HostPermit = Box<dyn Any>;
 
 /// How far the list may be trusted that all engines of the process send by, as the one that watches it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// When a watch last proved that the list was up to date.
-    pub alive: Instant,
+    pub verified_at: Instant,
     /// When nothing new may be sent by it any more; `None`: a watch is open and alive.
-    pub expires: Option<Instant>,
+    pub expires_at: Option<Instant>,
 }
 
 /// What several engines of one process have in common, as one of them sees it.
@@ -28,13 +28,13 @@
 /// All of it runs on the engine's thread. No method may block, or call the engine: it is called from within.
 pub trait Group<P: Protocol> {
     /// Whether this engine watches the list, for all.
-    fn watches(&self) -> bool;
+    fn is_watcher(&self) -> bool;
 
     /// This engine's own watch has brought this.
-    fn listed(&mut self, list: &List);
+    fn publish_list(&mut self, list: &List);
 
     /// What this engine, which watches, knows of the list's lease.
-    fn publish(&mut self, lease: Lease);
+    fn publish_lease(&mut self, lease: Lease);
 
     /// What the engine that watches has last published; `None`: nothing so far.
     fn lease(&self) -> Option<Lease>;
@@ -43,33 +43,33 @@
     fn is_superseded(&self) -> bool;
 
     /// The number of a host, the same at every engine.
-    fn number(&mut self, name: &str) -> ServerId;
+    fn server_id(&mut self, name: &str) -> ServerId;
 
     /// A host is on the list, and its process started then; told again and again.
-    fn host(&mut self, server: ServerId, name: &str, born_ms: u64);
+    fn host_listed(&mut self, server: ServerId, name: &str, born_ms: u64);
 
     /// Only these hosts are on the list.
-    fn retain(&mut self, listed: &dyn Fn(ServerId) -> bool);
+    fn retain_hosts(&mut self, is_listed: &dyn Fn(ServerId) -> bool);
 
     /// Opens a call's id. `false`: it is open at another engine.
-    fn open(&mut self, id: &P::Id) -> bool;
+    fn open_id(&mut self, id: &P::Id) -> bool;
 
     /// Closes an id that this engine has opened.
-    fn close(&mut self, id: &P::Id);
+    fn close_id(&mut self, id: &P::Id);
 
     /// An attempt is about to go to a host. `None`: there is no room for it, and it must not.
-    fn begin(&mut self, server: ServerId) -> Option<Place>;
+    fn acquire(&mut self, server: ServerId) -> Option<HostPermit>;
 
     /// A host has reported its load.
-    fn reported(&mut self, server: ServerId, load: Load);
+    fn load_reported(&mut self, server: ServerId, load: Load);
 
     /// The module has learned something that the others are to hear.
-    fn tell(&mut self, server: ServerId, news: News);
+    fn share_observation(&mut self, server: ServerId, news: News);
 
     /// Comes before each event of the module, and after the last. What the module is to hear first goes to the front of
     /// `events`.
-    fn settle(&mut self, now: Micros, balancer: &Balancer, events: &mut VecDeque<Event>);
+    fn synchronize(&mut self, now: Micros, balancer: &Balancer, events: &mut VecDeque<Event>);
 
     /// For whoever knows the type.
-    fn any(&mut self) -> &mut dyn Any;
+    fn as_any(&mut self) -> &mut dyn Any;
 }
--- a/engine/src/http1/exchange.rs
+++ b/engine/src/http1/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Connection;
 use crate::meter::Meter;
-use crate::protocol::End;
+use crate::protocol::AttemptEnd;
 use http::response::Parts;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Bytes, Frame, SizeHint};
@@ -77,7 +77,7 @@
     mut connection: Connection,
     request: Request<Outgoing>,
     meter: &Meter,
-) -> Option<(End<Response<Bytes>>, Option<Connection>)> {
+) -> Option<(AttemptEnd<Response<Bytes>>, Option<Connection>)> {
     connection.socket.count(meter);
     let (kept, started) = (connection.reads > 0, Instant::now());
     let response = match connection.sender.send_request(request).await {
@@ -88,7 +88,7 @@
             let unanswered = kept && connection.socket.reads() <= connection.reads + 1;
             let outcome = broken(&error);
             let stale = outcome == Outcome::Reset && unanswered && started.elapsed() < CROSSING;
-            return Some((End::without_answer(if stale { Outcome::Stale } else { outcome }), None));
+            return Some((AttemptEnd::without_answer(if stale { Outcome::Stale } else { outcome }), None));
         }
     };
     let (head, body) = response.into_parts();
@@ -115,7 +115,7 @@
         yield_now().await;
         again = connection.is_ready();
     }
-    Some((End { outcome, load, answer }, again.then_some(connection)))
+    Some((AttemptEnd { outcome, load, answer }, again.then_some(connection)))
 }
 
 /// An answer that holds nothing of what its connection reads into: whoever keeps a few bytes of one would keep all of
--- a/engine/src/http1/mod.rs
+++ b/engine/src/http1/mod.rs
@@ -8,8 +8,8 @@
 
 use crate::config::Config;
 use crate::meter::Meter;
-use crate::protocol::{Connections, End, Protocol, Target};
-use crate::quota::{Counted, Side};
+use crate::protocol::{AttemptEnd, Connections, Protocol, Target};
+use crate::quota::{ConnectionPermit, Side};
 use connection::{Connection, OpenError};
 use exchange::{exchange, Outgoing};
 use hyper::body::Bytes;
@@ -83,15 +83,15 @@
     /// A place for one more connection to a host; the oldest idle one makes room when there is none.
     fn slot(&mut self) -> Option<Slot> {
         let most = self.config.connections_to_hosts();
-        let place = self.config.quota.place(Side::Hosts, most);
+        let place = self.config.quota.acquire(Side::Hosts, most);
         let place = place.or_else(|| {
             let oldest = self.hosts.values_mut().filter(|host| !host.idle.is_empty());
             let Some(host) = oldest.min_by_key(|host| host.idle[0].0) else {
-                self.config.quota.is_short();
+                self.config.quota.report_shortage();
                 return None;
             };
             drop(host.idle.remove(0));
-            self.config.quota.place(Side::Hosts, most)
+            self.config.quota.acquire(Side::Hosts, most)
         });
         Some(Slot { _own: self.slots.clone(), _place: place? })
     }
@@ -101,13 +101,13 @@
 #[derive(Debug)]
 struct Slot {
     _own: Rc<()>,
-    _place: Counted,
+    _place: ConnectionPermit,
 }
 
 #[cfg(test)]
 impl Slot {
     fn alone() -> Slot {
-        let place = crate::quota::Quota::default().place(Side::Hosts, 1);
+        let place = crate::quota::Quota::default().acquire(Side::Hosts, 1);
         Slot { _own: Rc::default(), _place: place.expect("none is open") }
     }
 }
@@ -142,7 +142,7 @@
         forward: Rc<Forward>,
         until: Instant,
         meter: Meter,
-    ) -> End<Response<Bytes>> {
+    ) -> AttemptEnd<Response<Bytes>> {
         if let Some(connection) = kept {
             let end = exchange(connection, forward.request(until, &meter), &meter).await;
             let broken = end.as_ref().is_none_or(|(end, _)| end.outcome == Outcome::Stale);
@@ -163,9 +163,9 @@
         forward: Rc<Forward>,
         until: Instant,
         meter: Meter,
-    ) -> End<Response<Bytes>> {
+    ) -> AttemptEnd<Response<Bytes>> {
         let Some(slot) = self.0.borrow_mut().slot() else {
-            return End::without_answer(Outcome::NotSent);
+            return AttemptEnd::without_answer(Outcome::NotSent);
         };
         let limit = self.0.borrow().config.connect_timeout;
         let written_by = meter.written_by();
@@ -174,14 +174,14 @@
         self.count(|counts| *if opened.is_ok() { &mut counts.opened } else { &mut counts.open_failed } += 1);
         let end = match opened {
             Ok(connection) => exchange(connection, forward.request(until, &meter), &meter).await,
-            Err(OpenError::OfThisMachine) => return End::without_answer(Outcome::NotSent),
+            Err(OpenError::OfThisMachine) => return AttemptEnd::without_answer(Outcome::NotSent),
             Err(OpenError::OfTheHost) => None,
         };
         let Some((end, connection)) = end else {
             // That it came too late says nothing of the host.
             let late = meter.is_too_late() || meter.has_expired();
             let outcome = if late { Outcome::NotSent } else { Outcome::NoConnection };
-            return End::without_answer(outcome);
+            return AttemptEnd::without_answer(outcome);
         };
         connection.into_iter().for_each(|connection| self.keep(to, connection));
         end
@@ -193,12 +193,12 @@
     type Request = Forward;
     type Answer = Response<Bytes>;
 
-    fn identity(request: &Forward) -> Vec<&[u8]> {
+    fn fingerprint_parts(request: &Forward) -> Vec<&[u8]> {
         let target = request.target.path_and_query().map_or("", |target| target.as_str());
         vec![request.method.as_str().as_bytes(), target.as_bytes(), &request.body]
     }
 
-    fn replayed(answer: &Response<Bytes>) -> (usize, Response<Bytes>) {
+    fn replay_copy(answer: &Response<Bytes>) -> (usize, Response<Bytes>) {
         let head: usize =
             answer.headers().iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
         let mut replayed = answer.clone();
@@ -212,7 +212,7 @@
         forward: Rc<Forward>,
         until: Instant,
         meter: &Meter,
-    ) -> impl Future<Output = End<Response<Bytes>>> + 'static {
+    ) -> impl Future<Output = AttemptEnd<Response<Bytes>>> + 'static {
         let mut pool = self.0.borrow_mut();
         // A request must not cross its host's close: old ones and those closed meanwhile are passed over.
         let keep = pool.config.conn_idle.mul_f64(IDLE_PART);
@@ -230,7 +230,7 @@
         Box::pin(self.clone().run(to, kept, forward, until, meter.clone()))
     }
 
-    fn admit(&self, to: Target) {
+    fn host_ready(&self, to: Target) {
         let mut pool = self.0.borrow_mut();
         let host = pool.hosts.entry(to.server).or_insert(Kept { address: to.address, idle: Vec::new() });
         if host.address != to.address {
@@ -238,7 +238,7 @@
         }
     }
 
-    fn retire(&self, server: ServerId) {
+    fn host_retired(&self, server: ServerId) {
         self.0.borrow_mut().hosts.remove(&server);
     }
 
@@ -250,7 +250,7 @@
             host.idle.retain(|(since, connection)| since.elapsed() < keep && connection.is_ready());
         });
         // Another engine of the process needs connections, and has none of its own to close.
-        if pool.config.quota.was_short() {
+        if pool.config.quota.take_shortage() {
             pool.hosts.values_mut().for_each(|host| drop(host.idle.drain(..host.idle.len().div_ceil(2))));
         }
     }
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`mutant`], [`task`], [`stall`], [`meter`], [`net`], `clock`, `dial`: planted faults for tests, tasks that end
 //!   with their owner, tasks that were not run in time, what was written, the seam to the system, time, connections.
-//! - [`list`], [`quota`], [`extras`], [`config`]: the list of hosts' form, connections of the whole process, what
+//! - [`list`], [`quota`], [`extensions`], [`config`]: the list of hosts' form, connections of the whole process, what
 //!   stations are told, what the engine is told.
 //! - [`protocol`]: the seam to what hosts speak; [`state`] what the engine shows.
 //! - [`calls`], [`station`]: calls on their way, and the subsystems that they pass.
@@ -21,21 +21,21 @@
 mod dial;
 pub mod discovery;
 pub mod driver;
-pub mod extras;
+pub mod extensions;
 pub mod group;
 pub mod http1;
+pub mod interceptor;
 pub mod list;
 pub mod meter;
 pub mod mutant;
 pub mod net;
-pub mod passing;
 pub mod protocol;
 pub mod quota;
 pub mod socket;
 pub mod stall;
 pub mod state;
-pub mod station;
 pub mod task;
+pub mod transient;
 
 use std::io::{self, Write};
 use std::rc::Rc;
--- a/engine/src/mutant.rs
+++ b/engine/src/mutant.rs
@@ -5,26 +5,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mutant {
     /// An attempt that broke after it was written counts as one that never ran: the module sends it again.
-    RepeatsWritten,
+    RetriesWritten,
     /// One in 40 answers goes to another open call's caller, and that call's to this one's.
-    MixesCallers,
+    SwapsAnswers,
     /// The list is taken in 1.2 s late where it says that a host drains.
-    DrainsLate,
+    DelaysDrains,
     /// One in 10 refusals and failures never reaches its caller.
-    LosesAnswers,
+    DropsAnswers,
 }
 
 /// Whether a fault is planted on this thread.
 #[cfg(not(feature = "mutants"))]
 #[inline(always)]
-pub(crate) const fn is_planted(_: Mutant) -> bool {
+pub(crate) const fn is_active(_: Mutant) -> bool {
     false
 }
 
 #[cfg(feature = "mutants")]
-pub use planted::plant;
+pub use active::activate;
 #[cfg(feature = "mutants")]
-pub(crate) use planted::{is_planted, nth};
+pub(crate) use active::{is_active, nth};
 
 /// Whether this is one in so many; none without the feature.
 #[cfg(not(feature = "mutants"))]
@@ -34,27 +34,27 @@
 }
 
 #[cfg(feature = "mutants")]
-mod planted {
+mod active {
     use super::Mutant;
     use std::cell::Cell;
 
     thread_local! {
-        static PLANTED: Cell<Option<Mutant>> = const { Cell::new(None) };
+        static ACTIVE: Cell<Option<Mutant>> = const { Cell::new(None) };
         static COUNT: Cell<u32> = const { Cell::new(0) };
     }
 
     /// Plants a fault on this thread, in the place of the one before; its count starts anew.
-    pub fn plant(mutant: Option<Mutant>) {
-        PLANTED.set(mutant);
+    pub fn activate(mutant: Option<Mutant>) {
+        ACTIVE.set(mutant);
         COUNT.set(0);
     }
 
-    pub(crate) fn is_planted(mutant: Mutant) -> bool {
-        PLANTED.get() == Some(mutant)
+    pub(crate) fn is_active(mutant: Mutant) -> bool {
+        ACTIVE.get() == Some(mutant)
     }
 
-    pub(crate) fn nth(of: u32) -> bool {
+    pub(crate) fn nth(interval: u32) -> bool {
         COUNT.set(COUNT.get().wrapping_add(1));
-        COUNT.get().is_multiple_of(of)
+        COUNT.get().is_multiple_of(interval)
     }
 }
--- a/engine/src/protocol.rs
+++ b/engine/src/protocol.rs
@@ -12,7 +12,7 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct End<A> {
+pub struct AttemptEnd<A> {
     /// What the exchange proves. `NoConnection` and `NotSent` say that nothing was written.
     pub outcome: Outcome,
     /// The host's report on its load.
@@ -21,10 +21,10 @@
     pub answer: Option<A>,
 }
 
-impl<A> End<A> {
+impl<A> AttemptEnd<A> {
     /// An end without an answer.
     pub fn without_answer(outcome: Outcome) -> Self {
-        End { outcome, load: Load::default(), answer: None }
+        AttemptEnd { outcome, load: Load::default(), answer: None }
     }
 }
 
@@ -64,10 +64,10 @@
     type Answer: Clone + 'static;
 
     /// What tells a request from another under the same idempotency key: all that a host's work depends on.
-    fn identity(request: &Self::Request) -> Vec<&[u8]>;
+    fn fingerprint_parts(request: &Self::Request) -> Vec<&[u8]>;
 
     /// How many bytes an answer holds, and what it is when a repeat gets it.
-    fn replayed(answer: &Self::Answer) -> (usize, Self::Answer);
+    fn replay_copy(answer: &Self::Answer) -> (usize, Self::Answer);
 
     /// One attempt: one exchange on one connection, which the protocol opens or has kept. It must write the
     /// request no more than once, and count in `meter` what it writes. The driver drops the future at `until`,
@@ -80,14 +80,14 @@
         request: Rc<Self::Request>,
         until: Instant,
         meter: &Meter,
-    ) -> impl Future<Output = End<Self::Answer>> + 'static;
+    ) -> impl Future<Output = AttemptEnd<Self::Answer>> + 'static;
 
     /// A host takes requests, at this address. Told again and again, also when nothing has changed.
-    fn admit(&self, to: Target);
+    fn host_ready(&self, to: Target);
 
     /// A host takes nothing new, has moved or has started again: what is kept for it is closed, and what is out
     /// is closed when it is done.
-    fn retire(&self, server: ServerId);
+    fn host_retired(&self, server: ServerId);
 
     /// Comes once a second: what has been kept too long is closed.
     fn sweep(&self);
--- a/engine/src/quota.rs
+++ b/engine/src/quota.rs
@@ -13,13 +13,13 @@
 }
 
 #[derive(Debug, Default)]
-struct Open {
+struct Counts {
     clients: AtomicUsize,
     hosts: AtomicUsize,
-    short: AtomicBool,
+    shortage: AtomicBool,
 }
 
-impl Open {
+impl Counts {
     fn count(&self, side: Side) -> &AtomicUsize {
         match side {
             Side::Clients => &self.clients,
@@ -30,7 +30,7 @@
 
 /// How many connections are open; clones count together.
 #[derive(Clone, Debug, Default)]
-pub struct Quota(Arc<Open>);
+pub struct Quota(Arc<Counts>);
 
 impl Quota {
     /// How many are open.
@@ -38,29 +38,29 @@
         self.0.count(side).load(Ordering::Relaxed)
     }
 
-    /// A place for one more, unless `most` are open.
-    pub fn place(&self, side: Side, most: usize) -> Option<Counted> {
-        let more = |open: usize| (open < most).then_some(open + 1);
-        self.0.count(side).fetch_update(Ordering::Relaxed, Ordering::Relaxed, more).ok()?;
-        Some(Counted(self.0.clone(), side))
+    /// A place for one more, unless `max` are open.
+    pub fn acquire(&self, side: Side, max: usize) -> Option<ConnectionPermit> {
+        let increment = |open: usize| (open < max).then_some(open + 1);
+        self.0.count(side).fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment).ok()?;
+        Some(ConnectionPermit(self.0.clone(), side))
     }
 
     /// One engine has nothing left to close for a connection that it needs: the others are to close some.
-    pub fn is_short(&self) {
-        self.0.short.store(true, Ordering::Relaxed);
+    pub fn report_shortage(&self) {
+        self.0.shortage.store(true, Ordering::Relaxed);
     }
 
     /// Whether one has said so since this was last asked.
-    pub fn was_short(&self) -> bool {
-        self.0.short.load(Ordering::Relaxed) && self.0.short.swap(false, Ordering::Relaxed)
+    pub fn take_shortage(&self) -> bool {
+        self.0.shortage.load(Ordering::Relaxed) && self.0.shortage.swap(false, Ordering::Relaxed)
     }
 }
 
 /// An open connection's count. It ends with this.
 #[derive(Debug)]
-pub struct Counted(Arc<Open>, Side);
+pub struct ConnectionPermit(Arc<Counts>, Side);
 
-impl Drop for Counted {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.count(self.1).fetch_sub(1, Ordering::Relaxed);
     }
@@ -71,16 +71,16 @@
     use super::*;
 
     #[test]
-    fn the_bound_is_one_for_all() {
+    fn limit_applies_to_all_clones() {
         let quota = Quota::default();
         let other = quota.clone();
-        let held: Vec<_> = (0..2).filter_map(|_| quota.place(Side::Hosts, 3)).collect();
-        let theirs = other.place(Side::Hosts, 3);
-        assert!(theirs.is_some() && quota.place(Side::Hosts, 3).is_none());
-        assert!(quota.place(Side::Clients, 1).is_some());
+        let held: Vec<_> = (0..2).filter_map(|_| quota.acquire(Side::Hosts, 3)).collect();
+        let acquired_by_other = other.acquire(Side::Hosts, 3);
+        assert!(acquired_by_other.is_some() && quota.acquire(Side::Hosts, 3).is_none());
+        assert!(quota.acquire(Side::Clients, 1).is_some());
         drop(held);
         assert_eq!((other.open(Side::Hosts), other.open(Side::Clients)), (1, 0));
-        quota.is_short();
-        assert!(other.was_short() && !other.was_short());
+        quota.report_shortage();
+        assert!(other.take_shortage() && !other.take_shortage());
     }
 }
--- a/engine/src/state.rs
+++ b/engine/src/state.rs
@@ -33,7 +33,7 @@
     /// Calls that are open, or over with an attempt still out.
     pub calls: usize,
     /// Those of them that go on though nobody waits for them.
-    pub lingering: usize,
+    pub detached: usize,
     /// Ids that no new call may have.
     pub ids: usize,
     /// Connections to hosts.
@@ -45,21 +45,21 @@
     /// How attempts have ended so far.
     pub outcomes: BTreeMap<Outcome, u64>,
     /// What stations show of themselves, by name.
-    pub stations: Vec<(&'static str, Rc<dyn Any>)>,
+    pub interceptors: Vec<(&'static str, Rc<dyn Any>)>,
 }
 
 impl State {
     /// What the station shows that has this type.
-    pub fn of<T: 'static>(&self) -> Option<&T> {
-        self.stations.iter().find_map(|(_, state)| state.downcast_ref())
+    pub fn interceptor_state<T: 'static>(&self) -> Option<&T> {
+        self.interceptors.iter().find_map(|(_, state)| state.downcast_ref())
     }
 }
 
 /// Whoever looks at the state. It costs the engine a walk over what is open each time.
 pub trait Observer {
     /// Whether it looks at all.
-    fn looks(&self) -> bool;
+    fn wants_state(&self) -> bool;
 
     /// The state is this now.
-    fn show(&self, state: State);
+    fn on_state(&self, state: State);
 }
--- a/engine/tests/tree.rs
+++ b/engine/tests/tree.rs
@@ -4,64 +4,64 @@
 use std::path::{Path, PathBuf};
 
 /// From the bottom up.
-const ORDER: [&str; 21] = [
+const LAYERS: [&str; 21] = [
     "mutant",
     "task",
     "stall",
     "meter",
-    "passing",
+    "transient",
     "net",
     "clock",
     "dial",
     "list",
     "quota",
-    "extras",
+    "extensions",
     "config",
     "protocol",
     "state",
     "group",
     "calls",
-    "station",
+    "interceptor",
     "socket",
     "http1",
     "discovery",
     "driver",
 ];
-const LINES_MOST: usize = 400;
+const MAX_LINES: usize = 400;
 
-fn files(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_files(folder: &Path, paths: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            files(&path, found);
+            collect_files(&path, paths);
         } else {
-            found.push(path);
+            paths.push(path);
         }
     }
 }
 
-fn place(module: &str) -> usize {
-    ORDER
+fn layer(module: &str) -> usize {
+    LAYERS
         .iter()
         .position(|known| *known == module)
-        .unwrap_or_else(|| panic!("{module} has no place in the order"))
+        .unwrap_or_else(|| panic!("{module} is missing in LAYERS"))
 }
 
 #[test]
 fn modules_use_only_those_before_them() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut found = Vec::new();
-    files(&root, &mut found);
-    assert!(found.len() >= ORDER.len());
-    for path in found {
-        let inside = path.strip_prefix(&root).expect("below").with_extension("");
-        let module = inside.iter().next().expect("a name").to_str().expect("text").to_owned();
+    let mut paths = Vec::new();
+    collect_files(&root, &mut paths);
+    assert!(paths.len() >= LAYERS.len());
+    for path in paths {
+        let relative = path.strip_prefix(&root).expect("below").with_extension("");
+        let module = relative.iter().next().expect("a name").to_str().expect("text").to_owned();
         let text = fs::read_to_string(&path).expect("text");
-        assert!(text.lines().count() <= LINES_MOST, "{}: {}", path.display(), text.lines().count());
+        assert!(text.lines().count() <= MAX_LINES, "{}: {}", path.display(), text.lines().count());
         if module == "lib" {
             continue;
         }
-        let own = place(&module);
+        let own = layer(&module);
         let code: Vec<&str> = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
         for used in code.join("\n").split("crate::").skip(1) {
             let name: String = used
@@ -70,7 +70,7 @@
                 .collect();
             // What begins with a capital is of the crate's root.
             if !name.is_empty() {
-                assert!(place(&name) <= own, "{module} uses {name}, which comes after it");
+                assert!(layer(&name) <= own, "{module} uses {name}, which comes after it");
             }
         }
     }
@@ -78,13 +78,14 @@
 
 /// The engine knows no subsystem: none is among what it is built with.
 #[test]
-fn the_engine_names_no_subsystem() {
+fn engine_depends_on_no_subsystem() {
     let manifest =
         fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("Cargo.toml")).expect("text");
-    let ours: Vec<&str> = manifest.lines().filter(|line| line.contains("path = ")).collect();
-    assert_eq!(ours.len(), 2, "{ours:?}");
+    let dependencies: Vec<&str> = manifest.lines().filter(|line| line.contains("path = ")).collect();
+    assert_eq!(dependencies.len(), 2, "{dependencies:?}");
     assert!(
-        ours[0].starts_with("nettleworks-policy") && ours[1].starts_with("nettleworks-settings"),
-        "{ours:?}"
+        dependencies[0].starts_with("nettleworks-policy")
+            && dependencies[1].starts_with("nettleworks-settings"),
+        "{dependencies:?}"
     );
 }
--- a/keys/station/src/config.rs
+++ b/keys/station/src/config.rs
@@ -1,7 +1,7 @@
 //! What the station of keys is told, in a file of its own.
 
 use nettleworks_engine::config::Config;
-use nettleworks_engine::extras::Extra;
+use nettleworks_engine::extensions::Extension;
 use nettleworks_keys::{Bounds, LingerBounds, Retention};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -109,7 +109,7 @@
     }
 }
 
-impl Extra for Keys {}
+impl Extension for Keys {}
 
 /// A configuration with a store of keys.
 pub trait WithKeys: Sized {
@@ -126,11 +126,11 @@
 impl WithKeys for Config {
     fn with_keys(mut self, text: &str) -> Result<Config, String> {
         let keys = Keys::parse(text, &self.classes).map_err(|error| format!("keys: {error}"))?;
-        self.extras.set(keys);
+        self.extensions.set(keys);
         Ok(self)
     }
 
     fn keys(&self) -> Option<&Keys> {
-        self.extras.get()
+        self.extensions.get()
     }
 }
--- a/keys/station/src/lib.rs
+++ b/keys/station/src/lib.rs
@@ -11,10 +11,10 @@
 pub use operate::Operate;
 pub use together::{Common, Together, Told};
 
-use nettleworks_engine::calls::{Doubt, Guest, Outlives, Reply};
+use nettleworks_engine::calls::{DetachPolicy, IncomingRequest, KeyStatus, Reply};
 use nettleworks_engine::config::Config;
+use nettleworks_engine::interceptor::{CallEnd, ChainContext, HeldRequest, Interceptor, RequestFlow};
 use nettleworks_engine::protocol::Protocol;
-use nettleworks_engine::station::{Desk, Ended, Station, Step, Taken};
 use nettleworks_keys::{Arrival, Counts, End, KeyState, Kind, Known, Left, Request, Slot, Store, WaiterId};
 use nettleworks_policy::{CallId, ClassId, Micros, Repeat};
 use rustc_hash::FxHashMap;
@@ -46,7 +46,7 @@
     slot: Slot,
     /// The call runs as this one's: others get a replayed answer.
     first: bool,
-    taken: Taken<P>,
+    taken: HeldRequest<P>,
 }
 
 /// The station.
@@ -81,7 +81,7 @@
     }
 
     /// Another station that shares its bounds needs room.
-    pub fn told(&mut self, desk: &mut Desk<P>, told: Told) {
+    pub fn told(&mut self, desk: &mut ChainContext<P>, told: Told) {
         match told {
             Told::GiveUp => self.store.give_up(),
             // It may have ended by itself, or be wanted again.
@@ -100,11 +100,14 @@
     }
 
     /// How a call of a class goes on without its clients: until its class's time is up.
-    fn outlives(&self, desk: &Desk<P>, class: ClassId, deadline: Instant) -> Option<Outlives> {
+    fn outlives(&self, desk: &ChainContext<P>, class: ClassId, deadline: Instant) -> Option<DetachPolicy> {
         self.linger(class)?;
         let spec = desk.config().settings.classes.get(class.0)?;
         let end = Instant::now().checked_add(Duration::from_micros(spec.deadline))?;
-        Some(Outlives { until: end.max(deadline), past_aim: spec.repeat == Repeat::SingleShot })
+        Some(DetachPolicy {
+            until: end.max(deadline),
+            past_attempt_deadline: spec.repeat == Repeat::SingleShot,
+        })
     }
 
     /// When one that waits is told that its time is up.
@@ -121,16 +124,16 @@
         self.store.runner(slot).map(CallId)
     }
 
-    fn wait(&mut self, slot: Slot, first: bool, taken: Taken<P>) {
-        self.waiters.insert(taken.guest().number().0, Waiter { slot, first, taken });
+    fn wait(&mut self, slot: Slot, first: bool, taken: HeldRequest<P>) {
+        self.waiters.insert(taken.incoming().number().0, Waiter { slot, first, taken });
     }
 
     /// The call of a key has ended so.
-    fn settle(&mut self, desk: &mut Desk<P>, slot: Slot, mut end: Ended<P::Answer>) {
+    fn settle(&mut self, desk: &mut ChainContext<P>, slot: Slot, mut end: CallEnd<P::Answer>) {
         let now = desk.now();
         let (told, replayed) = match &end.reply {
             Reply::Served(answer) => {
-                let (bytes, replayed) = P::replayed(answer);
+                let (bytes, replayed) = P::replay_copy(answer);
                 (End::Served { answer: replayed.clone(), bytes }, Some(replayed))
             }
             _ if !end.may_have_run => (End::NeverRan, None),
@@ -158,23 +161,23 @@
                 (reply, _) if !end.may_have_run => reply.clone(),
                 _ => Reply::Unsure(doubt(known)),
             };
-            desk.answer_taken(waiter.taken, reply);
+            desk.answer_held(waiter.taken, reply);
         }
         // The next who waits takes the first's place.
         let Some(next) = ended.next else { return };
         let (class, deadline) = match self.waiters.get(&next) {
-            Some(waiter) => (waiter.taken.guest().ask().class, waiter.taken.guest().ask().deadline),
+            Some(waiter) => (waiter.taken.incoming().info().class, waiter.taken.incoming().info().deadline),
             None => return,
         };
         let outlives = self.outlives(desk, class, deadline);
         if let Some(waiter) = self.waiters.get_mut(&next) {
             waiter.first = true;
             self.slots.insert(CallId(next), slot);
-            desk.send_on(&mut waiter.taken, outlives);
+            desk.forward(&mut waiter.taken, outlives);
         }
     }
 
-    fn leave(&mut self, desk: &mut Desk<P>, waiter: Waiter<P>, left: Left) {
+    fn leave(&mut self, desk: &mut ChainContext<P>, waiter: Waiter<P>, left: Left) {
         let slot = waiter.slot;
         let may_have_run = self.call(slot).is_some_and(|call| desk.may_have_run(call));
         let known = self.store.known(desk.now(), slot);
@@ -184,39 +187,39 @@
             Some(known) => Reply::Unsure(doubt(known)),
             None => Reply::Failed,
         };
-        let class = waiter.taken.guest().ask().class;
-        desk.answer_taken(waiter.taken, reply);
+        let class = waiter.taken.incoming().info().class;
+        desk.answer_held(waiter.taken, reply);
         if left == Left::Nobody {
             self.alone(desk, slot, class);
         }
     }
 
     /// Nobody waits for a call any more. It goes on within its class's time and the bounds, as far as it may.
-    fn alone(&mut self, desk: &mut Desk<P>, slot: Slot, class: ClassId) {
+    fn alone(&mut self, desk: &mut ChainContext<P>, slot: Slot, class: ClassId) {
         let Some(call) = self.call(slot) else { return };
         let now = Instant::now();
         let lingers = self.linger(class).and_then(|most| {
-            let (servers, limit) = desk.may_linger(call)?;
+            let (servers, limit) = desk.can_detach(call)?;
             Some((servers, limit, limit.min(now.checked_add(most).unwrap_or(limit))))
         });
         let Some((servers, limit, until)) = lingers else { return self.give_up(desk, slot) };
-        desk.linger(call);
+        desk.detach(call);
         // Where it is the class's time that ends it, its attempts time out first, and their hosts are blamed.
         let until = if until == limit { until + GRACE } else { until };
         let hosts: Vec<u32> = servers.iter().map(|server| server.0).collect();
-        let off = self.lingering.begin(slot, self.store.tenant(slot), &hosts, desk.at(until));
+        let off = self.lingering.begin(slot, self.store.tenant(slot), &hosts, desk.micros_at(until));
         let counts = self.store.counts_mut();
         counts.lingered += u64::from(!off.contains(&slot));
         counts.called_off += off.len() as u64;
         for slot in off {
             self.give_up(desk, slot);
         }
-        desk.arm(until);
+        desk.wake_by(until);
     }
 
     /// The call of a key that nobody waits for is called off, where that is allowed. Its answer may come all the same,
     /// where it is not.
-    fn give_up(&mut self, desk: &mut Desk<P>, slot: Slot) {
+    fn give_up(&mut self, desk: &mut ChainContext<P>, slot: Slot) {
         let Some(call) = self.call(slot) else { return };
         // One that has ended is told of.
         let Some(may_have_run) = desk.give_up(call) else { return };
@@ -227,14 +230,14 @@
     }
 }
 
-impl<P: Protocol> Station<P> for KeyStation<P> {
+impl<P: Protocol> Interceptor<P> for KeyStation<P> {
     fn name(&self) -> &'static str {
         "keys"
     }
 
-    fn arrive(&mut self, desk: &mut Desk<P>, guest: Guest<P>) -> Step<P> {
-        let ask = guest.ask();
-        let Some(key) = &ask.key else { return Step::Pass(guest) };
+    fn on_request(&mut self, desk: &mut ChainContext<P>, guest: IncomingRequest<P>) -> RequestFlow<P> {
+        let ask = guest.info();
+        let Some(key) = &ask.key else { return RequestFlow::Continue(guest) };
         let (class, deadline, number) = (ask.class, ask.deadline, guest.number());
         let at = self.told_at(class, deadline);
         let unsafe_class =
@@ -244,77 +247,77 @@
             class: u32::try_from(class.0).unwrap_or(u32::MAX),
             kind: if unsafe_class { Kind::Unsafe } else { Kind::Keyed },
             key,
-            digest: self.store.digest(&P::identity(guest.request())),
+            digest: self.store.digest(&P::fingerprint_parts(guest.request())),
         };
-        let arrival = self.store.arrive(desk.now(), &held, number.0, desk.at(at));
+        let arrival = self.store.arrive(desk.now(), &held, number.0, desk.micros_at(at));
         self.lingering.claim(self.store.claims());
         let reply = match arrival {
             Arrival::First(slot) => {
-                let (taken, goes_on) = desk.take(guest, self.outlives(desk, class, deadline));
+                let (taken, goes_on) = desk.intercept(guest, self.outlives(desk, class, deadline));
                 self.slots.insert(number, slot);
                 self.wait(slot, true, taken);
-                desk.arm(at);
-                return Step::Pass(goes_on);
+                desk.wake_by(at);
+                return RequestFlow::Continue(goes_on);
             }
             Arrival::Joined { slot, longest } => {
-                let taken = desk.keep(guest);
+                let taken = desk.hold(guest);
                 self.wait(slot, false, taken);
                 if let Some(call) = self.call(slot).filter(|_| longest) {
                     if self.lingering.end(slot) {
                         self.store.counts_mut().rejoined += 1;
                     }
-                    desk.extend(call, deadline);
+                    desk.extend_deadline(call, deadline);
                 }
-                desk.arm(at);
-                return Step::Done;
+                desk.wake_by(at);
+                return RequestFlow::Handled;
             }
-            Arrival::Pass(_) => return Step::Pass(guest),
+            Arrival::Pass(_) => return RequestFlow::Continue(guest),
             Arrival::Replay(answer) => Reply::Served(answer),
             // It ran, or may have: never again, and nobody can say what came of it.
             Arrival::Known(known) => Reply::Unsure(doubt(known)),
-            Arrival::Mismatch => Reply::KeyTaken,
-            Arrival::BadKey => Reply::BadKey,
+            Arrival::Mismatch => Reply::KeyReused,
+            Arrival::BadKey => Reply::InvalidKey,
             Arrival::Refused(_) => Reply::Refused(advice(desk.config())),
         };
         desk.answer(guest, reply);
-        Step::Done
+        RequestFlow::Handled
     }
 
-    fn ended(&mut self, desk: &mut Desk<P>, call: CallId, ended: Ended<P::Answer>) {
+    fn on_call_end(&mut self, desk: &mut ChainContext<P>, call: CallId, ended: CallEnd<P::Answer>) {
         // A station behind may answer what was given up.
         let Some(slot) = self.slots.remove(&call).or_else(|| self.late.remove(&call)) else { return };
         self.settle(desk, slot, ended);
     }
 
-    fn late(&mut self, desk: &mut Desk<P>, call: CallId, answer: Option<P::Answer>) {
+    fn on_late_end(&mut self, desk: &mut ChainContext<P>, call: CallId, answer: Option<P::Answer>) {
         let Some(slot) = self.late.remove(&call) else { return };
         if let Some(answer) = answer {
-            self.settle(desk, slot, Ended { reply: Reply::Served(answer), may_have_run: true });
+            self.settle(desk, slot, CallEnd { reply: Reply::Served(answer), may_have_run: true });
         }
     }
 
-    fn time_is_up(&mut self, desk: &mut Desk<P>, call: CallId) {
+    fn on_attempt_deadline(&mut self, desk: &mut ChainContext<P>, call: CallId) {
         let Some(&slot) = self.slots.get(&call) else { return };
         for number in self.store.waiters(slot) {
-            self.gone(desk, CallId(number));
+            self.on_cancel(desk, CallId(number));
         }
     }
 
-    fn gone(&mut self, desk: &mut Desk<P>, number: CallId) -> bool {
+    fn on_cancel(&mut self, desk: &mut ChainContext<P>, number: CallId) -> bool {
         let Some(waiter) = self.waiters.remove(&number.0) else { return false };
         let left = self.store.gone(waiter.slot, number.0);
         self.leave(desk, waiter, left);
         true
     }
 
-    fn wake_at(&self, desk: &Desk<P>) -> Option<Instant> {
+    fn wake_at(&self, desk: &ChainContext<P>) -> Option<Instant> {
         let next = self.store.next_deadline().into_iter().chain(self.lingering.next_due()).min()?;
-        Some(desk.instant(next))
+        Some(desk.instant_at(next))
     }
 
     /// Those whose time is up get the failure, as their call may have run or may yet; the last of them is told so only
     /// if it may have run. What has lingered for long enough is called off.
-    fn wake(&mut self, desk: &mut Desk<P>) {
+    fn on_wake(&mut self, desk: &mut ChainContext<P>) {
         let now = desk.now();
         while let Some((_, number, left)) = self.store.overdue(now) {
             if let Some(waiter) = self.waiters.remove(&number) {
@@ -338,7 +341,7 @@
         self.waiters.len()
     }
 
-    fn lingering(&self) -> usize {
+    fn detached(&self) -> usize {
         self.lingering.len()
     }
 
@@ -347,15 +350,15 @@
         Some(Rc::new(KeysState { counts, held, answer_bytes }))
     }
 
-    fn line(&self) -> Option<String> {
+    fn log_line(&self) -> Option<String> {
         let (held, bytes) = (self.store.len(), self.store.answer_bytes());
         let (lingering, counts) = (self.lingering.len(), self.store.counts());
         Some(format!("{held} held, {bytes} bytes, {lingering} lingering, {counts:?}"))
     }
 }
 
-fn doubt(known: Known) -> Doubt {
-    Doubt { at: known.state.name(), age: Duration::from_micros(known.age) }
+fn doubt(known: Known) -> KeyStatus {
+    KeyStatus { state: known.state.name(), age: Duration::from_micros(known.age) }
 }
 
 /// When to come again after a refusal of our own.
--- a/keys/station/src/operate.rs
+++ b/keys/station/src/operate.rs
@@ -29,11 +29,13 @@
 
 impl<P: Protocol> Operate for Handle<P> {
     fn keys_page(&self, filter: &Filter, from: usize, most: usize) -> Option<Page> {
-        self.station(|keys: &mut KeyStation<P>, desk| keys.store.page(desk.now(), filter, from, most))
+        self.with_interceptor(|keys: &mut KeyStation<P>, desk| {
+            keys.store.page(desk.now(), filter, from, most)
+        })
     }
 
     fn keys_view(&self, slot: Slot) -> Option<View> {
-        self.station(|keys: &mut KeyStation<P>, desk| keys.store.view(desk.now(), slot)).flatten()
+        self.with_interceptor(|keys: &mut KeyStation<P>, desk| keys.store.view(desk.now(), slot)).flatten()
     }
 
     fn keys_settle(
@@ -43,7 +45,7 @@
         who: &str,
         why: &str,
     ) -> Option<Result<Settled, Unsettled>> {
-        self.station(|keys: &mut KeyStation<P>, desk| {
+        self.with_interceptor(|keys: &mut KeyStation<P>, desk| {
             let out = keys.late.values().any(|late| *late == slot);
             let done = keys.store.settle(desk.now(), slot, verdict, out);
             let said = match &done {
--- a/keys/station/src/together.rs
+++ b/keys/station/src/together.rs
@@ -1,7 +1,7 @@
 //! Several stations of a process that serve as one: each has the keys of its shard, and their bounds are one.
 
 use nettleworks_engine::config::Config;
-use nettleworks_engine::extras::Extra;
+use nettleworks_engine::extensions::Extension;
 use nettleworks_keys::{LingerBounds, Lingering, Slot, Tally};
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -54,11 +54,11 @@
     }
 }
 
-impl Extra for Together {}
+impl Extension for Together {}
 
 impl Together {
     pub(crate) fn of(config: &Config) -> Option<Together> {
-        config.extras.get::<Together>().cloned()
+        config.extensions.get::<Together>().cloned()
     }
 }
 
--- a/lab/src/full/play.rs
+++ b/lab/src/full/play.rs
@@ -32,7 +32,7 @@
     leak: Option<Leak>,
 ) -> Result<Outcome, String> {
     #[cfg(feature = "mutants")]
-    nettleworks_engine::mutant::plant(limits.mutant);
+    nettleworks_engine::mutant::activate(limits.mutant);
     let mut queue = Queue::default();
     let mut model = Model::new(scenario.clone(), seed, &mut queue);
     model.leak = leak;
@@ -61,7 +61,7 @@
     drop(_inside);
     drop(runtime);
     #[cfg(feature = "mutants")]
-    nettleworks_engine::mutant::plant(None);
+    nettleworks_engine::mutant::activate(None);
     let world = Rc::try_unwrap(world).map_err(|_| "an end outlives its run".to_owned())?.into_inner();
     Ok(Outcome::of(world.model, events?))
 }
--- a/lab/tests/mutants.rs
+++ b/lab/tests/mutants.rs
@@ -33,20 +33,20 @@
 
 #[test]
 fn an_unsafe_call_that_is_repeated_after_a_write_is_found() {
-    is_found(Mutant::RepeatsWritten, "reset-storm", Rule::NoEffectTwice);
+    is_found(Mutant::RetriesWritten, "reset-storm", Rule::NoEffectTwice);
 }
 
 #[test]
 fn an_answer_to_the_wrong_caller_is_found() {
-    is_found(Mutant::MixesCallers, "calm", Rule::OneAnswer);
+    is_found(Mutant::SwapsAnswers, "calm", Rule::OneAnswer);
 }
 
 #[test]
 fn an_attempt_to_a_host_that_drains_is_found() {
-    is_found(Mutant::DrainsLate, "rolling-release", Rule::NothingToTheGone);
+    is_found(Mutant::DelaysDrains, "rolling-release", Rule::NothingToTheGone);
 }
 
 #[test]
 fn a_call_without_an_end_is_found() {
-    is_found(Mutant::LosesAnswers, "chaos", Rule::OneAnswer);
+    is_found(Mutant::DropsAnswers, "chaos", Rule::OneAnswer);
 }
--- a/library/src/error.rs
+++ b/library/src/error.rs
@@ -2,7 +2,7 @@
 
 use http::StatusCode;
 use nettleworks::requests::{self, Answer};
-use nettleworks_engine::calls::Doubt;
+use nettleworks_engine::calls::KeyStatus;
 use nettleworks_keys::KeyState;
 use std::fmt;
 use std::io;
@@ -54,7 +54,7 @@
         match self {
             Error::Refused { retry_after } => requests::refused(retry_after),
             Error::Failed => requests::plain(StatusCode::BAD_GATEWAY),
-            Error::Unsure { state, age } => requests::unsure(Doubt { at: state.name(), age }),
+            Error::Unsure { state, age } => requests::unsure(KeyStatus { state: state.name(), age }),
             Error::Unusable(status) => requests::unusable(status),
             // It never ran, as with any refusal; another process may serve it.
             Error::Closed => requests::refused(Duration::from_secs(1)),
--- a/library/src/fleet.rs
+++ b/library/src/fleet.rs
@@ -9,7 +9,7 @@
 use http::{HeaderMap, HeaderValue, Request, Response};
 use nettleworks::cores::Shards;
 use nettleworks::requests;
-use nettleworks_engine::calls::{Ask, Caller, Reply};
+use nettleworks_engine::calls::{Caller, Reply, RequestInfo};
 use nettleworks_engine::config::Config;
 use nettleworks_engine::http1::{Forward, BODY_MOST};
 use nettleworks_keys::KeyState;
@@ -177,12 +177,12 @@
     /// Hands a request to the engine.
     pub(crate) fn take_in(
         &self,
-        ask: Ask<HeaderValue>,
+        ask: RequestInfo<HeaderValue>,
         forward: Forward,
         place: OwnedSemaphorePermit,
     ) -> Result<Call, Error> {
         let (sender, reply) = oneshot::channel();
-        let caller = Caller { reply: sender, place: Some(place) };
+        let caller = Caller { reply: sender, permit: Some(place) };
         let ticket = Ticket::default();
         let first = self.shard_for(&ask);
         let mut command = Command::Call { ask, forward, caller, ticket: ticket.clone() };
@@ -198,7 +198,7 @@
     }
 
     /// Which engine is to take a call: the one that its key belongs to, else each in turn; not one that does not answer.
-    fn shard_for(&self, ask: &Ask<HeaderValue>) -> usize {
+    fn shard_for(&self, ask: &RequestInfo<HeaderValue>) -> usize {
         let Some(peers) = &self.0.peers else { return 0 };
         let all = self.0.shards.len();
         let next = || self.0.turn.fetch_add(1, Ordering::Relaxed) % all;
@@ -377,12 +377,12 @@
             Ok(Reply::Refused(retry_after)) => Err(Error::Refused { retry_after }),
             Ok(Reply::Failed) => Err(Error::Failed),
             Ok(Reply::Unsure(doubt)) => {
-                let state = KeyState::named(doubt.at).unwrap_or(KeyState::Unsure);
+                let state = KeyState::named(doubt.state).unwrap_or(KeyState::Unsure);
                 Err(Error::Unsure { state, age: doubt.age })
             }
-            Ok(Reply::IdOpen) => Err(Error::Unusable(http::StatusCode::CONFLICT)),
-            Ok(Reply::KeyTaken) => Err(Error::Unusable(http::StatusCode::UNPROCESSABLE_ENTITY)),
-            Ok(Reply::BadKey) => Err(Error::Unusable(http::StatusCode::BAD_REQUEST)),
+            Ok(Reply::DuplicateId) => Err(Error::Unusable(http::StatusCode::CONFLICT)),
+            Ok(Reply::KeyReused) => Err(Error::Unusable(http::StatusCode::UNPROCESSABLE_ENTITY)),
+            Ok(Reply::InvalidKey) => Err(Error::Unusable(http::StatusCode::BAD_REQUEST)),
             // The engine has ended: it never took the call, or it may have run.
             Err(_) if self.ticket.load(Ordering::Acquire) == 0 => Err(Error::Closed),
             Err(_) => Err(Error::Failed),
--- a/library/src/state.rs
+++ b/library/src/state.rs
@@ -40,13 +40,14 @@
 
 impl From<engine::State> for State {
     fn from(state: engine::State) -> State {
-        let keys = state.of::<KeysState>().map(|keys| (keys.counts, keys.held, keys.answer_bytes));
+        let keys =
+            state.interceptor_state::<KeysState>().map(|keys| (keys.counts, keys.held, keys.answer_bytes));
         State {
             ready: state.ready,
             version: state.version,
             hosts: state.hosts,
             calls: state.calls,
-            lingering: state.lingering,
+            lingering: state.detached,
             ids: state.ids,
             connections: state.connections,
             requests: state.requests,
@@ -131,11 +132,11 @@
 }
 
 impl Observer for Shown {
-    fn looks(&self) -> bool {
+    fn wants_state(&self) -> bool {
         self.all.shown.receiver_count() > 0 && self.all.leads(self.me)
     }
 
-    fn show(&self, state: engine::State) {
+    fn on_state(&self, state: engine::State) {
         // Whole whoever panicked: it is only replaced.
         let mut round = self.all.round.lock().unwrap_or_else(PoisonError::into_inner);
         round.parts[self.me] = State::from(state);
@@ -143,7 +144,7 @@
             // It has not been asked: a new round. What the last still lacks is as it was.
             for other in (0..peers.count()).filter(|&other| other != self.me && peers.answers(other)) {
                 if !std::mem::replace(&mut round.missing[other], true) {
-                    peers.tell(other, Handle::show);
+                    peers.tell(other, Handle::notify_observer);
                 }
             }
         }
--- a/library/src/thread.rs
+++ b/library/src/thread.rs
@@ -8,7 +8,7 @@
 use nettleworks::cores::{self, Shards};
 use nettleworks::server;
 use nettleworks_cores::Seat;
-use nettleworks_engine::calls::{Ask, Caller};
+use nettleworks_engine::calls::{Caller, RequestInfo};
 use nettleworks_engine::config::Config;
 use nettleworks_engine::driver::Handle;
 use nettleworks_engine::http1::{Forward, Http1};
@@ -39,7 +39,7 @@
 #[expect(clippy::large_enum_variant, reason = "nearly all commands are calls")]
 pub(crate) enum Command {
     /// A call. Its place among the open ones comes with it, so that the queue is bounded by their number.
-    Call { ask: Ask<HeaderValue>, forward: Forward, caller: Caller<Response<Bytes>>, ticket: Ticket },
+    Call { ask: RequestInfo<HeaderValue>, forward: Forward, caller: Caller<Response<Bytes>>, ticket: Ticket },
     /// Its caller has gone. There is one at most for each call that came before it in the queue.
     Gone(Ticket),
     /// A listener for the daemon's front, until `stop` is told or dropped.
@@ -281,7 +281,7 @@
                     }
                 }
                 // Those that nobody waits for may end too, but nobody is told of them.
-                if driver.waiting() == 0 && driver.lingering() == 0 {
+                if driver.waiting() == 0 && driver.detached() == 0 {
                     break;
                 }
                 sleep(FINISH_LOOK).await;
@@ -317,12 +317,12 @@
             if caller.reply.is_closed() {
                 return;
             }
-            let call = driver.call(ask, forward, caller);
+            let call = driver.submit(ask, forward, caller);
             ticket.store(call.0, Ordering::Release);
         }
         Command::Gone(ticket) => match ticket.load(Ordering::Acquire) {
             0 => {}
-            call => driver.gone(CallId(call)),
+            call => driver.cancel(CallId(call)),
         },
         Command::Serve { listener, stop, done } => {
             let (driver, mut stopped) = (driver.clone(), stopped.clone());
--- a/measure/src/cores.rs
+++ b/measure/src/cores.rs
@@ -9,7 +9,7 @@
 use crate::report::{median, Bound, Report};
 use nettleworks::config::Config;
 use nettleworks::cores::{self, Shards, Spare, Told};
-use nettleworks_engine::calls::Ask;
+use nettleworks_engine::calls::RequestInfo;
 use nettleworks_engine::http1::{Forward, Http1};
 use nettleworks_keys_station::WithKeys;
 use nettleworks_policy::ClassId;
@@ -351,10 +351,10 @@
     took
 }
 
-fn ask(time: usize, call: usize) -> Ask<http::HeaderValue> {
+fn ask(time: usize, call: usize) -> RequestInfo<http::HeaderValue> {
     let id = http::HeaderValue::try_from(format!("{time}-{call}")).expect("a value");
     let deadline = tokio::time::Instant::now() + Duration::from_secs(8);
-    Ask { id, class: ClassId(0), tenant: None, deadline, resent: false, key: None }
+    RequestInfo { id, class: ClassId(0), tenant: None, deadline, resent: false, key: None }
 }
 
 fn forward() -> Forward {
@@ -395,8 +395,8 @@
     })
 }
 
-fn keyed(time: usize, key: &str) -> Ask<http::HeaderValue> {
-    Ask { key: Some(key.to_owned().into()), class: ClassId(2), ..ask(time, key.len()) }
+fn keyed(time: usize, key: &str) -> RequestInfo<http::HeaderValue> {
+    RequestInfo { key: Some(key.to_owned().into()), class: ClassId(2), ..ask(time, key.len()) }
 }
 
 /// Instructions a request without a store of keys, by the daemon and by two engines. `None`: there is no valgrind here.
@@ -444,7 +444,7 @@
         let mut handed = 0;
         for shard in 0..ENGINES {
             let crossed = process.peers.at(shard, |driver: &nettleworks_engine::driver::Handle<Http1>| {
-                driver.state().of::<nettleworks_cores::crossing::Crossed>().copied()
+                driver.state().interceptor_state::<nettleworks_cores::crossing::Crossed>().copied()
             });
             handed += crossed.await.flatten().map_or(0, |crossed| crossed.handed);
         }
--- a/proxy/src/cores.rs
+++ b/proxy/src/cores.rs
@@ -43,13 +43,13 @@
     let Some(peers) = seats.first().map(Seat::peers) else { return Vec::new() };
     let common = Common::new(move |shard, told| {
         peers.tell(shard, move |driver| {
-            driver.station(|keys: &mut KeyStation<Http1>, desk| keys.told(desk, told));
+            driver.with_interceptor(|keys: &mut KeyStation<Http1>, desk| keys.told(desk, told));
         });
     });
     let with_part = |seat: Seat<Http1>| {
         let me = seat.shard();
         let mut config = part(config, shards, me);
-        config.extras.set(Together { me, common: common.clone() });
+        config.extensions.set(Together { me, common: common.clone() });
         (seat, config)
     };
     seats.into_iter().map(with_part).collect()
--- a/proxy/src/files.rs
+++ b/proxy/src/files.rs
@@ -2,7 +2,7 @@
 
 use crate::member::Member;
 use nettleworks_engine::config::{Config, LoadError};
-use nettleworks_engine::passing::{is_passing, AGAIN};
+use nettleworks_engine::transient::{is_transient, RETRY_PAUSE};
 use nettleworks_keys_station::WithKeys;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
         let bad =
             |passing, reason: String| LoadError { passing, reason: format!("{}: {reason}", path.display()) };
         let text =
-            std::fs::read_to_string(path).map_err(|error| bad(is_passing(&error), error.to_string()))?;
+            std::fs::read_to_string(path).map_err(|error| bad(is_transient(&error), error.to_string()))?;
         config.with_keys(&text).map_err(|error| bad(false, error))
     }
 
@@ -44,7 +44,7 @@
         let until = Instant::now() + most;
         loop {
             match self.load() {
-                Err(error) if error.passing && Instant::now() < until => sleep(AGAIN).await,
+                Err(error) if error.passing && Instant::now() < until => sleep(RETRY_PAUSE).await,
                 done => return done.map_err(|error| error.reason),
             }
         }
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -13,7 +13,7 @@
 pub use nettleworks_engine::config;
 
 use nettleworks_engine::config::Config;
-use nettleworks_engine::driver::{Handle, Stations};
+use nettleworks_engine::driver::{Handle, InterceptorChain};
 use nettleworks_engine::http1::Http1;
 use nettleworks_engine::net::Listener;
 use nettleworks_engine::Log;
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 
 /// The stations that a configuration asks for, in their order on a call's way.
-pub fn stations(config: &Config) -> Stations<Http1> {
+pub fn stations(config: &Config) -> InterceptorChain<Http1> {
     let keys = KeyStation::new(config).map(|keys| Box::new(keys) as _);
     keys.into_iter().collect()
 }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -14,7 +14,7 @@
 use nettleworks::cores::{self, End, Spare, Told};
 use nettleworks::server;
 use nettleworks::stop::Schedule;
-use nettleworks_engine::passing::{self, keep_trying};
+use nettleworks_engine::transient::{self, retry_transient};
 use std::io::Write;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -113,7 +113,7 @@
 
 /// A runtime for this thread. It needs descriptors, of which the machine may be short for a moment.
 fn new_runtime() -> Result<Runtime, String> {
-    keep_trying(|| runtime::Builder::new_current_thread().enable_all().build()).map_err(|e| e.to_string())
+    retry_transient(|| runtime::Builder::new_current_thread().enable_all().build()).map_err(|e| e.to_string())
 }
 
 fn start(files: &Files) -> Result<(), String> {
@@ -122,9 +122,9 @@
         // First of all: a signal without a handler ends the program.
         let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
         let mut hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
-        let config = files.load_within(passing::MOST).await?;
+        let config = files.load_within(transient::RETRY_FOR).await?;
         let bad = |e: std::io::Error| format!("{}: {e}", config.listen);
-        let listener = keep_trying(|| server::listen(config.listen)).map_err(bad)?;
+        let listener = retry_transient(|| server::listen(config.listen)).map_err(bad)?;
         let log = nettleworks_engine::log_to_stderr();
         for place in &config.unknown {
             log(&format!("configuration: {place}: unknown key, not used"));
@@ -144,7 +144,7 @@
             if let Some(member) = &member {
                 member.reload().await;
             }
-            Some(files.load_within(passing::MOST).await)
+            Some(files.load_within(transient::RETRY_FOR).await)
         };
         nettleworks::run(config, log, listener, reload, stop).await;
         // What is left are tasks without a client: the watch, idle connections.
@@ -159,10 +159,10 @@
     LocalSet::new().block_on(&runtime, async {
         let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
         let mut hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
-        let config = files.load_within(passing::MOST).await?;
+        let config = files.load_within(transient::RETRY_FOR).await?;
         let bad = |e: std::io::Error| format!("{}: {e}", config.listen);
-        let listeners = keep_trying(|| server::bind_all(config.listen, cores)).map_err(bad)?;
-        let spare = keep_trying(|| Spare::of(&listeners)).map_err(bad)?;
+        let listeners = retry_transient(|| server::bind_all(config.listen, cores)).map_err(bad)?;
+        let spare = retry_transient(|| Spare::of(&listeners)).map_err(bad)?;
         let log = nettleworks_engine::log_to_stderr();
         for place in &config.unknown {
             log(&format!("configuration: {place}: unknown key, not used"));
--- a/proxy/src/requests.rs
+++ b/proxy/src/requests.rs
@@ -6,7 +6,7 @@
 use hyper::body::{Body, Buf, Bytes, Incoming};
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use nettleworks_engine::calls::{Ask, Doubt, Reply};
+use nettleworks_engine::calls::{KeyStatus, Reply, RequestInfo};
 use nettleworks_engine::config::Config;
 use nettleworks_engine::driver::Handle;
 use nettleworks_engine::http1::{BoxError, Forward, Http1, BODY_MOST};
@@ -58,8 +58,8 @@
                     let mut waiting = driver.request(ask, forward);
                     let reply = tokio::select! {
                         biased;
-                        reply = waiting.hear() => reply,
-                        () = ending.reached() => waiting.cut_short(),
+                        reply = waiting.wait() => reply,
+                        () = ending.reached() => waiting.abort(),
                     };
                     answered(reply)
                 }
@@ -100,7 +100,7 @@
     request: Request<B>,
     whole_by: Instant,
     read_at: impl FnOnce() -> Instant,
-) -> Result<(Ask<HeaderValue>, Forward), TurnedAway<B>>
+) -> Result<(RequestInfo<HeaderValue>, Forward), TurnedAway<B>>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<BoxError>,
@@ -126,7 +126,7 @@
 
 /// What goes on to hosts of a request that can be used. A key that only the store of keys knows goes on where that is
 /// configured.
-pub fn forward(config: &Config, ask: &Ask<HeaderValue>, head: Parts, body: Bytes) -> Forward {
+pub fn forward(config: &Config, ask: &RequestInfo<HeaderValue>, head: Parts, body: Bytes) -> Forward {
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let mut headers = end_to_end(head.headers);
     let goes_on = |keys: &Keys| keys.forward.get(ask.class.0).copied().unwrap_or_default();
@@ -161,7 +161,7 @@
     method: &Method,
     headers: &HeaderMap,
     empty: bool,
-) -> Result<(Ask<HeaderValue>, Duration), StatusCode> {
+) -> Result<(RequestInfo<HeaderValue>, Duration), StatusCode> {
     // Beside a length it may hide a second request in the body, and the length is no longer there to be seen:
     // hyper drops it. No client of ours needs it.
     if headers.contains_key(header::TRANSFER_ENCODING) {
@@ -176,7 +176,7 @@
     method: &Method,
     headers: &HeaderMap,
     empty: bool,
-) -> Option<(Ask<HeaderValue>, Duration)> {
+) -> Option<(RequestInfo<HeaderValue>, Duration)> {
     single(headers, "x-call-id").filter(|id| !id.is_empty())?;
     let id = headers.get("x-call-id")?.clone();
     let class = place(&config.classes, single(headers, "x-call-class")?)?;
@@ -204,7 +204,7 @@
     let resent = single(headers, "x-again").is_some_and(|value| value == "1");
     let key = headers.get("idempotency-key").filter(|_| config.keys().is_some());
     let key = key.map(|key| Bytes::copy_from_slice(key.as_bytes()));
-    let ask = Ask { id, class: ClassId(class), tenant, deadline: Instant::now(), resent, key };
+    let ask = RequestInfo { id, class: ClassId(class), tenant, deadline: Instant::now(), resent, key };
     fits.then_some((ask, budget))
 }
 
@@ -224,9 +224,9 @@
         Reply::Refused(after) => refused(after),
         Reply::Failed => plain(StatusCode::BAD_GATEWAY),
         Reply::Unsure(doubt) => unsure(doubt),
-        Reply::IdOpen => unusable(StatusCode::CONFLICT),
-        Reply::KeyTaken => plain(StatusCode::UNPROCESSABLE_ENTITY),
-        Reply::BadKey => plain(StatusCode::BAD_REQUEST),
+        Reply::DuplicateId => unusable(StatusCode::CONFLICT),
+        Reply::KeyReused => plain(StatusCode::UNPROCESSABLE_ENTITY),
+        Reply::InvalidKey => plain(StatusCode::BAD_REQUEST),
     }
 }
 
@@ -265,8 +265,8 @@
 /// The answer for a key whose request ran or may have, where there is no answer to pass on: 502 with problem details
 /// (RFC 9457), so that an application can tell it from a bad gateway. `type` and the values of `key_state` do not
 /// change; `key_age_ms` counts from the key's first request.
-pub fn unsure(doubt: Doubt) -> Answer {
-    let (name, title) = match KeyState::named(doubt.at).unwrap_or(KeyState::Unsure) {
+pub fn unsure(doubt: KeyStatus) -> Answer {
+    let (name, title) = match KeyState::named(doubt.state).unwrap_or(KeyState::Unsure) {
         KeyState::Running => ("key-running", "The request is still running."),
         KeyState::Answered | KeyState::Forgotten | KeyState::Ran => {
             ("key-ran", "The request has run, and its answer is not known here.")
@@ -277,7 +277,7 @@
         "type": format!("urn:nettleworks:problem:{name}"),
         "title": title,
         "status": StatusCode::BAD_GATEWAY.as_u16(),
-        "key_state": doubt.at,
+        "key_state": doubt.state,
         "key_age_ms": u64::try_from(doubt.age.as_millis()).unwrap_or(u64::MAX),
     });
     let mut answer = plain(StatusCode::BAD_GATEWAY);
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -7,7 +7,7 @@
 use hyper_util::rt::TokioTimer;
 use nettleworks_engine::http1::HEAD_MOST;
 use nettleworks_engine::net::{Listener, Stream};
-use nettleworks_engine::quota::{Counted, Side};
+use nettleworks_engine::quota::{ConnectionPermit, Side};
 use nettleworks_engine::socket::Socket;
 use socket2::{Domain, Protocol, Socket as Socket2, Type};
 use std::cell::Cell;
@@ -142,10 +142,10 @@
         while !clients.have_ended() {
             sleep(STOP_LOOK).await;
         }
-        driver.settled().await;
+        driver.wait_for_detached().await;
     });
     if left.await.is_err() {
-        let (open, lingering) = (clients.open.len(), driver.lingering());
+        let (open, lingering) = (clients.open.len(), driver.detached());
         driver.log(&format!("stopped with {open} connections and {lingering} calls that nobody waits for"));
     }
     schedule.over
@@ -203,7 +203,7 @@
     close: Rc<Notify>,
     socket: Socket,
     phase: Rc<Cell<Phase>>,
-    _counted: Option<Counted>,
+    _counted: Option<ConnectionPermit>,
 }
 
 impl Client {
@@ -364,7 +364,7 @@
             let _ = connection.await;
         });
         // It is here: there may be one too many for a moment where others accept too.
-        let counted = self.driver.config().quota.place(Side::Clients, usize::MAX);
+        let counted = self.driver.config().quota.acquire(Side::Clients, usize::MAX);
         self.open.push(Client { task, close, socket, phase, _counted: counted });
     }
 }
--- a/proxy/tests/cores.rs
+++ b/proxy/tests/cores.rs
@@ -6,7 +6,7 @@
 use nettleworks::server;
 use nettleworks_cores::crossing::Crossed;
 use nettleworks_cores::Sizes;
-use nettleworks_engine::calls::{Ask, Reply};
+use nettleworks_engine::calls::{Reply, RequestInfo};
 use nettleworks_engine::http1::Forward;
 use nettleworks_engine::list::List;
 use nettleworks_keys_station::WithKeys;
@@ -116,7 +116,7 @@
         *self.breaks.lock().expect("whole") = Some((shard, "is ghost"));
         let ghost = r#"{"seq": 900, "whole": false, "hosts": [{"host": "ghost", "dial": "127.0.0.1:9", "health": "Terminating"}]}"#;
         let ghost: List = serde_json::from_str(ghost).expect("a list");
-        self.peers.tell(shard, move |driver| driver.told(ghost));
+        self.peers.tell(shard, move |driver| driver.list_from_peer(ghost));
     }
 
     /// Stops it as SIGTERM does; how each shard has ended.
@@ -131,7 +131,7 @@
     /// A key of a shard: the first that is its own of those that begin so.
     fn key_of(&self, shard: usize, class: usize, name: &str) -> String {
         let own = |key: &String| {
-            let ask = Ask {
+            let ask = RequestInfo {
                 id: "x".parse().expect("a value"),
                 class: ClassId(class),
                 tenant: None,
@@ -328,10 +328,10 @@
     assert_eq!(site.ledger.runs().values().max(), Some(&1));
 }
 
-fn free(id: String) -> (Ask<HeaderValue>, Forward) {
+fn free(id: String) -> (RequestInfo<HeaderValue>, Forward) {
     let deadline = Instant::now() + Duration::from_secs(8);
     let id: HeaderValue = id.parse().expect("a value");
-    let ask = Ask { id, class: ClassId(0), tenant: None, deadline, resent: false, key: None };
+    let ask = RequestInfo { id, class: ClassId(0), tenant: None, deadline, resent: false, key: None };
     let target = Uri::from_static("/api");
     (ask, Forward { method: Method::GET, target, headers: HeaderMap::new(), body: Default::default() })
 }
@@ -547,7 +547,10 @@
         let aftermath = storm.run(&site.ledger, WINDOW, over(process.address), begun).await;
         let mut handed = 0;
         for shard in 0..SHARDS {
-            let crossed = process.peers.at(shard, |driver| driver.state().of::<Crossed>().copied()).await;
+            let crossed = process
+                .peers
+                .at(shard, |driver| driver.state().interceptor_state::<Crossed>().copied())
+                .await;
             handed += crossed.flatten().expect("it answers").handed;
         }
         assert!(handed > 300, "keys cross: {handed}");
@@ -575,7 +578,7 @@
         process.peers.tell(1, |driver| {
             let (ask, forward) = free("same".to_owned());
             let waiting = driver.request(ask, forward);
-            spawn_local(async move { sender.send(matches!(waiting.reply().await, Reply::IdOpen)) });
+            spawn_local(async move { sender.send(matches!(waiting.reply().await, Reply::DuplicateId)) });
         });
         assert!(told.await.expect("it answers"), "it is open at another shard");
         process.tear(1);
--- a/shards/cores/src/crossing.rs
+++ b/shards/cores/src/crossing.rs
@@ -11,9 +11,9 @@
 
 use crate::hub::{Handover, Hub, Note};
 use crate::seat::key_of;
-use nettleworks_engine::calls::{Doubt, Guest, Reply};
+use nettleworks_engine::calls::{IncomingRequest, KeyStatus, Reply};
+use nettleworks_engine::interceptor::{ChainContext, HeldRequest, Interceptor, RequestFlow};
 use nettleworks_engine::protocol::Protocol;
-use nettleworks_engine::station::{Desk, Station, Step, Taken};
 use nettleworks_policy::CallId;
 use nettleworks_shards::roll::{Life, Roll};
 use nettleworks_shards::room::Shard;
@@ -40,7 +40,7 @@
     to: Shard,
     since: Instant,
     ticket: Arc<Ticket>,
-    taken: Taken<P>,
+    taken: HeldRequest<P>,
     due: Instant,
 }
 
@@ -72,18 +72,18 @@
         Crossing { hub, me, roll, out: BTreeMap::new(), due: BTreeSet::new(), crossed: Crossed::default() }
     }
 
-    fn advice(desk: &Desk<P>) -> Duration {
+    fn advice(desk: &ChainContext<P>) -> Duration {
         match desk.config().settings.limits.max_retry_after {
             0 => ADVICE,
             most => ADVICE.min(Duration::from_micros(most)),
         }
     }
 
-    fn refuse(&mut self, desk: &mut Desk<P>, guest: Guest<P>) -> Step<P> {
+    fn refuse(&mut self, desk: &mut ChainContext<P>, guest: IncomingRequest<P>) -> RequestFlow<P> {
         self.crossed.refused += 1;
         let reply = Reply::Refused(Self::advice(desk));
         desk.answer(guest, reply);
-        Step::Done
+        RequestFlow::Handled
     }
 
     fn remove(&mut self, number: CallId) -> Option<Out<P>> {
@@ -93,29 +93,29 @@
     }
 
     /// An answer has come back. One that was given up has had its own.
-    pub(crate) fn answered(&mut self, desk: &mut Desk<P>, number: CallId, reply: Reply<P::Answer>) {
+    pub(crate) fn answered(&mut self, desk: &mut ChainContext<P>, number: CallId, reply: Reply<P::Answer>) {
         if let Some(out) = self.remove(number) {
             self.crossed.answered += 1;
-            desk.answer_taken(out.taken, reply);
+            desk.answer_held(out.taken, reply);
         }
     }
 
     /// A request is waited for no longer. Whether the other shard is to hear so comes back.
-    fn give_up(&mut self, desk: &mut Desk<P>, number: CallId) -> Option<Shard> {
+    fn give_up(&mut self, desk: &mut ChainContext<P>, number: CallId) -> Option<Shard> {
         let out = self.remove(number)?;
         self.crossed.given_up += 1;
         let withdrawn = out.ticket.withdraw();
         let reply = match withdrawn {
             true => Reply::Refused(Self::advice(desk)),
             // The shard that has it may know more, and is late.
-            false => Reply::Unsure(Doubt { at: UNSURE, age: out.since.elapsed() }),
+            false => Reply::Unsure(KeyStatus { state: UNSURE, age: out.since.elapsed() }),
         };
-        desk.answer_taken(out.taken, reply);
+        desk.answer_held(out.taken, reply);
         (!withdrawn).then_some(out.to)
     }
 
     /// A shard has ended, or does not answer: what it had is given up, or what it has not taken.
-    pub(crate) fn changed(&mut self, desk: &mut Desk<P>, shard: Shard, life: Life) {
+    pub(crate) fn changed(&mut self, desk: &mut ChainContext<P>, shard: Shard, life: Life) {
         let there = self.out.iter().filter(|(_, out)| out.to == shard);
         let numbers: Vec<CallId> = there.map(|(number, _)| *number).collect();
         for number in numbers {
@@ -132,7 +132,7 @@
             } else if let Some(out) = self.remove(number) {
                 self.crossed.refused += 1;
                 let reply = Reply::Refused(Self::advice(desk));
-                desk.answer_taken(out.taken, reply);
+                desk.answer_held(out.taken, reply);
             }
         }
     }
@@ -145,7 +145,7 @@
     }
 }
 
-impl<P: Protocol> Station<P> for Crossing<P>
+impl<P: Protocol> Interceptor<P> for Crossing<P>
 where
     P::Request: Clone,
 {
@@ -153,21 +153,21 @@
         "crossing"
     }
 
-    fn arrive(&mut self, desk: &mut Desk<P>, guest: Guest<P>) -> Step<P> {
-        let ask = guest.ask();
-        let Some((tenant, class, key)) = key_of(ask) else { return Step::Pass(guest) };
+    fn on_request(&mut self, desk: &mut ChainContext<P>, guest: IncomingRequest<P>) -> RequestFlow<P> {
+        let ask = guest.info();
+        let Some((tenant, class, key)) = key_of(ask) else { return RequestFlow::Continue(guest) };
         let (to, life) = {
             let roll = self.roll.borrow();
             let to = roll.owner(self.hub.now(), self.hub.seed, tenant, class, key);
             (to, roll.life(to))
         };
         if to == self.me {
-            return Step::Pass(guest);
+            return RequestFlow::Continue(guest);
         }
         if life == Life::Dead {
             // Nobody knows any more whether it ran.
-            desk.answer(guest, Reply::Unsure(Doubt { at: UNSURE, age: Duration::ZERO }));
-            return Step::Done;
+            desk.answer(guest, Reply::Unsure(KeyStatus { state: UNSURE, age: Duration::ZERO }));
+            return RequestFlow::Handled;
         }
         if life == Life::Stalled || self.out.len() >= OUT_MOST {
             return self.refuse(desk, guest);
@@ -183,14 +183,14 @@
             Err(TrySendError::Full(_) | TrySendError::Closed(_)) => return self.refuse(desk, guest),
         }
         self.crossed.handed += 1;
-        let taken = desk.keep(guest);
+        let taken = desk.hold(guest);
         self.out.insert(number, Out { to, since: Instant::now(), ticket, taken, due });
         self.due.insert((due, number));
-        desk.arm(due);
-        Step::Done
+        desk.wake_by(due);
+        RequestFlow::Handled
     }
 
-    fn gone(&mut self, desk: &mut Desk<P>, number: CallId) -> bool {
+    fn on_cancel(&mut self, desk: &mut ChainContext<P>, number: CallId) -> bool {
         if !self.out.contains_key(&number) {
             return false;
         }
@@ -200,11 +200,11 @@
         true
     }
 
-    fn wake_at(&self, _: &Desk<P>) -> Option<Instant> {
+    fn wake_at(&self, _: &ChainContext<P>) -> Option<Instant> {
         self.due.first().map(|(due, _)| *due)
     }
 
-    fn wake(&mut self, desk: &mut Desk<P>) {
+    fn on_wake(&mut self, desk: &mut ChainContext<P>) {
         let now = Instant::now();
         while let Some(&(_, number)) = self.due.first().filter(|(due, _)| *due <= now) {
             if let Some(shard) = self.give_up(desk, number) {
@@ -221,7 +221,7 @@
         Some(Rc::new(self.crossed))
     }
 
-    fn line(&self) -> Option<String> {
+    fn log_line(&self) -> Option<String> {
         Some(format!("{} out, {:?}", self.out.len(), self.crossed))
     }
 }
--- a/shards/cores/src/hub.rs
+++ b/shards/cores/src/hub.rs
@@ -1,6 +1,6 @@
 //! What all shards of a process share.
 
-use nettleworks_engine::calls::{Ask, Reply};
+use nettleworks_engine::calls::{Reply, RequestInfo};
 use nettleworks_engine::driver::Handle;
 use nettleworks_engine::group::Lease;
 use nettleworks_engine::list::{Health, Host, List};
@@ -54,7 +54,7 @@
 pub struct Handover<P: Protocol> {
     pub(crate) from: Shard,
     pub(crate) number: CallId,
-    pub(crate) ask: Ask<P::Id>,
+    pub(crate) ask: RequestInfo<P::Id>,
     pub(crate) request: P::Request,
     pub(crate) ticket: Arc<Ticket>,
 }
@@ -169,9 +169,9 @@
     pub(crate) fn publish(&self, me: Shard, lease: Lease) {
         let since =
             |at: tokio::time::Instant| at.into_std().saturating_duration_since(self.began).as_micros() as u64;
-        let expires = lease.expires.map_or(NEVER, since);
+        let expires = lease.expires_at.map_or(NEVER, since);
         let before = self.list_expires.swap(expires, Ordering::AcqRel);
-        self.list_alive.fetch_max(since(lease.alive).max(1), Ordering::AcqRel);
+        self.list_alive.fetch_max(since(lease.verified_at).max(1), Ordering::AcqRel);
         let publisher = self.list_publisher.swap(me, Ordering::AcqRel);
         let takes_over = publisher != me && publisher != NOBODY;
         if before != expires && !takes_over {
@@ -189,7 +189,7 @@
         let at = |micros| tokio::time::Instant::from_std(self.began + Duration::from_micros(micros));
         let alive = self.list_alive.load(Ordering::Acquire);
         let expires = Some(self.list_expires.load(Ordering::Acquire)).filter(|at| *at != NEVER);
-        (alive > 0).then(|| Lease { alive: at(alive), expires: expires.map(at) })
+        (alive > 0).then(|| Lease { verified_at: at(alive), expires_at: expires.map(at) })
     }
 
     pub(crate) fn wake(&self, wakes: Wakes) {
--- a/shards/cores/src/member.rs
+++ b/shards/cores/src/member.rs
@@ -5,7 +5,7 @@
 //! else wants it. Whoever wants room and finds none waits for it in turn and wakes those that have some to spare.
 
 use crate::hub::Hub;
-use nettleworks_engine::group::{Group, Lease, Place};
+use nettleworks_engine::group::{Group, HostPermit, Lease};
 use nettleworks_engine::list::List;
 use nettleworks_engine::meter::Fresh;
 use nettleworks_engine::protocol::Protocol;
@@ -248,15 +248,15 @@
 }
 
 impl<P: Protocol> Group<P> for Member<P> {
-    fn watches(&self) -> bool {
+    fn is_watcher(&self) -> bool {
         self.roll.borrow().leader() == self.me
     }
 
-    fn listed(&mut self, list: &List) {
+    fn publish_list(&mut self, list: &List) {
         self.fresh.taken(self.hub.list(self.me, list));
     }
 
-    fn publish(&mut self, lease: Lease) {
+    fn publish_lease(&mut self, lease: Lease) {
         self.hub.publish(self.me, lease);
     }
 
@@ -268,11 +268,11 @@
         self.hub.last_published().is_some_and(|shard| shard != self.me)
     }
 
-    fn number(&mut self, name: &str) -> ServerId {
+    fn server_id(&mut self, name: &str) -> ServerId {
         self.hub.number(name)
     }
 
-    fn host(&mut self, server: ServerId, name: &str, born_ms: u64) {
+    fn host_listed(&mut self, server: ServerId, name: &str, born_ms: u64) {
         if self.hosts.get(&server).is_some_and(|known| known.born_ms == born_ms && &*known.name == name) {
             return;
         }
@@ -285,20 +285,20 @@
         self.heard.push(server);
     }
 
-    fn retain(&mut self, listed: &dyn Fn(ServerId) -> bool) {
+    fn retain_hosts(&mut self, listed: &dyn Fn(ServerId) -> bool) {
         let gone: Vec<ServerId> = self.hosts.keys().copied().filter(|&server| !listed(server)).collect();
         gone.into_iter().for_each(|server| self.leave(server));
     }
 
-    fn open(&mut self, id: &P::Id) -> bool {
+    fn open_id(&mut self, id: &P::Id) -> bool {
         self.hub.ids.open(id)
     }
 
-    fn close(&mut self, id: &P::Id) {
+    fn close_id(&mut self, id: &P::Id) {
         self.hub.ids.close(id);
     }
 
-    fn begin(&mut self, server: ServerId) -> Option<Place> {
+    fn acquire(&mut self, server: ServerId) -> Option<HostPermit> {
         let known = self.hosts.get(&server)?;
         if !known.room.begin(self.me) {
             // It was taken back while this shard did not answer: the module is to hear of it.
@@ -309,20 +309,20 @@
         Some(Box::new(At { room, me, server, ended }))
     }
 
-    fn reported(&mut self, server: ServerId, load: Load) {
+    fn load_reported(&mut self, server: ServerId, load: Load) {
         if load != Load::default() {
             self.hosts.get_mut(&server).into_iter().for_each(|known| known.load = Some(load));
         }
     }
 
-    fn tell(&mut self, server: ServerId, news: News) {
+    fn share_observation(&mut self, server: ServerId, news: News) {
         if let Some(known) = self.hosts.get(&server) {
             self.hub.learn(self.me, &known.name, news);
             self.hub.wake_others(self.me);
         }
     }
 
-    fn settle(&mut self, now: Micros, balancer: &Balancer, events: &mut VecDeque<Event>) {
+    fn synchronize(&mut self, now: Micros, balancer: &Balancer, events: &mut VecDeque<Event>) {
         let held = balancer.held();
         for server in std::mem::take(&mut self.heard) {
             self.allow(now, balancer, server);
@@ -365,7 +365,7 @@
         }
     }
 
-    fn any(&mut self) -> &mut dyn Any {
+    fn as_any(&mut self) -> &mut dyn Any {
         self
     }
 }
--- a/shards/cores/src/seat.rs
+++ b/shards/cores/src/seat.rs
@@ -3,9 +3,9 @@
 use crate::crossing::Crossing;
 use crate::hub::{Handover, Hub, Job, Note, Post, Sizes};
 use crate::member::Member;
-use nettleworks_engine::calls::Ask;
+use nettleworks_engine::calls::RequestInfo;
 use nettleworks_engine::config::Config;
-use nettleworks_engine::driver::{Handle, Stations};
+use nettleworks_engine::driver::{Handle, InterceptorChain};
 use nettleworks_engine::list::List;
 use nettleworks_engine::meter::Fresh;
 use nettleworks_engine::protocol::Protocol;
@@ -117,7 +117,7 @@
 }
 
 /// What a request's key belongs to, and the key.
-pub(crate) fn key_of<I>(ask: &Ask<I>) -> Option<(Option<u32>, u32, &[u8])> {
+pub(crate) fn key_of<I>(ask: &RequestInfo<I>) -> Option<(Option<u32>, u32, &[u8])> {
     let key = ask.key.as_ref()?;
     let tenant = ask.tenant.and_then(|tenant| u32::try_from(tenant.0).ok());
     Some((tenant, u32::try_from(ask.class.0).unwrap_or(u32::MAX), key))
@@ -153,7 +153,7 @@
     }
 
     /// Which shard a request's key belongs to, if it has one.
-    pub fn owner(&self, ask: &Ask<P::Id>) -> Option<Shard> {
+    pub fn owner(&self, ask: &RequestInfo<P::Id>) -> Option<Shard> {
         let (tenant, class, key) = key_of(ask)?;
         Some(owner::among(0..self.count(), self.0.seed, tenant, class, key))
     }
@@ -206,16 +206,22 @@
 {
     /// Starts the shard's engine on the thread that this is called on. `config` is its own part ([`part`]); requests
     /// with a key go to the shard that it belongs to, ahead of the stations.
-    pub fn start(self, config: Rc<Config>, protocol: P, stations: Stations<P>, log: Log) -> Shared<P> {
+    pub fn start(
+        self,
+        config: Rc<Config>,
+        protocol: P,
+        stations: InterceptorChain<P>,
+        log: Log,
+    ) -> Shared<P> {
         let (hub, me, sizes) = (self.hub.clone(), self.me, self.hub.sizes);
         let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         let (patience, remembered) = (micros(sizes.patience), micros(sizes.remembered));
         let roll = Rc::new(RefCell::new(Roll::new(me, sizes.shards, hub.now(), patience, remembered)));
         let fresh = Fresh::new(hub.told.clone());
         let member = Member::new(hub.clone(), me, fresh.clone(), roll.clone());
-        let mut way: Stations<P> = vec![Box::new(Crossing::new(hub, me, roll.clone()))];
+        let mut way: InterceptorChain<P> = vec![Box::new(Crossing::new(hub, me, roll.clone()))];
         way.extend(stations);
-        let driver = Handle::start_in(Some(Box::new(member)), fresh, config, protocol, way, log);
+        let driver = Handle::start_in_group(Some(Box::new(member)), fresh, config, protocol, way, log);
         let peers = self.peers();
         let (stand_ins, seen) = watch::channel((0..sizes.shards).collect());
         let mail = Mail {
@@ -246,7 +252,7 @@
         mail.spawn_local(self.mail.run());
         // However it has ended.
         let _ = mail.join_next().await;
-        self.driver.abandon();
+        self.driver.abort_calls();
         self.driver.log("a panic has left this shard half way through a change: it ends");
         sleep(LAST_WORDS).await;
     }
@@ -264,7 +270,7 @@
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut batch = Vec::with_capacity(BATCH);
-        while !self.driver.is_torn() {
+        while !self.driver.is_poisoned() {
             tokio::select! {
                 biased;
                 () = post.look.notified() => self.look(),
@@ -283,20 +289,20 @@
         if self.seat.hub.told.load(Ordering::Acquire) > self.seen {
             let (lists, told) = self.seat.hub.lists(self.seat.me, &mut self.lists);
             self.seen = told;
-            lists.into_iter().for_each(|list| self.driver.told(List::clone(&list)));
+            lists.into_iter().for_each(|list| self.driver.list_from_peer(List::clone(&list)));
             self.driver.caught_up(told);
         }
         for (age, host, news) in self.seat.hub.learned(self.seat.me, &mut self.learned) {
-            self.driver.heard(&host, news, age);
+            self.driver.observation_from_peer(&host, news, age);
         }
-        self.driver.group(|member: &mut Member<P>| member.woken());
+        self.driver.with_group(|member: &mut Member<P>| member.woken());
         // A shard that has just ended is missed at once.
         self.rollcall();
     }
 
     fn tick(&mut self) {
         self.seat.hub.beat(self.seat.me);
-        self.driver.group(|member: &mut Member<P>| member.tick());
+        self.driver.with_group(|member: &mut Member<P>| member.tick());
         self.look();
         // What one that is stalled was given since goes back too.
         let stalled = |shard: &Shard| self.roll.borrow().life(*shard) == Life::Stalled;
@@ -311,7 +317,8 @@
         for Change { shard, now } in changes.iter().copied() {
             self.driver.log(&Change { shard, now }.to_string());
             hub.stalled(shard, now == Life::Stalled);
-            self.driver.station(|crossing: &mut Crossing<P>, desk| crossing.changed(desk, shard, now));
+            self.driver
+                .with_interceptor(|crossing: &mut Crossing<P>, desk| crossing.changed(desk, shard, now));
             if now == Life::Dead {
                 // Nobody there waits any more.
                 self.taken.borrow_mut().retain(|(from, _), _| *from != shard);
@@ -321,15 +328,16 @@
             let roll = self.roll.borrow();
             self.stand_ins.send_replace((0..hub.sizes.shards).map(|shard| roll.stands_in(shard)).collect());
             drop(roll);
-            self.driver.lead();
+            self.driver.update_watch_role();
         }
     }
 
     fn note(&mut self, note: Note<P>) {
         match note {
             Note::Answer { number, reply } => {
-                self.driver
-                    .station(|crossing: &mut Crossing<P>, desk| crossing.answered(desk, number, reply));
+                self.driver.with_interceptor(|crossing: &mut Crossing<P>, desk| {
+                    crossing.answered(desk, number, reply)
+                });
             }
             // What it had here ends as that of any client that has gone.
             Note::Do(job) => job(&self.driver),
@@ -342,8 +350,8 @@
         if !ticket.take() {
             return;
         }
-        let ask: Ask<P::Id> = ask;
-        let waiting = self.driver.request_handed(ask, request);
+        let ask: RequestInfo<P::Id> = ask;
+        let waiting = self.driver.request_from_peer(ask, request);
         let (hub, taken, place) = (self.seat.hub.clone(), self.taken.clone(), (from, number));
         let task = task::spawn(async move {
             let reply = waiting.reply().await;
