--- a/engine/src/calls/call.rs
+++ b/engine/src/calls/call.rs
@@ -1,4 +1,4 @@
-//! A call from its request until its answer is given and none of its attempts is out.
+//! The state of a call, from its request until it is answered and none of its attempts is in flight.
 
 use super::Recipient;
 use crate::group::HostPermit;
@@ -17,22 +17,22 @@
     pub id: P::Id,
     pub request: Rc<P::Request>,
     pub deadline: Instant,
-    /// `None`: it is over.
+    /// Who gets the reply; `None` once the call has ended.
     pub recipient: Option<Recipient<P::Answer>>,
-    /// The station that has given it up, and hears of an answer that comes all the same.
+    /// Index of the interceptor that has given up the call and is notified of a late answer.
     pub late_recipient: Option<usize>,
-    /// When its attempts end, for one that a station owns: it may move while they are out, and is later than the
-    /// deadline of those who wait where it may go on without them.
+    /// When the attempts of a call that an interceptor owns end. It may move while they are in flight, and is later
+    /// than the deadline of the waiting requests if the call may continue without them.
     pub extendable_deadline: Option<Rc<Cell<Instant>>>,
-    /// Its attempts go on past an end that the module has set.
+    /// Whether attempts may continue past the deadline that the decision module has set for them.
     pub past_attempt_deadline: bool,
-    /// Nobody waits for it, and what is out of it goes on.
+    /// No client waits for the call, while attempts in flight go on.
     pub detached: bool,
-    /// An attempt has ended of which it is not sure that it never ran.
+    /// Whether an attempt has ended that may have run.
     pub may_have_run: bool,
-    /// When its attempts may be written.
+    /// Limits when further attempts may be written.
     pub repeat_window: Repeats,
-    /// `None`: that attempt has ended.
+    /// By attempt number; `None` once the attempt has ended.
     pub attempts: Vec<Option<Attempt>>,
 }
 
@@ -42,13 +42,13 @@
         self.may_have_run || self.in_flight().any(|in_flight| in_flight.meter.bytes() > 0)
     }
 
-    /// The attempts that are out.
+    /// The attempts that are in flight.
     pub fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().flatten()
     }
 
-    /// Ends the attempts that are unwanted and of which nothing is written yet. Unlike one that is called off,
-    /// such an attempt surely never ran.
+    /// Ends the unwanted attempts of which nothing is written yet. In contrast to a cancelled attempt, such an
+    /// attempt certainly never ran.
     pub fn withdraw(
         &mut self,
         id: CallId,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The outcome of an attempt that the proxy itself has ended.
+/// The outcome event of an attempt that the proxy itself has ended.
 pub(crate) fn outcome_event(
     call: CallId,
     attempt: u32,
@@ -84,13 +84,13 @@
     Event::Outcome { call, attempt, outcome, elapsed, closed, load }
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 pub(crate) struct Attempt {
     pub server: ServerId,
     pub address: SocketAddr,
     pub sent: Instant,
     pub meter: Meter,
-    /// Its place at the host, where room there is shared.
+    /// The permit to send to the host, where engines share its concurrency limit.
     pub permit: Option<HostPermit>,
     /// Ends the exchange and closes its connection when dropped.
     pub _task: Task,
@@ -98,7 +98,7 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        // The task ends when it is polled next; nothing may be written by then.
+        // The task only ends when it is polled next, and nothing may be written until then.
         self.meter.revoke();
     }
 }
--- a/engine/src/calls/mod.rs
+++ b/engine/src/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls: what comes in of one, who waits for it, and its one final answer. What is out of it is in [`call`].
+//! Calls: the request, who waits for it, and its one reply. The state of an open call is in [`call`].
 
 pub(crate) mod call;
 
@@ -14,91 +14,92 @@
 use tokio::sync::{oneshot, OwnedSemaphorePermit};
 use tokio::time::Instant;
 
-/// What the decision module is told of a request.
+/// What the interceptors and the decision module use of a request.
 #[derive(Clone, Debug)]
 pub struct RequestInfo<I> {
-    /// Its id, which no other open request has.
+    /// The request's id; no other open request has it.
     pub id: I,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Whose it is.
+    /// The tenant that sent it, if known.
     pub tenant: Option<TenantId>,
-    /// Until when the client is to have its answer.
+    /// Until when the client waits for the answer.
     pub deadline: Instant,
-    /// The client has tried before.
+    /// Whether the client has sent this request before.
     pub resent: bool,
-    /// Its idempotency key, where one is of any use here.
+    /// The idempotency key, if the request has one and its class uses it.
     pub key: Option<Bytes>,
 }
 
-/// What is known of a request that may have run and has no answer to give.
+/// What is known of the idempotency key of a request that may have run and has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyStatus {
-    /// What it is at, by a name that does not change.
+    /// Name of the key's state. These names are stable.
     pub state: &'static str,
-    /// How long ago it first came.
+    /// How long ago the first request with the key arrived.
     pub age: Duration,
 }
 
-/// The one final answer of a request.
+/// The reply to a request; each request gets exactly one.
 #[derive(Clone, Debug)]
 pub enum Reply<A> {
     /// A host's answer.
     Served(A),
-    /// Turned away; it never ran, and the client may come again after this time.
+    /// The request was refused and never ran. The client may retry after this time.
     Refused(Duration),
-    /// Failed; it may have run.
+    /// The request failed and may have run.
     Failed,
-    /// It may have run and there is no answer, and this is what is known of it.
+    /// The request may have run and no answer is available; this is the state of its idempotency key.
     Unsure(KeyStatus),
-    /// Its id is that of an open call: hosts would take the two for one. It never ran.
+    /// The id is that of an open call, which hosts could not tell from this one. The request never ran.
     DuplicateId,
-    /// Its key belongs to another request. It never ran.
+    /// The idempotency key was used for a different request. This request never ran.
     KeyReused,
-    /// Its key cannot be one. It never ran.
+    /// The idempotency key is malformed. The request never ran.
     InvalidKey,
 }
 
-/// Who waits for a call's answer.
+/// The caller that waits for a reply.
 #[derive(Debug)]
 pub struct Caller<A> {
-    /// Where its one answer goes.
+    /// Receives the reply.
     pub reply: oneshot::Sender<Reply<A>>,
-    /// A place among the open calls, set free when it is answered or its caller has gone.
+    /// Counts the call towards the bound on open calls; released when the call is answered or its caller is gone.
     pub permit: Option<OwnedSemaphorePermit>,
 }
 
 impl<A> Caller<A> {
     pub(crate) fn answer(self, reply: Reply<A>) {
-        // Free before the answer is there: whoever has it may ask again at once.
+        // Released before the reply is sent, since the caller may send its next request at once.
         drop(self.permit);
-        // A client that has just gone has no use for it.
+        // The receiver may be gone; the reply is not needed then.
         let _ = self.reply.send(reply);
     }
 }
 
-/// Who hears of a call's end.
+/// Who gets the reply of a call.
 #[derive(Debug)]
 pub(crate) enum Recipient<A> {
-    /// One caller.
+    /// A caller outside of the engine.
     Caller(Caller<A>),
-    /// The station of this place on the way, which has taken it.
+    /// The interceptor with this index in the chain, which holds the request.
     Interceptor(usize),
 }
 
-/// A request on its way in, from station to station, until it is a call that the module hears of. Who waits for it goes
-/// with it: whoever takes it in answers it once, by [`crate::interceptor::ChainContext::answer`].
+/// A request on its way through the interceptor chain, before it becomes a call in the decision module. It carries
+/// its recipient: whoever takes the request over answers it exactly once, with
+/// [`crate::interceptor::ChainContext::answer`].
 pub struct IncomingRequest<P: Protocol> {
     pub(crate) number: CallId,
     pub(crate) info: RequestInfo<P::Id>,
     pub(crate) request: Rc<P::Request>,
     pub(crate) recipient: Recipient<P::Answer>,
     pub(crate) detach: Option<DetachPolicy>,
-    /// Its id is that of a call at hosts, which sets it free.
+    /// The id has passed to a forwarded copy of the request; the call that the copy becomes releases it.
     pub(crate) id_moved: bool,
 }
 
-/// The ids of an engine's open calls, and whether they were opened here.
+/// The ids of an engine's open calls, each with whether this engine opened it in the group.
 #[derive(Debug)]
 pub(crate) struct OpenIds<I>(HashMap<I, bool>);
 
@@ -107,8 +108,8 @@
         OpenIds(HashMap::new())
     }
 
-    /// Opens an id for a request of this engine's own, or for one that another has handed over, where it is open.
-    /// `false`: it is open already.
+    /// Opens an id. `own` is `false` for a request that another engine handed over, which has opened the id in the
+    /// group already. Returns `false` if the id is open.
     pub fn open<P: Protocol<Id = I>>(
         &mut self,
         id: &I,
@@ -128,33 +129,34 @@
         }
     }
 
-    /// How many were opened here.
+    /// The number of ids that this engine opened.
     pub fn opened_here(&self) -> usize {
         self.0.values().filter(|own| **own).count()
     }
 }
 
-/// How a call may go on when nobody waits for it.
+/// How a call may continue when no client waits for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DetachPolicy {
-    /// Until when its attempts may go on.
+    /// Until when its attempts may continue.
     pub until: Instant,
-    /// Also past an end that the module has set for an attempt, as it can never go again.
+    /// Whether they also continue past the deadline that the decision module sets for an attempt. For calls that may
+    /// never be sent again.
     pub past_attempt_deadline: bool,
 }
 
 impl<P: Protocol> IncomingRequest<P> {
-    /// Its number, which names its call too.
+    /// The number of the request and of the call that it becomes.
     pub fn number(&self) -> CallId {
         self.number
     }
 
-    /// What it says of itself.
+    /// The request's id, class, tenant, deadline and key.
     pub fn info(&self) -> &RequestInfo<P::Id> {
         &self.info
     }
 
-    /// What it carries.
+    /// The payload, in the form of the protocol.
     pub fn request(&self) -> &P::Request {
         &self.request
     }
--- a/engine/src/driver/attempts.rs
+++ b/engine/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! The module's actions on calls, and how attempts begin and end.
+//! Carries out the decision module's actions on calls: starts, cancels and ends attempts.
 
 use super::{Driver, Handle};
 use crate::calls::call::{outcome_event, Attempt};
@@ -30,7 +30,7 @@
             }
             Action::Cancel { call, attempt } => self.cancel_attempt(call, attempt),
             Action::Wake { after } => {
-                self.wake = Some(Instant::now() + Duration::from_micros(after));
+                self.next_timer_event = Some(Instant::now() + Duration::from_micros(after));
                 self.context.timer_changed.notify_one();
             }
             Action::Subscribe => self.subscribe(handle),
@@ -38,7 +38,8 @@
             Action::Tell { server, news } => {
                 self.context.group.iter_mut().for_each(|group| group.share_observation(server, news));
             }
-            // The module asks for none where the settings allow none, and this program has none to offer.
+            // Health checks are not implemented here, and the settings do not allow the decision module to ask for
+            // them.
             Action::Probe { .. } => {}
         }
     }
@@ -47,14 +48,14 @@
         let now = Instant::now();
         let Some(call) = self.context.calls.get(&id) else { return };
         let attempt = call.attempts.len() as u32;
-        // Without an end of its own an attempt ends with its call, whose end may move.
+        // An attempt without a deadline of its own ends with its call, whose deadline may move.
         let past_attempt_deadline = call.past_attempt_deadline && until.is_some();
         let limit = call.extendable_deadline.clone().filter(|_| until.is_none() || past_attempt_deadline);
         let until = until.map_or(call.deadline, |at| self.context.clock.instant(at).min(call.deadline));
         let to = self.hosts.ready(server).map(|address| Target { server, address });
         let to = to.filter(|_| call.recipient.is_some() && now < until);
         let closed = call.recipient.is_none();
-        // The stations first: what they refuse takes no place.
+        // The interceptors go first, so that an attempt that they veto takes no permit.
         let permit = to
             .filter(|to| self.interceptors_allow(id, *to))
             .and_then(|to| Some((to, self.acquire_permit(to)?)));
@@ -76,7 +77,7 @@
         let task = {
             let (handle, meter) = (handle.clone(), meter.clone());
             task::spawn(async move {
-                // It is over then, whatever the protocol does.
+                // The attempt ends at its deadline whatever the protocol does.
                 let end = match limit {
                     None => timeout_at(until, exchange).await.ok(),
                     Some(limit) if past_attempt_deadline => {
@@ -114,8 +115,9 @@
         }));
     }
 
-    /// A place at a host, where there are others that send to it; `None`: there is no room.
-    #[expect(clippy::option_option, reason = "without others none is needed")]
+    /// Acquires a permit for the host, if several engines send to it. `None`: the shared concurrency limit is
+    /// reached.
+    #[expect(clippy::option_option, reason = "an engine without a group needs no permit")]
     fn acquire_permit(&mut self, to: Target) -> Option<Option<HostPermit>> {
         match &mut self.context.group {
             None => Some(None),
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Whether the stations let an attempt go.
+    /// Whether all interceptors allow the attempt.
     fn interceptors_allow(&mut self, call: CallId, to: Target) -> bool {
         (0..self.chain.len()).all(|index| {
             self.context.current = index;
@@ -131,7 +133,7 @@
         })
     }
 
-    /// Calls an attempt off: its connection closes.
+    /// Cancels an attempt and closes its connection.
     fn cancel_attempt(&mut self, id: CallId, attempt: u32) {
         let Some(call) = self.context.calls.get_mut(&id) else { return };
         let Some(in_flight) = call.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
@@ -163,7 +165,8 @@
 }
 
 impl<P: Protocol> Handle<P> {
-    /// The time of all who wait for a call is up, as the module has set it. Whether the call goes on without them.
+    /// Handles an attempt's deadline, as set by the decision module, for a call that may continue past it: the
+    /// waiting requests are answered. Returns whether the call continues without them.
     fn on_attempt_deadline(&self, id: CallId) -> bool {
         let mut driver = self.0.borrow_mut();
         let Some(call) = driver.context.calls.get(&id) else { return false };
@@ -186,7 +189,7 @@
         let Some(call) = context.calls.get_mut(&id) else { return };
         let removed = call.attempts.get_mut(attempt as usize).and_then(Option::take);
         let Some(mut in_flight) = removed else { return };
-        // Free before the module hears of it: it may send another at once.
+        // Released before the decision module gets the outcome, since it may send another attempt at once.
         drop(in_flight.permit.take());
         if end.outcome.never_ran() {
             call.repeat_window.never_ran(attempt);
@@ -225,12 +228,12 @@
         }
         drop(driver);
         self.process([]);
-        // Dropped last: this may be the very task of the attempt.
+        // Dropped last: this code may run in the very task that it ends.
         drop(in_flight);
     }
 }
 
-/// Who hears of a call's answer: its owner, but for a fault planted on purpose.
+/// The recipient of an answer: that of the call, unless the mutant that swaps answers is active.
 fn swapped_by_mutant<P: Protocol>(
     context: &mut ChainContext<P>,
     id: CallId,
@@ -246,7 +249,7 @@
     }
 }
 
-/// What a future gives by a moment that may move on meanwhile.
+/// Runs a future until a deadline that may move later meanwhile; `None` once the deadline has passed.
 async fn within_extendable_deadline<T>(limit: &Cell<Instant>, future: impl Future<Output = T>) -> Option<T> {
     let mut future = pin!(future);
     loop {
--- a/engine/src/driver/chain.rs
+++ b/engine/src/driver/chain.rs
@@ -1,4 +1,4 @@
-//! The way of requests and ends past the stations.
+//! Passes requests, call ends and cancellations through the interceptor chain.
 
 use super::Driver;
 use crate::calls::call::Call;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 impl<P: Protocol> Driver<P> {
-    /// Takes a request past the stations from this one on; behind the last the module hears of it.
+    /// Passes a request to the interceptors from index `from` on. After the last one it becomes a call.
     pub(super) fn admit(&mut self, from: usize, mut incoming: IncomingRequest<P>) {
         for index in from..self.chain.len() {
             self.context.current = index;
@@ -25,7 +25,7 @@
         self.begin_call(incoming);
     }
 
-    /// A request has passed all stations: it is a call.
+    /// Starts the call of a request that has passed all interceptors.
     fn begin_call(&mut self, incoming: IncomingRequest<P>) {
         let IncomingRequest {
             number,
@@ -63,7 +63,7 @@
         self.context.events.push_back(Event::Request { call: number, class, tenant, time_left, resent });
     }
 
-    /// What stations are to hear, until none has more to say.
+    /// Delivers pending notifications and forwarded requests until there are none left.
     pub(super) fn deliver_notifications(&mut self) {
         loop {
             if let Some((index, call, notification)) = self.context.notifications.pop_front() {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A client has gone. `false`: there was none.
+    /// Cancels a call whose client has stopped waiting. Returns `false` if no client waited for it.
     pub(super) fn cancel(&mut self, id: CallId) -> bool {
         if self.cancel_from(0, id) {
             return true;
@@ -107,7 +107,8 @@
         true
     }
 
-    /// The same for the stations from this one on. It may have answered meanwhile.
+    /// Offers a cancellation to the interceptors from index `from` on. Returns whether one of them holds the request.
+    /// The call may have been answered meanwhile.
     fn cancel_from(&mut self, from: usize, id: CallId) -> bool {
         (from..self.chain.len()).any(|index| {
             self.context.current = index;
--- a/engine/src/driver/group.rs
+++ b/engine/src/driver/group.rs
@@ -1,4 +1,4 @@
-//! What the driver does as one of several engines.
+//! The driver as one of several engines of a process.
 
 use super::hosts::ListSource;
 use super::{Driver, Handle, PendingReply};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl<P: Protocol> Driver<P> {
-    /// What the group has to say, before the module's next event and after the last.
+    /// Synchronizes with the group, before each event of the decision module and after the last one.
     pub(super) fn synchronize_group(&mut self) {
         if let Some(group) = &mut self.context.group {
             let now = self.context.clock.at(tokio::time::Instant::now());
@@ -20,22 +20,22 @@
 }
 
 impl<P: Protocol> Handle<P> {
-    /// Takes a request in that another engine of the process has taken, and whose id it has opened.
+    /// Starts a call that another engine of the process has accepted, and whose id it has opened.
     pub fn request_from_peer(&self, info: RequestInfo<P::Id>, request: P::Request) -> PendingReply<P> {
         self.start_pending(info, request, false)
     }
 
-    /// Takes in what another engine's watch has brought.
+    /// Applies a list that the watch of another engine has received.
     pub fn list_from_peer(&self, list: List) {
         self.receive_list(list, ListSource::Group);
     }
 
-    /// All is taken in that the process was told up to here.
+    /// Confirms that all shared lists up to this update have been applied.
     pub fn caught_up(&self, update: u64) {
         self.0.borrow().freshness_gate.taken(update);
     }
 
-    /// Another engine has learned something of a host, so long ago.
+    /// Passes on what another engine has observed of a host, `age` ago.
     pub fn observation_from_peer(&self, host: &str, news: News, age: Duration) {
         let server: Option<ServerId> = self.0.borrow().hosts.ids_by_name.get(host).copied();
         if let Some(server) = server {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// This engine watches the list from now on, or another does: the group says so.
+    /// Opens or closes the watch of the server list, after the group has made this engine or another one the watcher.
     pub fn update_watch_role(&self) {
         let mut driver = self.0.borrow_mut();
         let is_watcher = driver.context.group.as_ref().is_none_or(|group| group.is_watcher());
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Does something with the group, if it has this type, and what follows from that.
+    /// Runs `act` with the group if it is of type `G`, and processes the resulting events.
     pub fn with_group<G: 'static, T>(&self, act: impl FnOnce(&mut G) -> T) -> Option<T> {
         let result = {
             let mut driver = self.0.borrow_mut();
@@ -67,8 +67,8 @@
         result
     }
 
-    /// Gives up all that is open, unanswered: whoever waits is told that it may have run. Nothing is sent for it any
-    /// more, and what comes is refused. For an engine that is torn.
+    /// Drops all open calls of a poisoned engine without a reply; their callers get the reply that the call failed
+    /// and may have run. Nothing more is sent, and new requests are refused.
     pub fn abort_calls(&self) {
         let mut driver = self.0.borrow_mut();
         driver.poisoned = true;
@@ -78,11 +78,11 @@
         context.notifications.clear();
         context.events.clear();
         drop(driver);
-        // Those who wait hear of it by these.
+        // Dropping these closes the reply channels of the waiting callers.
         drop((chain, calls));
     }
 
-    /// Whether a panic has left the engine half way through a change: nothing that it says counts any more.
+    /// Whether a panic has left the engine in the middle of a change; its state is not reliable then.
     pub fn is_poisoned(&self) -> bool {
         self.0.try_borrow().is_ok_and(|driver| driver.poisoned)
     }
--- a/engine/src/driver/hosts.rs
+++ b/engine/src/driver/hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts of the list, and what a new list does to them.
+//! The hosts of the server list, and how a new list is applied.
 
 use super::{Driver, Handle};
 use crate::calls::call::{Attempt, Call};
@@ -15,9 +15,9 @@
 /// Where a list comes from.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ListSource {
-    /// The configuration, as this proxy last had it.
+    /// The configuration: the list as this proxy had it before its start.
     Cached,
-    /// The watch of this number.
+    /// The watch with this number.
     Watch(u64),
     /// Another engine of the process.
     Group,
@@ -28,12 +28,11 @@
     pub dial: SocketAddr,
     born_ms: u64,
     pub health: Health,
-    /// When the last attempt there was begun.
+    /// When the last attempt to the host was started.
     pub sent_at: Option<Instant>,
 }
 
-/// The hosts, by number and by name. In an order of their own: what is done to all of them is done in the same order in
-/// each run.
+/// The hosts, by id and by name. Ordered maps, so that operations on all hosts run in the same order in each run.
 #[derive(Default)]
 pub(super) struct Hosts {
     pub by_id: BTreeMap<ServerId, Host>,
@@ -41,7 +40,7 @@
     last_id: u32,
     /// Version of the list.
     pub seq: Option<u64>,
-    /// Whether a list is in hand.
+    /// Whether a list has been received or was cached.
     pub has_list: bool,
 }
 
@@ -50,18 +49,18 @@
         Hosts { seq, ..Hosts::default() }
     }
 
-    /// Where a host listens that something new may be written to.
+    /// The address of a host, if new requests may be sent to it.
     pub fn ready(&self, server: ServerId) -> Option<SocketAddr> {
         self.by_id.get(&server).filter(|host| host.health == Health::Ready).map(|host| host.dial)
     }
 
-    /// The hosts that something new may be written to.
+    /// The hosts to which new requests may be sent.
     fn ready_servers(&self) -> Vec<ServerId> {
         let ready = self.by_id.iter().filter(|(_, host)| host.health == Health::Ready);
         ready.map(|(&server, _)| server).collect()
     }
 
-    /// The number of a host, and whether it is new, or has moved or started again.
+    /// Adds or updates a host. Returns its id, whether it is new, and whether it has a new address or has restarted.
     fn intern(
         &mut self,
         entry: &list::Host,
@@ -88,8 +87,7 @@
 }
 
 impl<P: Protocol> Handle<P> {
-    /// Takes a list in: hosts that it does not name ready get nothing
-    /// more that is not yet on its way.
+    /// Applies a list. Hosts that are not ready by it get no request that is not yet on the wire.
     pub(super) fn receive_list(&self, list: List, source: ListSource) {
         let has_draining = list.hosts.iter().any(|host| host.health == Health::Terminating);
         if has_draining && mutant::is_active(Mutant::DelaysDrains) {
@@ -106,7 +104,7 @@
     fn apply_list(&self, list: List, source: ListSource) {
         let mut driver = self.0.borrow_mut();
         if let ListSource::Watch(watch) = source {
-            // A watch that was replaced may have more lines at hand; their versions are another discovery's.
+            // A watch that was replaced may still deliver lines; their versions may be those of another discovery.
             if watch != driver.watch.number {
                 return;
             }
@@ -114,7 +112,7 @@
             driver.context.group.iter_mut().for_each(|group| group.publish_list(&list));
         }
         let cached = matches!(source, ListSource::Cached);
-        // What unwinds through here leaves it so.
+        // Stays set if a panic unwinds through here.
         driver.poisoned = driver.context.group.is_some();
         let ready_before = driver.hosts.ready_servers();
         let hosts = &mut driver.hosts;
@@ -144,7 +142,7 @@
         }
         driver.log_list(&list, kind);
         driver.log_unavailable(&ready_before);
-        // The module hears of the list before it hears of what the list undoes.
+        // The decision module must get the list before the outcomes of the attempts that the list withdraws.
         driver.context.events.push_back(Event::Members { kind, entries });
         driver.withdraw_unsendable();
         let hosts = &mut driver.hosts;
@@ -163,12 +161,13 @@
 }
 
 impl<P: Protocol> Driver<P> {
-    /// The number of a host. What is idle there is of no use once it moves or starts again.
+    /// Adds or updates a host and returns its id. Idle connections are closed if it has a new address or has
+    /// restarted.
     fn intern(&mut self, entry: &list::Host) -> ServerId {
         let assign_id = self.context.group.as_mut().map(|group| |name: &str| group.server_id(name));
         let (server, new, replaced) = self.hosts.intern(entry, assign_id);
         if new {
-            // The module's lines name servers by number alone.
+            // The log lines of the decision module name servers by id only.
             self.context.log(&format!("server {} is {} at {}", server.0, entry.host, entry.dial));
         }
         if replaced {
@@ -178,7 +177,7 @@
         server
     }
 
-    /// Writes to the log which of these servers a list has taken out of use, and what was last sent there.
+    /// Logs which of these servers a list has made unavailable, and when the last attempt was sent there.
     fn log_unavailable(&self, ready_before: &[ServerId]) {
         for &server in ready_before {
             let Some(host) = self.hosts.by_id.get(&server) else { continue };
@@ -201,8 +200,9 @@
         }
     }
 
-    /// Takes back what is not yet written to hosts that are not ready, or no longer there, or by a list that has expired,
-    /// and closes what is idle at those: a send counts when it is written, not when it was decided.
+    /// Withdraws attempts that are not yet written and must not be any more: to hosts that are not ready, have moved
+    /// or are no longer listed, or by an expired list. Also closes idle connections to those hosts. What counts is
+    /// when a request is written, not when the decision was made.
     pub(super) fn withdraw_unsendable(&mut self) {
         let Driver { context, hosts, protocol, .. } = self;
         for (&server, host) in &hosts.by_id {
--- a/engine/src/driver/mod.rs
+++ b/engine/src/driver/mod.rs
@@ -1,6 +1,5 @@
-//! Drives the decision module: turns what happens on the sockets into its events, in one order and on one
-//! clock, and carries out its actions. It decides nothing itself, and of the stations on a call's way it knows the
-//! order alone.
+//! Drives the decision module: turns what happens on the sockets into events, in one order and on one clock, and
+//! carries out its actions. The driver decides nothing itself; of the interceptors it knows only their order.
 
 mod attempts;
 mod chain;
@@ -32,17 +31,14 @@
 use tokio::time::{sleep_until, Instant};
 use watch::Watch;
 
-/// How often the protocol looks through what it keeps.
+/// How often the protocol closes idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How many sweeps pass between two lines of figures in the log.
 const SWEEPS_PER_LOG_LINE: u32 = 10;
-/// How often a stop looks whether calls still linger.
 const DETACHED_POLL_INTERVAL: Duration = Duration::from_millis(2);
-
-/// When to come again after a refusal by an engine that ends.
+/// Retry delay in refusals by an engine that is about to end.
 const POISONED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The stations on the way, in their order.
+/// The interceptors, in the order in which requests pass them.
 pub type InterceptorChain<P> = Vec<Box<dyn Interceptor<P>>>;
 
 struct Driver<P: Protocol> {
@@ -53,21 +49,18 @@
     next_call: u64,
     hosts: Hosts,
     watch: Watch,
-    /// When the module wants to be woken next.
-    wake: Option<Instant>,
+    next_timer_event: Option<Instant>,
     counts: Counts,
     observer: Option<Box<dyn Observer>>,
-    /// Whether the list that this engine has may be written by.
     freshness_gate: Fresh,
-    /// When that list expires, as the module has last said.
+    /// When the server list expires, as last reported by the decision module.
     expires_at: Option<Micros>,
-    /// That moment has come, and what was not written was taken back.
+    /// The list has expired, and unwritten attempts were withdrawn.
     expired: bool,
-    /// A panic has left it half way through a change.
     poisoned: bool,
 }
 
-/// The driver, shared by the tasks of one thread. No method waits, and none is called from within another.
+/// The driver, shared by the tasks of one thread. No method waits, and none may be called from within another.
 pub struct Handle<P: Protocol>(Rc<RefCell<Driver<P>>>);
 
 impl<P: Protocol> Clone for Handle<P> {
@@ -76,7 +69,7 @@
     }
 }
 
-/// A call that waits for its answer. Dropped before that, it tells the module that the client has gone.
+/// A call that waits for its reply. Dropping it earlier cancels the call.
 pub struct PendingReply<P: Protocol> {
     driver: Handle<P>,
     call: CallId,
@@ -84,19 +77,18 @@
 }
 
 impl<P: Protocol> PendingReply<P> {
-    /// The call's final answer.
+    /// The reply.
     pub async fn reply(mut self) -> Reply<P::Answer> {
         self.wait().await
     }
 
-    /// The same for one who may end the waiting before it is there.
+    /// Waits for the reply, for callers that may stop waiting.
     pub async fn wait(&mut self) -> Reply<P::Answer> {
-        // The sender is only ever dropped with the call, after an answer or with the process.
+        // The sender is only dropped with the call, after a reply or at the end of the process.
         (&mut self.reply).await.unwrap_or(Reply::Failed)
     }
 
-    /// The call's final answer where its process ends before it has another: refused if it surely never ran, else
-    /// failed. Nothing is sent for it afterwards.
+    /// The reply where the process ends first: refused if the call certainly never ran, else failed.
     pub fn abort(self) -> Reply<P::Answer> {
         let driver = self.driver.0.borrow();
         let call = driver.context.calls.get(&self.call);
@@ -104,7 +96,7 @@
             .is_some_and(|call| matches!(call.recipient, Some(Recipient::Caller(_))) && !call.may_have_run());
         let max_retry_after = Duration::from_micros(driver.context.config.settings.limits.max_retry_after);
         drop(driver);
-        // Dropped with this, it has gone.
+        // Dropping `self` cancels the call, so that nothing more is sent for it.
         if never_ran {
             Reply::Refused(POISONED_RETRY_AFTER.min(max_retry_after))
         } else {
@@ -120,13 +112,12 @@
 }
 
 impl<P: Protocol> Handle<P> {
-    /// Starts the module with what the configuration holds. Its lines go to `log`.
+    /// Starts the engine on the current thread.
     pub fn start(config: Rc<Config>, protocol: P, chain: InterceptorChain<P>, log: Log) -> Self {
         Self::start_in_group(None, Fresh::default(), config, protocol, chain, log)
     }
 
-    /// The same for one of several engines that serve as one. Its module must know that room is shared
-    /// ([`nettleworks_policy::Settings::shared`]).
+    /// Starts one of several engines; needs [`nettleworks_policy::Settings::shared`].
     pub fn start_in_group(
         group: Option<Box<dyn Group<P>>>,
         freshness_gate: Fresh,
@@ -155,10 +146,11 @@
             protocol: Rc::new(protocol),
             balancer: Balancer::new(config.seed, config.settings.clone()),
             next_call: 0,
-            // Its version is set before the start: the module subscribes at once, from the list it gets next.
+            // The version must be set first: the start event may make the decision module subscribe, from this
+            // version on.
             hosts: Hosts::new(config.known.as_ref().map(|cached_list| cached_list.seq)),
             watch: Watch::new(),
-            wake: None,
+            next_timer_event: None,
             counts: Counts::default(),
             observer: None,
             freshness_gate,
@@ -189,12 +181,12 @@
         handle
     }
 
-    /// Whether a list of hosts is in hand.
+    /// Whether there is a server list.
     pub fn is_ready(&self) -> bool {
         self.0.borrow().hosts.has_list
     }
 
-    /// How many calls wait for their answer.
+    /// The number of calls that wait for their reply.
     pub fn waiting(&self) -> usize {
         let driver = self.0.borrow();
         let has_caller = |call: &&Call<P>| matches!(call.recipient, Some(Recipient::Caller(_)));
@@ -202,32 +194,30 @@
             + driver.chain.iter().map(|entry| entry.waiting()).sum::<usize>()
     }
 
-    /// How many calls go on though nobody waits for them.
+    /// The number of detached calls, which continue although no client waits for them.
     pub fn detached(&self) -> usize {
         self.0.borrow().detached()
     }
 
-    /// Waits until no call lingers.
+    /// Waits until there are no detached calls.
     pub async fn wait_for_detached(&self) {
         while self.detached() > 0 {
             tokio::time::sleep(DETACHED_POLL_INTERVAL).await;
         }
     }
 
-    /// The configuration.
+    /// The current configuration.
     pub fn config(&self) -> Rc<Config> {
         self.0.borrow().context.config.clone()
     }
 
-    /// Goes on under a new configuration. Its discovery is watched at once, from the version of the list in hand.
+    /// Applies a new configuration. A changed discovery is watched at once, from the version of the current list on.
     pub fn reload(&self, config: Config) {
         let mut driver = self.0.borrow_mut();
         let (config, restart_needed) = driver.context.config.renewed(config);
         let discovery_changed = config.discovery != driver.context.config.discovery;
-        let restart_note = if restart_needed { "; what else changed takes a restart" } else { "" };
-        driver
-            .context
-            .log(&format!("configuration read again, discovery at {}{restart_note}", config.discovery));
+        let note = if restart_needed { "; what else changed takes a restart" } else { "" };
+        driver.context.log(&format!("configuration read again, discovery at {}{note}", config.discovery));
         driver.context.config = Rc::new(config);
         let Driver { context, protocol, chain, .. } = &mut *driver;
         protocol.reload(&context.config);
@@ -239,7 +229,7 @@
         }
     }
 
-    /// Writes the figures so far to the log.
+    /// Writes the statistics to the log.
     pub fn log_counts(&self) {
         self.0.borrow().log_counts();
     }
@@ -250,14 +240,14 @@
         log(line);
     }
 
-    /// Shows the state from here on: when the list of hosts changes, and once a second.
+    /// Reports the state to an observer: on each new server list, and once a second.
     pub fn observe(&self, observer: impl Observer + 'static) {
         let mut driver = self.0.borrow_mut();
         driver.observer = Some(Box::new(observer));
         driver.notify_observer();
     }
 
-    /// Shows the state to whoever observes it, now.
+    /// Reports the state to the observer now.
     pub fn notify_observer(&self) {
         let driver = self.0.borrow();
         if let Some(observer) = &driver.observer {
@@ -265,12 +255,12 @@
         }
     }
 
-    /// The state now.
+    /// A snapshot of the state.
     pub fn state(&self) -> State {
         self.0.borrow().state()
     }
 
-    /// Does something with the station of a type; `None`: it is not on the way.
+    /// Runs `act` with the interceptor of type `S`; `None` if the chain has none.
     pub fn with_interceptor<S: Interceptor<P>, T>(
         &self,
         act: impl FnOnce(&mut S, &mut ChainContext<P>) -> T,
@@ -295,7 +285,7 @@
         driver.notify_observer();
     }
 
-    /// Takes a request in. Its answer may be there when this returns.
+    /// Starts a call. Its reply may be available when this returns.
     pub fn request(&self, info: RequestInfo<P::Id>, request: P::Request) -> PendingReply<P> {
         self.start_pending(info, request, true)
     }
@@ -306,8 +296,7 @@
         PendingReply { driver: self.clone(), call, reply }
     }
 
-    /// Takes a request in for a caller that is told of the answer elsewhere. [`Handle::gone`] with the id that
-    /// comes back says that nobody waits any more.
+    /// Starts a call whose reply goes to `caller`. [`Handle::cancel`] with the returned number cancels it.
     pub fn submit(&self, info: RequestInfo<P::Id>, request: P::Request, caller: Caller<P::Answer>) -> CallId {
         self.accept(info, request, caller, true)
     }
@@ -339,7 +328,7 @@
         number
     }
 
-    /// Nobody waits for this call any more. Says nothing of one that is answered.
+    /// Cancels a call whose client has stopped waiting. No effect on a call that has been answered.
     pub fn cancel(&self, id: CallId) {
         let mut driver = self.0.borrow_mut();
         if driver.cancel(id) {
@@ -348,8 +337,7 @@
         }
     }
 
-    /// Feeds events to the module, and those that its actions lead to at once. What stations are to hear comes first:
-    /// an answer does not wait for what the module makes of it.
+    /// Feeds events to the decision module until none are left. Interceptors come first, so that no reply waits for it.
     fn process(&self, events: impl IntoIterator<Item = Event>) {
         let mut driver = self.0.borrow_mut();
         if driver.poisoned {
@@ -358,7 +346,7 @@
         driver.context.events.extend(events);
         driver.take_over_lease();
         let mut actions = Vec::new();
-        // What unwinds through here leaves it so.
+        // Stays set if a panic unwinds through here. A single engine without a group ends with the panic.
         driver.poisoned = driver.context.group.is_some();
         loop {
             driver.deliver_notifications();
@@ -377,15 +365,15 @@
         driver.poisoned = false;
     }
 
-    /// The one timer of the module and the stations.
+    /// The timer of the decision module and the interceptors.
     async fn run_timer(self) {
         let timer_changed = self.0.borrow().context.timer_changed.clone();
         loop {
-            let (wake, next_wake) = {
+            let (next_timer_event, next_wake) = {
                 let mut driver = self.0.borrow_mut();
                 let next = driver.chain.iter().filter_map(|entry| entry.wake_at(&driver.context)).min();
                 driver.context.next_wake = next;
-                (driver.wake, next)
+                (driver.next_timer_event, next)
             };
             let due = |at: Option<Instant>| async move {
                 match at {
@@ -393,15 +381,15 @@
                     None => std::future::pending().await,
                 }
             };
-            // In this order, not in one drawn anew: the same events make the same course.
+            // Biased, since random polling would make runs with the same events differ.
             tokio::select! {
                 biased;
                 () = due(next_wake) => {
                     self.0.borrow_mut().wake_interceptors();
                     self.process([]);
                 }
-                () = due(wake) => {
-                    self.0.borrow_mut().wake = None;
+                () = due(next_timer_event) => {
+                    self.0.borrow_mut().next_timer_event = None;
                     self.process([Event::Timer]);
                 }
                 () = timer_changed.notified() => {}
--- a/engine/src/driver/report.rs
+++ b/engine/src/driver/report.rs
@@ -1,4 +1,4 @@
-//! What the driver shows of itself: its state, and lines of figures.
+//! The driver's state snapshots and log statistics.
 
 use super::Driver;
 use crate::protocol::Protocol;
@@ -7,20 +7,20 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Figures so far.
+/// Counters since the start.
 #[derive(Debug, Default)]
 pub(super) struct Counts {
     pub requests: u64,
     pub attempts: u64,
     pub outcomes: BTreeMap<Outcome, u64>,
-    /// Calls that the module has refused, and those that it has failed, by its reason.
+    /// Calls that the decision module has refused, and those that it has failed, by reason.
     pub refused: BTreeMap<GivenUp, u64>,
     pub failed: BTreeMap<GivenUp, u64>,
-    /// Attempts that were taken back unwritten, as a list did not name their server ready any more.
+    /// Attempts that were withdrawn unwritten because the list no longer named their server ready.
     pub withdrawn: u64,
-    /// Attempts begun while no watch verified the list.
+    /// Attempts that were started while no watch verified the list.
     pub by_unverified_list: u64,
-    /// The longest time for which no watch had shown that it was alive when an attempt began.
+    /// The longest time since a watch had last verified the list when an attempt was started.
     pub oldest_list: Duration,
 }
 
--- a/engine/src/driver/watch.rs
+++ b/engine/src/driver/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the server list: when it is opened, what it shows, and how it ends. Each step is a line of the log.
+//! The watch of the server list: opening it, handling its events, and its end. Each step is logged.
 
 use super::hosts::ListSource;
 use super::{Driver, Handle};
@@ -11,42 +11,44 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Where the list is pushed the module never asks for it: a watch that ended is opened again after this, and twice as
-/// long with each that brought no list, up to the most. What the agent has counts as told whether or not a watch is open,
-/// and asking costs nothing there. One that fell silent is opened again at once.
-/// With the time for an answer that is well within the grace for what the agent has.
+/// Delay before a watch that has ended is opened again, where the list is pushed (the decision module never asks for
+/// it then). It doubles with each watch in a row that brought no list, up to the maximum. Opening a watch costs
+/// nothing there, since what the agent has counts as known to the proxy whether or not a watch is open. A watch that
+/// fell silent is opened again at once. Together with the timeout for a response this stays well within the grace
+/// period for what the agent has.
 const PUSH_RETRY: Duration = Duration::from_millis(50);
 const PUSH_RETRY_MAX_DOUBLINGS: u32 = 1;
-/// Heartbeats after which a watch that has brought no list proves that nothing has changed: the first may have been
-/// written before its list.
+/// Number of heartbeats after which a watch that has brought no list proves that the list is unchanged. The first
+/// heartbeat may have been written before the watch's list.
 const PROVING_HEARTBEATS: u32 = 2;
 
-/// What was changed while a process was restarted counts from when it went down: a restart takes this long at the most.
+/// The longest time that a restart of the process takes. A list change during a restart counts from when the process
+/// went down.
 const MAX_RESTART_TIME: Micros = 1_500_000;
 
-/// The present watch.
+/// The current watch.
 pub(super) struct Watch {
-    /// Its number: what an earlier one still has to say no longer counts.
+    /// Number of the watch; events of watches with an earlier number are ignored.
     pub number: u64,
-    /// Watches in a row that failed and brought no list.
+    /// Consecutive watches that failed and brought no list.
     pub failures: u32,
-    /// When it was opened.
+    /// When the watch was opened.
     opened_at: Instant,
-    /// When a watch last proved that the list was up to date; the start of the engine before the first.
+    /// When a watch last proved that the list was up to date; before the first proof, the start of the engine.
     verified_at: Instant,
-    /// What calls that failed have shown of discovery.
+    /// What failed discovery calls have shown about an outage.
     outage: Outage,
     /// When the last watch was opened whose calls proved that discovery is down.
     unreachable_since: Option<Instant>,
-    /// Heartbeats of the present one; a list counts for as many as prove.
+    /// Heartbeats of the current watch; a list counts as [`PROVING_HEARTBEATS`].
     heartbeats: u32,
-    /// Another engine watched meanwhile, and this one is to publish what it knows in that one's place.
+    /// Another engine was the watcher meanwhile, and this one has to publish its own lease again.
     publish_pending: bool,
     task: Option<Task>,
 }
 
 impl Watch {
-    /// Before the first is opened.
+    /// The state before the first watch is opened.
     pub fn new() -> Watch {
         let now = Instant::now();
         Watch {
@@ -62,23 +64,23 @@
         }
     }
 
-    /// Whether one was opened and not closed by [`Watch::close`].
+    /// Whether a watch was opened and not closed by [`Watch::close`].
     pub fn is_open(&self) -> bool {
         self.task.is_some()
     }
 
-    /// Closes it. What it still has to say counts no more.
+    /// Closes the watch; its remaining events are ignored.
     pub fn close(&mut self) {
         self.number += 1;
         self.task = None;
     }
 
-    /// The present watch has brought a list: it proves as much as some heartbeats.
+    /// Records that the current watch has brought a list, which proves as much as several heartbeats.
     fn record_list(&mut self) {
         self.heartbeats = self.heartbeats.saturating_add(PROVING_HEARTBEATS);
     }
 
-    /// The present watch is alive. Whether that proves the list.
+    /// Records a heartbeat of the current watch. Returns whether it proves that the list is up to date.
     fn record_heartbeat(&mut self) -> bool {
         self.heartbeats = self.heartbeats.saturating_add(1);
         let proves = self.heartbeats >= PROVING_HEARTBEATS;
@@ -88,7 +90,7 @@
         proves
     }
 
-    /// What the calls of a watch prove that has ended so. An answer that was cut off proves nothing of an outage.
+    /// What the end of a watch proves about discovery. A truncated response proves nothing about an outage.
     fn assess(&mut self, end: &End) -> Verdict {
         match end {
             End::Unanswered(calls) if end.withheld_since().is_none() => {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// After what time the next is opened where the list is pushed.
+    /// The delay before the next watch is opened, where the list is pushed.
     fn retry_after(&mut self, end: &End) -> Duration {
         if matches!(end, End::Silent) {
             return Duration::ZERO;
@@ -107,20 +109,20 @@
         PUSH_RETRY * (1 << (self.failures - 1).min(PUSH_RETRY_MAX_DOUBLINGS))
     }
 
-    /// From when on a change may have been missed that discovery could have told.
+    /// The earliest time at which a list change may have been missed that discovery could have reported.
     fn unverified_since(&self) -> Instant {
         self.unreachable_since
             .map_or(self.verified_at, |unreachable_since| self.verified_at.max(unreachable_since))
     }
 
-    /// For how long no watch has shown that it is alive: as old the list may be.
+    /// Time since a watch last proved that the list is up to date, and so the greatest possible age of the list.
     pub fn time_since_verified(&self) -> Duration {
         self.verified_at.elapsed()
     }
 }
 
 impl<P: Protocol> Driver<P> {
-    /// Opens a watch in the place of the present one, if this engine watches.
+    /// Replaces the current watch by a new one, if this engine is the watcher.
     pub(super) fn subscribe(&mut self, handle: &Handle<P>) {
         if !self.context.group.as_ref().is_none_or(|group| group.is_watcher()) {
             return;
@@ -136,7 +138,7 @@
             (since.map_or("none".to_owned(), |seq| seq.to_string()), self.watch.time_since_verified());
         self.context
             .log(&format!("watch {number}: opened from version {from}, last alive {unverified_for:.3?} ago"));
-        // The task of the last watch, if there is one, ends here.
+        // This ends the task of the previous watch.
         self.watch.task = Some(task::spawn(async move {
             let end = discovery::watch(discovery, pushed, since, last_look, |sign| {
                 handle.on_watch_event(number, sign)
@@ -149,8 +151,9 @@
         }));
     }
 
-    /// Heeds what the module has made of the list's lease. Once it has expired nothing is written by it: what is not yet
-    /// written is taken back, and the gate at the socket holds for whatever is decided in the same moment.
+    /// Applies the list's lease as the decision module computed it. After its expiry nothing is written by the list:
+    /// unwritten attempts are withdrawn, and the freshness gate at the socket stops what is decided in the same
+    /// moment.
     pub(super) fn apply_list_expiry(&mut self) {
         let at = self.balancer.list_expires_at();
         if std::mem::take(&mut self.watch.publish_pending) || at != self.expires_at {
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Tells the other engines of the process what this one's watch knows of the list.
+    /// Publishes this engine's lease of the list to the other engines of the process, if this engine is the watcher.
     fn publish_lease(&mut self) {
         let expires = self.balancer.list_expires_at().map(|at| self.context.clock.instant(at));
         let lease = Lease { verified_at: self.watch.unverified_since(), expires_at: expires };
@@ -183,24 +186,25 @@
         }
     }
 
-    /// Brings the module in step with what the engine that watches has published of the list's lease, ahead of whatever it
-    /// decides next. What the module has is compared, and not what was seen before: it may have changed since by a watch of
-    /// this engine's own.
+    /// Updates the decision module with the lease that the watching engine has published, before it decides anything
+    /// else. The lease is compared with the decision module's own, not with the one seen last: a watch of this engine
+    /// may have changed it meanwhile.
     pub(super) fn apply_published_lease(&mut self) {
         let Some(group) = &self.context.group else { return };
         let (is_watcher, Some(lease)) = (group.is_watcher(), group.lease()) else { return };
-        // Whatever an engine's watch has proven was told to all.
+        // What one engine's watch has proven holds for all engines.
         self.watch.verified_at = self.watch.verified_at.max(lease.verified_at);
         let at = lease.expires_at.map(|at| self.context.clock.at(at));
-        // Where the list is pushed its lease has no end.
+        // The lease never expires where the list is pushed.
         if !is_watcher && self.context.config.settings.ask && at != self.balancer.list_expires_at() {
             self.context.events.push_front(Event::Freshness(Freshness::Expires { at }));
         }
     }
 
-    /// This engine watches, and another has published since it did: it was stalled, and its watch may have been lost
-    /// meanwhile. It proves itself anew, and publishes what it knows. Once for all events that come together: for a moment
-    /// two engines may take themselves for the one that watches.
+    /// Handles another engine's publishing while this engine is the watcher: this engine was stalled, and its watch
+    /// may have been lost meanwhile. The list counts as unverified until the watch proves it again, and the lease is
+    /// published anew. Done once per batch of events, since two engines may both consider themselves the watcher for
+    /// a moment.
     pub(super) fn take_over_lease(&mut self) {
         if !self.context.group.as_ref().is_some_and(|group| group.is_watcher() && group.is_superseded()) {
             return;
@@ -210,7 +214,7 @@
         self.context.events.push_front(Event::Freshness(Freshness::Unverified { since }));
     }
 
-    /// Writes what a list says to the log.
+    /// Logs a summary of a list.
     pub(super) fn log_list(&self, list: &List, kind: ListKind) {
         let count = |health| list.hosts.iter().filter(|host| host.health == health).count();
         let (ready, draining, gone) = (count(Health::Ready), count(Health::Terminating), count(Health::Gone));
@@ -223,18 +227,20 @@
 }
 
 impl<P: Protocol> Handle<P> {
-    /// The list is from before the start: until it is verified it is as after a watch that was lost when the process went
-    /// down.
+    /// Marks the cached list as unverified. It is treated like the list of a watch that was lost when the process
+    /// went down before its restart.
     pub(super) fn mark_cached_list_unverified(&self) {
         self.mark_unverified_before(MAX_RESTART_TIME);
     }
 
-    /// The engine that watched for the process answers no more.
+    /// Marks the list as unverified after the loss of the watch, for example when the watching engine has stopped
+    /// responding.
     pub(super) fn mark_list_unverified(&self) {
         self.mark_unverified_before(0);
     }
 
-    /// So much time before the last proof changes may have been missed.
+    /// Marks the list as unverified: changes may have been missed from `margin` microseconds before the last proof
+    /// on.
     fn mark_unverified_before(&self, before: Micros) {
         let proven = {
             let driver = self.0.borrow();
@@ -266,7 +272,7 @@
                     self.process([Event::Freshness(Freshness::Verified)]);
                 }
             }
-            // The lease goes on from the last sign that was read in time.
+            // The lease continues from the last event that was read in time.
             Sign::AliveLately => self.mark_unverified_before(0),
             Sign::Partial(since) => {
                 let since = self.0.borrow().context.clock.at(since);
@@ -279,7 +285,8 @@
         }
     }
 
-    /// A watch has ended. When the next one is to be opened, unless it was replaced meanwhile.
+    /// Handles the end of a watch. Returns the delay before the next one is opened, or `None` if the watch was
+    /// replaced.
     fn on_watch_end(&self, number: u64, end: End) -> Option<Duration> {
         let mut driver = self.0.borrow_mut();
         if driver.watch.number != number {
@@ -317,7 +324,7 @@
     }
 }
 
-/// How a watch has ended, in words.
+/// Describes the end of a watch for the log.
 fn describe(end: &End) -> String {
     let each = |calls: &[FailedCall]| calls.iter().map(FailedCall::to_string).collect::<Vec<_>>().join("; ");
     match end {
@@ -332,7 +339,7 @@
     }
 }
 
-/// What its calls have proven, in words that follow these.
+/// Describes what the calls of a watch have proven, as a suffix to [`describe`].
 fn describe_status(status: Verdict) -> &'static str {
     match status {
         Verdict::Unknown => "",
--- a/engine/src/extensions.rs
+++ b/engine/src/extensions.rs
@@ -1,30 +1,30 @@
-//! What stations are told. The engine carries it, and knows nothing of it.
+//! Configuration of interceptors, by type. The engine carries it without knowing what it contains.
 
 use std::any::{Any, TypeId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What one station is told, as it has read it from a file of its own.
+/// The configuration of one interceptor, as read from a file of its own.
 pub trait Extension: Any + std::fmt::Debug + Send + Sync {}
 
-/// What stations are told, by type: one of each at the most.
+/// The configurations of all interceptors, by type; at most one of each type.
 #[derive(Clone, Debug, Default)]
 pub struct Extensions(BTreeMap<TypeId, Arc<dyn Extension>>);
 
 impl Extensions {
-    /// Takes something in, in the place of what there was of its type.
+    /// Adds a value, replacing the previous one of its type.
     pub fn set<E: Extension>(&mut self, extension: E) {
         self.0.insert(TypeId::of::<E>(), Arc::new(extension));
     }
 
-    /// What there is of this type.
+    /// The value of this type, if there is one.
     pub fn get<E: Extension>(&self) -> Option<&E> {
         let extension: &dyn Any = &**self.0.get(&TypeId::of::<E>())?;
         extension.downcast_ref()
     }
 
-    /// What a running proxy takes over: of each type that it has, the new one, or the old where there is none. Whether
-    /// there was more comes back too.
+    /// Merges the values of a reloaded configuration: of each type that is present here, the new value, or the old
+    /// one where there is none. Also returns whether there were values of other types, which are ignored.
     pub(crate) fn merged_on_reload(&self, mut new: Extensions) -> (Extensions, bool) {
         let (mut merged, mut has_new_types) = (self.clone(), false);
         for (id, extension) in std::mem::take(&mut new.0) {
--- a/engine/src/group.rs
+++ b/engine/src/group.rs
@@ -1,8 +1,8 @@
-//! The seam between an engine and others of the same process that serve as one with it.
+//! The interface between an engine and the other engines of its process.
 //!
-//! Each engine has a thread, calls, connections and a decision module of its own. What must hold over all of them (one
-//! watch of the list, room at hosts, ids that are open once) is decided behind [`Group`]; the engine says what happens
-//! and does what it is told. An engine by itself has no group, and the seam costs it nothing.
+//! Each engine has its own thread, calls, connections and decision module. What must hold for all of them (a single
+//! watch of the list, shared concurrency limits of hosts, ids that are open only once) is decided behind [`Group`]. A
+//! single engine has no group, and this costs it nothing.
 
 use crate::list::List;
 use crate::protocol::Protocol;
@@ -11,65 +11,66 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// A call's place at a host; dropped, it is free.
+/// Permission to send one attempt to a host; released when dropped.
 pub type HostPermit = Box<dyn Any>;
 
-/// How far the list may be trusted that all engines of the process send by, as the one that watches it knows.
+/// The lease of the server list that all engines of the process use, as known to the engine that watches the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// When a watch last proved that the list was up to date.
     pub verified_at: Instant,
-    /// When nothing new may be sent by it any more; `None`: a watch is open and alive.
+    /// When nothing new may be sent by the list any more; `None` while a watch is open and alive.
     pub expires_at: Option<Instant>,
 }
 
-/// What several engines of one process have in common, as one of them sees it.
+/// What an engine shares with the other engines of its process.
 ///
-/// All of it runs on the engine's thread. No method may block, or call the engine: it is called from within.
+/// All methods run on the engine's thread. None may block or call the engine, which is borrowed during the call.
 pub trait Group<P: Protocol> {
-    /// Whether this engine watches the list, for all.
+    /// Whether this engine watches the list for all engines.
     fn is_watcher(&self) -> bool;
 
-    /// This engine's own watch has brought this.
+    /// Publishes a list that this engine's watch has received.
     fn publish_list(&mut self, list: &List);
 
-    /// What this engine, which watches, knows of the list's lease.
+    /// Publishes the lease of the list; only called while this engine is the watcher.
     fn publish_lease(&mut self, lease: Lease);
 
-    /// What the engine that watches has last published; `None`: nothing so far.
+    /// The lease that the watcher has last published, if any.
     fn lease(&self) -> Option<Lease>;
 
-    /// Whether the last to publish was another engine: it watched meanwhile.
+    /// Whether another engine was the last to publish a lease, which means that it was the watcher meanwhile.
     fn is_superseded(&self) -> bool;
 
-    /// The number of a host, the same at every engine.
+    /// The id of a host, which is the same in all engines.
     fn server_id(&mut self, name: &str) -> ServerId;
 
-    /// A host is on the list, and its process started then; told again and again.
+    /// Reports a host of the list and when its process started, in Unix milliseconds. Called again with each list.
     fn host_listed(&mut self, server: ServerId, name: &str, born_ms: u64);
 
-    /// Only these hosts are on the list.
+    /// Drops all hosts that are not on the list.
     fn retain_hosts(&mut self, is_listed: &dyn Fn(ServerId) -> bool);
 
-    /// Opens a call's id. `false`: it is open at another engine.
+    /// Opens the id of a call. `false` if it is open in another engine.
     fn open_id(&mut self, id: &P::Id) -> bool;
 
     /// Closes an id that this engine has opened.
     fn close_id(&mut self, id: &P::Id);
 
-    /// An attempt is about to go to a host. `None`: there is no room for it, and it must not.
+    /// Acquires the permit for an attempt to a host. `None` if the host's concurrency limit leaves no room; the
+    /// attempt must not be sent then.
     fn acquire(&mut self, server: ServerId) -> Option<HostPermit>;
 
-    /// A host has reported its load.
+    /// Records a load report of a host.
     fn load_reported(&mut self, server: ServerId, load: Load);
 
-    /// The module has learned something that the others are to hear.
+    /// Shares an observation of the decision module with the other engines.
     fn share_observation(&mut self, server: ServerId, news: News);
 
-    /// Comes before each event of the module, and after the last. What the module is to hear first goes to the front of
-    /// `events`.
+    /// Called before each event of the decision module and after the last one. Events that must be handled first are
+    /// put at the front of `events`.
     fn synchronize(&mut self, now: Micros, balancer: &Balancer, events: &mut VecDeque<Event>);
 
-    /// For whoever knows the type.
+    /// For downcasts by callers that know the concrete type.
     fn as_any(&mut self) -> &mut dyn Any;
 }
--- a/engine/src/interceptor.rs
+++ b/engine/src/interceptor.rs
@@ -1,16 +1,19 @@
-//! Stations: what a subsystem sees and does on a call's way.
+//! Interceptors: subsystems on the path of a call, between the front end and the decision module.
 //!
-//! A call's way is: taken in, the stations in their order, the decision module, attempts, settled, told. A subsystem is
-//! a pure core in a package of its own and one adapter that implements [`Interceptor`]. The driver owns order, time and
-//! the calls, and knows of a station nothing but this trait; one that is off is not on the way.
+//! A request passes the interceptors in the order of the chain and then becomes a call in the decision module, which
+//! sends its attempts. The end of the call passes back to whoever waits for it. A subsystem consists of a core in a
+//! package of its own and one adapter that implements [`Interceptor`]. The driver owns ordering, time and the calls
+//! and uses interceptors only through this trait. A disabled subsystem is not in the chain.
 //!
-//! The order is stated, and does not depend on who is quicker:
+//! The order of processing is fixed and does not depend on timing:
 //!
-//! - A request passes the stations from first to last. The first that takes it or answers it decides; those behind do
-//!   not see it. What a station starts goes on at the station behind it.
-//! - An end goes from last to first: the station that owns a call hears of it, and answers whoever it has taken.
-//! - A call has one end. What a station does with a call that has ended says nothing: it has no effect and is no error.
-//! - A client that has gone is told of to the stations from first to last, until one says that it was its.
+//! - A request passes the interceptors from first to last. The first one that answers or holds it decides; later ones
+//!   do not see it. A request that an interceptor forwards continues at the next one.
+//! - The end of a call goes from last to first: it is passed to the interceptor that owns the call, which answers the
+//!   requests that it holds.
+//! - A call ends once. Operations on a call that has ended have no effect and are no error.
+//! - A client's cancellation is offered to the interceptors from first to last until one returns that it holds the
+//!   request.
 
 use crate::calls::call::{outcome_event, Attempt, Call};
 use crate::calls::{DetachPolicy, IncomingRequest, OpenIds, Recipient, Reply};
@@ -26,41 +29,42 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What becomes of a request at a station.
+/// What an interceptor does with a request.
 pub enum RequestFlow<P: Protocol> {
-    /// It goes on to the next station, or to the module behind the last.
+    /// Passes the request to the next interceptor, or to the decision module after the last one.
     Continue(IncomingRequest<P>),
-    /// The station has answered it, or keeps it and will.
+    /// The interceptor has answered the request, or holds it and will answer it later.
     Handled,
 }
 
-/// How a call ended that a station owns.
+/// How a call ended that an interceptor owns.
 #[derive(Debug)]
 pub struct CallEnd<A> {
-    /// What is to be told.
+    /// The reply to the call.
     pub reply: Reply<A>,
-    /// Whether an attempt of it may have run. `false` is proof.
+    /// Whether an attempt may have run on a host. `false` is a guarantee that none did.
     pub may_have_run: bool,
 }
 
-/// A subsystem on a call's way. All of it runs on the engine's thread, and no method may block.
+/// A subsystem on the path of a call. All methods run on the engine's thread, and none may block.
 ///
-/// What a station keeps must have a bound, and each request that it takes one answer.
+/// An implementation must bound what it stores and answer each request that it holds exactly once.
 pub trait Interceptor<P: Protocol>: Any {
-    /// Its name, in log and state.
+    /// The name in the log and in the state.
     fn name(&self) -> &'static str;
 
-    /// A request on its way in.
+    /// Handles a request on its way to the decision module.
     fn on_request(&mut self, _context: &mut ChainContext<P>, incoming: IncomingRequest<P>) -> RequestFlow<P> {
         RequestFlow::Continue(incoming)
     }
 
-    /// An attempt of any call is about to go to a host. `false`: it must not, and surely never ran.
+    /// Called before an attempt of any call is sent to a host. `false` vetoes the attempt, which then certainly never
+    /// ran.
     fn allow_attempt(&mut self, _context: &mut ChainContext<P>, _call: CallId, _to: Target) -> bool {
         true
     }
 
-    /// An attempt of any call has ended so.
+    /// Called when an attempt of any call has ended.
     fn on_outcome(
         &mut self,
         _context: &mut ChainContext<P>,
@@ -70,100 +74,105 @@
     ) {
     }
 
-    /// A call that this station owns has ended. Told once for each.
+    /// Called when a call that this interceptor owns has ended; once per call.
     fn on_call_end(&mut self, _context: &mut ChainContext<P>, _call: CallId, _end: CallEnd<P::Answer>) {}
 
-    /// A call that this station has given up is out no more: an answer has come all the same, or never will.
+    /// Called after [`ChainContext::give_up`], once no attempt of the call is in flight: with the answer that arrived
+    /// all the same, or with `None` if none will.
     fn on_late_end(&mut self, _context: &mut ChainContext<P>, _call: CallId, _answer: Option<P::Answer>) {}
 
-    /// The module's time for a call is up that goes on past it ([`DetachPolicy::past_attempt_deadline`]): those who wait hear of it.
+    /// Called when the deadline that the decision module has set for an attempt is reached and the call may continue
+    /// past it ([`DetachPolicy::past_attempt_deadline`]). The interceptor answers the waiting requests.
     fn on_attempt_deadline(&mut self, _context: &mut ChainContext<P>, _call: CallId) {}
 
-    /// A client has gone. `false`: it is not one that this station has taken.
+    /// Called when the client of a request has cancelled it. Returns `false` if this interceptor does not hold the
+    /// request.
     fn on_cancel(&mut self, _context: &mut ChainContext<P>, _request: CallId) -> bool {
         false
     }
 
-    /// When it is to be woken; asked after each time that it was, and when it has said so by [`ChainContext::arm`].
+    /// When [`Interceptor::on_wake`] is due next. Evaluated again after each wake-up and after
+    /// [`ChainContext::wake_by`].
     fn wake_at(&self, _context: &ChainContext<P>) -> Option<Instant> {
         None
     }
 
-    /// It is time.
+    /// Called when the time that [`Interceptor::wake_at`] returned is reached.
     fn on_wake(&mut self, _context: &mut ChainContext<P>) {}
 
-    /// The configuration has changed.
+    /// Applies a changed configuration.
     fn reload(&mut self, _config: &Config) {}
 
-    /// How many requests it has taken that wait for their answer.
+    /// The number of held requests that wait for their reply.
     fn waiting(&self) -> usize {
         0
     }
 
-    /// How many calls go on for it though nobody waits for them.
+    /// The number of this interceptor's detached calls: no client waits for them any more.
     fn detached(&self) -> usize {
         0
     }
 
-    /// What it shows of itself, for whoever knows the type.
+    /// A snapshot of the interceptor's state, for readers that know its type.
     fn state(&self) -> Option<Rc<dyn Any>> {
         None
     }
 
-    /// A line of figures for the log.
+    /// A line of statistics for the log.
     fn log_line(&self) -> Option<String> {
         None
     }
 }
 
-/// What a station may do: the driver's calls, without the stations and the module.
+/// What an interceptor may use while it runs: time, configuration, log, and the driver's calls.
 pub struct ChainContext<P: Protocol> {
     pub(crate) clock: Clock,
     pub(crate) config: Rc<Config>,
     pub(crate) log: Log,
     pub(crate) events: VecDeque<Event>,
     pub(crate) calls: BTreeMap<CallId, Call<P>>,
-    /// Ids of the calls that are open: no second one may have one of them.
+    /// Ids of the open calls; a second call with one of them is rejected.
     pub(crate) open_ids: OpenIds<P::Id>,
-    /// Other engines that serve as one with this.
+    /// The other engines of the process, if there are any.
     pub(crate) group: Option<Box<dyn Group<P>>>,
-    /// Whose turn it is.
+    /// Index in the chain of the interceptor that is running.
     pub(crate) current: usize,
-    /// What stations are to hear, in its order.
+    /// Notifications that are still to be delivered to interceptors, in order, with the interceptor's index.
     pub(crate) notifications: VecDeque<(usize, CallId, Notification<P::Answer>)>,
-    /// What goes on at a station.
+    /// Forwarded requests, with the index of the interceptor at which each continues.
     pub(crate) forwarded: VecDeque<(usize, IncomingRequest<P>)>,
-    /// When the timer looks after stations next; `None`: not at all.
+    /// When the timer wakes interceptors next; `None` if no wake-up is scheduled.
     pub(crate) next_wake: Option<Instant>,
-    /// Tells the one timer of a change.
+    /// Notifies the timer task of an earlier wake-up.
     pub(crate) timer_changed: Rc<Notify>,
 }
 
-/// What a station hears of a call.
+/// A notification to an interceptor about a call.
 pub(crate) enum Notification<A> {
     CallEnd(CallEnd<A>),
     LateEnd(Option<A>),
-    /// A station before this one has given up what this one, or one behind it, has taken.
+    /// An earlier interceptor has given up a call whose request this one, or a later one, holds.
     Cancelled,
 }
 
 impl<P: Protocol> ChainContext<P> {
-    /// The moment in the module's time, in microseconds; a station's core has no other clock.
+    /// The current time on the decision module's clock, in microseconds. The core of an interceptor uses no other
+    /// clock.
     pub fn now(&self) -> Micros {
         self.clock.at(Instant::now())
     }
 
-    /// A moment in the module's time.
+    /// Converts an instant to the decision module's clock.
     pub fn micros_at(&self, instant: Instant) -> Micros {
         self.clock.at(instant)
     }
 
-    /// A moment of the module's time.
+    /// Converts a time on the decision module's clock to an instant.
     pub fn instant_at(&self, at: Micros) -> Instant {
         self.clock.instant(at)
     }
 
-    /// The configuration.
+    /// The current configuration.
     pub fn config(&self) -> &Rc<Config> {
         &self.config
     }
@@ -173,8 +182,9 @@
         (self.log)(line);
     }
 
-    /// Takes a request: who waits for it is the station's from now on, and its call, which goes on as what comes back,
-    /// tells its end to the station. `detach`: how its call may go on when nobody waits for it.
+    /// Holds a request for its client and returns a copy that goes on in its place. The interceptor owns the call
+    /// that the copy becomes, and is notified of its end. `detach` says how the call may continue when no client
+    /// waits for it; by default it may until the deadline of the request.
     pub fn intercept(
         &self,
         incoming: IncomingRequest<P>,
@@ -192,12 +202,12 @@
         (HeldRequest(IncomingRequest { id_moved: true, ..incoming }), forwarded)
     }
 
-    /// Keeps a request that becomes no call of its own, for now.
+    /// Holds a request that does not become a call of its own for now.
     pub fn hold(&self, incoming: IncomingRequest<P>) -> HeldRequest<P> {
         HeldRequest(incoming)
     }
 
-    /// A request that the station keeps becomes a call after all.
+    /// Forwards a held request after all, marked as a resent one, to the next interceptor.
     pub fn forward(&mut self, held: &mut HeldRequest<P>, detach: Option<DetachPolicy>) {
         let HeldRequest(incoming) = held;
         incoming.id_moved = true;
@@ -213,7 +223,7 @@
         self.forwarded.push_back((self.current + 1, forwarded));
     }
 
-    /// Gives a request its one answer.
+    /// Answers a request. Each request is answered exactly once.
     pub fn answer(&mut self, incoming: IncomingRequest<P>, reply: Reply<P::Answer>) {
         if !incoming.id_moved {
             self.open_ids.close(&incoming.info.id, &mut self.group);
@@ -222,7 +232,7 @@
         self.deliver(incoming.number, incoming.recipient, reply, may_have_run);
     }
 
-    /// The same for one that the station has kept.
+    /// Answers a held request.
     pub fn answer_held(&mut self, held: HeldRequest<P>, reply: Reply<P::Answer>) {
         self.answer(held.0, reply);
     }
@@ -244,12 +254,12 @@
         }
     }
 
-    /// Whether an attempt of a call may have run; `false` for one that is not there.
+    /// Whether an attempt of a call may have run on a host; `false` for an unknown call.
     pub fn may_have_run(&self, call: CallId) -> bool {
         self.calls.get(&call).is_some_and(Call::may_have_run)
     }
 
-    /// Somebody waits for a call until this deadline now, which is later than before. One that lingers is wanted again.
+    /// Moves the deadline of a call to a later time, for a request that joined it. A detached call is attached again.
     pub fn extend_deadline(&mut self, call: CallId, deadline: Instant) {
         let Some(known) = self.calls.get_mut(&call) else { return };
         known.deadline = deadline;
@@ -261,8 +271,9 @@
         self.events.push_back(Event::Extended { call, time_left: left.as_micros() as Micros });
     }
 
-    /// Nobody waits for a call any more. What is written of it may go on: `Some` says where it is out, and until when
-    /// its attempts go on by themselves. `None`: nothing of it may, or it is not there.
+    /// Checks whether a call that no client waits for any more can be detached. Returns the hosts of the attempts
+    /// that would continue and until when they may. `None` if no attempt may continue, or the call is unknown or
+    /// over.
     pub fn can_detach(&self, call: CallId) -> Option<(Vec<ServerId>, Instant)> {
         let call = self.calls.get(&call).filter(|call| call.recipient.is_some())?;
         let until = call.extendable_deadline.as_ref().map_or(call.deadline, |limit| limit.get());
@@ -274,15 +285,16 @@
         (until > Instant::now() && !servers.is_empty()).then_some((servers, until))
     }
 
-    /// What is whole needs nothing more to be sent; what is half written is called off, where that is allowed.
+    /// An attempt that is fully written needs nothing more to be sent. A partly written one would be cancelled, where
+    /// the settings allow that.
     fn continues_detached(&self, in_flight: &Attempt) -> bool {
         in_flight.meter.is_whole() || !self.config.settings.limits.cancel && in_flight.meter.bytes() > 0
     }
 
-    /// Lets it: nothing new is sent for it, what is not written is withdrawn and what is half written called off. Its
-    /// end is told as any.
+    /// Detaches a call: no further attempt is sent, unwritten attempts are withdrawn, and partly written ones are
+    /// cancelled where the settings allow that. The end of the call is reported as usual.
     pub fn detach(&mut self, id: CallId) {
-        // The module hears that nobody waits before it hears what comes of that.
+        // The decision module must get this event before the outcomes that result from it.
         self.events.push_back(Event::Lingers { call: id });
         let cancel = self.config.settings.limits.cancel;
         let Some(call) = self.calls.get_mut(&id) else { return };
@@ -297,12 +309,12 @@
         }
     }
 
-    /// Gives a call up that nobody waits for: what is out of it is called off, where that is allowed. The station hears
-    /// of its end no more, but by [`Interceptor::late`]. `Some`: whether it may have run. `None`: it has ended, and the
-    /// station hears so as of any end.
+    /// Gives up a call that no client waits for. Its attempts in flight are cancelled where the settings allow that.
+    /// The interceptor is no longer notified of the call's end, except by [`Interceptor::on_late_end`]. Returns
+    /// whether the call may have run, or `None` if it has already ended and its end is reported as usual.
     ///
-    /// Where a station behind has taken it, or keeps it back, that one hears that its client has gone and does as it
-    /// does then: what it answers comes as an end.
+    /// If a later interceptor holds the request, that interceptor is notified of the cancellation, and its answer is
+    /// reported as the call's end.
     pub fn give_up(&mut self, id: CallId) -> Option<bool> {
         let index = self.current;
         if self.notifications.iter().any(|(to, call, notification)| {
@@ -311,7 +323,7 @@
             return None;
         }
         let Some(call) = self.calls.get_mut(&id) else {
-            // It is no call yet: nothing of it was sent.
+            // The request is not a call yet, so nothing of it was sent.
             self.notifications.push_back((index + 1, id, Notification::Cancelled));
             return Some(false);
         };
@@ -333,7 +345,7 @@
         Some(may_have_run)
     }
 
-    /// Sees that the station is woken at this moment, or before.
+    /// Schedules a wake-up of the interceptor at this time or earlier.
     pub fn wake_by(&mut self, at: Instant) {
         if self.next_wake.is_none_or(|next_wake| at < next_wake) {
             self.next_wake = Some(at);
@@ -341,8 +353,8 @@
         }
     }
 
-    /// What is left of a call that is over: nothing more is sent for it, and it is forgotten once none of its
-    /// attempts is out.
+    /// Cleans up a call that has ended: unwritten attempts are withdrawn, and the call is removed once none of its
+    /// attempts is in flight.
     pub(crate) fn remove_if_finished(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id).filter(|call| call.recipient.is_none()) else { return };
         call.withdraw(id, &mut self.events, |_| true);
@@ -356,7 +368,7 @@
         }
     }
 
-    /// A call that lingers may have nothing out any more: then that is its end.
+    /// Ends a detached call if none of its attempts is in flight any more.
     pub(crate) fn end_if_idle(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id).filter(|call| call.detached) else { return };
         if call.in_flight().next().is_some() {
@@ -370,11 +382,11 @@
     }
 }
 
-/// A request that a station has taken: it waits for its answer there.
+/// A request that an interceptor holds until it answers it.
 pub struct HeldRequest<P: Protocol>(pub(crate) IncomingRequest<P>);
 
 impl<P: Protocol> HeldRequest<P> {
-    /// The request.
+    /// The held request.
     pub fn incoming(&self) -> &IncomingRequest<P> {
         &self.0
     }
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -1,17 +1,20 @@
-//! The engine drives the decision module on real sockets: one thread, one owner, events in and actions out at
-//! once. Fronts bring it calls; it brings them their one answer.
+//! The engine connects the decision module (`nettleworks_policy`) to real sockets. It runs on one thread, turns what
+//! happens on that thread into events, and carries out the resulting actions at once. A front end submits calls and
+//! gets exactly one reply to each.
 //!
-//! Its modules in their order; each uses only those before it (`tests/tree.rs`):
+//! Modules, in dependency order; each uses only those before it (checked by `tests/tree.rs`):
 //!
-//! - [`mutant`], [`task`], [`stall`], [`meter`], [`net`], `clock`, `dial`: planted faults for tests, tasks that end
-//!   with their owner, tasks that were not run in time, what was written, the seam to the system, time, connections.
-//! - [`list`], [`quota`], [`extensions`], [`config`]: the list of hosts' form, connections of the whole process, what
-//!   stations are told, what the engine is told.
-//! - [`protocol`]: the seam to what hosts speak; [`state`] what the engine shows.
-//! - [`calls`], [`station`]: calls on their way, and the subsystems that they pass.
-//! - [`group`]: the seam to other engines of the process, where there are any.
-//! - [`socket`], [`http1`], [`discovery`]: HTTP/1.1 behind the seam, and the watch of the list.
-//! - [`driver`]: events into the module, actions out of it; order, time and the calls.
+//! - [`mutant`]: deliberate faults for mutation tests. [`task`]: tasks that end with their owner. [`stall`]: detects
+//!   tasks that were not polled in time. [`meter`]: counts the bytes written of a request. [`transient`]: errors that
+//!   are worth a retry. [`net`]: the interface to the operating system's network. `clock`: time. `dial`: opening
+//!   connections.
+//! - [`list`]: the format of the server list. [`quota`]: connection counts of the whole process. [`extensions`]: the
+//!   configuration of interceptors. [`config`]: the configuration of the engine.
+//! - [`protocol`]: the interface to the protocol that hosts speak. [`state`]: snapshots of the engine's state.
+//! - [`group`]: the interface to the other engines of the process, if there are any.
+//! - [`calls`]: requests and open calls. [`interceptor`]: the subsystems that every call passes.
+//! - [`socket`], [`http1`]: HTTP/1.1 as a [`protocol`]. [`discovery`]: the watch of the server list.
+//! - [`driver`]: feeds events to the decision module and carries out its actions; owns ordering, time and the calls.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -40,10 +43,12 @@
 use std::io::{self, Write};
 use std::rc::Rc;
 
-/// Takes the lines of one engine's log. There is none for the whole process: two engines in one must not mix.
+/// Receives the log lines of one engine. It is passed to each engine instead of being global, so that the lines of
+/// two engines in one process don't mix.
 pub type Log = Rc<dyn Fn(&str)>;
 
-/// The program's log: standard error. One that cannot be written to is no reason to stop serving.
+/// The log of the daemon: standard error. Write errors are ignored, since an unwritable log is no reason to stop
+/// serving.
 pub fn log_to_stderr() -> Log {
     Rc::new(|line| {
         let _ = writeln!(io::stderr(), "nettleworks: {line}");
--- a/engine/src/mutant.rs
+++ b/engine/src/mutant.rs
@@ -1,20 +1,21 @@
-//! Faults planted on purpose, so that whoever checks the rules can be checked. Without the feature `mutants` none can be
-//! asked for, and nothing here costs anything.
+//! Deliberate faults, as in mutation testing, that show whether the checks of the engine's guarantees detect them.
+//! Without the feature `mutants` none can be activated, and this module costs nothing.
 
-/// A planted fault.
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mutant {
-    /// An attempt that broke after it was written counts as one that never ran: the module sends it again.
+    /// An attempt whose connection broke after it was written is reported as one that never ran, so that the decision
+    /// module retries it.
     RetriesWritten,
-    /// One in 40 answers goes to another open call's caller, and that call's to this one's.
+    /// One in 40 answers is swapped with that of another open call.
     SwapsAnswers,
-    /// The list is taken in 1.2 s late where it says that a host drains.
+    /// A list in which a host drains is applied 1.2 s late.
     DelaysDrains,
     /// One in 10 refusals and failures never reaches its caller.
     DropsAnswers,
 }
 
-/// Whether a fault is planted on this thread.
+/// Whether a mutant is active on this thread.
 #[cfg(not(feature = "mutants"))]
 #[inline(always)]
 pub(crate) const fn is_active(_: Mutant) -> bool {
@@ -26,7 +27,7 @@
 #[cfg(feature = "mutants")]
 pub(crate) use active::{is_active, nth};
 
-/// Whether this is one in so many; none without the feature.
+/// Whether this call is one in every `of`; never without the feature.
 #[cfg(not(feature = "mutants"))]
 #[inline(always)]
 pub(crate) const fn nth(_: u32) -> bool {
@@ -43,7 +44,7 @@
         static COUNT: Cell<u32> = const { Cell::new(0) };
     }
 
-    /// Plants a fault on this thread, in the place of the one before; its count starts anew.
+    /// Activates a mutant on this thread in place of the previous one, and restarts its count.
     pub fn activate(mutant: Option<Mutant>) {
         ACTIVE.set(mutant);
         COUNT.set(0);
--- a/engine/src/protocol.rs
+++ b/engine/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The seam between the driver and what hosts speak. The driver knows calls, attempts, hosts and times; a
-//! [`Protocol`] knows what a call carries, how one exchange of it goes, and what connections it keeps for that.
+//! The interface between the driver and the protocol that hosts speak. The driver knows calls, attempts, hosts and
+//! times; a [`Protocol`] knows the payload of calls, performs exchanges and manages the connections for them.
 
 use crate::config::Config;
 use crate::meter::Meter;
@@ -13,67 +13,67 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptEnd<A> {
-    /// What the exchange proves. `NoConnection` and `NotSent` say that nothing was written.
+    /// What the exchange proves. `NoConnection` and `NotSent` mean that nothing was written.
     pub outcome: Outcome,
-    /// The host's report on its load.
+    /// The host's load report.
     pub load: Load,
-    /// The answer to pass on; there is one only where the host served.
+    /// The answer for the client; only present if the host served the request.
     pub answer: Option<A>,
 }
 
 impl<A> AttemptEnd<A> {
-    /// An end without an answer.
+    /// The end of an attempt that brought no answer.
     pub fn without_answer(outcome: Outcome) -> Self {
         AttemptEnd { outcome, load: Load::default(), answer: None }
     }
 }
 
-/// Where an attempt goes.
+/// The destination of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Which host.
+    /// The host.
     pub server: ServerId,
-    /// Its address when the module chose it.
+    /// Its address when the decision module chose it.
     pub address: SocketAddr,
 }
 
-/// What a protocol holds open, for the log and for [`crate::state`].
+/// The connections of a protocol, for the log and [`crate::state`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Connections {
-    /// Connections that are open, those being opened included.
+    /// Connections that are open or being opened.
     pub open: usize,
-    /// Those of them that carry nothing.
+    /// Connections among them that carry no exchange.
     pub idle: usize,
-    /// How many have come up so far.
+    /// Connections that were opened successfully since the start.
     pub opened: u64,
-    /// How many have failed to.
+    /// Connections that could not be opened since the start.
     pub open_failed: u64,
-    /// How often one that had been kept broke on being used again.
+    /// How often a kept connection turned out to be broken when it was reused.
     pub broken_reuse: u64,
 }
 
-/// What calls carry and how they go to a host.
+/// A protocol that carries calls to hosts.
 ///
-/// All of it runs on the engine's thread. No method may block, or call the driver: it is called from within.
+/// All methods run on the engine's thread. None may block or call the driver, which is borrowed during the call.
 pub trait Protocol: Sized + 'static {
-    /// Names a call to hosts. The driver lets no two open calls have the same.
+    /// Identifies a call to hosts. The driver never has two open calls with the same id.
     type Id: Clone + Eq + Hash + 'static;
-    /// What a call carries.
+    /// The payload of a request.
     type Request: 'static;
-    /// A host's answer, whole.
+    /// A host's complete answer.
     type Answer: Clone + 'static;
 
-    /// What tells a request from another under the same idempotency key: all that a host's work depends on.
+    /// The parts of a request that identify it under its idempotency key: all that a host's processing depends on.
     fn fingerprint_parts(request: &Self::Request) -> Vec<&[u8]>;
 
-    /// How many bytes an answer holds, and what it is when a repeat gets it.
+    /// The size of an answer in bytes, and the copy of it that a repeated request gets.
     fn replay_copy(answer: &Self::Answer) -> (usize, Self::Answer);
 
-    /// One attempt: one exchange on one connection, which the protocol opens or has kept. It must write the
-    /// request no more than once, and count in `meter` what it writes. The driver drops the future at `until`,
-    /// when the attempt is called off, and when it is withdrawn; nothing may be written after that, and what is
-    /// bound to this exchange alone is closed. What the attempt leaves for the next must be in place when the
-    /// future is ready, not later: the outcome may let a waiting call go at once.
+    /// Performs one attempt: one exchange on one connection, which is new or was kept. The request must be written at
+    /// most once, and `meter` must count what is written. The driver drops the future at `until`, and when the
+    /// attempt is cancelled or withdrawn; nothing may be written after that, and resources of this exchange alone are
+    /// released. A connection that the attempt leaves for reuse must be available before the future completes, since
+    /// the outcome may start a waiting call at once.
     fn attempt(
         &self,
         to: Target,
@@ -82,19 +82,19 @@
         meter: &Meter,
     ) -> impl Future<Output = AttemptEnd<Self::Answer>> + 'static;
 
-    /// A host takes requests, at this address. Told again and again, also when nothing has changed.
+    /// Reports that a host accepts requests at this address. Called repeatedly, also when nothing has changed.
     fn host_ready(&self, to: Target);
 
-    /// A host takes nothing new, has moved or has started again: what is kept for it is closed, and what is out
-    /// is closed when it is done.
+    /// Reports that a host accepts no new requests, has a new address or has restarted. Idle connections to it are
+    /// closed at once, and connections in use after their exchange.
     fn host_retired(&self, server: ServerId);
 
-    /// Comes once a second: what has been kept too long is closed.
+    /// Called once a second to close connections that have been idle for too long.
     fn sweep(&self);
 
-    /// Goes on under a new configuration.
+    /// Applies a new configuration.
     fn reload(&self, config: &Rc<Config>);
 
-    /// What is open now.
+    /// The current connections.
     fn connections(&self) -> Connections;
 }
--- a/engine/src/quota.rs
+++ b/engine/src/quota.rs
@@ -1,14 +1,14 @@
-//! Connections of the whole process, whose bounds are one however many engines it has.
+//! Connection counts of the whole process. The limits apply to all its engines together.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// What connections lead to.
+/// The remote side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// Clients, that connect to the process.
+    /// Clients that connect to the process.
     Clients,
-    /// Hosts.
+    /// Hosts that the process connects to.
     Hosts,
 }
 
@@ -28,35 +28,35 @@
     }
 }
 
-/// How many connections are open; clones count together.
+/// Counts open connections; clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct Quota(Arc<Counts>);
 
 impl Quota {
-    /// How many are open.
+    /// The number of open connections.
     pub fn open(&self, side: Side) -> usize {
         self.0.count(side).load(Ordering::Relaxed)
     }
 
-    /// A place for one more, unless `max` are open.
+    /// Counts one more connection, unless `most` are open.
     pub fn acquire(&self, side: Side, max: usize) -> Option<ConnectionPermit> {
         let increment = |open: usize| (open < max).then_some(open + 1);
         self.0.count(side).fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment).ok()?;
         Some(ConnectionPermit(self.0.clone(), side))
     }
 
-    /// One engine has nothing left to close for a connection that it needs: the others are to close some.
+    /// Reports that an engine needs a connection and has no idle one left to close, so that other engines close some.
     pub fn report_shortage(&self) {
         self.0.shortage.store(true, Ordering::Relaxed);
     }
 
-    /// Whether one has said so since this was last asked.
+    /// Whether a shortage was reported since the last call.
     pub fn take_shortage(&self) -> bool {
         self.0.shortage.load(Ordering::Relaxed) && self.0.shortage.swap(false, Ordering::Relaxed)
     }
 }
 
-/// An open connection's count. It ends with this.
+/// Counts an open connection until it is dropped.
 #[derive(Debug)]
 pub struct ConnectionPermit(Arc<Counts>, Side);
 
--- a/engine/src/state.rs
+++ b/engine/src/state.rs
@@ -1,4 +1,4 @@
-//! What the engine shows of itself, as of one moment.
+//! Snapshots of the engine's state.
 
 use crate::list::Health;
 use crate::protocol::Connections;
@@ -13,53 +13,53 @@
 pub struct HostState {
     /// Its name in the list.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// What the list says of it.
+    /// Its health according to the list.
     pub health: Health,
-    /// Attempts that are out to it.
+    /// The number of attempts in flight to it.
     pub attempts: usize,
 }
 
-/// The engine at one moment.
+/// A snapshot of the engine's state.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    /// Whether a list of hosts is in hand.
+    /// Whether there is a server list.
     pub ready: bool,
     /// Version of that list.
     pub version: Option<u64>,
-    /// Its hosts, in the order of their names.
+    /// Its hosts, sorted by name.
     pub hosts: Vec<HostState>,
-    /// Calls that are open, or over with an attempt still out.
+    /// Calls that are open, or answered with an attempt still in flight.
     pub calls: usize,
-    /// Those of them that go on though nobody waits for them.
+    /// Detached calls among them: those that continue although no client waits for them.
     pub detached: usize,
-    /// Ids that no new call may have.
+    /// Ids that new calls must not use.
     pub ids: usize,
     /// Connections to hosts.
     pub connections: Connections,
-    /// Calls taken so far.
+    /// Number of requests accepted since the start.
     pub requests: u64,
-    /// Attempts sent so far.
+    /// Number of attempts sent since the start.
     pub attempts: u64,
-    /// How attempts have ended so far.
+    /// Number of attempts by outcome since the start.
     pub outcomes: BTreeMap<Outcome, u64>,
-    /// What stations show of themselves, by name.
+    /// State snapshots of the interceptors, by name.
     pub interceptors: Vec<(&'static str, Rc<dyn Any>)>,
 }
 
 impl State {
-    /// What the station shows that has this type.
+    /// The state of the interceptor whose state has this type.
     pub fn interceptor_state<T: 'static>(&self) -> Option<&T> {
         self.interceptors.iter().find_map(|(_, state)| state.downcast_ref())
     }
 }
 
-/// Whoever looks at the state. It costs the engine a walk over what is open each time.
+/// Receives state snapshots. Each snapshot costs the engine a pass over its open calls.
 pub trait Observer {
-    /// Whether it looks at all.
+    /// Whether snapshots are wanted at the moment.
     fn wants_state(&self) -> bool;
 
-    /// The state is this now.
+    /// Receives a snapshot.
     fn on_state(&self, state: State);
 }
--- a/engine/src/transient.rs
+++ b/engine/src/transient.rs
@@ -1,27 +1,27 @@
-//! Errors of the system that pass by themselves: it is short of something for the moment.
+//! Transient errors of the operating system: it is short of a resource for the moment.
 
 use std::io;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Linux's numbers of the errors that say so: EINTR, EAGAIN, ENOMEM, ENFILE, EMFILE, ENOBUFS.
+/// Linux error numbers EINTR, EAGAIN, ENOMEM, ENFILE, EMFILE, ENOBUFS.
 const TRANSIENT_ERRNOS: [i32; 6] = [4, 11, 12, 23, 24, 105];
 /// Pause between two tries.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// For so long it is worth trying.
+/// For how long retries are worthwhile.
 pub const RETRY_FOR: Duration = Duration::from_secs(8);
 
-/// Whether a call that failed so may succeed a moment later.
+/// Whether the failed call may succeed a moment later.
 pub fn is_transient(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|errno| TRANSIENT_ERRNOS.contains(&errno))
 }
 
-/// Makes a call, and again while its error may pass, for [`RETRY_FOR`]. It blocks the thread: for a start, before anything is
-/// served.
+/// Makes a call and retries it for up to [`RETRY_FOR`] while its error is transient. Blocks the thread, so it is for
+/// use at startup only, before any request is served.
 ///
 /// # Errors
 ///
-/// Its last error.
+/// The error of the last try.
 pub fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let until = Instant::now() + RETRY_FOR;
     loop {
--- a/engine/tests/chain.rs
+++ b/engine/tests/chain.rs
@@ -1,5 +1,5 @@
-//! The stations' chain without sockets: a protocol that a test answers by hand, and stations that do as they are told
-//! and note what they hear. Time is paused.
+//! The interceptor chain without sockets: a protocol whose attempts the test ends by hand, and scripted interceptors
+//! that record the calls of their methods. Time is paused.
 
 use nettleworks_engine::calls::{Caller, IncomingRequest, Reply, RequestInfo};
 use nettleworks_engine::config::Config;
@@ -17,11 +17,11 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// What is out at hosts, to be answered by hand.
+/// A protocol whose attempts in flight are ended by the test.
 #[derive(Clone, Default)]
 struct ManualProtocol(Rc<RefCell<VecDeque<InFlight>>>);
 
-/// Where an attempt is out, and how its end is said.
+/// The host of an attempt, and the channel that ends it.
 type InFlight = (ServerId, oneshot::Sender<AttemptEnd<u32>>);
 
 impl Protocol for ManualProtocol {
@@ -65,10 +65,10 @@
 }
 
 impl ManualProtocol {
-    /// The next attempt that is out ends so.
+    /// Ends the oldest attempt in flight.
     fn end(&self, outcome: Outcome, answer: Option<u32>) -> ServerId {
         let (server, sender) = self.0.borrow_mut().pop_front().expect("an attempt is in flight");
-        // Its task may have been ended.
+        // The attempt's task may have been dropped.
         let _ = sender.send(AttemptEnd { outcome, load: Load::default(), answer });
         server
     }
@@ -76,24 +76,24 @@
 
 type Records = Rc<RefCell<Vec<String>>>;
 
-/// What a station does with requests that come.
+/// What a scripted interceptor does with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behavior {
     Continues,
     Intercepts,
     Refuses,
     Vetoes,
-    /// Keeps it, and sends nothing on.
+    /// Holds the request and forwards nothing.
     Holds,
 }
 
-/// Does as it is told, and notes what it hears.
+/// Follows its script and records the calls of its methods.
 struct Scripted {
     name: &'static str,
     behavior: Behavior,
     records: Records,
     held: HashMap<CallId, HeldRequest<ManualProtocol>>,
-    /// What it does to each call of its own that has ended: nothing of it may have an effect.
+    /// Whether it operates on each of its calls after the call's end, which must have no effect.
     operates_after_end: bool,
     wake: Cell<Option<Instant>>,
 }
@@ -159,7 +159,7 @@
             context.detach(call);
             assert!(context.give_up(call) != Some(true));
         }
-        // One that it has given up says nothing.
+        // A call that was given up has no held request.
         if let Some(held) = self.held.remove(&call) {
             context.answer_held(held, end.reply);
         }
@@ -251,7 +251,7 @@
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// Of two stations that both want to end a call the first does, and the second never sees it.
+/// If two interceptors would answer a request, the first one does and the second never sees it.
 #[test]
 fn first_interceptor_to_answer_decides() {
     run(async {
@@ -259,15 +259,15 @@
         let (_, answer) = engine.submit(1, 1);
         assert!(matches!(answer.await, Ok(Reply::Refused(after)) if after == Duration::from_millis(7)));
         assert_eq!(engine.take_records(), ["a got request 1"]);
-        // Its id is free, and nothing is left of it.
+        // The id is released, and nothing is left of the call.
         let (_, answer) = engine.submit(1, 1);
         assert!(matches!(answer.await, Ok(Reply::Refused(_))));
         assert_eq!((engine.handle.state().ids, engine.handle.state().calls), (0, 0));
     });
 }
 
-/// A station refuses what another before it has taken: the one that took it hears so, with proof that it never ran, and
-/// its caller gets the one answer.
+/// If a later interceptor refuses a request that an earlier one holds, the earlier one is notified with the guarantee
+/// that the request never ran, and the client gets one reply.
 #[test]
 fn refusal_by_later_interceptor_reaches_earlier_one() {
     run(async {
@@ -275,15 +275,16 @@
         let (_, answer) = engine.submit(1, 1);
         assert!(matches!(answer.await, Ok(Reply::Refused(_))));
         let mut records = engine.take_records();
-        // The meddler's word that it gave the call up reaches those behind, who know nothing of it.
+        // The cancellation that results from giving up the call is offered to later interceptors, which don't know
+        // the call.
         records.retain(|record| !record.contains("got cancel of"));
         assert_eq!(records, ["a got request 1", "b got request 1", "a Refused(7ms) false 1"]);
         assert_eq!((engine.handle.state().ids, engine.handle.waiting()), (0, 0));
     });
 }
 
-/// An end goes from last to first; a station that meddles with a call that has just ended has no effect, and the
-/// answer is told once.
+/// A call's end goes from the last interceptor to the first. Operations on a call that has just ended have no effect,
+/// and the client gets one reply.
 #[test]
 fn call_end_passes_interceptors_in_reverse() {
     run(async {
@@ -318,7 +319,8 @@
     });
 }
 
-/// An attempt that a station does not let go surely never ran; the module hears so, and in the end refuses.
+/// An attempt that an interceptor vetoes certainly never ran. The decision module gets that outcome and finally
+/// refuses the call.
 #[test]
 fn vetoed_attempt_never_ran() {
     run(async {
@@ -340,8 +342,8 @@
     });
 }
 
-/// A client that has gone is told of from first to last, until one says that it was its. A call that is given up where
-/// nothing may be called off is heard of once more: by its answer, or as one that is out no more.
+/// A cancellation is offered from first to last until one interceptor holds the request. A call that is given up
+/// while its attempts cannot be cancelled is reported once more: with its late answer, or without one.
 #[test]
 fn given_up_call_is_reported_once_more() {
     run(async {
@@ -367,8 +369,8 @@
     });
 }
 
-/// A station gives up what another behind it has taken too: that one hears that its client has gone, and nothing is left
-/// at either.
+/// If an interceptor gives up a call whose request a later interceptor holds too, the later one is notified of the
+/// cancellation, and neither keeps anything.
 #[test]
 fn giving_up_cancels_call_of_later_interceptor() {
     run(async {
@@ -389,7 +391,8 @@
     });
 }
 
-/// A station gives up what another behind it keeps back and has not sent: that one hears of it too, and nothing is sent.
+/// If an interceptor gives up a call whose request a later interceptor holds and has not forwarded, the later one is
+/// notified too, and nothing is sent.
 #[test]
 fn giving_up_cancels_request_held_by_later_interceptor() {
     run(async {
@@ -412,7 +415,8 @@
     });
 }
 
-/// Where attempts may be called off, a client that goes ends its call at every station, and its id is free at once.
+/// Where attempts may be cancelled, a client's cancellation ends its call at every interceptor, and the id is
+/// released at once.
 #[test]
 fn client_cancellation_ends_call() {
     run(async {
@@ -423,14 +427,14 @@
         assert!(matches!(answer.await, Ok(Reply::Failed)), "a cancelled call fails");
         assert_eq!(engine.take_records().last().map(String::as_str), Some("a late None of 1"));
         assert_eq!((engine.handle.state().ids, engine.handle.state().calls), (0, 0));
-        // What its host still says is nobody's.
+        // A late answer from the host is ignored.
         engine.hosts.end(Outcome::Served, Some(5));
         settle().await;
         assert!(engine.take_records().is_empty());
     });
 }
 
-/// Without a station a call's way is the module's alone, and a second call under an open id never runs.
+/// Without interceptors, calls go straight to the decision module, and a second call under an open id never runs.
 #[test]
 fn calls_reach_decision_module_without_interceptors() {
     run(async {
@@ -445,7 +449,7 @@
     });
 }
 
-/// A station is woken when it has said so, and not again.
+/// An interceptor is woken once at the time it asked for.
 #[test]
 fn interceptor_is_woken_once_at_its_time() {
     run(async {
--- a/engine/tests/tree.rs
+++ b/engine/tests/tree.rs
@@ -1,9 +1,9 @@
-//! The order of the engine's modules: each uses only those before it, and none is long.
+//! Each module of the engine uses only modules before it in a fixed order, and no file is longer than the maximum.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// From the bottom up.
+/// From the lowest layer to the highest.
 const LAYERS: [&str; 21] = [
     "mutant",
     "task",
@@ -68,7 +68,7 @@
                 .chars()
                 .take_while(|c| c.is_ascii_lowercase() || *c == '_' || c.is_ascii_digit())
                 .collect();
-            // What begins with a capital is of the crate's root.
+            // Names that begin with a capital are items of the crate root.
             if !name.is_empty() {
                 assert!(layer(&name) <= own, "{module} uses {name}, which comes after it");
             }
@@ -76,7 +76,7 @@
     }
 }
 
-/// The engine knows no subsystem: none is among what it is built with.
+/// The engine depends on no subsystem: of the workspace's packages it uses only the decision module and the settings.
 #[test]
 fn engine_depends_on_no_subsystem() {
     let manifest =
