--- a/engine/src/calls/mod.rs
+++ b/engine/src/calls/mod.rs
@@ -94,6 +94,7 @@
     pub(crate) info: RequestInfo<P::Id>,
     pub(crate) request: Rc<P::Request>,
     pub(crate) recipient: Recipient<P::Answer>,
+    /// How the call may continue when no client waits for it.
     pub(crate) detach: Option<DetachPolicy>,
     /// The id has passed to a forwarded copy of the request; the call that the copy becomes releases it.
     pub(crate) id_moved: bool,
--- a/engine/src/driver/attempts.rs
+++ b/engine/src/driver/attempts.rs
@@ -17,6 +17,7 @@
 use tokio::time::{timeout_at, Instant};
 
 impl<P: Protocol> Driver<P> {
+    /// Carries out an action of the decision module.
     pub(super) fn perform(&mut self, handle: &Handle<P>, action: Action) {
         match action {
             Action::Send { call, server, until } => self.send(handle, call, server, until),
@@ -44,6 +45,7 @@
         }
     }
 
+    /// Starts an attempt, unless it is not allowed any more; it counts as not sent then.
     fn send(&mut self, handle: &Handle<P>, id: CallId, server: ServerId, until: Option<Micros>) {
         let now = Instant::now();
         let Some(call) = self.context.calls.get(&id) else { return };
@@ -149,6 +151,7 @@
         self.context.remove_if_finished(id);
     }
 
+    /// Ends a call with a reply of the proxy itself.
     fn answer(&mut self, id: CallId, reply: Reply<P::Answer>) {
         let dropped_by_mutant = mutant::is_active(Mutant::DropsAnswers) && mutant::nth(10);
         if let Some(call) = self.context.calls.get_mut(&id) {
@@ -183,6 +186,7 @@
         continues
     }
 
+    /// Handles the end of an attempt: replies to the recipient of its call and reports the outcome.
     pub(super) fn finish_attempt(&self, id: CallId, attempt: u32, mut end: AttemptEnd<P::Answer>) {
         let mut driver = self.0.borrow_mut();
         let context = &mut driver.context;
@@ -242,7 +246,8 @@
     if !mutant::is_active(Mutant::SwapsAnswers) || !mutant::nth(40) {
         return recipient;
     }
-    let other = context.calls.iter_mut().find(|(other, call)| **other != id && call.recipient.is_some());
+    let other =
+        context.calls.iter_mut().find(|(other_id, call)| **other_id != id && call.recipient.is_some());
     match other.and_then(|(_, call)| call.recipient.as_mut()) {
         Some(other) => std::mem::replace(other, recipient),
         None => recipient,
--- a/engine/src/driver/chain.rs
+++ b/engine/src/driver/chain.rs
@@ -40,11 +40,12 @@
         let past_attempt_deadline = detach.is_some_and(|detach| detach.past_attempt_deadline);
         let (recipient, late_recipient, attempts, detached, may_have_run) =
             (Some(recipient), None, Vec::new(), false, false);
-        let within = match self.context.config.settings.classes.get(class.0).map(|class| class.repeat) {
+        let window_length = match self.context.config.settings.classes.get(class.0).map(|class| class.repeat)
+        {
             Some(Repeat::Guarded { window, .. }) => Some(Duration::from_micros(window)),
             _ => None,
         };
-        let repeat_window = Repeats::new(within);
+        let repeat_window = Repeats::new(window_length);
         let call = Call {
             id,
             request,
--- a/engine/src/driver/group.rs
+++ b/engine/src/driver/group.rs
@@ -35,7 +35,7 @@
         self.0.borrow().freshness_gate.taken(update);
     }
 
-    /// Passes on what another engine has observed of a host, `age` ago.
+    /// Reports to the decision module what another engine has observed of a host `age` ago.
     pub fn observation_from_peer(&self, host: &str, news: News, age: Duration) {
         let server: Option<ServerId> = self.0.borrow().hosts.ids_by_name.get(host).copied();
         if let Some(server) = server {
@@ -67,8 +67,8 @@
         result
     }
 
-    /// Drops all open calls of a poisoned engine without a reply; their callers get the reply that the call failed
-    /// and may have run. Nothing more is sent, and new requests are refused.
+    /// Drops all open calls of a poisoned engine. Their reply channels close, which callers treat as a failure that may
+    /// have run. Nothing more is sent, and new requests are refused.
     pub fn abort_calls(&self) {
         let mut driver = self.0.borrow_mut();
         driver.poisoned = true;
--- a/engine/src/driver/hosts.rs
+++ b/engine/src/driver/hosts.rs
@@ -194,7 +194,7 @@
             let last_sent = host.sent_at.map_or("never".to_owned(), |at| format!("{:.3?} ago", at.elapsed()));
             let health = host.health;
             self.context.log(&format!(
-                "server {} is {health:?}: last sent to {last_sent}, {in_flight} attempts out",
+                "server {} is {health:?}: last sent to {last_sent}, {in_flight} attempts in flight",
                 server.0
             ));
         }
--- a/engine/src/driver/mod.rs
+++ b/engine/src/driver/mod.rs
@@ -31,7 +31,7 @@
 use tokio::time::{sleep_until, Instant};
 use watch::Watch;
 
-/// How often the protocol closes idle connections.
+/// How often idle connections are closed and the observer gets the state.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 const SWEEPS_PER_LOG_LINE: u32 = 10;
 const DETACHED_POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -216,7 +216,7 @@
         let mut driver = self.0.borrow_mut();
         let (config, restart_needed) = driver.context.config.renewed(config);
         let discovery_changed = config.discovery != driver.context.config.discovery;
-        let note = if restart_needed { "; what else changed takes a restart" } else { "" };
+        let note = if restart_needed { "; other changes need a restart" } else { "" };
         driver.context.log(&format!("configuration read again, discovery at {}{note}", config.discovery));
         driver.context.config = Rc::new(config);
         let Driver { context, protocol, chain, .. } = &mut *driver;
@@ -346,7 +346,7 @@
         driver.context.events.extend(events);
         driver.take_over_lease();
         let mut actions = Vec::new();
-        // Stays set if a panic unwinds through here. A single engine without a group ends with the panic.
+        // Stays set if a panic unwinds through here. Only the engines of a group are marked.
         driver.poisoned = driver.context.group.is_some();
         loop {
             driver.deliver_notifications();
--- a/engine/src/driver/watch.rs
+++ b/engine/src/driver/watch.rs
@@ -140,8 +140,8 @@
             .log(&format!("watch {number}: opened from version {from}, last alive {unverified_for:.3?} ago"));
         // This ends the task of the previous watch.
         self.watch.task = Some(task::spawn(async move {
-            let end = discovery::watch(discovery, pushed, since, last_look, |sign| {
-                handle.on_watch_event(number, sign)
+            let end = discovery::watch(discovery, pushed, since, last_look, |event| {
+                handle.on_watch_event(number, event)
             })
             .await;
             if let Some(retry_after) = handle.on_watch_end(number, end).filter(|_| pushed) {
@@ -250,11 +250,11 @@
         self.process([Event::Freshness(Freshness::Unverified { since })]);
     }
 
-    fn on_watch_event(&self, number: u64, sign: Sign) {
+    fn on_watch_event(&self, number: u64, event: Sign) {
         if self.0.borrow().watch.number != number {
             return;
         }
-        match sign {
+        match event {
             Sign::Answered => {
                 self.0.borrow_mut().watch.outage.answered();
                 let took = self.0.borrow().watch.opened_at.elapsed();
@@ -330,11 +330,11 @@
     match end {
         End::Silent => "fell silent".to_owned(),
         End::Unanswered(calls) if end.withheld_since().is_some() => {
-            format!("not answered whole: {}", each(calls))
+            format!("incomplete answer: {}", each(calls))
         }
         End::Unanswered(calls) => format!("not answered: {}", each(calls)),
         End::Failed(reason) => format!("failed: {reason}"),
-        End::Ended { reason, .. } => format!("was ended: {reason}"),
+        End::Ended { reason, .. } => format!("ended: {reason}"),
         End::Cut { reason, .. } => format!("failed within a list: {reason}"),
     }
 }
--- a/engine/src/interceptor.rs
+++ b/engine/src/interceptor.rs
@@ -77,8 +77,8 @@
     /// Called when a call that this interceptor owns has ended; once per call.
     fn on_call_end(&mut self, _context: &mut ChainContext<P>, _call: CallId, _end: CallEnd<P::Answer>) {}
 
-    /// Called after [`ChainContext::give_up`], once no attempt of the call is in flight: with the answer that arrived
-    /// all the same, or with `None` if none will.
+    /// Called once after [`ChainContext::give_up`]: with an answer that arrived all the same, or with `None` when none of
+    /// the call's attempts is in flight any more.
     fn on_late_end(&mut self, _context: &mut ChainContext<P>, _call: CallId, _answer: Option<P::Answer>) {}
 
     /// Called when the deadline that the decision module has set for an attempt is reached and the call may continue
@@ -261,14 +261,14 @@
 
     /// Moves the deadline of a call to a later time, for a request that joined it. A detached call is attached again.
     pub fn extend_deadline(&mut self, call: CallId, deadline: Instant) {
-        let Some(known) = self.calls.get_mut(&call) else { return };
-        known.deadline = deadline;
-        known.detached = false;
-        if let Some(limit) = &known.extendable_deadline {
+        let Some(open_call) = self.calls.get_mut(&call) else { return };
+        open_call.deadline = deadline;
+        open_call.detached = false;
+        if let Some(limit) = &open_call.extendable_deadline {
             limit.set(limit.get().max(deadline));
         }
-        let left = deadline.saturating_duration_since(Instant::now());
-        self.events.push_back(Event::Extended { call, time_left: left.as_micros() as Micros });
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        self.events.push_back(Event::Extended { call, time_left: time_left.as_micros() as Micros });
     }
 
     /// Checks whether a call that no client waits for any more can be detached. Returns the hosts of the attempts
@@ -317,8 +317,8 @@
     /// reported as the call's end.
     pub fn give_up(&mut self, id: CallId) -> Option<bool> {
         let index = self.current;
-        if self.notifications.iter().any(|(to, call, notification)| {
-            (*to, *call) == (index, id) && matches!(notification, Notification::CallEnd(_))
+        if self.notifications.iter().any(|(interceptor, call, notification)| {
+            (*interceptor, *call) == (index, id) && matches!(notification, Notification::CallEnd(_))
         }) {
             return None;
         }
--- a/engine/src/state.rs
+++ b/engine/src/state.rs
@@ -34,7 +34,7 @@
     pub calls: usize,
     /// Detached calls among them: those that continue although no client waits for them.
     pub detached: usize,
-    /// Ids that new calls must not use.
+    /// Open ids that this engine has opened; new calls must not use them.
     pub ids: usize,
     /// Connections to hosts.
     pub connections: Connections,
