--- a/engine/src/calls/mod.rs
+++ b/engine/src/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls: the request, who waits for it, and its one reply. The state of an open call is in [`call`].
+//! Calls: the request, who waits for it, and its one reply. The state of an open call is in `calls::call`.
 
 pub(crate) mod call;
 
@@ -165,6 +165,7 @@
 
 impl<P: Protocol> fmt::Debug for IncomingRequest<P> {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        // The debug output keeps the former name of this type.
         out.debug_struct("Guest").field("number", &self.number).finish_non_exhaustive()
     }
 }
--- a/engine/src/driver/mod.rs
+++ b/engine/src/driver/mod.rs
@@ -1,5 +1,5 @@
 //! Drives the decision module: turns what happens on the sockets into events, in one order and on one clock, and
-//! carries out its actions. The driver decides nothing itself; of the interceptors it knows only their order.
+//! carries out its actions. The driver decides nothing itself; of the interceptors it only determines the order.
 
 mod attempts;
 mod chain;
--- a/engine/src/mutant.rs
+++ b/engine/src/mutant.rs
@@ -27,7 +27,7 @@
 #[cfg(feature = "mutants")]
 pub(crate) use active::{is_active, nth};
 
-/// Whether this call is one in every `of`; never without the feature.
+/// Counts this call and returns whether the count is a multiple of the argument. Always `false` without the feature.
 #[cfg(not(feature = "mutants"))]
 #[inline(always)]
 pub(crate) const fn nth(_: u32) -> bool {
--- a/engine/src/quota.rs
+++ b/engine/src/quota.rs
@@ -38,7 +38,7 @@
         self.0.count(side).load(Ordering::Relaxed)
     }
 
-    /// Counts one more connection, unless `most` are open.
+    /// Counts one more connection, unless `max` are open already.
     pub fn acquire(&self, side: Side, max: usize) -> Option<ConnectionPermit> {
         let increment = |open: usize| (open < max).then_some(open + 1);
         self.0.count(side).fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment).ok()?;
