--- a/engine/src/config.rs
+++ b/engine/src/config.rs
@@ -1,9 +1,9 @@
 //! The configuration of the proxy, read from the file that `ROUTER_CONFIG` names.
 
-use crate::extras::Extras;
+use crate::extensions::Extensions;
 use crate::list::List;
-use crate::passing::is_passing;
 use crate::quota::Quota;
+use crate::transient::is_transient;
 use nettleworks_policy::Settings;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
@@ -42,7 +42,7 @@
     /// descriptors.
     pub max_calls: Option<usize>,
     /// Configurations of the interceptors; each interceptor reads a file of its own.
-    pub extras: Extras,
+    pub extensions: Extensions,
     /// Counts open connections. The engines of one process share it.
     pub quota: Quota,
     /// Paths of unknown keys outside `settings`. They may be typing errors or belong to a later version of the platform.
@@ -152,7 +152,7 @@
     pub fn load(path: &Path) -> Result<Config, LoadError> {
         let with_path = |reason: String| format!("{}: {reason}", path.display());
         let text = std::fs::read_to_string(path)
-            .map_err(|e| LoadError { transient: is_passing(&e), reason: with_path(e.to_string()) })?;
+            .map_err(|e| LoadError { transient: is_transient(&e), reason: with_path(e.to_string()) })?;
         Config::parse(&text).map_err(|e| LoadError { transient: false, reason: with_path(e.to_string()) })
     }
 
@@ -198,7 +198,7 @@
             connect_timeout: Duration::from_micros(connection_limits.connect_timeout_us),
             conn_idle: Duration::from_micros(connection_limits.conn_idle_us),
             max_calls: file.nettleworks.calls,
-            extras: Extras::default(),
+            extensions: Extensions::default(),
             quota: Quota::default(),
             unknown_keys,
             unused_keys,
@@ -210,10 +210,13 @@
     pub fn reloaded(&self, new: Config) -> (Config, bool) {
         let Config { discovery, max_descriptors, connect_timeout, conn_idle, .. } = new;
         // The configuration of an interceptor can be reloaded, but the set of interceptors is fixed at start.
-        let (extras, extensions_differ) = self.extras.renewed(new.extras);
+        let (extensions, extensions_differ) = self.extensions.merged_on_reload(new.extensions);
         let current = (self.listen, &self.settings, &self.classes, &self.tenants);
         let differs = extensions_differ || current != (new.listen, &new.settings, &new.classes, &new.tenants);
-        (Config { discovery, max_descriptors, connect_timeout, conn_idle, extras, ..self.clone() }, differs)
+        (
+            Config { discovery, max_descriptors, connect_timeout, conn_idle, extensions, ..self.clone() },
+            differs,
+        )
     }
 
     /// Limit of connections to hosts. Clients use at most a third of the descriptors for requests in flight, and each
--- a/engine/src/http1/exchange.rs
+++ b/engine/src/http1/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Connection;
 use crate::meter::Meter;
-use crate::protocol::End;
+use crate::protocol::AttemptEnd;
 use http::response::Parts;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Bytes, Frame, SizeHint};
@@ -79,7 +79,7 @@
     mut connection: Connection,
     request: Request<OutgoingBody>,
     meter: &Meter,
-) -> Option<(End<Response<Bytes>>, Option<Connection>)> {
+) -> Option<(AttemptEnd<Response<Bytes>>, Option<Connection>)> {
     connection.socket.set_meter(meter);
     let (reused, started) = (connection.reads_at_response > 0, Instant::now());
     let response = match connection.sender.send_request(request).await {
@@ -90,7 +90,7 @@
             let unanswered = reused && connection.socket.read_count() <= connection.reads_at_response + 1;
             let outcome = outcome_of_error(&error);
             let stale = outcome == Outcome::Reset && unanswered && started.elapsed() < STALE_CLOSE_WINDOW;
-            return Some((End::without_answer(if stale { Outcome::Stale } else { outcome }), None));
+            return Some((AttemptEnd::without_answer(if stale { Outcome::Stale } else { outcome }), None));
         }
     };
     let (head, body) = response.into_parts();
@@ -118,7 +118,7 @@
         yield_now().await;
         reusable = connection.is_ready();
     }
-    Some((End { outcome, load, answer }, reusable.then_some(connection)))
+    Some((AttemptEnd { outcome, load, answer }, reusable.then_some(connection)))
 }
 
 /// Copies a response out of the read buffer of its connection. Otherwise whoever keeps a few bytes of the response
--- a/engine/src/http1/mod.rs
+++ b/engine/src/http1/mod.rs
@@ -8,8 +8,8 @@
 
 use crate::config::Config;
 use crate::meter::Meter;
-use crate::protocol::{Connections, End, Protocol, Target};
-use crate::quota::{Counted, Side};
+use crate::protocol::{AttemptEnd, Connections, Protocol, Target};
+use crate::quota::{ConnectionPermit, Side};
 use connection::{Connection, OpenError};
 use exchange::{exchange, OutgoingBody};
 use hyper::body::Bytes;
@@ -86,15 +86,15 @@
     /// `None` if there is none to close.
     fn slot(&mut self) -> Option<Slot> {
         let max = self.config.connections_to_hosts();
-        let permit = self.config.quota.place(Side::Hosts, max);
+        let permit = self.config.quota.acquire(Side::Hosts, max);
         let permit = permit.or_else(|| {
             let oldest = self.hosts.values_mut().filter(|host| !host.idle.is_empty());
             let Some(host) = oldest.min_by_key(|host| host.idle[0].0) else {
-                self.config.quota.is_short();
+                self.config.quota.report_shortage();
                 return None;
             };
             drop(host.idle.remove(0));
-            self.config.quota.place(Side::Hosts, max)
+            self.config.quota.acquire(Side::Hosts, max)
         });
         Some(Slot { _engine_count: self.slots.clone(), _permit: permit? })
     }
@@ -104,13 +104,13 @@
 #[derive(Debug)]
 struct Slot {
     _engine_count: Rc<()>,
-    _permit: Counted,
+    _permit: ConnectionPermit,
 }
 
 #[cfg(test)]
 impl Slot {
     fn for_test() -> Slot {
-        let permit = crate::quota::Quota::default().place(Side::Hosts, 1);
+        let permit = crate::quota::Quota::default().acquire(Side::Hosts, 1);
         Slot { _engine_count: Rc::default(), _permit: permit.expect("none is open") }
     }
 }
@@ -146,7 +146,7 @@
         request: Rc<ForwardedRequest>,
         deadline: Instant,
         meter: Meter,
-    ) -> End<Response<Bytes>> {
+    ) -> AttemptEnd<Response<Bytes>> {
         if let Some(connection) = reused {
             let end = exchange(connection, request.for_attempt(deadline, &meter), &meter).await;
             let broken = end.as_ref().is_none_or(|(end, _)| end.outcome == Outcome::Stale);
@@ -168,9 +168,9 @@
         request: Rc<ForwardedRequest>,
         deadline: Instant,
         meter: Meter,
-    ) -> End<Response<Bytes>> {
+    ) -> AttemptEnd<Response<Bytes>> {
         let Some(slot) = self.0.borrow_mut().slot() else {
-            return End::without_answer(Outcome::NotSent);
+            return AttemptEnd::without_answer(Outcome::NotSent);
         };
         let connect_timeout = self.0.borrow().config.connect_timeout;
         let write_deadline = meter.write_deadline();
@@ -180,14 +180,14 @@
         self.count(|counts| *if opened.is_ok() { &mut counts.opened } else { &mut counts.open_failed } += 1);
         let end = match opened {
             Ok(connection) => exchange(connection, request.for_attempt(deadline, &meter), &meter).await,
-            Err(OpenError::Local) => return End::without_answer(Outcome::NotSent),
+            Err(OpenError::Local) => return AttemptEnd::without_answer(Outcome::NotSent),
             Err(OpenError::Remote) => None,
         };
         let Some((end, connection)) = end else {
             // A connection that was established too late is not the host's failure.
             let too_late = meter.is_past_write_deadline() || meter.list_has_expired();
             let outcome = if too_late { Outcome::NotSent } else { Outcome::NoConnection };
-            return End::without_answer(outcome);
+            return AttemptEnd::without_answer(outcome);
         };
         connection.into_iter().for_each(|connection| self.return_to_pool(target, connection));
         end
@@ -199,12 +199,12 @@
     type Request = ForwardedRequest;
     type Answer = Response<Bytes>;
 
-    fn identity(request: &ForwardedRequest) -> Vec<&[u8]> {
+    fn fingerprint_parts(request: &ForwardedRequest) -> Vec<&[u8]> {
         let target = request.target.path_and_query().map_or("", |target| target.as_str());
         vec![request.method.as_str().as_bytes(), target.as_bytes(), &request.body]
     }
 
-    fn replayed(answer: &Response<Bytes>) -> (usize, Response<Bytes>) {
+    fn replay_copy(answer: &Response<Bytes>) -> (usize, Response<Bytes>) {
         let head_bytes: usize =
             answer.headers().iter().map(|(name, value)| name.as_str().len() + value.len()).sum();
         let mut replayed = answer.clone();
@@ -218,7 +218,7 @@
         request: Rc<ForwardedRequest>,
         deadline: Instant,
         meter: &Meter,
-    ) -> impl Future<Output = End<Response<Bytes>>> + 'static {
+    ) -> impl Future<Output = AttemptEnd<Response<Bytes>>> + 'static {
         let mut pool = self.0.borrow_mut();
         // The host may close an idle connection just when a request is sent on it, so connections close to its idle
         // timeout and those closed meanwhile are not used.
@@ -238,7 +238,7 @@
         Box::pin(self.clone().run(target, reused, request, deadline, meter.clone()))
     }
 
-    fn admit(&self, target: Target) {
+    fn host_ready(&self, target: Target) {
         let mut pool = self.0.borrow_mut();
         let host = pool
             .hosts
@@ -249,7 +249,7 @@
         }
     }
 
-    fn retire(&self, server: ServerId) {
+    fn host_retired(&self, server: ServerId) {
         self.0.borrow_mut().hosts.remove(&server);
     }
 
@@ -261,7 +261,7 @@
             host.idle.retain(|(since, connection)| since.elapsed() < max_idle_time && connection.is_ready());
         });
         // Another engine of the process needs connections and has no idle one to close: close half of each host's.
-        if pool.config.quota.was_short() {
+        if pool.config.quota.take_shortage() {
             pool.hosts.values_mut().for_each(|host| drop(host.idle.drain(..host.idle.len().div_ceil(2))));
         }
     }
--- a/proxy/src/files.rs
+++ b/proxy/src/files.rs
@@ -2,7 +2,7 @@
 
 use crate::member::Member;
 use nettleworks_engine::config::{Config, LoadError};
-use nettleworks_engine::passing::{is_passing, AGAIN};
+use nettleworks_engine::transient::{is_transient, RETRY_PAUSE};
 use nettleworks_keys_station::WithKeys;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -33,7 +33,7 @@
             reason: format!("{}: {reason}", path.display()),
         };
         let text =
-            std::fs::read_to_string(path).map_err(|error| bad(is_passing(&error), error.to_string()))?;
+            std::fs::read_to_string(path).map_err(|error| bad(is_transient(&error), error.to_string()))?;
         config.with_keys(&text).map_err(|error| bad(false, error))
     }
 
@@ -46,7 +46,7 @@
         let until = Instant::now() + most;
         loop {
             match self.load() {
-                Err(error) if error.transient && Instant::now() < until => sleep(AGAIN).await,
+                Err(error) if error.transient && Instant::now() < until => sleep(RETRY_PAUSE).await,
                 done => return done.map_err(|error| error.reason),
             }
         }
