--- a/keys/src/bounds.rs
+++ b/keys/src/bounds.rs
@@ -1,5 +1,4 @@
 //! What a store may hold, and for how long.
-
 /// How long the end of a call is remembered, in microseconds from that end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
@@ -22,7 +21,7 @@
     /// Keys in all.
     pub entries: usize,
     /// Keys of one tenant; requests without one are a tenant of their own.
-    pub entries_a_tenant: usize,
+    pub entries_per_tenant: usize,
     /// Bytes of all answers that are kept.
     pub answer_bytes: usize,
     /// Requests that may wait for one running call, the first included.
@@ -38,7 +37,7 @@
     fn default() -> Self {
         Bounds {
             entries: 16_384,
-            entries_a_tenant: 4_096,
+            entries_per_tenant: 4_096,
             answer_bytes: 4 << 20,
             waiters: 64,
             key_bytes: 255,
--- a/keys/src/lib.rs
+++ b/keys/src/lib.rs
@@ -6,16 +6,17 @@
 //! not go back. Whoever drives it carries out what it says, and tells it how the running call ended.
 //!
 //! ```
-//! use nettleworks_keys::{Arrival, Bounds, End, Kind, Request, Store};
+//! use nettleworks_keys::{Admission, Bounds, ClassKind, Request, RunOutcome, Store};
 //!
 //! let mut store: Store<&str> = Store::new(7, Bounds::default());
-//! let request = Request { tenant: None, class: 0, kind: Kind::Unsafe, key: b"k1", digest: store.digest(&[b"POST"]) };
-//! let Arrival::First(slot) = store.arrive(0, &request, 1, 900) else { unreachable!() };
+//! let digest = store.digest(&[b"POST"]);
+//! let request = Request { tenant: None, class: 0, kind: ClassKind::Unsafe, key: b"k1", digest };
+//! let Admission::First(run_id) = store.admit(0, &request, 1, 900) else { unreachable!() };
 //! // A repeat waits with the first, and both get its answer.
-//! assert!(matches!(store.arrive(10, &request, 2, 900), Arrival::Joined { .. }));
-//! let ended = store.ended(20, slot, End::Served { answer: "paid", bytes: 4 });
-//! assert_eq!(ended.waiters, [1, 2]);
-//! assert_eq!(store.arrive(30, &request, 3, 900), Arrival::Replay("paid"));
+//! assert!(matches!(store.admit(10, &request, 2, 900), Admission::Joined { .. }));
+//! let completion = store.complete(20, run_id, RunOutcome::Served { answer: "paid", bytes: 4 });
+//! assert_eq!(completion.waiters, [1, 2]);
+//! assert_eq!(store.admit(30, &request, 3, 900), Admission::Replay("paid"));
 //! ```
 //!
 //! The source of the behaviour is the IETF draft *The Idempotency-Key HTTP Header Field* (section 2.6: a key with
@@ -25,16 +26,16 @@
 #![warn(missing_docs)]
 
 mod bounds;
+mod detached;
 mod inspect;
-mod linger;
+mod shared_usage;
 mod store;
-mod tally;
 
 pub use bounds::{Bounds, Retention};
-pub use inspect::{mask, Filter, Page, Settled, Unsettled, View};
-pub use linger::{LingerBounds, Lingering};
+pub use detached::{DetachedBounds, DetachedCalls};
+pub use inspect::{mask, KeyFilter, KeyPage, KeyView, SettleError, Settlement};
+pub use shared_usage::{SharedUsage, StoreId};
 pub use store::{
-    Arrival, BadSlot, Cause, Counts, Digest, End, Ended, KeyState, Kind, Known, Left, Micros, Request, Slot,
-    Store, Verdict, WaiterId,
+    Admission, ClassKind, Completion, Counts, Digest, FullBound, InvalidRunId, KeyInfo, KeyState, Micros,
+    Removal, Request, RunId, RunOutcome, Store, Verdict, WaiterId,
 };
-pub use tally::{Sharer, Tally};
--- a/keys/src/store.rs
+++ b/keys/src/store.rs
@@ -1,7 +1,7 @@
 //! The state machine.
 
 use crate::bounds::Bounds;
-use crate::tally::{Sharer, Tally};
+use crate::shared_usage::{SharedUsage, StoreId};
 use siphasher::sip::SipHasher13;
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::collections::{BTreeSet, HashMap};
@@ -22,7 +22,7 @@
 
 /// What kind of class a request is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ClassKind {
     /// Hosts know the key too, and drop repeats for a while.
     Keyed,
     /// Only this store knows the key: a second run is harm for good.
@@ -37,7 +37,7 @@
     /// Its class.
     pub class: u32,
     /// The class's kind.
-    pub kind: Kind,
+    pub kind: ClassKind,
     /// Its key, as it came.
     pub key: &'a [u8],
     /// Its digest, by [`Store::digest`].
@@ -46,45 +46,45 @@
 
 /// A running call. It names this one run for good: a key that runs again has another. As text it is `PLACE-SERIAL`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Slot {
-    pub(crate) place: usize,
+pub struct RunId {
+    pub(crate) index: usize,
     pub(crate) serial: u64,
 }
 
-impl Slot {
+impl RunId {
     #[cfg(test)]
-    pub(crate) fn of(place: usize, serial: u64) -> Slot {
-        Slot { place, serial }
+    pub(crate) fn new(index: usize, serial: u64) -> RunId {
+        RunId { index, serial }
     }
 }
 
-impl fmt::Display for Slot {
+impl fmt::Display for RunId {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}-{}", self.place, self.serial)
+        write!(out, "{}-{}", self.index, self.serial)
     }
 }
 
-impl FromStr for Slot {
-    type Err = BadSlot;
+impl FromStr for RunId {
+    type Err = InvalidRunId;
 
-    fn from_str(text: &str) -> Result<Slot, BadSlot> {
-        let (place, serial) = text.split_once('-').ok_or(BadSlot)?;
-        let place = place.parse().map_err(|_| BadSlot)?;
-        Ok(Slot { place, serial: serial.parse().map_err(|_| BadSlot)? })
+    fn from_str(text: &str) -> Result<RunId, InvalidRunId> {
+        let (index, serial) = text.split_once('-').ok_or(InvalidRunId)?;
+        let index = index.parse().map_err(|_| InvalidRunId)?;
+        Ok(RunId { index, serial: serial.parse().map_err(|_| InvalidRunId)? })
     }
 }
 
 /// A text that names no run of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadSlot;
+pub struct InvalidRunId;
 
-impl fmt::Display for BadSlot {
+impl fmt::Display for InvalidRunId {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str("not an id of a key, which is two whole numbers with a dash between them")
     }
 }
 
-impl std::error::Error for BadSlot {}
+impl std::error::Error for InvalidRunId {}
 
 /// What a key is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -121,13 +121,13 @@
 
     /// The state of this name.
     pub fn named(name: &str) -> Option<KeyState> {
-        KeyState::ALL.iter().find(|(_, known)| *known == name).map(|(state, _)| *state)
+        KeyState::ALL.iter().find(|(_, state_name)| *state_name == name).map(|(state, _)| *state)
     }
 }
 
 /// What is known of a key that has no answer to give.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct KeyInfo {
     /// What it is at.
     pub state: KeyState,
     /// How long ago its first request came, in microseconds.
@@ -155,7 +155,7 @@
 
 /// Why a request is not held, or an answer no longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Cause {
+pub enum FullBound {
     /// All entries are running or unsure.
     Entries,
     /// All of its tenant's are.
@@ -166,33 +166,33 @@
 
 /// What a request gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Arrival<A> {
+pub enum Admission<A> {
     /// It is the first: it is to be sent, and its end told.
-    First(Slot),
+    First(RunId),
     /// It waits with the first.
     Joined {
         /// For which call.
-        slot: Slot,
+        run_id: RunId,
         /// It waits longer than all others: the call is wanted until its deadline now.
         longest: bool,
     },
     /// The first's answer.
     Replay(A),
     /// The first ran or may have, and there is no answer to give: no new attempt.
-    Known(Known),
+    NoAnswer(KeyInfo),
     /// Another request had this key: an error, 422.
     Mismatch,
     /// The key is empty or too long: an error, 400.
     BadKey,
     /// There is no room, and it can do without: it goes on as if there were no store.
-    Pass(Cause),
+    Pass(FullBound),
     /// There is no room, and without it there may be harm: it is refused, and never ran.
-    Refused(Cause),
+    Refused(FullBound),
 }
 
 /// How a running call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End<A> {
+pub enum RunOutcome<A> {
     /// It was answered.
     Served {
         /// The answer.
@@ -208,25 +208,25 @@
 
 /// Who hears of an end.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ended {
+pub struct Completion {
     /// Those who get it, in the order in which they came.
     pub waiters: Vec<WaiterId>,
     /// The one that is sent now, under the same slot: it becomes the first.
     pub next: Option<WaiterId>,
     /// An answer came for a key that had been given up, which was at this: the answer holds.
-    pub late: Option<KeyState>,
+    pub late_for: Option<KeyState>,
 }
 
 /// What is left of a call when one who waited has gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Left {
+pub enum Removal {
     /// Others wait.
-    Others,
+    OthersWait,
     /// Nobody does. It is to be called off and its end told; or it goes on for a while (see [`crate::Lingering`]), in
     /// which case a repeat joins it as any.
-    Nobody,
+    NobodyWaits,
     /// It had ended, or did not wait.
-    Nothing,
+    WasNotWaiting,
 }
 
 /// What has been done so far, by cause.
@@ -317,20 +317,20 @@
     /// Those who wait, in the order in which they came, with their deadlines.
     Running {
         /// Whose request it is that runs; it may have gone.
-        runs: WaiterId,
+        sent: WaiterId,
         waiters: Vec<(WaiterId, Micros)>,
     },
     /// `None`: a marker, its answer was given up.
     Answered {
-        until: Micros,
+        expires_at: Micros,
         answer: Option<(A, usize)>,
     },
     Unsure {
-        until: Micros,
+        expires_at: Micros,
     },
     /// By hand.
     Settled {
-        until: Micros,
+        expires_at: Micros,
         verdict: Verdict,
     },
 }
@@ -339,16 +339,16 @@
 pub(crate) struct Entry<A> {
     pub(crate) key: Key,
     pub(crate) serial: u64,
-    pub(crate) kind: Kind,
+    pub(crate) kind: ClassKind,
     digest: Digest,
     /// When its first request came.
-    pub(crate) came: Micros,
+    pub(crate) first_arrival: Micros,
     pub(crate) state: State<A>,
 }
 
 impl<A> Entry<A> {
     /// What it is at.
-    pub(crate) fn at(&self) -> KeyState {
+    pub(crate) fn key_state(&self) -> KeyState {
         match self.state {
             State::Running { .. } => KeyState::Running,
             State::Answered { answer: Some(_), .. } => KeyState::Answered,
@@ -361,17 +361,17 @@
 
 /// What may be given up, the first to end by itself first. An entry is in one of the two at most.
 #[derive(Debug, Default)]
-struct Spare {
+struct Evictable {
     /// Answers, which shrink to a marker.
     answers: BTreeSet<(Micros, usize)>,
     /// What can go whole.
-    rest: BTreeSet<(Micros, usize)>,
+    without_answer: BTreeSet<(Micros, usize)>,
 }
 
 #[derive(Debug, Default)]
 struct Tenant {
     entries: usize,
-    spare: Spare,
+    evictable: Evictable,
 }
 
 /// Hashes with a seed, so that nobody who does not know it can make keys that collide.
@@ -393,37 +393,37 @@
 pub struct Store<A> {
     seed: Seeded,
     bounds: Bounds,
-    places: HashMap<Key, usize, Seeded>,
+    index_by_key: HashMap<Key, usize, Seeded>,
     pub(crate) entries: Vec<Option<Entry<A>>>,
     free: Vec<usize>,
     next_serial: u64,
     tenants: HashMap<Option<u32>, Tenant, Seeded>,
-    spare: Spare,
+    evictable: Evictable,
     /// All that ends by itself.
-    ends: BTreeSet<(Micros, usize)>,
+    expiries: BTreeSet<(Micros, usize)>,
     /// Those who wait, by deadline.
-    waiting: BTreeSet<(Micros, WaiterId, usize)>,
-    bytes: usize,
+    waiter_deadlines: BTreeSet<(Micros, WaiterId, usize)>,
+    answer_bytes: usize,
     counts: Counts,
     /// Where other stores share its bounds, and which of them it is.
-    tally: Option<(Sharer, Arc<Tally>)>,
+    shared_usage: Option<(StoreId, Arc<SharedUsage>)>,
     /// What others are to give up for this one, and have not been told; one at most a request.
-    claims: Vec<Sharer>,
+    eviction_requests: Vec<StoreId>,
 }
 
-impl Spare {
+impl Evictable {
     fn len(&self) -> usize {
-        self.rest.len() + self.answers.len()
+        self.without_answer.len() + self.answers.len()
     }
 }
 
 /// What goes first of what could: markers and the like before whole answers.
-fn first(spare: &Spare) -> Option<usize> {
-    spare.rest.first().or(spare.answers.first()).map(|&(_, place)| place)
+fn next_to_evict(evictable: &Evictable) -> Option<usize> {
+    evictable.without_answer.first().or(evictable.answers.first()).map(|&(_, index)| index)
 }
 
 /// How many entries whose time is up go with one event: a crowd that ends at once must not hold up the next request.
-const EXPIRE_MOST: usize = 16;
+const MAX_EXPIRED_PER_CALL: usize = 16;
 
 impl<A: Clone> Store<A> {
     /// An empty store. The seed should not be known outside.
@@ -432,46 +432,52 @@
         Store {
             seed,
             bounds,
-            places: HashMap::with_hasher(seed),
+            index_by_key: HashMap::with_hasher(seed),
             entries: Vec::new(),
             free: Vec::new(),
             next_serial: 0,
             tenants: HashMap::with_hasher(seed),
-            spare: Spare::default(),
-            ends: BTreeSet::new(),
-            waiting: BTreeSet::new(),
-            bytes: 0,
+            evictable: Evictable::default(),
+            expiries: BTreeSet::new(),
+            waiter_deadlines: BTreeSet::new(),
+            answer_bytes: 0,
             counts: Counts::default(),
-            tally: None,
-            claims: Vec::new(),
+            shared_usage: None,
+            eviction_requests: Vec::new(),
         }
     }
 
     /// An empty store that shares its bounds on keys and bytes with others, as the one of this number. What can go to
     /// make room goes from the store that needs it, or else from another ([`Store::claims`]).
-    pub fn sharing(seed: u64, bounds: Bounds, me: Sharer, tally: Arc<Tally>) -> Self {
-        Store { tally: Some((me, tally)), ..Store::new(seed, bounds) }
+    pub fn with_shared_usage(
+        seed: u64,
+        bounds: Bounds,
+        store_id: StoreId,
+        shared_usage: Arc<SharedUsage>,
+    ) -> Self {
+        Store { shared_usage: Some((store_id, shared_usage)), ..Store::new(seed, bounds) }
     }
 
     /// What others are to give up, each by [`Store::give_up`]: to be asked after each request, and told.
-    pub fn claims(&mut self) -> Vec<Sharer> {
-        std::mem::take(&mut self.claims)
+    pub fn take_eviction_requests(&mut self) -> Vec<StoreId> {
+        std::mem::take(&mut self.eviction_requests)
     }
 
     /// Another store has claimed a key of this one.
-    pub fn give_up(&mut self) {
+    pub fn evict_for_peer(&mut self) {
         // It may have gone by itself.
-        if !self.tally.as_ref().is_some_and(|(me, tally)| tally.unclaim(*me)) {
+        if !self.shared_usage.as_ref().is_some_and(|(store_id, usage)| usage.take_eviction_request(*store_id))
+        {
             return;
         }
-        if let Some(place) = first(&self.spare) {
-            self.evict(place);
+        if let Some(index) = next_to_evict(&self.evictable) {
+            self.evict(index);
         }
     }
 
     /// Goes on under other bounds. Nothing is dropped for it: what is over a bound goes as room is needed, and what
     /// is remembered keeps the time that it was given.
-    pub fn rebound(&mut self, bounds: Bounds) {
+    pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
 
@@ -493,53 +499,56 @@
 
     /// Keys that are held, those whose time is up and that have not gone yet included.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.index_by_key.len()
     }
 
     /// Whether no key is held.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.index_by_key.is_empty()
     }
 
     /// Bytes of the answers that are kept.
     pub fn answer_bytes(&self) -> usize {
-        self.bytes
+        self.answer_bytes
     }
 
     /// A request comes, which waits until `deadline`. Under a number of its own it waits for an end where it is the
     /// first or joins, and only then.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         now: Micros,
         request: &Request,
         waiter: WaiterId,
         deadline: Micros,
-    ) -> Arrival<A> {
+    ) -> Admission<A> {
         self.expire(now);
         if request.key.is_empty() || request.key.len() > self.bounds.key_bytes {
             self.counts.bad_keys += 1;
-            return Arrival::BadKey;
+            return Admission::BadKey;
         }
         let key = Key { tenant: request.tenant, class: request.class, key: request.key.into() };
-        if let Some(&place) = self.places.get(&key) {
-            if self.has_ended(now, place) {
-                self.remove(place);
+        if let Some(&index) = self.index_by_key.get(&key) {
+            if self.has_expired(now, index) {
+                self.remove(index);
                 self.counts.expired += 1;
-            } else if self.entries[place].as_ref().is_some_and(|entry| entry.at() == KeyState::NeverRan) {
-                self.remove(place);
+            } else if self.entries[index]
+                .as_ref()
+                .is_some_and(|entry| entry.key_state() == KeyState::NeverRan)
+            {
+                self.remove(index);
             } else {
-                return self.repeat(now, place, request, waiter, deadline);
+                return self.repeat(now, index, request, waiter, deadline);
             }
         }
-        if let Err(cause) = self.make_room(key.tenant) {
+        if let Err(bound) = self.make_room_for_key(key.tenant) {
             return match request.kind {
-                Kind::Keyed => {
-                    self.counts.passed[cause as usize] += 1;
-                    Arrival::Pass(cause)
+                ClassKind::Keyed => {
+                    self.counts.passed[bound as usize] += 1;
+                    Admission::Pass(bound)
                 }
-                Kind::Unsafe => {
-                    self.counts.refused[cause as usize] += 1;
-                    Arrival::Refused(cause)
+                ClassKind::Unsafe => {
+                    self.counts.refused[bound as usize] += 1;
+                    Admission::Refused(bound)
                 }
             };
         }
@@ -547,87 +556,89 @@
         let serial = self.next_serial;
         self.next_serial += 1;
         self.tenants.entry(key.tenant).or_default().entries += 1;
-        let place = self.free.pop().unwrap_or_else(|| {
+        let index = self.free.pop().unwrap_or_else(|| {
             self.entries.push(None);
             self.entries.len() - 1
         });
-        self.places.insert(key.clone(), place);
-        self.waiting.insert((deadline, waiter, place));
-        let state = State::Running { runs: waiter, waiters: vec![(waiter, deadline)] };
+        self.index_by_key.insert(key.clone(), index);
+        self.waiter_deadlines.insert((deadline, waiter, index));
+        let state = State::Running { sent: waiter, waiters: vec![(waiter, deadline)] };
         let (kind, digest) = (request.kind, request.digest);
-        self.entries[place] = Some(Entry { key, serial, kind, digest, came: now, state });
-        Arrival::First(Slot { place, serial })
+        self.entries[index] = Some(Entry { key, serial, kind, digest, first_arrival: now, state });
+        Admission::First(RunId { index, serial })
     }
 
     fn repeat(
         &mut self,
         now: Micros,
-        place: usize,
+        index: usize,
         request: &Request,
         waiter: WaiterId,
         deadline: Micros,
-    ) -> Arrival<A> {
-        let Some(entry) = &mut self.entries[place] else {
-            return Arrival::Known(Known { state: KeyState::Unsure, age: 0 });
+    ) -> Admission<A> {
+        let Some(entry) = &mut self.entries[index] else {
+            return Admission::NoAnswer(KeyInfo { state: KeyState::Unsure, age: 0 });
         };
-        let known = Known { state: entry.at(), age: now.saturating_sub(entry.came) };
+        let info = KeyInfo { state: entry.key_state(), age: now.saturating_sub(entry.first_arrival) };
         if entry.digest != request.digest {
             self.counts.mismatched += 1;
-            return Arrival::Mismatch;
+            return Admission::Mismatch;
         }
         match &mut entry.state {
             State::Running { waiters, .. } if waiters.len() >= self.bounds.waiters => {
-                self.counts.refused[Cause::Waiters as usize] += 1;
-                Arrival::Refused(Cause::Waiters)
+                self.counts.refused[FullBound::Waiters as usize] += 1;
+                Admission::Refused(FullBound::Waiters)
             }
             State::Running { waiters, .. } => {
                 let longest = waiters.iter().all(|&(_, other)| other < deadline);
                 waiters.push((waiter, deadline));
-                self.waiting.insert((deadline, waiter, place));
+                self.waiter_deadlines.insert((deadline, waiter, index));
                 self.counts.joined += 1;
-                Arrival::Joined { slot: Slot { place, serial: entry.serial }, longest }
+                Admission::Joined { run_id: RunId { index, serial: entry.serial }, longest }
             }
             State::Answered { answer: Some((answer, _)), .. } => {
                 self.counts.replayed += 1;
-                Arrival::Replay(answer.clone())
+                Admission::Replay(answer.clone())
             }
             State::Answered { answer: None, .. } => {
                 self.counts.forgotten += 1;
-                Arrival::Known(known)
+                Admission::NoAnswer(info)
             }
             State::Unsure { .. } => {
                 self.counts.unsure += 1;
-                Arrival::Known(known)
+                Admission::NoAnswer(info)
             }
             State::Settled { .. } => {
                 self.counts.told_by_hand += 1;
-                Arrival::Known(known)
+                Admission::NoAnswer(info)
             }
         }
     }
 
     /// What is known of a key's run, for one who waited for it in vain.
-    pub fn known(&self, now: Micros, slot: Slot) -> Option<Known> {
-        let entry = self.entries.get(slot.place)?.as_ref().filter(|entry| entry.serial == slot.serial)?;
-        Some(Known { state: entry.at(), age: now.saturating_sub(entry.came) })
+    pub fn info(&self, now: Micros, run_id: RunId) -> Option<KeyInfo> {
+        let entry = self.entries.get(run_id.index)?.as_ref().filter(|entry| entry.serial == run_id.serial)?;
+        Some(KeyInfo { state: entry.key_state(), age: now.saturating_sub(entry.first_arrival) })
     }
 
     /// Whose request it is that runs as a slot's call: the first's, who may have gone. `None`: none runs.
-    pub fn runner(&self, slot: Slot) -> Option<WaiterId> {
-        match self.entries.get(slot.place)?.as_ref()? {
-            Entry { serial, state: State::Running { runs, .. }, .. } if *serial == slot.serial => Some(*runs),
+    pub fn sent_request(&self, run_id: RunId) -> Option<WaiterId> {
+        match self.entries.get(run_id.index)?.as_ref()? {
+            Entry { serial, state: State::Running { sent, .. }, .. } if *serial == run_id.serial => {
+                Some(*sent)
+            }
             _ => None,
         }
     }
 
     /// Those who wait for a running call, in the order in which they came.
-    pub fn waiters(&mut self, slot: Slot) -> Vec<WaiterId> {
-        self.running(slot).map(|waiters| waiters.iter().map(|&(id, _)| id).collect()).unwrap_or_default()
+    pub fn waiters(&mut self, run_id: RunId) -> Vec<WaiterId> {
+        self.running(run_id).map(|waiters| waiters.iter().map(|&(id, _)| id).collect()).unwrap_or_default()
     }
 
     /// Whose key it is that runs in this slot.
-    pub fn tenant(&self, slot: Slot) -> Option<u32> {
-        let entry = self.entries.get(slot.place)?.as_ref().filter(|entry| entry.serial == slot.serial)?;
+    pub fn tenant(&self, run_id: RunId) -> Option<u32> {
+        let entry = self.entries.get(run_id.index)?.as_ref().filter(|entry| entry.serial == run_id.serial)?;
         entry.key.tenant
     }
 
@@ -637,171 +648,177 @@
     }
 
     /// One who waited has gone.
-    pub fn gone(&mut self, slot: Slot, waiter: WaiterId) -> Left {
-        let Some(waiters) = self.running(slot) else { return Left::Nothing };
-        let Some(at) = waiters.iter().position(|&(id, _)| id == waiter) else { return Left::Nothing };
-        let (_, deadline) = waiters.remove(at);
-        let left = if waiters.is_empty() { Left::Nobody } else { Left::Others };
-        self.waiting.remove(&(deadline, waiter, slot.place));
-        left
+    pub fn remove_waiter(&mut self, run_id: RunId, waiter: WaiterId) -> Removal {
+        let Some(waiters) = self.running(run_id) else { return Removal::WasNotWaiting };
+        let Some(position) = waiters.iter().position(|&(id, _)| id == waiter) else {
+            return Removal::WasNotWaiting;
+        };
+        let (_, deadline) = waiters.remove(position);
+        let removal = if waiters.is_empty() { Removal::NobodyWaits } else { Removal::OthersWait };
+        self.waiter_deadlines.remove(&(deadline, waiter, run_id.index));
+        removal
     }
 
     /// When the first of those who wait no longer does.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.waiting.first().map(|&(deadline, ..)| deadline)
+        self.waiter_deadlines.first().map(|&(deadline, ..)| deadline)
     }
 
     /// One whose time is up now, if there is one, and what is left of its call. Each is told of once; it gets the
     /// failure, as its call may have run or may yet.
-    pub fn overdue(&mut self, now: Micros) -> Option<(Slot, WaiterId, Left)> {
-        let &(deadline, waiter, place) = self.waiting.first()?;
+    pub fn pop_overdue(&mut self, now: Micros) -> Option<(RunId, WaiterId, Removal)> {
+        let &(deadline, waiter, index) = self.waiter_deadlines.first()?;
         if deadline > now {
             return None;
         }
-        let serial = self.entries[place].as_ref()?.serial;
-        let slot = Slot { place, serial };
-        let left = self.gone(slot, waiter);
-        Some((slot, waiter, left))
+        let serial = self.entries[index].as_ref()?.serial;
+        let run_id = RunId { index, serial };
+        let removal = self.remove_waiter(run_id, waiter);
+        Some((run_id, waiter, removal))
     }
 
     /// The running call of this slot has ended. After one that never ran, the next who waits becomes the first.
     /// Says nothing of a slot that has ended before, but for an answer that comes when its call was given up as
     /// unsure: that is kept.
-    pub fn ended(&mut self, now: Micros, slot: Slot, end: End<A>) -> Ended {
+    pub fn complete(&mut self, now: Micros, run_id: RunId, outcome: RunOutcome<A>) -> Completion {
         self.expire(now);
-        let Some(entry) = self.entries.get_mut(slot.place).and_then(Option::as_mut) else {
-            return Ended::default();
+        let Some(entry) = self.entries.get_mut(run_id.index).and_then(Option::as_mut) else {
+            return Completion::default();
         };
-        if entry.serial != slot.serial {
-            return Ended::default();
+        if entry.serial != run_id.serial {
+            return Completion::default();
         }
-        let at = entry.at();
+        let key_state = entry.key_state();
         let waiters = match &mut entry.state {
             State::Running { waiters, .. } => std::mem::take(waiters),
-            State::Unsure { .. } | State::Settled { .. } if matches!(end, End::Served { .. }) => {
-                self.unlist(slot.place);
+            State::Unsure { .. } | State::Settled { .. } if matches!(outcome, RunOutcome::Served { .. }) => {
+                self.remove_from_indexes(run_id.index);
                 self.counts.late += 1;
                 Vec::new()
             }
-            _ => return Ended::default(),
+            _ => return Completion::default(),
         };
-        let late = Some(at).filter(|at| *at != KeyState::Running);
-        let mut ended = Ended { waiters: waiters.iter().map(|&(id, _)| id).collect(), next: None, late };
-        match end {
-            End::NeverRan if waiters.len() > 1 => {
+        let late_for = Some(key_state).filter(|key_state| *key_state != KeyState::Running);
+        let mut completion =
+            Completion { waiters: waiters.iter().map(|&(id, _)| id).collect(), next: None, late_for };
+        match outcome {
+            RunOutcome::NeverRan if waiters.len() > 1 => {
                 // The first hears of its own end; the next takes its place, and the others wait on.
                 let (first, deadline) = waiters[0];
-                ended = Ended { waiters: vec![first], next: Some(waiters[1].0), late: None };
-                self.waiting.remove(&(deadline, first, slot.place));
+                completion = Completion { waiters: vec![first], next: Some(waiters[1].0), late_for: None };
+                self.waiter_deadlines.remove(&(deadline, first, run_id.index));
                 let waiters = waiters[1..].to_vec();
-                self.set(slot.place, State::Running { runs: waiters[0].0, waiters });
+                self.set_state(run_id.index, State::Running { sent: waiters[0].0, waiters });
                 self.counts.firsts += 1;
-                return ended;
+                return completion;
             }
-            End::NeverRan => self.remove(slot.place),
-            End::Unsure => {
+            RunOutcome::NeverRan => self.remove(run_id.index),
+            RunOutcome::Unsure => {
                 self.counts.ended_unsure += 1;
-                let until = now.saturating_add(self.retention(slot.place).unsure);
-                self.set(slot.place, State::Unsure { until });
-                self.list(slot.place);
+                let expires_at = now.saturating_add(self.retention(run_id.index).unsure);
+                self.set_state(run_id.index, State::Unsure { expires_at });
+                self.add_to_indexes(run_id.index);
             }
-            End::Served { answer, bytes } => {
-                let until = now.saturating_add(self.retention(slot.place).answered);
-                let answer = self.make_bytes(bytes).then_some((answer, bytes));
+            RunOutcome::Served { answer, bytes } => {
+                let expires_at = now.saturating_add(self.retention(run_id.index).answered);
+                let answer = self.make_room_for_answer(bytes).then_some((answer, bytes));
                 if answer.is_none() {
                     self.counts.shrunk += 1;
                 }
-                self.bytes += answer.as_ref().map_or(0, |_| bytes);
-                self.set(slot.place, State::Answered { until, answer });
-                self.list(slot.place);
+                self.answer_bytes += answer.as_ref().map_or(0, |_| bytes);
+                self.set_state(run_id.index, State::Answered { expires_at, answer });
+                self.add_to_indexes(run_id.index);
             }
         }
         for (waiter, deadline) in waiters {
-            self.waiting.remove(&(deadline, waiter, slot.place));
+            self.waiter_deadlines.remove(&(deadline, waiter, run_id.index));
         }
-        ended
+        completion
     }
 
-    pub(crate) fn retention(&self, place: usize) -> crate::Retention {
-        let class = self.entries[place].as_ref().map_or(u32::MAX, |entry| entry.key.class);
+    pub(crate) fn retention(&self, index: usize) -> crate::Retention {
+        let class = self.entries[index].as_ref().map_or(u32::MAX, |entry| entry.key.class);
         self.bounds.retention(class)
     }
 
-    fn running(&mut self, slot: Slot) -> Option<&mut Vec<(WaiterId, Micros)>> {
-        match self.entries.get_mut(slot.place)?.as_mut()? {
-            Entry { serial, state: State::Running { waiters, .. }, .. } if *serial == slot.serial => {
+    fn running(&mut self, run_id: RunId) -> Option<&mut Vec<(WaiterId, Micros)>> {
+        match self.entries.get_mut(run_id.index)?.as_mut()? {
+            Entry { serial, state: State::Running { waiters, .. }, .. } if *serial == run_id.serial => {
                 Some(waiters)
             }
             _ => None,
         }
     }
 
-    pub(crate) fn set(&mut self, place: usize, state: State<A>) {
-        if let Some(entry) = &mut self.entries[place] {
+    pub(crate) fn set_state(&mut self, index: usize, state: State<A>) {
+        if let Some(entry) = &mut self.entries[index] {
             entry.state = state;
         }
     }
 
-    pub(crate) fn until(&self, place: usize) -> Option<Micros> {
-        match self.entries[place].as_ref()?.state {
+    pub(crate) fn expires_at(&self, index: usize) -> Option<Micros> {
+        match self.entries[index].as_ref()?.state {
             State::Running { .. } => None,
-            State::Answered { until, .. } | State::Unsure { until } | State::Settled { until, .. } => {
-                Some(until)
-            }
+            State::Answered { expires_at, .. }
+            | State::Unsure { expires_at }
+            | State::Settled { expires_at, .. } => Some(expires_at),
         }
     }
 
-    pub(crate) fn has_ended(&self, now: Micros, place: usize) -> bool {
-        self.until(place).is_some_and(|until| until <= now)
+    pub(crate) fn has_expired(&self, now: Micros, index: usize) -> bool {
+        self.expires_at(index).is_some_and(|expires_at| expires_at <= now)
     }
 
     /// The sets in which an entry that has ended stands: what may be given up, and how.
-    pub(crate) fn list(&mut self, place: usize) {
-        let Some(until) = self.until(place) else { return };
-        self.ends.insert((until, place));
-        let Some(entry) = &self.entries[place] else { return };
+    pub(crate) fn add_to_indexes(&mut self, index: usize) {
+        let Some(expires_at) = self.expires_at(index) else { return };
+        self.expiries.insert((expires_at, index));
+        let Some(entry) = &self.entries[index] else { return };
         let tenant = self.tenants.entry(entry.key.tenant).or_default();
-        let of = |spare: &mut Spare| match (&entry.state, entry.kind) {
-            (State::Answered { answer: Some(_), .. }, _) => spare.answers.insert((until, place)),
+        let insert = |evictable: &mut Evictable| match (&entry.state, entry.kind) {
+            (State::Answered { answer: Some(_), .. }, _) => evictable.answers.insert((expires_at, index)),
             (State::Answered { answer: None, .. }, _)
-            | (State::Unsure { .. } | State::Settled { .. }, Kind::Keyed)
-            | (State::Settled { verdict: Verdict::NeverRan, .. }, _) => spare.rest.insert((until, place)),
-            // It ran or may have, and its client knows nothing of it: a second run is harm for good.
-            (State::Unsure { .. } | State::Settled { .. }, Kind::Unsafe) | (State::Running { .. }, _) => {
-                false
+            | (State::Unsure { .. } | State::Settled { .. }, ClassKind::Keyed)
+            | (State::Settled { verdict: Verdict::NeverRan, .. }, _) => {
+                evictable.without_answer.insert((expires_at, index))
             }
+            // It ran or may have, and its client knows nothing of it: a second run is harm for good.
+            (State::Unsure { .. } | State::Settled { .. }, ClassKind::Unsafe)
+            | (State::Running { .. }, _) => false,
         };
-        of(&mut tenant.spare);
-        of(&mut self.spare);
-        self.tell_spare();
+        insert(&mut tenant.evictable);
+        insert(&mut self.evictable);
+        self.publish_evictable();
     }
 
     /// The stores that share its bounds know what could go here.
-    fn tell_spare(&self) {
-        self.tally.iter().for_each(|(me, tally)| tally.spare(*me, self.spare.len()));
-    }
-
-    pub(crate) fn unlist(&mut self, place: usize) {
-        let Some(until) = self.until(place) else { return };
-        self.ends.remove(&(until, place));
-        let Some(entry) = &self.entries[place] else { return };
-        let tenant = self.tenants.get_mut(&entry.key.tenant).map(|tenant| &mut tenant.spare);
-        for spare in tenant.into_iter().chain([&mut self.spare]) {
-            spare.answers.remove(&(until, place));
-            spare.rest.remove(&(until, place));
+    fn publish_evictable(&self) {
+        self.shared_usage
+            .iter()
+            .for_each(|(store_id, usage)| usage.set_evictable(*store_id, self.evictable.len()));
+    }
+
+    pub(crate) fn remove_from_indexes(&mut self, index: usize) {
+        let Some(expires_at) = self.expires_at(index) else { return };
+        self.expiries.remove(&(expires_at, index));
+        let Some(entry) = &self.entries[index] else { return };
+        let tenant = self.tenants.get_mut(&entry.key.tenant).map(|tenant| &mut tenant.evictable);
+        for evictable in tenant.into_iter().chain([&mut self.evictable]) {
+            evictable.answers.remove(&(expires_at, index));
+            evictable.without_answer.remove(&(expires_at, index));
         }
     }
 
-    fn remove(&mut self, place: usize) {
-        self.unlist(place);
-        self.tell_spare();
-        let Some(entry) = self.entries[place].take() else { return };
-        self.places.remove(&entry.key);
-        self.free.push(place);
-        self.tally.iter().for_each(|(_, tally)| tally.remove(entry.key.tenant));
+    fn remove(&mut self, index: usize) {
+        self.remove_from_indexes(index);
+        self.publish_evictable();
+        let Some(entry) = self.entries[index].take() else { return };
+        self.index_by_key.remove(&entry.key);
+        self.free.push(index);
+        self.shared_usage.iter().for_each(|(_, usage)| usage.remove(entry.key.tenant));
         if let State::Answered { answer: Some((_, bytes)), .. } = entry.state {
-            self.bytes -= bytes;
-            self.tally.iter().for_each(|(_, tally)| tally.remove_bytes(bytes));
+            self.answer_bytes -= bytes;
+            self.shared_usage.iter().for_each(|(_, usage)| usage.remove_bytes(bytes));
         }
         if let Some(tenant) = self.tenants.get_mut(&entry.key.tenant) {
             tenant.entries -= 1;
@@ -812,73 +829,77 @@
     }
 
     fn expire(&mut self, now: Micros) {
-        for _ in 0..EXPIRE_MOST {
-            let Some(&(until, place)) = self.ends.first() else { return };
-            if until > now {
+        for _ in 0..MAX_EXPIRED_PER_CALL {
+            let Some(&(expires_at, index)) = self.expiries.first() else { return };
+            if expires_at > now {
                 return;
             }
-            self.remove(place);
+            self.remove(index);
             self.counts.expired += 1;
         }
     }
 
     /// Gives an answer up; a marker of it stays.
-    fn shrink(&mut self, place: usize) {
-        self.unlist(place);
-        if let Some(Entry { state: State::Answered { answer, .. }, .. }) = &mut self.entries[place] {
+    fn drop_answer(&mut self, index: usize) {
+        self.remove_from_indexes(index);
+        if let Some(Entry { state: State::Answered { answer, .. }, .. }) = &mut self.entries[index] {
             if let Some((_, bytes)) = answer.take() {
-                self.bytes -= bytes;
-                self.tally.iter().for_each(|(_, tally)| tally.remove_bytes(bytes));
+                self.answer_bytes -= bytes;
+                self.shared_usage.iter().for_each(|(_, usage)| usage.remove_bytes(bytes));
                 self.counts.shrunk += 1;
             }
         }
-        self.list(place);
+        self.add_to_indexes(index);
     }
 
     /// Room for an answer of so many bytes: older ones shrink for it.
-    fn make_bytes(&mut self, bytes: usize) -> bool {
+    fn make_room_for_answer(&mut self, bytes: usize) -> bool {
         if bytes > self.bounds.answer_bytes {
             return false;
         }
-        while !match &self.tally {
-            Some((_, tally)) => tally.add_bytes(bytes, self.bounds.answer_bytes),
-            None => self.bytes + bytes <= self.bounds.answer_bytes,
+        while !match &self.shared_usage {
+            Some((_, usage)) => usage.add_bytes(bytes, self.bounds.answer_bytes),
+            None => self.answer_bytes + bytes <= self.bounds.answer_bytes,
         } {
-            let Some(&(_, place)) = self.spare.answers.first() else { return false };
-            self.shrink(place);
+            let Some(&(_, index)) = self.evictable.answers.first() else { return false };
+            self.drop_answer(index);
         }
         true
     }
 
     /// Room for one more key of a tenant: what can go of its own, where it has as many as it may; else of anybody's.
     /// Markers and the like go before whole answers do.
-    fn make_room(&mut self, tenant: Option<u32>) -> Result<(), Cause> {
-        if let Some((me, tally)) = self.tally.clone() {
-            while let Err(cause) = tally.add(tenant, &self.bounds) {
-                let own = self.tenants.get(&tenant).and_then(|own| first(&own.spare));
-                let place = if cause == Cause::Tenant { own } else { first(&self.spare) };
-                match place {
-                    Some(place) => self.evict(place),
-                    None if cause == Cause::Entries => self.claims.push(tally.claim(me).ok_or(cause)?),
-                    None => return Err(cause),
+    fn make_room_for_key(&mut self, tenant: Option<u32>) -> Result<(), FullBound> {
+        if let Some((store_id, usage)) = self.shared_usage.clone() {
+            while let Err(bound) = usage.add(tenant, &self.bounds) {
+                let of_tenant = self.tenants.get(&tenant).and_then(|state| next_to_evict(&state.evictable));
+                let index =
+                    if bound == FullBound::Tenant { of_tenant } else { next_to_evict(&self.evictable) };
+                match index {
+                    Some(index) => self.evict(index),
+                    None if bound == FullBound::Entries => {
+                        self.eviction_requests.push(usage.request_eviction(store_id).ok_or(bound)?)
+                    }
+                    None => return Err(bound),
                 }
             }
             return Ok(());
         }
-        let own = self.tenants.get(&tenant);
-        if own.map_or(0, |own| own.entries) >= self.bounds.entries_a_tenant {
-            let place = own.and_then(|own| first(&own.spare)).ok_or(Cause::Tenant)?;
-            self.evict(place);
+        let tenant_state = self.tenants.get(&tenant);
+        if tenant_state.map_or(0, |state| state.entries) >= self.bounds.entries_per_tenant {
+            let index =
+                tenant_state.and_then(|state| next_to_evict(&state.evictable)).ok_or(FullBound::Tenant)?;
+            self.evict(index);
         }
-        if self.places.len() >= self.bounds.entries {
-            let place = first(&self.spare).ok_or(Cause::Entries)?;
-            self.evict(place);
+        if self.index_by_key.len() >= self.bounds.entries {
+            let index = next_to_evict(&self.evictable).ok_or(FullBound::Entries)?;
+            self.evict(index);
         }
         Ok(())
     }
 
-    fn evict(&mut self, place: usize) {
-        self.remove(place);
+    fn evict(&mut self, index: usize) {
+        self.remove(index);
         self.counts.evicted += 1;
     }
 }
--- a/keys/station/src/lib.rs
+++ b/keys/station/src/lib.rs
@@ -1,34 +1,37 @@
 //! The store of idempotency keys as a station on a call's way: repeats wait for one call, or get what is known of it;
 //! a call that nobody waits for any more may end all the same. What is decided is decided in `nettleworks-keys`.
+
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod config;
-mod operate;
-mod together;
+mod operations;
+mod shards;
 
-pub use config::{Keys, WithKeys};
-pub use operate::Operate;
-pub use together::{Common, Together, Told};
+pub use config::{KeyStoreConfig, WithKeys};
+pub use operations::KeyOperations;
+pub use shards::{PeerRequest, ShardContext, SharedKeyState};
 
 use nettleworks_engine::calls::{Doubt, Guest, Outlives, Reply};
 use nettleworks_engine::config::Config;
 use nettleworks_engine::protocol::Protocol;
 use nettleworks_engine::station::{Desk, Ended, Station, Step, Taken};
-use nettleworks_keys::{Arrival, Counts, End, KeyState, Kind, Known, Left, Request, Slot, Store, WaiterId};
+use nettleworks_keys::{
+    Admission, ClassKind, Counts, KeyInfo, KeyState, Removal, Request, RunId, RunOutcome, Store, WaiterId,
+};
 use nettleworks_policy::{CallId, ClassId, Micros, Repeat};
 use rustc_hash::FxHashMap;
+use shards::ShardDetachedCalls;
 use std::any::Any;
 use std::rc::Rc;
 use std::time::Duration;
-use together::Lingerers;
 use tokio::time::Instant;
 
 /// How much later than its own time one that waits with others is told that it is over, where its call does not linger:
 /// the module ends a call in its time, and hosts are to be blamed for a time-out, not spared for a caller that has gone.
 const GRACE: Duration = Duration::from_millis(5);
 /// When to come again after a refusal for want of room.
-const ADVICE: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What the station shows of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,73 +46,75 @@
 
 /// One who waits for a key.
 struct Waiter<P: Protocol> {
-    slot: Slot,
+    run_id: RunId,
     /// The call runs as this one's: others get a replayed answer.
     first: bool,
-    taken: Taken<P>,
+    held: Taken<P>,
 }
 
 /// The station.
-pub struct KeyStation<P: Protocol> {
+pub struct KeyInterceptor<P: Protocol> {
     store: Store<P::Answer>,
-    lingering: Lingerers,
-    config: Rc<Keys>,
+    detached: ShardDetachedCalls,
+    config: Rc<KeyStoreConfig>,
     waiters: FxHashMap<WaiterId, Waiter<P>>,
     /// The slots of the calls that run.
-    slots: FxHashMap<CallId, Slot>,
+    runs: FxHashMap<CallId, RunId>,
     /// The slots of calls that were given up and are still out.
-    late: FxHashMap<CallId, Slot>,
+    given_up: FxHashMap<CallId, RunId>,
 }
 
-impl<P: Protocol> KeyStation<P> {
+impl<P: Protocol> KeyInterceptor<P> {
     /// The station that a configuration asks for, if it does.
     pub fn new(config: &Config) -> Option<Self> {
-        let (keys, together) = (config.keys()?, Together::of(config));
+        let (keys, context) = (config.keys()?, ShardContext::of(config));
         let bounds = keys.bounds.clone();
-        let store = match &together {
+        let store = match &context {
             None => Store::new(config.seed, bounds),
-            Some(together) => Store::sharing(config.seed, bounds, together.me, together.common.tally.clone()),
+            Some(context) => {
+                Store::with_shared_usage(config.seed, bounds, context.shard, context.shared.usage.clone())
+            }
         };
-        Some(KeyStation {
+        Some(KeyInterceptor {
             store,
-            lingering: Lingerers::new(keys.lingering, together),
+            detached: ShardDetachedCalls::new(keys.detached_bounds, context),
             config: Rc::new(keys.clone()),
             waiters: FxHashMap::default(),
-            slots: FxHashMap::default(),
-            late: FxHashMap::default(),
+            runs: FxHashMap::default(),
+            given_up: FxHashMap::default(),
         })
     }
 
     /// Another station that shares its bounds needs room.
-    pub fn told(&mut self, desk: &mut Desk<P>, told: Told) {
-        match told {
-            Told::GiveUp => self.store.give_up(),
+    pub fn on_peer_request(&mut self, context: &mut Desk<P>, request: PeerRequest) {
+        match request {
+            PeerRequest::EvictKey => self.store.evict_for_peer(),
             // It may have ended by itself, or be wanted again.
-            Told::CallOff(slot) if self.lingering.end(slot) => {
+            PeerRequest::CancelCall(run_id) if self.detached.remove(run_id) => {
                 self.store.counts_mut().called_off += 1;
-                self.give_up(desk, slot);
+                self.give_up(context, run_id);
             }
-            Told::CallOff(_) => {}
+            PeerRequest::CancelCall(_) => {}
         }
     }
 
     /// For how long calls of a class may go on when nobody waits for them; `None`: not at all.
-    fn linger(&self, class: ClassId) -> Option<Duration> {
-        let time = self.config.linger.get(class.0).copied();
-        time.filter(|time| !time.is_zero() && self.config.lingering.all > 0)
+    fn max_detached_time(&self, class: ClassId) -> Option<Duration> {
+        let time = self.config.max_detached_time.get(class.0).copied();
+        time.filter(|time| !time.is_zero() && self.config.detached_bounds.total > 0)
     }
 
     /// How a call of a class goes on without its clients: until its class's time is up.
-    fn outlives(&self, desk: &Desk<P>, class: ClassId, deadline: Instant) -> Option<Outlives> {
-        self.linger(class)?;
-        let spec = desk.config().settings.classes.get(class.0)?;
+    fn detach_policy(&self, context: &Desk<P>, class: ClassId, deadline: Instant) -> Option<Outlives> {
+        self.max_detached_time(class)?;
+        let spec = context.config().settings.classes.get(class.0)?;
         let end = Instant::now().checked_add(Duration::from_micros(spec.deadline))?;
         Some(Outlives { until: end.max(deadline), past_aim: spec.repeat == Repeat::SingleShot })
     }
 
     /// When one that waits is told that its time is up.
-    fn told_at(&self, class: ClassId, deadline: Instant) -> Instant {
-        if self.linger(class).is_some() {
+    fn times_out_at(&self, class: ClassId, deadline: Instant) -> Instant {
+        if self.max_detached_time(class).is_some() {
             deadline
         } else {
             deadline + GRACE
@@ -117,38 +122,38 @@
     }
 
     /// The call that runs for a slot: its number is that of the request that it is.
-    fn call(&self, slot: Slot) -> Option<CallId> {
-        self.store.runner(slot).map(CallId)
+    fn call(&self, run_id: RunId) -> Option<CallId> {
+        self.store.sent_request(run_id).map(CallId)
     }
 
-    fn wait(&mut self, slot: Slot, first: bool, taken: Taken<P>) {
-        self.waiters.insert(taken.guest().number().0, Waiter { slot, first, taken });
+    fn add_waiter(&mut self, run_id: RunId, first: bool, held: Taken<P>) {
+        self.waiters.insert(held.guest().number().0, Waiter { run_id, first, held });
     }
 
     /// The call of a key has ended so.
-    fn settle(&mut self, desk: &mut Desk<P>, slot: Slot, mut end: Ended<P::Answer>) {
-        let now = desk.now();
-        let (told, replayed) = match &end.reply {
+    fn complete(&mut self, context: &mut Desk<P>, run_id: RunId, mut end: Ended<P::Answer>) {
+        let now = context.now();
+        let (outcome, replayed) = match &end.reply {
             Reply::Served(answer) => {
                 let (bytes, replayed) = P::replayed(answer);
-                (End::Served { answer: replayed.clone(), bytes }, Some(replayed))
+                (RunOutcome::Served { answer: replayed.clone(), bytes }, Some(replayed))
             }
-            _ if !end.may_have_run => (End::NeverRan, None),
-            _ => (End::Unsure, None),
+            _ if !end.may_have_run => (RunOutcome::NeverRan, None),
+            _ => (RunOutcome::Unsure, None),
         };
-        let ended = self.store.ended(now, slot, told);
-        if self.lingering.end(slot) && replayed.is_some() {
+        let completion = self.store.complete(now, run_id, outcome);
+        if self.detached.remove(run_id) && replayed.is_some() {
             self.store.counts_mut().answered_alone += 1;
         }
-        let unsure = Known { state: KeyState::Unsure, age: 0 };
-        let known = self.store.known(now, slot).unwrap_or(unsure);
-        if let Some(by_hand) = ended.late.filter(|late| *late != KeyState::Unsure) {
-            let by_hand = by_hand.name();
-            desk.log(&format!(
-                "keys: {slot} was settled by hand as {by_hand}, and its answer has come: it holds"
+        let unsure = KeyInfo { state: KeyState::Unsure, age: 0 };
+        let info = self.store.info(now, run_id).unwrap_or(unsure);
+        if let Some(settled_as) = completion.late_for.filter(|state| *state != KeyState::Unsure) {
+            let settled_as = settled_as.name();
+            context.log(&format!(
+                "keys: {run_id} was settled by hand as {settled_as}, and its answer has come: it holds"
             ));
         }
-        for waiter in ended.waiters {
+        for waiter in completion.waiters {
             let Some(waiter) = self.waiters.remove(&waiter) else { continue };
             let reply = match (&end.reply, &replayed) {
                 (_, Some(replayed)) if !waiter.first => Reply::Served(replayed.clone()),
@@ -156,180 +161,182 @@
                 (Reply::Served(_), _) if waiter.first => std::mem::replace(&mut end.reply, Reply::Failed),
                 (Reply::Refused(after), _) => Reply::Refused(*after),
                 (reply, _) if !end.may_have_run => reply.clone(),
-                _ => Reply::Unsure(doubt(known)),
+                _ => Reply::Unsure(key_status(info)),
             };
-            desk.answer_taken(waiter.taken, reply);
+            context.answer_taken(waiter.held, reply);
         }
         // The next who waits takes the first's place.
-        let Some(next) = ended.next else { return };
+        let Some(next) = completion.next else { return };
         let (class, deadline) = match self.waiters.get(&next) {
-            Some(waiter) => (waiter.taken.guest().ask().class, waiter.taken.guest().ask().deadline),
+            Some(waiter) => (waiter.held.guest().ask().class, waiter.held.guest().ask().deadline),
             None => return,
         };
-        let outlives = self.outlives(desk, class, deadline);
+        let detach_policy = self.detach_policy(context, class, deadline);
         if let Some(waiter) = self.waiters.get_mut(&next) {
             waiter.first = true;
-            self.slots.insert(CallId(next), slot);
-            desk.send_on(&mut waiter.taken, outlives);
+            self.runs.insert(CallId(next), run_id);
+            context.send_on(&mut waiter.held, detach_policy);
         }
     }
 
-    fn leave(&mut self, desk: &mut Desk<P>, waiter: Waiter<P>, left: Left) {
-        let slot = waiter.slot;
-        let may_have_run = self.call(slot).is_some_and(|call| desk.may_have_run(call));
-        let known = self.store.known(desk.now(), slot);
+    fn answer_removed(&mut self, context: &mut Desk<P>, waiter: Waiter<P>, removal: Removal) {
+        let run_id = waiter.run_id;
+        let may_have_run = self.call(run_id).is_some_and(|call| context.may_have_run(call));
+        let info = self.store.info(context.now(), run_id);
         // Whoever has gone does not hear it.
-        let reply = match known {
-            _ if left == Left::Nobody && !may_have_run => Reply::Refused(advice(desk.config())),
-            Some(known) => Reply::Unsure(doubt(known)),
+        let reply = match info {
+            _ if removal == Removal::NobodyWaits && !may_have_run => {
+                Reply::Refused(retry_after(context.config()))
+            }
+            Some(info) => Reply::Unsure(key_status(info)),
             None => Reply::Failed,
         };
-        let class = waiter.taken.guest().ask().class;
-        desk.answer_taken(waiter.taken, reply);
-        if left == Left::Nobody {
-            self.alone(desk, slot, class);
+        let class = waiter.held.guest().ask().class;
+        context.answer_taken(waiter.held, reply);
+        if removal == Removal::NobodyWaits {
+            self.detach_or_give_up(context, run_id, class);
         }
     }
 
     /// Nobody waits for a call any more. It goes on within its class's time and the bounds, as far as it may.
-    fn alone(&mut self, desk: &mut Desk<P>, slot: Slot, class: ClassId) {
-        let Some(call) = self.call(slot) else { return };
+    fn detach_or_give_up(&mut self, context: &mut Desk<P>, run_id: RunId, class: ClassId) {
+        let Some(call) = self.call(run_id) else { return };
         let now = Instant::now();
-        let lingers = self.linger(class).and_then(|most| {
-            let (servers, limit) = desk.may_linger(call)?;
-            Some((servers, limit, limit.min(now.checked_add(most).unwrap_or(limit))))
+        let detachable = self.max_detached_time(class).and_then(|max| {
+            let (servers, limit) = context.may_linger(call)?;
+            Some((servers, limit, limit.min(now.checked_add(max).unwrap_or(limit))))
         });
-        let Some((servers, limit, until)) = lingers else { return self.give_up(desk, slot) };
-        desk.linger(call);
+        let Some((servers, limit, until)) = detachable else { return self.give_up(context, run_id) };
+        context.linger(call);
         // Where it is the class's time that ends it, its attempts time out first, and their hosts are blamed.
         let until = if until == limit { until + GRACE } else { until };
         let hosts: Vec<u32> = servers.iter().map(|server| server.0).collect();
-        let off = self.lingering.begin(slot, self.store.tenant(slot), &hosts, desk.at(until));
+        let cancelled = self.detached.add(run_id, self.store.tenant(run_id), &hosts, context.at(until));
         let counts = self.store.counts_mut();
-        counts.lingered += u64::from(!off.contains(&slot));
-        counts.called_off += off.len() as u64;
-        for slot in off {
-            self.give_up(desk, slot);
+        counts.lingered += u64::from(!cancelled.contains(&run_id));
+        counts.called_off += cancelled.len() as u64;
+        for run_id in cancelled {
+            self.give_up(context, run_id);
         }
-        desk.arm(until);
+        context.arm(until);
     }
 
     /// The call of a key that nobody waits for is called off, where that is allowed. Its answer may come all the same,
     /// where it is not.
-    fn give_up(&mut self, desk: &mut Desk<P>, slot: Slot) {
-        let Some(call) = self.call(slot) else { return };
+    fn give_up(&mut self, context: &mut Desk<P>, run_id: RunId) {
+        let Some(call) = self.call(run_id) else { return };
         // One that has ended is told of.
-        let Some(may_have_run) = desk.give_up(call) else { return };
-        self.slots.remove(&call);
-        self.late.insert(call, slot);
-        let end = if may_have_run { End::Unsure } else { End::NeverRan };
-        self.store.ended(desk.now(), slot, end);
+        let Some(may_have_run) = context.give_up(call) else { return };
+        self.runs.remove(&call);
+        self.given_up.insert(call, run_id);
+        let outcome = if may_have_run { RunOutcome::Unsure } else { RunOutcome::NeverRan };
+        self.store.complete(context.now(), run_id, outcome);
     }
 }
 
-impl<P: Protocol> Station<P> for KeyStation<P> {
+impl<P: Protocol> Station<P> for KeyInterceptor<P> {
     fn name(&self) -> &'static str {
         "keys"
     }
 
-    fn arrive(&mut self, desk: &mut Desk<P>, guest: Guest<P>) -> Step<P> {
-        let ask = guest.ask();
-        let Some(key) = &ask.key else { return Step::Pass(guest) };
-        let (class, deadline, number) = (ask.class, ask.deadline, guest.number());
-        let at = self.told_at(class, deadline);
+    fn arrive(&mut self, context: &mut Desk<P>, incoming: Guest<P>) -> Step<P> {
+        let metadata = incoming.ask();
+        let Some(key) = &metadata.key else { return Step::Pass(incoming) };
+        let (class, deadline, call) = (metadata.class, metadata.deadline, incoming.number());
+        let times_out_at = self.times_out_at(class, deadline);
         let unsafe_class =
-            desk.config().settings.classes.get(class.0).is_none_or(|c| c.repeat == Repeat::SingleShot);
-        let held = Request {
-            tenant: ask.tenant.and_then(|tenant| u32::try_from(tenant.0).ok()),
+            context.config().settings.classes.get(class.0).is_none_or(|c| c.repeat == Repeat::SingleShot);
+        let request = Request {
+            tenant: metadata.tenant.and_then(|tenant| u32::try_from(tenant.0).ok()),
             class: u32::try_from(class.0).unwrap_or(u32::MAX),
-            kind: if unsafe_class { Kind::Unsafe } else { Kind::Keyed },
+            kind: if unsafe_class { ClassKind::Unsafe } else { ClassKind::Keyed },
             key,
-            digest: self.store.digest(&P::identity(guest.request())),
+            digest: self.store.digest(&P::identity(incoming.request())),
         };
-        let arrival = self.store.arrive(desk.now(), &held, number.0, desk.at(at));
-        self.lingering.claim(self.store.claims());
-        let reply = match arrival {
-            Arrival::First(slot) => {
-                let (taken, goes_on) = desk.take(guest, self.outlives(desk, class, deadline));
-                self.slots.insert(number, slot);
-                self.wait(slot, true, taken);
-                desk.arm(at);
-                return Step::Pass(goes_on);
+        let admission = self.store.admit(context.now(), &request, call.0, context.at(times_out_at));
+        self.detached.request_evictions(self.store.take_eviction_requests());
+        let reply = match admission {
+            Admission::First(run_id) => {
+                let (held, sent) = context.take(incoming, self.detach_policy(context, class, deadline));
+                self.runs.insert(call, run_id);
+                self.add_waiter(run_id, true, held);
+                context.arm(times_out_at);
+                return Step::Pass(sent);
             }
-            Arrival::Joined { slot, longest } => {
-                let taken = desk.keep(guest);
-                self.wait(slot, false, taken);
-                if let Some(call) = self.call(slot).filter(|_| longest) {
-                    if self.lingering.end(slot) {
+            Admission::Joined { run_id, longest } => {
+                let held = context.keep(incoming);
+                self.add_waiter(run_id, false, held);
+                if let Some(call) = self.call(run_id).filter(|_| longest) {
+                    if self.detached.remove(run_id) {
                         self.store.counts_mut().rejoined += 1;
                     }
-                    desk.extend(call, deadline);
+                    context.extend(call, deadline);
                 }
-                desk.arm(at);
+                context.arm(times_out_at);
                 return Step::Done;
             }
-            Arrival::Pass(_) => return Step::Pass(guest),
-            Arrival::Replay(answer) => Reply::Served(answer),
+            Admission::Pass(_) => return Step::Pass(incoming),
+            Admission::Replay(answer) => Reply::Served(answer),
             // It ran, or may have: never again, and nobody can say what came of it.
-            Arrival::Known(known) => Reply::Unsure(doubt(known)),
-            Arrival::Mismatch => Reply::KeyTaken,
-            Arrival::BadKey => Reply::BadKey,
-            Arrival::Refused(_) => Reply::Refused(advice(desk.config())),
+            Admission::NoAnswer(info) => Reply::Unsure(key_status(info)),
+            Admission::Mismatch => Reply::KeyTaken,
+            Admission::BadKey => Reply::BadKey,
+            Admission::Refused(_) => Reply::Refused(retry_after(context.config())),
         };
-        desk.answer(guest, reply);
+        context.answer(incoming, reply);
         Step::Done
     }
 
-    fn ended(&mut self, desk: &mut Desk<P>, call: CallId, ended: Ended<P::Answer>) {
+    fn ended(&mut self, context: &mut Desk<P>, call: CallId, end: Ended<P::Answer>) {
         // A station behind may answer what was given up.
-        let Some(slot) = self.slots.remove(&call).or_else(|| self.late.remove(&call)) else { return };
-        self.settle(desk, slot, ended);
+        let Some(run_id) = self.runs.remove(&call).or_else(|| self.given_up.remove(&call)) else { return };
+        self.complete(context, run_id, end);
     }
 
-    fn late(&mut self, desk: &mut Desk<P>, call: CallId, answer: Option<P::Answer>) {
-        let Some(slot) = self.late.remove(&call) else { return };
+    fn late(&mut self, context: &mut Desk<P>, call: CallId, answer: Option<P::Answer>) {
+        let Some(run_id) = self.given_up.remove(&call) else { return };
         if let Some(answer) = answer {
-            self.settle(desk, slot, Ended { reply: Reply::Served(answer), may_have_run: true });
+            self.complete(context, run_id, Ended { reply: Reply::Served(answer), may_have_run: true });
         }
     }
 
-    fn time_is_up(&mut self, desk: &mut Desk<P>, call: CallId) {
-        let Some(&slot) = self.slots.get(&call) else { return };
-        for number in self.store.waiters(slot) {
-            self.gone(desk, CallId(number));
+    fn time_is_up(&mut self, context: &mut Desk<P>, call: CallId) {
+        let Some(&run_id) = self.runs.get(&call) else { return };
+        for waiter in self.store.waiters(run_id) {
+            self.gone(context, CallId(waiter));
         }
     }
 
-    fn gone(&mut self, desk: &mut Desk<P>, number: CallId) -> bool {
-        let Some(waiter) = self.waiters.remove(&number.0) else { return false };
-        let left = self.store.gone(waiter.slot, number.0);
-        self.leave(desk, waiter, left);
+    fn gone(&mut self, context: &mut Desk<P>, call: CallId) -> bool {
+        let Some(waiter) = self.waiters.remove(&call.0) else { return false };
+        let removal = self.store.remove_waiter(waiter.run_id, call.0);
+        self.answer_removed(context, waiter, removal);
         true
     }
 
-    fn wake_at(&self, desk: &Desk<P>) -> Option<Instant> {
-        let next = self.store.next_deadline().into_iter().chain(self.lingering.next_due()).min()?;
-        Some(desk.instant(next))
+    fn wake_at(&self, context: &Desk<P>) -> Option<Instant> {
+        let next = self.store.next_deadline().into_iter().chain(self.detached.next_due()).min()?;
+        Some(context.instant(next))
     }
 
     /// Those whose time is up get the failure, as their call may have run or may yet; the last of them is told so only
     /// if it may have run. What has lingered for long enough is called off.
-    fn wake(&mut self, desk: &mut Desk<P>) {
-        let now = desk.now();
-        while let Some((_, number, left)) = self.store.overdue(now) {
-            if let Some(waiter) = self.waiters.remove(&number) {
-                self.leave(desk, waiter, left);
+    fn wake(&mut self, context: &mut Desk<P>) {
+        let now = context.now();
+        while let Some((_, waiter, removal)) = self.store.pop_overdue(now) {
+            if let Some(waiter) = self.waiters.remove(&waiter) {
+                self.answer_removed(context, waiter, removal);
             }
         }
-        while let Some(slot) = self.lingering.due(now) {
-            self.give_up(desk, slot);
+        while let Some(run_id) = self.detached.pop_due(now) {
+            self.give_up(context, run_id);
         }
     }
 
     fn reload(&mut self, config: &Config) {
         if let Some(keys) = config.keys() {
-            self.store.rebound(keys.bounds.clone());
-            self.lingering.rebound(keys.lingering);
+            self.store.set_bounds(keys.bounds.clone());
+            self.detached.set_bounds(keys.detached_bounds);
             self.config = Rc::new(keys.clone());
         }
     }
@@ -339,7 +346,7 @@
     }
 
     fn lingering(&self) -> usize {
-        self.lingering.len()
+        self.detached.len()
     }
 
     fn state(&self) -> Option<Rc<dyn Any>> {
@@ -349,21 +356,21 @@
 
     fn line(&self) -> Option<String> {
         let (held, bytes) = (self.store.len(), self.store.answer_bytes());
-        let (lingering, counts) = (self.lingering.len(), self.store.counts());
-        Some(format!("{held} held, {bytes} bytes, {lingering} lingering, {counts:?}"))
+        let (detached, counts) = (self.detached.len(), self.store.counts());
+        Some(format!("{held} held, {bytes} bytes, {detached} lingering, {counts:?}"))
     }
 }
 
-fn doubt(known: Known) -> Doubt {
-    Doubt { at: known.state.name(), age: Duration::from_micros(known.age) }
+fn key_status(info: KeyInfo) -> Doubt {
+    Doubt { at: info.state.name(), age: Duration::from_micros(info.age) }
 }
 
 /// When to come again after a refusal of our own.
-fn advice(config: &Config) -> Duration {
-    let most: Micros = config.settings.limits.max_retry_after;
-    if most == 0 {
-        ADVICE
+fn retry_after(config: &Config) -> Duration {
+    let max: Micros = config.settings.limits.max_retry_after;
+    if max == 0 {
+        RETRY_AFTER
     } else {
-        Duration::from_micros(most).min(ADVICE)
+        Duration::from_micros(max).min(RETRY_AFTER)
     }
 }
--- a/keys/tests/model.rs
+++ b/keys/tests/model.rs
@@ -1,7 +1,8 @@
 //! The store against a naive model that scans a list: the same answer to each event, under pressure too.
 
 use nettleworks_keys::{
-    Arrival, Bounds, Cause, End, KeyState, Kind, Known, Left, Request, Retention, Slot, Store, Verdict,
+    Admission, Bounds, ClassKind, FullBound, KeyInfo, KeyState, Removal, Request, Retention, RunId,
+    RunOutcome, Store, Verdict,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -27,19 +28,19 @@
         bytes: usize,
     },
     /// The `nth` of those who wait goes.
-    Gone {
+    Disconnect {
         nth: usize,
     },
-    Pass {
+    Wait {
         time: u64,
     },
     /// Somebody says of the `nth` unsure key whether it ran.
-    Say {
+    Settle {
         nth: usize,
         ran: bool,
     },
     /// An answer comes for the `nth` of those that were given up or settled by hand.
-    Late {
+    LateAnswer {
         nth: usize,
         bytes: usize,
     },
@@ -53,12 +54,12 @@
         },
     );
     let end = (0..8_usize, 0..4_u8, 0..60_usize).prop_map(|(nth, how, bytes)| Step::End { nth, how, bytes });
-    let gone = (0..8_usize).prop_map(|nth| Step::Gone { nth });
-    let pass = (0..200_u64).prop_map(|time| Step::Pass { time });
-    let say = (0..8_usize, any::<bool>()).prop_map(|(nth, ran)| Step::Say { nth, ran });
-    let late = (0..8_usize, 0..60_usize).prop_map(|(nth, bytes)| Step::Late { nth, bytes });
+    let disconnect = (0..8_usize).prop_map(|nth| Step::Disconnect { nth });
+    let wait = (0..200_u64).prop_map(|time| Step::Wait { time });
+    let settle = (0..8_usize, any::<bool>()).prop_map(|(nth, ran)| Step::Settle { nth, ran });
+    let late = (0..8_usize, 0..60_usize).prop_map(|(nth, bytes)| Step::LateAnswer { nth, bytes });
     // A call that nobody waits for any more may end only much later: it lingers.
-    let any = prop_oneof![12 => arrive, 8 => end, 4 => gone, 2 => pass, 1 => say, 1 => late];
+    let any = prop_oneof![12 => arrive, 8 => end, 4 => disconnect, 2 => wait, 1 => settle, 1 => late];
     prop::collection::vec(any, STEPS)
 }
 
@@ -67,7 +68,7 @@
     // the order in which they are given up is plain.
     let retention =
         vec![Retention { answered: 8_001, unsure: 6_002 }, Retention { answered: 4_003, unsure: 9_004 }];
-    Bounds { entries: 12, entries_a_tenant: 6, answer_bytes: 150, waiters: 4, key_bytes: 8, retention }
+    Bounds { entries: 12, entries_per_tenant: 6, answer_bytes: 150, waiters: 4, key_bytes: 8, retention }
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -84,13 +85,13 @@
     class: u32,
     key: u8,
     payload: u8,
-    came: u64,
+    first_arrival: u64,
     state: State,
-    slot: Option<Slot>,
+    run_id: Option<RunId>,
 }
 
 impl Entry {
-    fn known(&self, now: u64) -> Known {
+    fn info(&self, now: u64) -> KeyInfo {
         let state = match &self.state {
             State::Running(_) => KeyState::Running,
             State::Answered { answer: Some(_), .. } => KeyState::Answered,
@@ -98,7 +99,7 @@
             State::Unsure { .. } => KeyState::Unsure,
             State::Settled { verdict, .. } => verdict.state(),
         };
-        Known { state, age: now - self.came }
+        KeyInfo { state, age: now - self.first_arrival }
     }
 }
 
@@ -107,11 +108,11 @@
     entries: Vec<Entry>,
 }
 
-fn kind(class: u32) -> Kind {
+fn kind(class: u32) -> ClassKind {
     if class == 0 {
-        Kind::Keyed
+        ClassKind::Keyed
     } else {
-        Kind::Unsafe
+        ClassKind::Unsafe
     }
 }
 
@@ -126,19 +127,19 @@
     }
 
     /// What goes first of these, and whether it is there.
-    fn evict(&mut self, among: impl Fn(&Entry) -> bool) -> bool {
+    fn evict(&mut self, matches: impl Fn(&Entry) -> bool) -> bool {
         let rank = |entry: &Entry| match entry.state {
             State::Answered { until, answer: None } => Some((0, until)),
-            State::Unsure { until } if kind(entry.class) == Kind::Keyed => Some((0, until)),
+            State::Unsure { until } if kind(entry.class) == ClassKind::Keyed => Some((0, until)),
             State::Settled { until, verdict } => {
-                (kind(entry.class) == Kind::Keyed || verdict == Verdict::NeverRan).then_some((0, until))
+                (kind(entry.class) == ClassKind::Keyed || verdict == Verdict::NeverRan).then_some((0, until))
             }
             State::Answered { until, answer: Some(_) } => Some((1, until)),
             _ => None,
         };
-        let ranked = self.entries.iter().enumerate().filter(|(_, entry)| among(entry));
-        let first = ranked.filter_map(|(at, entry)| Some((rank(entry)?, at))).min();
-        first.map(|(_, at)| self.entries.remove(at)).is_some()
+        let ranked = self.entries.iter().enumerate().filter(|(_, entry)| matches(entry));
+        let first = ranked.filter_map(|(index, entry)| Some((rank(entry)?, index))).min();
+        first.map(|(_, index)| self.entries.remove(index)).is_some()
     }
 
     fn bytes(&self) -> usize {
@@ -150,8 +151,8 @@
     }
 
     /// The answer of an entry, if it fits; older ones shrink to markers for it.
-    fn answered(&mut self, now: u64, at: usize, answer: u32, bytes: usize, bounds: &Bounds) {
-        let until = now + bounds.retention(self.entries[at].class).answered;
+    fn answered(&mut self, now: u64, index: usize, answer: u32, bytes: usize, bounds: &Bounds) {
+        let until = now + bounds.retention(self.entries[index].class).answered;
         while bytes <= bounds.answer_bytes && self.bytes() + bytes > bounds.answer_bytes {
             let old = |entry: &&mut Entry| matches!(entry.state, State::Answered { answer: Some(_), .. });
             let until = |entry: &&mut Entry| match entry.state {
@@ -163,12 +164,14 @@
             *answer = None;
         }
         let answer = (bytes <= bounds.answer_bytes).then_some((answer, bytes));
-        self.entries[at].state = State::Answered { until, answer };
+        self.entries[index].state = State::Answered { until, answer };
     }
 
     /// The entries at one of these, the longest known first.
-    fn at(&self, now: u64, states: &[KeyState]) -> Vec<usize> {
-        (0..self.entries.len()).filter(|&at| states.contains(&self.entries[at].known(now).state)).collect()
+    fn in_state(&self, now: u64, states: &[KeyState]) -> Vec<usize> {
+        (0..self.entries.len())
+            .filter(|&index| states.contains(&self.entries[index].info(now).state))
+            .collect()
     }
 }
 
@@ -178,170 +181,183 @@
     let mut model = Model::default();
     let (mut now, mut waiter, mut answers) = (0_u64, 0_u64, 0_u32);
     // Who waits, for what, and until when.
-    let mut waits: Vec<(u64, Slot)> = Vec::new();
-    let mut ends: HashMap<u64, usize> = HashMap::new();
+    let mut waits: Vec<(u64, RunId)> = Vec::new();
+    let mut answered: HashMap<u64, usize> = HashMap::new();
     for step in steps {
         now += 8;
         // Those whose time is up hear of it first, as whoever drives the store sees to.
-        while let Some((slot, id, left)) = store.overdue(now) {
-            let entry = model.entries.iter_mut().find(|entry| entry.slot == Some(slot));
+        while let Some((run_id, id, removal)) = store.pop_overdue(now) {
+            let entry = model.entries.iter_mut().find(|entry| entry.run_id == Some(run_id));
             let Some(Entry { state: State::Running(waiting), .. }) = entry else {
                 return Err(TestCaseError::fail("one waits for what does not run"));
             };
-            let at = waiting.iter().position(|&(other, _)| other == id);
-            let at = at.ok_or(TestCaseError::fail("one is overdue who did not wait"))?;
-            prop_assert!(waiting.remove(at).1 <= now);
-            prop_assert_eq!(left, if waiting.is_empty() { Left::Nobody } else { Left::Others });
+            let position = waiting.iter().position(|&(other, _)| other == id);
+            let position = position.ok_or(TestCaseError::fail("one is overdue who did not wait"))?;
+            prop_assert!(waiting.remove(position).1 <= now);
+            prop_assert_eq!(
+                removal,
+                if waiting.is_empty() { Removal::NobodyWaits } else { Removal::OthersWait }
+            );
             waits.retain(|&(other, _)| other != id);
-            *ends.entry(id).or_default() += 1;
+            *answered.entry(id).or_default() += 1;
         }
         match step {
-            Step::Pass { time } => now += time * 8,
+            Step::Wait { time } => now += time * 8,
             Step::Arrive { tenant, class, key, payload, patience } => {
                 waiter += 1;
                 let deadline = now + patience * 8;
                 let (text, digest) = ([key + 1], store.digest(&[b"POST", &[payload]]));
                 let request = Request { tenant: Some(tenant), class, kind: kind(class), key: &text, digest };
-                let got = store.arrive(now, &request, waiter, deadline);
+                let admission = store.admit(now, &request, waiter, deadline);
                 model.expire(now);
                 let same = |entry: &Entry| (entry.tenant, entry.class, entry.key) == (tenant, class, key);
                 // One that never ran, as somebody has said, is as new.
-                let freed = |entry: &Entry| {
+                let settled_as_never_ran = |entry: &Entry| {
                     same(entry) && matches!(entry.state, State::Settled { verdict: Verdict::NeverRan, .. })
                 };
-                model.entries.retain(|entry| !freed(entry));
-                let wanted = match model.entries.iter_mut().find(|entry| same(entry)) {
-                    Some(entry) if entry.payload != payload => Arrival::Mismatch,
+                model.entries.retain(|entry| !settled_as_never_ran(entry));
+                let expected = match model.entries.iter_mut().find(|entry| same(entry)) {
+                    Some(entry) if entry.payload != payload => Admission::Mismatch,
                     Some(Entry { state: State::Answered { answer: Some((answer, _)), .. }, .. }) => {
-                        Arrival::Replay(*answer)
+                        Admission::Replay(*answer)
                     }
                     Some(entry) => match &mut entry.state {
                         State::Running(waiting) if waiting.len() == bounds.waiters => {
-                            Arrival::Refused(Cause::Waiters)
+                            Admission::Refused(FullBound::Waiters)
                         }
                         State::Running(waiting) => {
                             let longest = waiting.iter().all(|&(_, other)| other < deadline);
                             waiting.push((waiter, deadline));
-                            Arrival::Joined { slot: entry.slot.expect("it runs"), longest }
+                            Admission::Joined { run_id: entry.run_id.expect("it runs"), longest }
                         }
-                        _ => Arrival::Known(entry.known(now)),
+                        _ => Admission::NoAnswer(entry.info(now)),
                     },
                     None => {
-                        let own = model.entries.iter().filter(|entry| entry.tenant == tenant).count();
-                        let cause = if own >= bounds.entries_a_tenant
+                        let of_tenant = model.entries.iter().filter(|entry| entry.tenant == tenant).count();
+                        let bound = if of_tenant >= bounds.entries_per_tenant
                             && !model.evict(|entry| entry.tenant == tenant)
                         {
-                            Some(Cause::Tenant)
+                            Some(FullBound::Tenant)
                         } else if model.entries.len() >= bounds.entries && !model.evict(|_| true) {
-                            Some(Cause::Entries)
+                            Some(FullBound::Entries)
                         } else {
                             None
                         };
-                        match (cause, kind(class), &got) {
-                            (Some(cause), Kind::Keyed, _) => Arrival::Pass(cause),
-                            (Some(cause), Kind::Unsafe, _) => Arrival::Refused(cause),
-                            (None, _, &Arrival::First(slot)) => {
+                        match (bound, kind(class), &admission) {
+                            (Some(bound), ClassKind::Keyed, _) => Admission::Pass(bound),
+                            (Some(bound), ClassKind::Unsafe, _) => Admission::Refused(bound),
+                            (None, _, &Admission::First(run_id)) => {
                                 let state = State::Running(vec![(waiter, deadline)]);
                                 model.entries.push(Entry {
                                     tenant,
                                     class,
                                     key,
                                     payload,
-                                    came: now,
+                                    first_arrival: now,
                                     state,
-                                    slot: Some(slot),
+                                    run_id: Some(run_id),
                                 });
-                                Arrival::First(slot)
+                                Admission::First(run_id)
+                            }
+                            (None, ..) => {
+                                return Err(TestCaseError::fail(format!(
+                                    "not a first request, but {admission:?}"
+                                )))
                             }
-                            (None, ..) => return Err(TestCaseError::fail(format!("no first, but {got:?}"))),
                         }
                     }
                 };
-                prop_assert_eq!(&got, &wanted);
-                if let Arrival::First(slot) | Arrival::Joined { slot, .. } = got {
-                    waits.push((waiter, slot));
+                prop_assert_eq!(&admission, &expected);
+                if let Admission::First(run_id) | Admission::Joined { run_id, .. } = admission {
+                    waits.push((waiter, run_id));
                 }
             }
             Step::End { nth, how, bytes } => {
                 model.expire(now);
-                let mut running: Vec<Slot> = Vec::new();
+                let mut running: Vec<RunId> = Vec::new();
                 for entry in &model.entries {
                     if let State::Running(_) = entry.state {
-                        running.push(entry.slot.expect("it runs"));
+                        running.push(entry.run_id.expect("it runs"));
                     }
                 }
                 if running.is_empty() {
                     continue;
                 }
-                let slot = running[nth % running.len()];
+                let run_id = running[nth % running.len()];
                 answers += 1;
-                let end = match how {
-                    0 | 1 => End::Served { answer: answers, bytes },
-                    2 => End::Unsure,
-                    _ => End::NeverRan,
+                let outcome = match how {
+                    0 | 1 => RunOutcome::Served { answer: answers, bytes },
+                    2 => RunOutcome::Unsure,
+                    _ => RunOutcome::NeverRan,
                 };
-                let at = model.entries.iter().position(|entry| entry.slot == Some(slot)).expect("it runs");
-                let State::Running(waiting) = model.entries[at].state.clone() else {
+                let index =
+                    model.entries.iter().position(|entry| entry.run_id == Some(run_id)).expect("it runs");
+                let State::Running(waiting) = model.entries[index].state.clone() else {
                     unreachable!("it runs")
                 };
-                let retention = bounds.retention(model.entries[at].class);
-                let ended = store.ended(now, slot, end.clone());
-                let mut told: Vec<u64> = waiting.iter().map(|&(id, _)| id).collect();
+                let retention = bounds.retention(model.entries[index].class);
+                let completion = store.complete(now, run_id, outcome.clone());
+                let mut expected: Vec<u64> = waiting.iter().map(|&(id, _)| id).collect();
                 let mut next = None;
-                match end {
-                    End::NeverRan if waiting.len() > 1 => {
-                        (told, next) = (vec![waiting[0].0], Some(waiting[1].0));
-                        model.entries[at].state = State::Running(waiting[1..].to_vec());
+                match outcome {
+                    RunOutcome::NeverRan if waiting.len() > 1 => {
+                        (expected, next) = (vec![waiting[0].0], Some(waiting[1].0));
+                        model.entries[index].state = State::Running(waiting[1..].to_vec());
+                    }
+                    RunOutcome::NeverRan => drop(model.entries.remove(index)),
+                    RunOutcome::Unsure => {
+                        model.entries[index].state = State::Unsure { until: now + retention.unsure }
+                    }
+                    RunOutcome::Served { answer, bytes } => {
+                        model.answered(now, index, answer, bytes, &bounds)
                     }
-                    End::NeverRan => drop(model.entries.remove(at)),
-                    End::Unsure => model.entries[at].state = State::Unsure { until: now + retention.unsure },
-                    End::Served { answer, bytes } => model.answered(now, at, answer, bytes, &bounds),
                 }
-                prop_assert_eq!((&ended.waiters, ended.next), (&told, next));
-                for id in told {
+                prop_assert_eq!((&completion.waiters, completion.next), (&expected, next));
+                for id in expected {
                     waits.retain(|&(other, _)| other != id);
-                    *ends.entry(id).or_default() += 1;
+                    *answered.entry(id).or_default() += 1;
                 }
             }
-            Step::Say { nth, ran } => {
+            Step::Settle { nth, ran } => {
                 model.expire(now);
-                let unsure = model.at(now, &[KeyState::Unsure]);
+                let unsure = model.in_state(now, &[KeyState::Unsure]);
                 if unsure.is_empty() {
                     continue;
                 }
                 let entry = &mut model.entries[unsure[nth % unsure.len()]];
                 let verdict = if ran { Verdict::Ran } else { Verdict::NeverRan };
-                let slot = entry.slot.expect("it ran once");
-                prop_assert!(store.settle(now, slot, verdict, false).is_ok());
-                prop_assert!(store.settle(now, slot, verdict, false).is_err(), "it is settled");
+                let run_id = entry.run_id.expect("it ran once");
+                prop_assert!(store.settle(now, run_id, verdict, false).is_ok());
+                prop_assert!(store.settle(now, run_id, verdict, false).is_err(), "it is settled");
                 entry.state = State::Settled { until: now + bounds.retention(entry.class).unsure, verdict };
             }
-            Step::Late { nth, bytes } => {
+            Step::LateAnswer { nth, bytes } => {
                 model.expire(now);
-                let given_up = model.at(now, &[KeyState::Unsure, KeyState::Ran, KeyState::NeverRan]);
+                let given_up = model.in_state(now, &[KeyState::Unsure, KeyState::Ran, KeyState::NeverRan]);
                 if given_up.is_empty() {
                     continue;
                 }
                 answers += 1;
-                let at = given_up[nth % given_up.len()];
-                let (slot, before) =
-                    (model.entries[at].slot.expect("it ran once"), model.entries[at].known(now));
-                let ended = store.ended(now, slot, End::Served { answer: answers, bytes });
-                prop_assert_eq!((ended.late, ended.waiters.len()), (Some(before.state), 0));
-                model.answered(now, at, answers, bytes, &bounds);
+                let index = given_up[nth % given_up.len()];
+                let (run_id, before) =
+                    (model.entries[index].run_id.expect("it ran once"), model.entries[index].info(now));
+                let completion = store.complete(now, run_id, RunOutcome::Served { answer: answers, bytes });
+                prop_assert_eq!((completion.late_for, completion.waiters.len()), (Some(before.state), 0));
+                model.answered(now, index, answers, bytes, &bounds);
             }
-            Step::Gone { nth } => {
+            Step::Disconnect { nth } => {
                 if waits.is_empty() {
                     continue;
                 }
-                let (id, slot) = waits.remove(nth % waits.len());
-                let entry = model.entries.iter_mut().find(|entry| entry.slot == Some(slot)).expect("it runs");
+                let (id, run_id) = waits.remove(nth % waits.len());
+                let entry =
+                    model.entries.iter_mut().find(|entry| entry.run_id == Some(run_id)).expect("it runs");
                 let State::Running(waiting) = &mut entry.state else { unreachable!("it runs") };
                 waiting.retain(|&(other, _)| other != id);
-                let left = if waiting.is_empty() { Left::Nobody } else { Left::Others };
-                prop_assert_eq!(store.gone(slot, id), left);
-                prop_assert_eq!(store.gone(slot, id), Left::Nothing, "it has gone");
-                *ends.entry(id).or_default() += 1;
+                let removal = if waiting.is_empty() { Removal::NobodyWaits } else { Removal::OthersWait };
+                prop_assert_eq!(store.remove_waiter(run_id, id), removal);
+                prop_assert_eq!(store.remove_waiter(run_id, id), Removal::WasNotWaiting, "it has gone");
+                *answered.entry(id).or_default() += 1;
             }
         }
         prop_assert!(store.len() <= bounds.entries);
@@ -350,12 +366,12 @@
         prop_assert!(store.len() >= model.entries.len());
         prop_assert_eq!(waits.is_empty(), store.next_deadline().is_none());
     }
-    prop_assert!(ends.values().all(|&count| count == 1), "one end each");
+    prop_assert!(answered.values().all(|&count| count == 1), "one end each");
     Ok(())
 }
 
 #[test]
-fn the_store_does_as_the_model_does() {
+fn the_store_agrees_with_the_model() {
     let config =
         Config { cases: RUNS, failure_persistence: None, max_shrink_iters: 2_000, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
--- a/library/src/builder.rs
+++ b/library/src/builder.rs
@@ -3,7 +3,7 @@
 
 use crate::error::StartError;
 use crate::fleet::Fleet;
-use nettleworks_cores::hub::SHARDS_MOST;
+use nettleworks_cores::hub::MAX_SHARDS;
 use nettleworks_engine::config::Config;
 use nettleworks_keys_station::WithKeys;
 use serde_json::{json, Value};
@@ -162,8 +162,8 @@
             config = config.with_keys(keys).map_err(StartError::Configuration)?;
         }
         let calls = self.calls.or(config.calls).unwrap_or(config.sockets / 3);
-        if !(1..=SHARDS_MOST).contains(&self.engines) {
-            return Err(StartError::Configuration(format!("{} cores: 1 to {SHARDS_MOST}", self.engines)));
+        if !(1..=MAX_SHARDS).contains(&self.engines) {
+            return Err(StartError::Configuration(format!("{} cores: 1 to {MAX_SHARDS}", self.engines)));
         }
         Fleet::start(config, calls, self.engines, self.log)
     }
--- a/library/src/fleet.rs
+++ b/library/src/fleet.rs
@@ -202,8 +202,8 @@
         let Some(peers) = &self.0.peers else { return 0 };
         let all = self.0.shards.len();
         let next = || self.0.turn.fetch_add(1, Ordering::Relaxed) % all;
-        let first = peers.owner(ask).unwrap_or_else(next);
-        (0..all).map(|step| (first + step) % all).find(|&shard| peers.answers(shard)).unwrap_or(first)
+        let first = peers.key_owner(ask).unwrap_or_else(next);
+        (0..all).map(|step| (first + step) % all).find(|&shard| peers.is_responsive(shard)).unwrap_or(first)
     }
 
     /// Tells all engines; whether any has heard it.
--- a/library/src/state.rs
+++ b/library/src/state.rs
@@ -120,7 +120,9 @@
 
     /// Whether this engine says when: the first that answers.
     fn leads(&self, me: usize) -> bool {
-        self.peers.as_ref().is_none_or(|peers| (0..peers.count()).find(|&at| peers.answers(at)) == Some(me))
+        self.peers
+            .as_ref()
+            .is_none_or(|peers| (0..peers.count()).find(|&at| peers.is_responsive(at)) == Some(me))
     }
 }
 
@@ -141,16 +143,16 @@
         round.parts[self.me] = State::from(state);
         if let Some(peers) = self.all.peers.as_ref().filter(|_| !round.missing[self.me]) {
             // It has not been asked: a new round. What the last still lacks is as it was.
-            for other in (0..peers.count()).filter(|&other| other != self.me && peers.answers(other)) {
+            for other in (0..peers.count()).filter(|&other| other != self.me && peers.is_responsive(other)) {
                 if !std::mem::replace(&mut round.missing[other], true) {
-                    peers.tell(other, Handle::show);
+                    peers.submit(other, Handle::show);
                 }
             }
         }
         round.missing[self.me] = false;
         // Whoever does not answer keeps nothing from being shown.
         for (other, missing) in round.missing.iter_mut().enumerate() {
-            *missing &= self.all.peers.as_ref().is_some_and(|peers| peers.answers(other));
+            *missing &= self.all.peers.as_ref().is_some_and(|peers| peers.is_responsive(other));
         }
         if round.missing.iter().any(|missing| *missing) {
             return;
--- a/library/src/thread.rs
+++ b/library/src/thread.rs
@@ -7,7 +7,7 @@
 use http::Response;
 use nettleworks::cores::{self, Shards};
 use nettleworks::server;
-use nettleworks_cores::Seat;
+use nettleworks_cores::PreparedShard;
 use nettleworks_engine::calls::{Ask, Caller};
 use nettleworks_engine::config::Config;
 use nettleworks_engine::driver::Handle;
@@ -151,11 +151,11 @@
     let (shown, state) = watch::channel(State::default());
     let log = Lines::new(log, engines);
     let mut shards = Vec::new();
-    let parts: Vec<(Option<Seat<Http1>>, Config)> = match engines {
+    let parts: Vec<(Option<PreparedShard<Http1>>, Config)> = match engines {
         1 => vec![(None, config)],
         _ => cores::seats(&config, engines).into_iter().map(|(seat, part)| (Some(seat), part)).collect(),
     };
-    let peers = parts.first().and_then(|(seat, _)| seat.as_ref()).map(Seat::peers);
+    let peers = parts.first().and_then(|(seat, _)| seat.as_ref()).map(PreparedShard::peers);
     let shown = Arc::new(Combined::new(engines, peers.clone(), shown));
     let together = Arc::new(Together { shown, ends: Mutex::new(vec![None; engines]), ended });
     let mut started = Vec::new();
@@ -185,7 +185,7 @@
 /// Runs one engine on the thread that this is called on.
 fn engine(
     me: usize,
-    seat: Option<Seat<Http1>>,
+    seat: Option<PreparedShard<Http1>>,
     config: Config,
     log: Log,
     queue: mpsc::UnboundedReceiver<Command>,
@@ -292,7 +292,7 @@
         let _ = tokio::join!(all_answered, tokio::time::timeout(FRONT_STOP, fronts_stopped));
         if let Some((peers, me)) = &others {
             // Until none has anything open, another may need what this one knows.
-            peers.done(*me).await;
+            peers.wait_until_all_drained(*me).await;
         }
     };
     match tokio::time::timeout_at(until, finished).await {
--- a/measure/src/cores.rs
+++ b/measure/src/cores.rs
@@ -296,7 +296,7 @@
 
     async fn ready(&self) {
         for shard in 0..ENGINES {
-            while self.peers.at(shard, |driver| driver.is_ready()).await != Some(true) {
+            while self.peers.run_on(shard, |driver| driver.is_ready()).await != Some(true) {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         }
@@ -322,7 +322,7 @@
             let (sender, begun) = tokio::sync::oneshot::channel();
             let answered = Arc::new(AtomicUsize::new(0));
             let done = answered.clone();
-            process.peers.tell(time % ENGINES, move |driver| {
+            process.peers.submit(time % ENGINES, move |driver| {
                 let (before, started) = (driver.state().attempts, Instant::now());
                 // One balancer that is alone begins with 7 at a host: so many go at once, and more once it has learned.
                 for call in 0..7 {
@@ -370,10 +370,10 @@
     run(async {
         process.ready().await;
         let mut medians = [0, 1].into_iter().map(|owner| {
-            let own = |key: &String| process.peers.owner(&keyed(0, key)) == Some(owner);
+            let own = |key: &String| process.peers.key_owner(&keyed(0, key)) == Some(owner);
             let key = (0..).map(|n| format!("key-{n}")).find(own).expect("each has keys");
             let (sender, taken) = tokio::sync::oneshot::channel();
-            process.peers.tell(0, move |driver| {
+            process.peers.submit(0, move |driver| {
                 let driver = driver.clone();
                 spawn_local(async move {
                     let mut taken = Vec::with_capacity(times);
@@ -437,15 +437,16 @@
             if number == keys / 3 {
                 site.with(|inside| inside.hosts[1].kill());
             } else if number == keys / 2 {
-                process.peers.tell(2, |_| std::thread::sleep(Duration::from_millis(1_500)));
+                process.peers.submit(2, |_| std::thread::sleep(Duration::from_millis(1_500)));
             }
         };
         let aftermath = storm.run(&site.ledger, WINDOW, over(process.address), begun).await;
         let mut handed = 0;
         for shard in 0..ENGINES {
-            let crossed = process.peers.at(shard, |driver: &nettleworks_engine::driver::Handle<Http1>| {
-                driver.state().of::<nettleworks_cores::crossing::Crossed>().copied()
-            });
+            let crossed =
+                process.peers.run_on(shard, |driver: &nettleworks_engine::driver::Handle<Http1>| {
+                    driver.state().of::<nettleworks_cores::crossing::Crossed>().copied()
+                });
             handed += crossed.await.flatten().map_or(0, |crossed| crossed.handed);
         }
         (aftermath, handed, started.elapsed().as_secs_f64())
--- a/measure/src/keys.rs
+++ b/measure/src/keys.rs
@@ -5,7 +5,7 @@
 use crate::process::Role;
 use crate::report::{median, Bound, Report};
 use crate::storm;
-use nettleworks_keys::{Arrival, Bounds, End, Kind, Request, Store};
+use nettleworks_keys::{Admission, Bounds, ClassKind, Request, RunOutcome, Store};
 use nettleworks_standins::{Plan, Site};
 use serde_json::json;
 use std::hint::black_box;
@@ -78,7 +78,7 @@
 /// Nanoseconds for a repeat in a store of so many answered keys, and what each holds.
 fn look_up(size: usize) -> (f64, f64) {
     let bounds =
-        Bounds { entries: size, entries_a_tenant: size, answer_bytes: usize::MAX, ..Bounds::default() };
+        Bounds { entries: size, entries_per_tenant: size, answer_bytes: usize::MAX, ..Bounds::default() };
     let before = resident();
     let mut store: Store<u64> = Store::new(11, bounds);
     let digest = store.digest(&[b"POST", b"/api", b"body"]);
@@ -87,9 +87,10 @@
     };
     for number in 0..size {
         let key = name(number);
-        let request = Request { tenant: None, class: 0, kind: Kind::Unsafe, key: key.as_bytes(), digest };
-        if let Arrival::First(slot) = store.arrive(0, &request, number as u64, 1) {
-            store.ended(0, slot, End::Served { answer: number as u64, bytes: 8 });
+        let request =
+            Request { tenant: None, class: 0, kind: ClassKind::Unsafe, key: key.as_bytes(), digest };
+        if let Admission::First(slot) = store.admit(0, &request, number as u64, 1) {
+            store.complete(0, slot, RunOutcome::Served { answer: number as u64, bytes: 8 });
         }
     }
     assert_eq!(store.len(), size, "all are held");
@@ -97,8 +98,9 @@
     let names: Vec<String> = (0..50_000).map(|at| name(at * 7_919 % size)).collect();
     let started = Instant::now();
     for key in &names {
-        let request = Request { tenant: None, class: 0, kind: Kind::Unsafe, key: key.as_bytes(), digest };
-        black_box(store.arrive(1, &request, 0, 1));
+        let request =
+            Request { tenant: None, class: 0, kind: ClassKind::Unsafe, key: key.as_bytes(), digest };
+        black_box(store.admit(1, &request, 0, 1));
     }
     (started.elapsed().as_nanos() as f64 / names.len() as f64, bytes)
 }
--- a/measure/src/roles.rs
+++ b/measure/src/roles.rs
@@ -172,7 +172,7 @@
     let spare = Spare::of(&listeners).expect("descriptors");
     let (_stop, stop) = tokio::sync::watch::channel(false);
     let (_reload, reload) = tokio::sync::watch::channel(None);
-    let start = |((seat, config), listener): ((nettleworks_cores::Seat<_>, Config), _)| {
+    let start = |((seat, config), listener): ((nettleworks_cores::PreparedShard<_>, Config), _)| {
         let (spare, told) = (spare.clone(), Told { stop: stop.clone(), reload: reload.clone() });
         std::thread::spawn(move || {
             cores::run_thread(seat, async |seat| {
--- a/proxy/src/cores.rs
+++ b/proxy/src/cores.rs
@@ -1,14 +1,14 @@
 //! Several engines of one process, a thread each, behind one address: how they are started, told and stopped as one.
 
 use crate::server;
-use nettleworks_cores::seat::{self, Ending, Peers, StandIns};
-use nettleworks_cores::{Seat, Sizes};
+use nettleworks_cores::seat::{self, Peers, ShardGuard, StandIns};
+use nettleworks_cores::{PreparedShard, ShardOptions};
 use nettleworks_engine::config::Config;
 use nettleworks_engine::http1::Http1;
 use nettleworks_engine::net::Stream;
 use nettleworks_engine::task::{self, Task};
 use nettleworks_engine::Log;
-use nettleworks_keys_station::{Common, KeyStation, Keys, Together, WithKeys};
+use nettleworks_keys_station::{KeyInterceptor, KeyStoreConfig, ShardContext, SharedKeyState, WithKeys};
 use std::collections::HashMap;
 use std::io;
 use std::net::TcpListener;
@@ -26,30 +26,30 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// An engine of a process, as the daemon's fronts drive it.
-pub type Shared = nettleworks_cores::seat::Shared<Http1>;
+pub type Shared = nettleworks_cores::seat::RunningShard<Http1>;
 
 /// Places for so many shards of a process with this configuration.
 /// Each comes with its part of the configuration.
-pub fn seats(config: &Config, shards: usize) -> Vec<(Seat<Http1>, Config)> {
-    seats_of(config, Sizes::of(shards))
+pub fn seats(config: &Config, shards: usize) -> Vec<(PreparedShard<Http1>, Config)> {
+    seats_of(config, ShardOptions::new(shards))
 }
 
 /// The same with sizes of one's own; keys are remembered for as long as the configuration says.
-pub fn seats_of(config: &Config, sizes: Sizes) -> Vec<(Seat<Http1>, Config)> {
+pub fn seats_of(config: &Config, sizes: ShardOptions) -> Vec<(PreparedShard<Http1>, Config)> {
     let shards = sizes.shards;
-    let remembered = config.keys().map_or(sizes.remembered, Keys::longest);
-    let sizes = Sizes { remembered, ..sizes };
-    let seats = Seat::all(sizes, config.seed);
-    let Some(peers) = seats.first().map(Seat::peers) else { return Vec::new() };
-    let common = Common::new(move |shard, told| {
-        peers.tell(shard, move |driver| {
-            driver.station(|keys: &mut KeyStation<Http1>, desk| keys.told(desk, told));
+    let remembered = config.keys().map_or(sizes.key_retention, KeyStoreConfig::longest_retention);
+    let sizes = ShardOptions { key_retention: remembered, ..sizes };
+    let seats = PreparedShard::prepare_all(sizes, config.seed);
+    let Some(peers) = seats.first().map(PreparedShard::peers) else { return Vec::new() };
+    let common = SharedKeyState::new(move |shard, told| {
+        peers.submit(shard, move |driver| {
+            driver.station(|keys: &mut KeyInterceptor<Http1>, desk| keys.on_peer_request(desk, told));
         });
     });
-    let with_part = |seat: Seat<Http1>| {
+    let with_part = |seat: PreparedShard<Http1>| {
         let me = seat.shard();
         let mut config = part(config, shards, me);
-        config.extras.set(Together { me, common: common.clone() });
+        config.extras.set(ShardContext { shard: me, shared: common.clone() });
         (seat, config)
     };
     seats.into_iter().map(with_part).collect()
@@ -57,11 +57,11 @@
 
 /// What one of so many shards is told.
 pub fn part(config: &Config, shards: usize, me: usize) -> Config {
-    seat::part(config, shards, me)
+    seat::shard_config(config, shards, me)
 }
 
 /// Starts a shard's engine on the thread that this is called on.
-pub fn start(seat: Seat<Http1>, config: Config, log: Log) -> Shared {
+pub fn start(seat: PreparedShard<Http1>, config: Config, log: Log) -> Shared {
     let config = Rc::new(config);
     let stations = crate::stations(&config);
     seat.start(config.clone(), Http1::new(&config), stations, log)
@@ -79,10 +79,10 @@
 /// Runs a shard on the thread that this is called on, as `run` says. A panic ends the shard and no other: what it had
 /// is the others', and they are told when its connections are closed.
 pub fn run_thread<T>(
-    seat: Seat<Http1>,
-    run: impl AsyncFnOnce(Seat<Http1>) -> Option<T>,
+    seat: PreparedShard<Http1>,
+    run: impl AsyncFnOnce(PreparedShard<Http1>) -> Option<T>,
 ) -> io::Result<(End, Option<T>)> {
-    let ending: Ending<Http1> = seat.guard();
+    let ending: ShardGuard<Http1> = seat.guard();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let ended = catch_unwind(AssertUnwindSafe(|| {
         let local = LocalSet::new();
@@ -177,7 +177,7 @@
 /// Serves as one shard of the daemon until it is told to stop and all that it took is answered. `None`: its engine was
 /// torn by a panic.
 pub async fn serve(
-    seat: Seat<Http1>,
+    seat: PreparedShard<Http1>,
     config: Config,
     log: Log,
     listener: TcpListener,
@@ -215,7 +215,7 @@
         let over = server::serve_also(listener, Some(more), driver.clone(), stopped).await;
         driver.log_counts();
         // One that does not answer must not keep the others.
-        let _ = timeout_at(over, peers.done(me)).await;
+        let _ = timeout_at(over, peers.wait_until_all_drained(me)).await;
     };
     tokio::select! {
         () = front => Some(()),
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -17,13 +17,13 @@
 use nettleworks_engine::http1::Http1;
 use nettleworks_engine::net::Listener;
 use nettleworks_engine::Log;
-use nettleworks_keys_station::KeyStation;
+use nettleworks_keys_station::KeyInterceptor;
 use std::future::Future;
 use std::rc::Rc;
 
 /// The stations that a configuration asks for, in their order on a call's way.
 pub fn stations(config: &Config) -> Stations<Http1> {
-    let keys = KeyStation::new(config).map(|keys| Box::new(keys) as _);
+    let keys = KeyInterceptor::new(config).map(|keys| Box::new(keys) as _);
     keys.into_iter().collect()
 }
 
--- a/proxy/src/operators.rs
+++ b/proxy/src/operators.rs
@@ -11,8 +11,8 @@
 use nettleworks_engine::driver::Handle;
 use nettleworks_engine::http1::Http1;
 use nettleworks_engine::task::{self, Task};
-use nettleworks_keys::{Filter, KeyState, Slot, Verdict, View};
-use nettleworks_keys_station::{Operate, WithKeys};
+use nettleworks_keys::{KeyFilter, KeyState, KeyView, RunId, Verdict};
+use nettleworks_keys_station::{KeyOperations, WithKeys};
 use serde::Deserialize;
 use serde_json::{json, Value};
 /// Most bytes of a reason, which goes to the log.
@@ -97,13 +97,13 @@
         match &self.shards {
             None => Ok(act(&self.driver)),
             Some(shards) => {
-                shards.at(shard, act).await.ok_or(format!("shard {shard} does not answer, or has ended"))
+                shards.run_on(shard, act).await.ok_or(format!("shard {shard} does not answer, or has ended"))
             }
         }
     }
 
     /// A key's id, as it is shown.
-    fn id(&self, shard: usize, slot: Slot) -> String {
+    fn id(&self, shard: usize, slot: RunId) -> String {
         match self.shards {
             None => slot.to_string(),
             Some(_) => format!("{shard}/{slot}"),
@@ -111,7 +111,7 @@
     }
 
     /// Which key an id names.
-    fn named(&self, id: &str) -> Result<(usize, Slot), String> {
+    fn named(&self, id: &str) -> Result<(usize, RunId), String> {
         let bad = |error: &dyn std::fmt::Display| format!("{id:?}: {error}");
         let (shard, slot) = match (&self.shards, id.split_once('/')) {
             (None, _) => (0, id),
@@ -142,11 +142,11 @@
                 None => None,
                 Some(name) => Some(KeyState::named(&name).ok_or(format!("{name:?}: no such state"))?),
             };
-            let filter = Filter {
+            let filter = KeyFilter {
                 state,
                 class: place("class", &config.classes, class)?,
                 tenant: place("tenant", &config.tenants, tenant)?,
-                older: older_ms.saturating_mul(1_000),
+                min_age: older_ms.saturating_mul(1_000),
                 key: key.map(String::into_bytes),
             };
             // Shard by shard; the upper half of a place says which.
@@ -157,7 +157,7 @@
             let page = all.at(shard, move |driver| driver.keys_page(&filter, place, PLACES)).await?;
             let page = page.ok_or("there is no store of keys")?;
             let keys: Vec<Value> =
-                page.keys.iter().map(|view| shown(&config, view, all.id(shard, view.slot))).collect();
+                page.keys.iter().map(|view| shown(&config, view, all.id(shard, view.run_id))).collect();
             let next = match page.next {
                 Some(next) => Some((shard << PLACE_BITS) + next),
                 None => Some((shard + 1) << PLACE_BITS).filter(|_| shard + 1 < all.count()),
@@ -185,13 +185,13 @@
             let settled = settled.ok_or("there is no store of keys")?.map_err(|error| error.to_string())?;
             let mut before = shown(&config, &settled.before, id);
             before["settled_as"] = verdict.state().name().into();
-            before["left_ms"] = (settled.until / 1_000).into();
+            before["left_ms"] = (settled.remembered_for / 1_000).into();
             Ok(before)
         }
     }
 }
 
-fn shown(config: &Config, view: &View, id: String) -> Value {
+fn shown(config: &Config, view: &KeyView, id: String) -> Value {
     let name = |names: &[String], place: u32| names.get(place as usize).cloned();
     json!({
         "id": id,
@@ -200,7 +200,7 @@
         "tenant": view.tenant.and_then(|tenant| name(&config.tenants, tenant)),
         "state": view.state.name(),
         "age_ms": view.age / 1_000,
-        "left_ms": view.left.map(|left| left / 1_000),
+        "left_ms": view.expires_in.map(|left| left / 1_000),
         "waiters": view.waiters,
         "answer_bytes": view.answer_bytes,
     })
--- a/proxy/src/requests.rs
+++ b/proxy/src/requests.rs
@@ -12,7 +12,7 @@
 use nettleworks_engine::http1::{BoxError, Forward, Http1, BODY_MOST};
 use nettleworks_engine::socket::Socket;
 use nettleworks_keys::KeyState;
-use nettleworks_keys_station::{Keys, WithKeys};
+use nettleworks_keys_station::{KeyStoreConfig, WithKeys};
 use nettleworks_policy::{ClassId, Repeat, TenantId};
 use std::pin::pin;
 use std::time::Duration;
@@ -129,7 +129,7 @@
 pub fn forward(config: &Config, ask: &Ask<HeaderValue>, head: Parts, body: Bytes) -> Forward {
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let mut headers = end_to_end(head.headers);
-    let goes_on = |keys: &Keys| keys.forward.get(ask.class.0).copied().unwrap_or_default();
+    let goes_on = |keys: &KeyStoreConfig| keys.forward.get(ask.class.0).copied().unwrap_or_default();
     let class = config.settings.classes.get(ask.class.0);
     let held = ask.key.is_some() && class.is_some_and(|class| class.repeat == Repeat::SingleShot);
     if held && !config.keys().is_some_and(goes_on) {
--- a/proxy/tests/cores.rs
+++ b/proxy/tests/cores.rs
@@ -5,7 +5,7 @@
 use nettleworks::cores::{self, End, Shards, Spare, Told};
 use nettleworks::server;
 use nettleworks_cores::crossing::Crossed;
-use nettleworks_cores::Sizes;
+use nettleworks_cores::ShardOptions;
 use nettleworks_engine::calls::{Ask, Reply};
 use nettleworks_engine::http1::Forward;
 use nettleworks_engine::list::List;
@@ -49,14 +49,14 @@
 
 impl Process {
     fn start(site: &Site) -> Process {
-        Process::with(site, Sizes::of(SHARDS), |_| ())
+        Process::with(site, ShardOptions::new(SHARDS), |_| ())
     }
 
-    fn with(site: &Site, sizes: Sizes, change: impl FnOnce(&mut serde_json::Value)) -> Process {
+    fn with(site: &Site, sizes: ShardOptions, change: impl FnOnce(&mut serde_json::Value)) -> Process {
         Process::configured(&site.configuration(change), sizes)
     }
 
-    fn configured(config: &str, sizes: Sizes) -> Process {
+    fn configured(config: &str, sizes: ShardOptions) -> Process {
         let config = Config::parse(config).and_then(|config| config.with_keys(KEYS));
         let config = config.expect("a good configuration");
         let listeners = server::bind_all(config.listen, sizes.shards).expect("it listens");
@@ -68,7 +68,7 @@
         let seats = cores::seats_of(&config, sizes);
         let peers = seats[0].0.peers();
         let start = |((seat, config), listener): ((_, Config), _)| {
-            let seat: nettleworks_cores::Seat<_> = seat;
+            let seat: nettleworks_cores::PreparedShard<_> = seat;
             let (spare, told) = (spare.clone(), Told { stop: stopped.clone(), reload: reloads.clone() });
             let (log, breaks, shard) = (log.clone(), breaks.clone(), seat.shard());
             std::thread::spawn(move || {
@@ -96,7 +96,7 @@
 
     async fn ready(&self) {
         for shard in 0..self.peers.count() {
-            while self.peers.at(shard, |driver| driver.is_ready()).await != Some(true) {
+            while self.peers.run_on(shard, |driver| driver.is_ready()).await != Some(true) {
                 sleep(Duration::from_millis(2)).await;
             }
         }
@@ -108,7 +108,7 @@
 
     /// The shard's thread does nothing else for so long.
     fn block(&self, shard: usize, time: Duration) {
-        self.peers.tell(shard, move |_| std::thread::sleep(time));
+        self.peers.submit(shard, move |_| std::thread::sleep(time));
     }
 
     /// A panic half way through a change of the shard's engine.
@@ -116,7 +116,7 @@
         *self.breaks.lock().expect("whole") = Some((shard, "is ghost"));
         let ghost = r#"{"seq": 900, "whole": false, "hosts": [{"host": "ghost", "dial": "127.0.0.1:9", "health": "Terminating"}]}"#;
         let ghost: List = serde_json::from_str(ghost).expect("a list");
-        self.peers.tell(shard, move |driver| driver.told(ghost));
+        self.peers.submit(shard, move |driver| driver.told(ghost));
     }
 
     /// Stops it as SIGTERM does; how each shard has ended.
@@ -139,7 +139,7 @@
                 resent: false,
                 key: Some(key.clone().into()),
             };
-            self.peers.owner(&ask) == Some(shard)
+            self.peers.key_owner(&ask) == Some(shard)
         };
         (0..).map(|n| format!("{name}-{n}")).find(own).expect("each shard has keys")
     }
@@ -154,7 +154,7 @@
 
 /// A client whose connection is a shard's.
 async fn client_of(process: &Process, shard: usize) -> Client {
-    let count = async || process.peers.at(shard, |driver| driver.state().requests).await;
+    let count = async || process.peers.run_on(shard, |driver| driver.state().requests).await;
     loop {
         let mut client = process.client().await;
         let before = count().await;
@@ -191,7 +191,7 @@
     run(async {
         // A host that is set aside is tried again after a quarter of the aim, and twice as late each time: at the usual
         // five seconds a few faults in a row at both of a shard's hosts take longer than the test may.
-        let process = Process::with(&site, Sizes::of(SHARDS), |config| {
+        let process = Process::with(&site, ShardOptions::new(SHARDS), |config| {
             for class in config["settings"]["classes"].as_array_mut().expect("classes") {
                 class["objective_us"] = 200_000.into();
             }
@@ -233,7 +233,9 @@
         }
         let mut taken = Vec::new();
         for shard in 0..SHARDS {
-            taken.push(process.peers.at(shard, |driver| driver.state().requests).await.expect("it answers"));
+            taken.push(
+                process.peers.run_on(shard, |driver| driver.state().requests).await.expect("it answers"),
+            );
         }
         assert!(taken.iter().filter(|count| **count > 0).count() > 1, "all came to one shard: {taken:?}");
         assert!(answered > 400 && unsure >= 16, "{answered} {unsure}");
@@ -265,7 +267,7 @@
         while taken < 14 {
             taken = 0;
             for shard in 0..SHARDS {
-                let count = process.peers.at(shard, |driver| driver.state().requests).await;
+                let count = process.peers.run_on(shard, |driver| driver.state().requests).await;
                 taken += count.expect("it answers");
             }
         }
@@ -346,7 +348,7 @@
         process.ready().await;
         // Each shard but the one that watches. It has a connection that can be written to at once.
         for shard in 1..SHARDS {
-            process.peers.tell(shard, move |driver| {
+            process.peers.submit(shard, move |driver| {
                 let (ask, forward) = free(format!("first-{shard}"));
                 let waiting = driver.request(ask, forward);
                 spawn_local(async move { drop(waiting.reply().await) });
@@ -355,7 +357,7 @@
         eventually("they are answered", || site.counts() == [SHARDS - 1]).await;
         sleep(Duration::from_millis(50)).await;
         for shard in 1..SHARDS {
-            process.peers.tell(shard, move |driver| {
+            process.peers.submit(shard, move |driver| {
                 let driver = driver.clone();
                 spawn_local(async move {
                     let (ask, forward) = free(format!("decided-{shard}"));
@@ -369,7 +371,7 @@
         sleep(Duration::from_millis(100)).await;
         site.with(|inside| inside.list(0, "Terminating"));
         for shard in 1..SHARDS {
-            let attempts = process.peers.at(shard, |driver| driver.state().attempts).await;
+            let attempts = process.peers.run_on(shard, |driver| driver.state().attempts).await;
             assert_eq!(attempts, Some(2), "shard {shard} had decided");
         }
         sleep(Duration::from_millis(300)).await;
@@ -388,7 +390,7 @@
         process.ready().await;
         // A call or two of each, so that all have some.
         for shard in 0..SHARDS {
-            process.peers.tell(shard, move |driver| {
+            process.peers.submit(shard, move |driver| {
                 let (ask, forward) = free(format!("first-{shard}"));
                 let waiting = driver.request(ask, forward);
                 spawn_local(async move { drop(waiting.reply().await) });
@@ -398,7 +400,7 @@
         site.with(|inside| inside.hosts[0].release.notify_waiters());
         eventually("they are answered", || site.with(|inside| inside.hosts[0].open.get()) > 0).await;
         let before = site.counts()[0];
-        process.peers.tell(0, |driver| {
+        process.peers.submit(0, |driver| {
             for call in 0..40 {
                 let (ask, forward) = free(format!("load-{call}"));
                 let waiting = driver.request(ask, forward);
@@ -420,7 +422,7 @@
 fn a_request_whose_shard_is_late_at_its_deadline_leaves_its_key_unsure() {
     let site = Site::start(vec![echo(3_000, vec![])]);
     run(async {
-        let sizes = Sizes { patience: Duration::from_secs(20), ..Sizes::of(2) };
+        let sizes = ShardOptions { stall_timeout: Duration::from_secs(20), ..ShardOptions::new(2) };
         let process = Process::with(&site, sizes, |_| ());
         process.ready().await;
         let mut client = client_of(&process, 0).await;
@@ -446,7 +448,7 @@
 fn a_full_queue_refuses_at_once() {
     let site = Site::start(vec![echo(1, vec![])]);
     run(async {
-        let sizes = Sizes { queue: 2, patience: Duration::from_secs(20), ..Sizes::of(2) };
+        let sizes = ShardOptions { queue: 2, stall_timeout: Duration::from_secs(20), ..ShardOptions::new(2) };
         let process = Process::with(&site, sizes, |_| ());
         process.ready().await;
         let mut clients = Vec::new();
@@ -537,7 +539,7 @@
     let site = storm.site(4);
     run(async {
         let config = storm.configuration(&site);
-        let process = Process::configured(&config, Sizes::of(SHARDS));
+        let process = Process::configured(&config, ShardOptions::new(SHARDS));
         process.ready().await;
         let begun = |number| match number {
             100 => site.with(|inside| inside.hosts[1].kill()),
@@ -547,7 +549,7 @@
         let aftermath = storm.run(&site.ledger, WINDOW, over(process.address), begun).await;
         let mut handed = 0;
         for shard in 0..SHARDS {
-            let crossed = process.peers.at(shard, |driver| driver.state().of::<Crossed>().copied()).await;
+            let crossed = process.peers.run_on(shard, |driver| driver.state().of::<Crossed>().copied()).await;
             handed += crossed.flatten().expect("it answers").handed;
         }
         assert!(handed > 300, "keys cross: {handed}");
@@ -565,14 +567,14 @@
     run(async {
         let process = Process::start(&site);
         process.ready().await;
-        process.peers.tell(0, |driver| {
+        process.peers.submit(0, |driver| {
             let (ask, forward) = free("same".to_owned());
             let waiting = driver.request(ask, forward);
             spawn_local(async move { drop(waiting.reply().await) });
         });
         eventually("it is out", || site.counts() == [1]).await;
         let (sender, told) = tokio::sync::oneshot::channel();
-        process.peers.tell(1, |driver| {
+        process.peers.submit(1, |driver| {
             let (ask, forward) = free("same".to_owned());
             let waiting = driver.request(ask, forward);
             spawn_local(async move { sender.send(matches!(waiting.reply().await, Reply::IdOpen)) });
@@ -580,7 +582,7 @@
         assert!(told.await.expect("it answers"), "it is open at another shard");
         process.tear(1);
         eventually("it has ended", || process.said("shard 1 has ended") > 0).await;
-        assert_eq!(process.peers.at(1, |_| ()).await, None);
+        assert_eq!(process.peers.run_on(1, |_| ()).await, None);
         process.stop().await;
     });
     assert_eq!(site.counts(), [1]);
--- a/proxy/tests/cores/watch.rs
+++ b/proxy/tests/cores/watch.rs
@@ -2,7 +2,7 @@
 //! may send by, and who watches then.
 
 use super::{echo, free, Process, SHARDS};
-use nettleworks_cores::Sizes;
+use nettleworks_cores::ShardOptions;
 use nettleworks_engine::calls::Reply;
 use nettleworks_engine::list::Health;
 use nettleworks_standins::{eventually, request, run, Arrival, Relay, Site};
@@ -24,7 +24,7 @@
 /// A process of a fleet of forty, whose calls for the list are spread over seconds, and a relay before its discovery.
 async fn watched_through_a_relay(site: &Site) -> (Process, Relay) {
     let relay = Relay::start(site.discovery).await;
-    let process = Process::with(site, Sizes::of(SHARDS), |config| {
+    let process = Process::with(site, ShardOptions::new(SHARDS), |config| {
         config["discovery"] = relay.address.to_string().into();
         config["settings"]["balancers"] = 40.into();
         config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
@@ -36,7 +36,7 @@
 /// What comes of a request that is taken at this engine.
 async fn reply_at(process: &Process, shard: usize) -> &'static str {
     let (sender, reply) = oneshot::channel();
-    process.peers.tell(shard, move |driver| {
+    process.peers.submit(shard, move |driver| {
         let (ask, forward) = free(format!("at-{shard}-{:?}", Instant::now()).replace(' ', ""));
         let waiting = driver.request(ask, forward);
         spawn_local(async move {
@@ -53,7 +53,7 @@
 
 /// Whether an engine knows that the second host drains.
 async fn knows_of_the_drain(process: &Process, shard: usize) -> bool {
-    let hosts = process.peers.at(shard, |driver| driver.state().hosts).await.unwrap_or_default();
+    let hosts = process.peers.run_on(shard, |driver| driver.state().hosts).await.unwrap_or_default();
     hosts.iter().any(|host| host.health == Health::Terminating)
 }
 
@@ -78,7 +78,7 @@
         eventually("another watches", || watches() == 2).await;
         site.with(|inside| inside.list(1, "Terminating"));
         let told = async |shard| {
-            let hosts = process.peers.at(shard, |driver| driver.state().hosts).await.unwrap_or_default();
+            let hosts = process.peers.run_on(shard, |driver| driver.state().hosts).await.unwrap_or_default();
             hosts.iter().any(|host| host.health == nettleworks_engine::list::Health::Terminating)
         };
         for shard in 1..SHARDS {
--- a/shards/cores/src/crossing.rs
+++ b/shards/cores/src/crossing.rs
@@ -9,15 +9,15 @@
 //! A key whose shard has ended is unsure for as long as a store would have remembered it. One whose shard does not
 //! answer is refused until it does: two stores must not know of one key.
 
-use crate::hub::{Handover, Hub, Note};
-use crate::seat::key_of;
+use crate::hub::{Handover, Message, SharedState};
+use crate::seat::key_parts;
 use nettleworks_engine::calls::{Doubt, Guest, Reply};
 use nettleworks_engine::protocol::Protocol;
 use nettleworks_engine::station::{Desk, Station, Step, Taken};
 use nettleworks_policy::CallId;
-use nettleworks_shards::roll::{Life, Roll};
-use nettleworks_shards::room::Shard;
-use nettleworks_shards::ticket::Ticket;
+use nettleworks_shards::capacity::Shard;
+use nettleworks_shards::handover::HandoverToken;
+use nettleworks_shards::liveness::{Liveness, LivenessTable};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -27,21 +27,21 @@
 use tokio::time::Instant;
 
 /// Requests of a shard that may be with others at a time; one more is refused.
-const OUT_MOST: usize = 4_096;
+const MAX_FORWARDED: usize = 4_096;
 /// How much later than at its deadline a request is given up here: the shard that has it ends it in its time.
 const GRACE: Duration = Duration::from_millis(10);
 /// When to come again after a refusal, where the settings allow that.
-const ADVICE: Duration = Duration::from_millis(250);
+const RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// What a key is at of which nobody here knows whether it ran: a name of the store of keys.
 const UNSURE: &str = "unsure";
 
-struct Out<P: Protocol> {
-    to: Shard,
+struct Forwarded<P: Protocol> {
+    owner: Shard,
     since: Instant,
-    ticket: Arc<Ticket>,
-    taken: Taken<P>,
-    due: Instant,
+    token: Arc<HandoverToken>,
+    held: Taken<P>,
+    give_up_at: Instant,
 }
 
 /// What has crossed so far.
@@ -58,94 +58,107 @@
 }
 
 /// The station.
-pub struct Crossing<P: Protocol> {
-    hub: Arc<Hub<P>>,
+pub struct KeyRouter<P: Protocol> {
+    shared: Arc<SharedState<P>>,
     me: Shard,
-    roll: Rc<RefCell<Roll>>,
-    out: BTreeMap<CallId, Out<P>>,
-    due: BTreeSet<(Instant, CallId)>,
-    crossed: Crossed,
+    liveness: Rc<RefCell<LivenessTable>>,
+    forwarded: BTreeMap<CallId, Forwarded<P>>,
+    by_give_up_time: BTreeSet<(Instant, CallId)>,
+    counters: Crossed,
 }
 
-impl<P: Protocol> Crossing<P> {
-    pub(crate) fn new(hub: Arc<Hub<P>>, me: Shard, roll: Rc<RefCell<Roll>>) -> Crossing<P> {
-        Crossing { hub, me, roll, out: BTreeMap::new(), due: BTreeSet::new(), crossed: Crossed::default() }
+impl<P: Protocol> KeyRouter<P> {
+    pub(crate) fn new(
+        shared: Arc<SharedState<P>>,
+        me: Shard,
+        liveness: Rc<RefCell<LivenessTable>>,
+    ) -> KeyRouter<P> {
+        KeyRouter {
+            shared,
+            me,
+            liveness,
+            forwarded: BTreeMap::new(),
+            by_give_up_time: BTreeSet::new(),
+            counters: Crossed::default(),
+        }
     }
 
-    fn advice(desk: &Desk<P>) -> Duration {
-        match desk.config().settings.limits.max_retry_after {
-            0 => ADVICE,
-            most => ADVICE.min(Duration::from_micros(most)),
+    fn retry_after(context: &Desk<P>) -> Duration {
+        match context.config().settings.limits.max_retry_after {
+            0 => RETRY_AFTER,
+            max => RETRY_AFTER.min(Duration::from_micros(max)),
         }
     }
 
-    fn refuse(&mut self, desk: &mut Desk<P>, guest: Guest<P>) -> Step<P> {
-        self.crossed.refused += 1;
-        let reply = Reply::Refused(Self::advice(desk));
-        desk.answer(guest, reply);
+    fn refuse(&mut self, context: &mut Desk<P>, incoming: Guest<P>) -> Step<P> {
+        self.counters.refused += 1;
+        let reply = Reply::Refused(Self::retry_after(context));
+        context.answer(incoming, reply);
         Step::Done
     }
 
-    fn remove(&mut self, number: CallId) -> Option<Out<P>> {
-        let out = self.out.remove(&number)?;
-        self.due.remove(&(out.due, number));
-        Some(out)
+    fn remove(&mut self, call: CallId) -> Option<Forwarded<P>> {
+        let forwarded = self.forwarded.remove(&call)?;
+        self.by_give_up_time.remove(&(forwarded.give_up_at, call));
+        Some(forwarded)
     }
 
     /// An answer has come back. One that was given up has had its own.
-    pub(crate) fn answered(&mut self, desk: &mut Desk<P>, number: CallId, reply: Reply<P::Answer>) {
-        if let Some(out) = self.remove(number) {
-            self.crossed.answered += 1;
-            desk.answer_taken(out.taken, reply);
+    pub(crate) fn reply_received(&mut self, context: &mut Desk<P>, call: CallId, reply: Reply<P::Answer>) {
+        if let Some(forwarded) = self.remove(call) {
+            self.counters.answered += 1;
+            context.answer_taken(forwarded.held, reply);
         }
     }
 
     /// A request is waited for no longer. Whether the other shard is to hear so comes back.
-    fn give_up(&mut self, desk: &mut Desk<P>, number: CallId) -> Option<Shard> {
-        let out = self.remove(number)?;
-        self.crossed.given_up += 1;
-        let withdrawn = out.ticket.withdraw();
-        let reply = match withdrawn {
-            true => Reply::Refused(Self::advice(desk)),
+    fn give_up(&mut self, context: &mut Desk<P>, call: CallId) -> Option<Shard> {
+        let forwarded = self.remove(call)?;
+        self.counters.given_up += 1;
+        let cancelled = forwarded.token.cancel();
+        let reply = match cancelled {
+            true => Reply::Refused(Self::retry_after(context)),
             // The shard that has it may know more, and is late.
-            false => Reply::Unsure(Doubt { at: UNSURE, age: out.since.elapsed() }),
+            false => Reply::Unsure(Doubt { at: UNSURE, age: forwarded.since.elapsed() }),
         };
-        desk.answer_taken(out.taken, reply);
-        (!withdrawn).then_some(out.to)
+        context.answer_taken(forwarded.held, reply);
+        (!cancelled).then_some(forwarded.owner)
     }
 
     /// A shard has ended, or does not answer: what it had is given up, or what it has not taken.
-    pub(crate) fn changed(&mut self, desk: &mut Desk<P>, shard: Shard, life: Life) {
-        let there = self.out.iter().filter(|(_, out)| out.to == shard);
-        let numbers: Vec<CallId> = there.map(|(number, _)| *number).collect();
-        for number in numbers {
-            let lost = match life {
-                Life::Living => false,
-                Life::Dead => true,
-                Life::Stalled => self.out.get(&number).is_some_and(|out| out.ticket.withdraw()),
+    pub(crate) fn liveness_changed(&mut self, context: &mut Desk<P>, shard: Shard, liveness: Liveness) {
+        let at_shard = self.forwarded.iter().filter(|(_, forwarded)| forwarded.owner == shard);
+        let calls: Vec<CallId> = at_shard.map(|(call, _)| *call).collect();
+        for call in calls {
+            let lost = match liveness {
+                Liveness::Alive => false,
+                Liveness::Dead => true,
+                Liveness::Stalled => {
+                    self.forwarded.get(&call).is_some_and(|forwarded| forwarded.token.cancel())
+                }
             };
             if !lost {
                 continue;
             }
-            if life == Life::Dead {
-                self.give_up(desk, number);
-            } else if let Some(out) = self.remove(number) {
-                self.crossed.refused += 1;
-                let reply = Reply::Refused(Self::advice(desk));
-                desk.answer_taken(out.taken, reply);
+            if liveness == Liveness::Dead {
+                self.give_up(context, call);
+            } else if let Some(forwarded) = self.remove(call) {
+                self.counters.refused += 1;
+                let reply = Reply::Refused(Self::retry_after(context));
+                context.answer_taken(forwarded.held, reply);
             }
         }
     }
 
-    fn no_longer(&self, shard: Shard, number: CallId) {
-        if let Some(post) = self.hub.posts.get(shard) {
+    fn send_abandoned(&self, shard: Shard, call: CallId) {
+        if let Some(mailbox) = self.shared.mailboxes.get(shard) {
             // One that has ended has nothing to call off.
-            let _ = post.notes.send(Note::Gone { from: self.me, number });
+            let _ = mailbox.messages.send(Message::Abandoned { from: self.me, call });
         }
     }
 }
 
-impl<P: Protocol> Station<P> for Crossing<P>
+impl<P: Protocol> Station<P> for KeyRouter<P>
 where
     P::Request: Clone,
 {
@@ -153,75 +166,76 @@
         "crossing"
     }
 
-    fn arrive(&mut self, desk: &mut Desk<P>, guest: Guest<P>) -> Step<P> {
-        let ask = guest.ask();
-        let Some((tenant, class, key)) = key_of(ask) else { return Step::Pass(guest) };
-        let (to, life) = {
-            let roll = self.roll.borrow();
-            let to = roll.owner(self.hub.now(), self.hub.seed, tenant, class, key);
-            (to, roll.life(to))
+    fn arrive(&mut self, context: &mut Desk<P>, incoming: Guest<P>) -> Step<P> {
+        let metadata = incoming.ask();
+        let Some((tenant, class, key)) = key_parts(metadata) else { return Step::Pass(incoming) };
+        let (owner, liveness) = {
+            let table = self.liveness.borrow();
+            let owner = table.key_owner(self.shared.now(), self.shared.seed, tenant, class, key);
+            (owner, table.liveness(owner))
         };
-        if to == self.me {
-            return Step::Pass(guest);
+        if owner == self.me {
+            return Step::Pass(incoming);
         }
-        if life == Life::Dead {
+        if liveness == Liveness::Dead {
             // Nobody knows any more whether it ran.
-            desk.answer(guest, Reply::Unsure(Doubt { at: UNSURE, age: Duration::ZERO }));
+            context.answer(incoming, Reply::Unsure(Doubt { at: UNSURE, age: Duration::ZERO }));
             return Step::Done;
         }
-        if life == Life::Stalled || self.out.len() >= OUT_MOST {
-            return self.refuse(desk, guest);
+        if liveness == Liveness::Stalled || self.forwarded.len() >= MAX_FORWARDED {
+            return self.refuse(context, incoming);
         }
-        let Some(post) = self.hub.posts.get(to) else { return self.refuse(desk, guest) };
-        let (number, ticket) = (guest.number(), Arc::new(Ticket::default()));
-        let (ask, request) = (ask.clone(), guest.request().clone());
-        let due = ask.deadline + GRACE;
-        let handover = Handover { from: self.me, number, ask, request, ticket: ticket.clone() };
-        match post.requests.try_send(handover) {
+        let Some(mailbox) = self.shared.mailboxes.get(owner) else { return self.refuse(context, incoming) };
+        let (call, token) = (incoming.number(), Arc::new(HandoverToken::default()));
+        let (metadata, request) = (metadata.clone(), incoming.request().clone());
+        let give_up_at = metadata.deadline + GRACE;
+        let handover = Handover { from: self.me, call, metadata, request, token: token.clone() };
+        match mailbox.requests.try_send(handover) {
             Ok(()) => {}
             // It has not been taken, and never will be.
-            Err(TrySendError::Full(_) | TrySendError::Closed(_)) => return self.refuse(desk, guest),
+            Err(TrySendError::Full(_) | TrySendError::Closed(_)) => return self.refuse(context, incoming),
         }
-        self.crossed.handed += 1;
-        let taken = desk.keep(guest);
-        self.out.insert(number, Out { to, since: Instant::now(), ticket, taken, due });
-        self.due.insert((due, number));
-        desk.arm(due);
+        self.counters.handed += 1;
+        let held = context.keep(incoming);
+        self.forwarded.insert(call, Forwarded { owner, since: Instant::now(), token, held, give_up_at });
+        self.by_give_up_time.insert((give_up_at, call));
+        context.arm(give_up_at);
         Step::Done
     }
 
-    fn gone(&mut self, desk: &mut Desk<P>, number: CallId) -> bool {
-        if !self.out.contains_key(&number) {
+    fn gone(&mut self, context: &mut Desk<P>, call: CallId) -> bool {
+        if !self.forwarded.contains_key(&call) {
             return false;
         }
-        if let Some(shard) = self.give_up(desk, number) {
-            self.no_longer(shard, number);
+        if let Some(shard) = self.give_up(context, call) {
+            self.send_abandoned(shard, call);
         }
         true
     }
 
     fn wake_at(&self, _: &Desk<P>) -> Option<Instant> {
-        self.due.first().map(|(due, _)| *due)
+        self.by_give_up_time.first().map(|(give_up_at, _)| *give_up_at)
     }
 
-    fn wake(&mut self, desk: &mut Desk<P>) {
+    fn wake(&mut self, context: &mut Desk<P>) {
         let now = Instant::now();
-        while let Some(&(_, number)) = self.due.first().filter(|(due, _)| *due <= now) {
-            if let Some(shard) = self.give_up(desk, number) {
-                self.no_longer(shard, number);
+        while let Some(&(_, call)) = self.by_give_up_time.first().filter(|(give_up_at, _)| *give_up_at <= now)
+        {
+            if let Some(shard) = self.give_up(context, call) {
+                self.send_abandoned(shard, call);
             }
         }
     }
 
     fn waiting(&self) -> usize {
-        self.out.len()
+        self.forwarded.len()
     }
 
     fn state(&self) -> Option<Rc<dyn std::any::Any>> {
-        Some(Rc::new(self.crossed))
+        Some(Rc::new(self.counters))
     }
 
     fn line(&self) -> Option<String> {
-        Some(format!("{} out, {:?}", self.out.len(), self.crossed))
+        Some(format!("{} out, {:?}", self.forwarded.len(), self.counters))
     }
 }
--- a/shards/cores/src/hub.rs
+++ b/shards/cores/src/hub.rs
@@ -5,12 +5,12 @@
 use nettleworks_engine::group::Lease;
 use nettleworks_engine::list::{Health, Host, List};
 use nettleworks_engine::protocol::Protocol;
-use nettleworks_policy::{CallId, News as Learned, ServerId};
+use nettleworks_policy::{CallId, News as Observation, ServerId};
+use nettleworks_shards::broadcast::{BroadcastLog, Cursor, Read};
+pub use nettleworks_shards::capacity::MAX_SHARDS;
+use nettleworks_shards::capacity::{HostCapacity, Shard, WakeSet};
+use nettleworks_shards::handover::HandoverToken;
 use nettleworks_shards::ids::OpenIds;
-use nettleworks_shards::news::{Cursor, News, Read};
-pub use nettleworks_shards::room::SHARDS_MOST;
-use nettleworks_shards::room::{Room, Shard, Wakes};
-use nettleworks_shards::ticket::Ticket;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,145 +20,149 @@
 /// A moment that does not come.
 const NEVER: u64 = u64::MAX;
 /// No shard.
-const NOBODY: Shard = Shard::MAX;
+const NO_SHARD: Shard = Shard::MAX;
 /// Changes of the list that a shard may be behind; one further behind reads the whole list instead.
-const LISTS_KEPT: usize = 64;
+const LIST_LOG_CAPACITY: usize = 64;
 /// News of hosts that a shard may be behind. They are advice: one further behind goes on without.
-const LEARNED_KEPT: usize = 1_024;
+const OBSERVATION_LOG_CAPACITY: usize = 1_024;
 
 /// Names of hosts that are kept before those that have gone are looked for.
-const NUMBERS_KEPT: usize = 8_192;
+const MAX_SERVER_IDS: usize = 8_192;
 
 /// Sizes of what lies between shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sizes {
+pub struct ShardOptions {
     /// How many there are: 1 to [`SHARDS_MOST`].
     pub shards: usize,
     /// Requests that may wait to be taken by a shard; one more is refused.
     pub queue: usize,
     /// Without a beat for so long a shard is taken for stalled.
-    pub patience: Duration,
+    pub stall_timeout: Duration,
     /// For so long the keys of a shard that has ended are unsure: no store remembers a key for longer.
-    pub remembered: Duration,
+    pub key_retention: Duration,
 }
 
-impl Sizes {
+impl ShardOptions {
     /// For so many shards: 1,024 requests in a queue, a second of patience, a day.
-    pub fn of(shards: usize) -> Sizes {
-        let (patience, remembered) = (Duration::from_secs(1), Duration::from_secs(86_400));
-        Sizes { shards: shards.clamp(1, SHARDS_MOST), queue: 1_024, patience, remembered }
+    pub fn new(shards: usize) -> ShardOptions {
+        let (stall_timeout, key_retention) = (Duration::from_secs(1), Duration::from_secs(86_400));
+        ShardOptions { shards: shards.clamp(1, MAX_SHARDS), queue: 1_024, stall_timeout, key_retention }
     }
 }
 
 /// A request on its way to the shard that its key belongs to.
 pub struct Handover<P: Protocol> {
     pub(crate) from: Shard,
-    pub(crate) number: CallId,
-    pub(crate) ask: Ask<P::Id>,
+    pub(crate) call: CallId,
+    pub(crate) metadata: Ask<P::Id>,
     pub(crate) request: P::Request,
-    pub(crate) ticket: Arc<Ticket>,
+    pub(crate) token: Arc<HandoverToken>,
 }
 
 /// What shards tell each other of requests that were handed over. Each such request has one answer and is given up once
 /// at the most, so that as many wait as there are requests out; and what else must not be lost.
-pub(crate) enum Note<P: Protocol> {
+pub(crate) enum Message<P: Protocol> {
     /// The answer of a request.
-    Answer { number: CallId, reply: Reply<P::Answer> },
+    Reply { call: CallId, reply: Reply<P::Answer> },
     /// Nobody waits for a request any more.
-    Gone { from: Shard, number: CallId },
+    Abandoned { from: Shard, call: CallId },
     /// Something that is to be done for another, as [`crate::seat::Peers::tell`] has it.
-    Do(Job<P>),
+    Run(Job<P>),
 }
 
 /// A shard's letter box, from outside.
-pub(crate) struct Post<P: Protocol> {
+pub(crate) struct Mailbox<P: Protocol> {
     pub requests: mpsc::Sender<Handover<P>>,
-    pub notes: mpsc::UnboundedSender<Note<P>>,
+    pub messages: mpsc::UnboundedSender<Message<P>>,
     pub jobs: mpsc::Sender<Job<P>>,
     /// There is something to look at: room, the list, news, who lives.
-    pub look: Notify,
-    beat: AtomicU64,
+    pub wake: Notify,
+    heartbeat: AtomicU64,
     ended: AtomicBool,
-    done: AtomicBool,
+    drained: AtomicBool,
     /// Some other shard has found that it does not answer.
     stalled: AtomicBool,
 }
 
 /// The list as the process knows it.
-struct Lists {
-    news: News<Arc<List>>,
+struct SharedList {
+    changes: BroadcastLog<Arc<List>>,
     seq: u64,
     hosts: BTreeMap<String, Host>,
 }
 
-impl Lists {
+impl SharedList {
     /// All of it.
-    fn whole(&self) -> List {
+    fn snapshot(&self) -> List {
         List { seq: self.seq, whole: true, hosts: self.hosts.values().cloned().collect() }
     }
 }
 
-type Rooms = HashMap<(Arc<str>, u64), Arc<Room>>;
+type Capacities = HashMap<(Arc<str>, u64), Arc<HostCapacity>>;
 
 /// What a shard is to do for another, on its own thread.
 pub(crate) type Job<P> = Box<dyn FnOnce(&Handle<P>) + Send>;
 
 /// What all shards of a process share. See the module's page of the crate for how they meet here.
-pub struct Hub<P: Protocol> {
-    pub(crate) sizes: Sizes,
+pub struct SharedState<P: Protocol> {
+    pub(crate) options: ShardOptions,
     pub(crate) seed: u64,
     pub(crate) ids: OpenIds,
-    pub(crate) posts: Vec<Post<P>>,
+    pub(crate) mailboxes: Vec<Mailbox<P>>,
     /// How often the process was told of the list.
-    pub(crate) told: Arc<AtomicU64>,
-    lists: Mutex<Lists>,
+    pub(crate) list_changes: Arc<AtomicU64>,
+    list: Mutex<SharedList>,
     /// When a watch last proved the list, and when the list expires ([`NEVER`]: it does not), since the start; 0 for the
     /// first: nobody has said so yet.
-    list_alive: AtomicU64,
-    list_expires: AtomicU64,
+    list_verified_at: AtomicU64,
+    list_expires_at: AtomicU64,
     /// The shard that said so last; [`NOBODY`] at the start.
     list_publisher: AtomicUsize,
-    learned: Mutex<News<(Arc<str>, Learned)>>,
+    observations: Mutex<BroadcastLog<(Arc<str>, Observation)>>,
     /// Room by a host's name and when its process started: a new process is a new host.
-    rooms: Mutex<Rooms>,
-    numbers: Mutex<Numbers>,
-    began: Instant,
+    capacities: Mutex<Capacities>,
+    server_ids: Mutex<ServerIds>,
+    started: Instant,
 }
 
 /// Hosts' numbers by name; none returns.
 #[derive(Default)]
-struct Numbers {
+struct ServerIds {
     by_name: HashMap<String, ServerId>,
     last: u32,
 }
 
 /// All that is under these locks is changed in single steps: it is whole whoever panicked.
-fn lock<T>(what: &Mutex<T>) -> MutexGuard<'_, T> {
-    what.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl<P: Protocol> Hub<P> {
-    pub(crate) fn new(sizes: Sizes, seed: u64, posts: Vec<Post<P>>) -> Hub<P> {
-        Hub {
-            sizes,
+impl<P: Protocol> SharedState<P> {
+    pub(crate) fn new(options: ShardOptions, seed: u64, mailboxes: Vec<Mailbox<P>>) -> SharedState<P> {
+        SharedState {
+            options,
             seed,
             ids: OpenIds::new(seed),
-            posts,
-            told: Arc::default(),
-            lists: Mutex::new(Lists { news: News::new(LISTS_KEPT), seq: 0, hosts: BTreeMap::new() }),
-            list_alive: AtomicU64::new(0),
-            list_expires: AtomicU64::new(NEVER),
-            list_publisher: AtomicUsize::new(NOBODY),
-            learned: Mutex::new(News::new(LEARNED_KEPT)),
-            rooms: Mutex::default(),
-            numbers: Mutex::default(),
-            began: Instant::now(),
+            mailboxes,
+            list_changes: Arc::default(),
+            list: Mutex::new(SharedList {
+                changes: BroadcastLog::new(LIST_LOG_CAPACITY),
+                seq: 0,
+                hosts: BTreeMap::new(),
+            }),
+            list_verified_at: AtomicU64::new(0),
+            list_expires_at: AtomicU64::new(NEVER),
+            list_publisher: AtomicUsize::new(NO_SHARD),
+            observations: Mutex::new(BroadcastLog::new(OBSERVATION_LOG_CAPACITY)),
+            capacities: Mutex::default(),
+            server_ids: Mutex::default(),
+            started: Instant::now(),
         }
     }
 
     /// A moment, in microseconds since the start.
     pub(crate) fn now(&self) -> u64 {
-        self.began.elapsed().as_micros() as u64
+        self.started.elapsed().as_micros() as u64
     }
 
     /// The engine that watches knows this of the list's lease; the others look if its end has changed. Each of the two
@@ -166,184 +170,210 @@
     ///
     /// They are not woken when another shard takes over: for a tick two may take themselves for the one that watches, and
     /// would wake each other for as long.
-    pub(crate) fn publish(&self, me: Shard, lease: Lease) {
-        let since =
-            |at: tokio::time::Instant| at.into_std().saturating_duration_since(self.began).as_micros() as u64;
-        let expires = lease.expires.map_or(NEVER, since);
-        let before = self.list_expires.swap(expires, Ordering::AcqRel);
-        self.list_alive.fetch_max(since(lease.alive).max(1), Ordering::AcqRel);
+    pub(crate) fn publish_lease(&self, me: Shard, lease: Lease) {
+        let since_start = |at: tokio::time::Instant| {
+            at.into_std().saturating_duration_since(self.started).as_micros() as u64
+        };
+        let expires_at = lease.expires.map_or(NEVER, since_start);
+        let before = self.list_expires_at.swap(expires_at, Ordering::AcqRel);
+        self.list_verified_at.fetch_max(since_start(lease.alive).max(1), Ordering::AcqRel);
         let publisher = self.list_publisher.swap(me, Ordering::AcqRel);
-        let takes_over = publisher != me && publisher != NOBODY;
-        if before != expires && !takes_over {
+        let takes_over = publisher != me && publisher != NO_SHARD;
+        if before != expires_at && !takes_over {
             self.wake_others(me);
         }
     }
 
     /// Which shard has published a lease last.
-    pub(crate) fn last_published(&self) -> Option<Shard> {
-        Some(self.list_publisher.load(Ordering::Acquire)).filter(|shard| *shard != NOBODY)
+    pub(crate) fn last_publisher(&self) -> Option<Shard> {
+        Some(self.list_publisher.load(Ordering::Acquire)).filter(|shard| *shard != NO_SHARD)
     }
 
     /// What was last published of the list's lease.
     pub(crate) fn lease(&self) -> Option<Lease> {
-        let at = |micros| tokio::time::Instant::from_std(self.began + Duration::from_micros(micros));
-        let alive = self.list_alive.load(Ordering::Acquire);
-        let expires = Some(self.list_expires.load(Ordering::Acquire)).filter(|at| *at != NEVER);
-        (alive > 0).then(|| Lease { alive: at(alive), expires: expires.map(at) })
+        let instant = |micros| tokio::time::Instant::from_std(self.started + Duration::from_micros(micros));
+        let verified_at = self.list_verified_at.load(Ordering::Acquire);
+        let expires_at = Some(self.list_expires_at.load(Ordering::Acquire)).filter(|at| *at != NEVER);
+        (verified_at > 0).then(|| Lease { alive: instant(verified_at), expires: expires_at.map(instant) })
     }
 
-    pub(crate) fn wake(&self, wakes: Wakes) {
-        wakes.shards().filter_map(|shard| self.posts.get(shard)).for_each(|post| post.look.notify_one());
+    pub(crate) fn wake(&self, shards: WakeSet) {
+        shards
+            .shards()
+            .filter_map(|shard| self.mailboxes.get(shard))
+            .for_each(|mailbox| mailbox.wake.notify_one());
     }
 
     /// All but this one look at what there is.
     pub(crate) fn wake_others(&self, me: Shard) {
-        let others = self.posts.iter().enumerate().filter(|(shard, _)| *shard != me);
-        others.for_each(|(_, post)| post.look.notify_one());
+        let others = self.mailboxes.iter().enumerate().filter(|(shard, _)| *shard != me);
+        others.for_each(|(_, mailbox)| mailbox.wake.notify_one());
     }
 
     /// The process was told this of the list, by one shard's watch. How often it was told by now.
-    pub(crate) fn list(&self, me: Shard, list: &List) -> u64 {
-        let mut lists = lock(&self.lists);
-        lists.seq = list.seq;
-        if list.whole {
-            lists.hosts.clear();
+    pub(crate) fn publish_list(&self, me: Shard, change: &List) -> u64 {
+        let mut list = lock(&self.list);
+        list.seq = change.seq;
+        if change.whole {
+            list.hosts.clear();
         }
-        for host in &list.hosts {
+        for host in &change.hosts {
             match host.health {
-                Health::Gone => lists.hosts.remove(&host.host),
-                _ => lists.hosts.insert(host.host.clone(), host.clone()),
+                Health::Gone => list.hosts.remove(&host.host),
+                _ => list.hosts.insert(host.host.clone(), host.clone()),
             };
         }
-        lists.news.tell(me, self.now(), Arc::new(list.clone()));
+        list.changes.publish(me, self.now(), Arc::new(change.clone()));
         // Under the lock: whoever sees the count finds the list.
-        let told = self.told.fetch_add(1, Ordering::AcqRel) + 1;
-        drop(lists);
+        let received = self.list_changes.fetch_add(1, Ordering::AcqRel) + 1;
+        drop(list);
         self.wake_others(me);
-        told
+        received
     }
 
     /// What the process was told since by others' watches, and how often it was told by now.
-    pub(crate) fn lists(&self, me: Shard, cursor: &mut Cursor) -> (Vec<Arc<List>>, u64) {
-        let lists = lock(&self.lists);
-        let news = match lists.news.read(me, self.now(), cursor) {
-            Read::Told(news) => news.into_iter().map(|(_, list)| list).collect(),
-            Read::Missed => vec![Arc::new(lists.whole())],
+    pub(crate) fn read_list_changes(&self, me: Shard, cursor: &mut Cursor) -> (Vec<Arc<List>>, u64) {
+        let list = lock(&self.list);
+        let changes = match list.changes.read(me, self.now(), cursor) {
+            Read::Entries(changes) => changes.into_iter().map(|(_, change)| change).collect(),
+            Read::Lagged => vec![Arc::new(list.snapshot())],
         };
-        (news, self.told.load(Ordering::Acquire))
+        (changes, self.list_changes.load(Ordering::Acquire))
     }
 
     /// A shard has learned this of a host.
-    pub(crate) fn learn(&self, me: Shard, host: &Arc<str>, what: Learned) {
-        lock(&self.learned).tell(me, self.now(), (host.clone(), what));
+    pub(crate) fn publish_observation(&self, me: Shard, host: &Arc<str>, observation: Observation) {
+        lock(&self.observations).publish(me, self.now(), (host.clone(), observation));
     }
 
     /// What others have learned since, with its age.
-    pub(crate) fn learned(&self, me: Shard, cursor: &mut Cursor) -> Vec<(Duration, Arc<str>, Learned)> {
-        match lock(&self.learned).read(me, self.now(), cursor) {
-            Read::Told(news) => {
-                news.into_iter().map(|(age, (host, what))| (Duration::from_micros(age), host, what)).collect()
-            }
-            Read::Missed => Vec::new(),
+    pub(crate) fn read_observations(
+        &self,
+        me: Shard,
+        cursor: &mut Cursor,
+    ) -> Vec<(Duration, Arc<str>, Observation)> {
+        match lock(&self.observations).read(me, self.now(), cursor) {
+            Read::Entries(entries) => entries
+                .into_iter()
+                .map(|(age, (host, observation))| (Duration::from_micros(age), host, observation))
+                .collect(),
+            Read::Lagged => Vec::new(),
         }
     }
 
     /// Room at a host's process.
-    pub(crate) fn room(&self, host: &Arc<str>, born_ms: u64) -> Arc<Room> {
-        let mut rooms = lock(&self.rooms);
+    pub(crate) fn host_capacity(&self, host: &Arc<str>, born_ms: u64) -> Arc<HostCapacity> {
+        let mut capacities = lock(&self.capacities);
         // What nobody holds any more is of a host that has gone.
-        rooms.retain(|_, room| Arc::strong_count(room) > 1);
-        let room = rooms.entry((host.clone(), born_ms));
-        room.or_insert_with(|| Arc::new(Room::new(self.sizes.shards))).clone()
+        capacities.retain(|_, capacity| Arc::strong_count(capacity) > 1);
+        let capacity = capacities.entry((host.clone(), born_ms));
+        capacity.or_insert_with(|| Arc::new(HostCapacity::new(self.options.shards))).clone()
     }
 
     /// A host's number, the same at every shard.
-    pub(crate) fn number(&self, name: &str) -> ServerId {
-        let mut numbers = lock(&self.numbers);
-        if let Some(&known) = numbers.by_name.get(name) {
+    pub(crate) fn server_id(&self, name: &str) -> ServerId {
+        let mut server_ids = lock(&self.server_ids);
+        if let Some(&known) = server_ids.by_name.get(name) {
             return known;
         }
-        if numbers.by_name.len() >= NUMBERS_KEPT {
+        if server_ids.by_name.len() >= MAX_SERVER_IDS {
             // A shard that knows a host holds its room: others' names are of hosts that have gone.
-            let rooms = lock(&self.rooms);
-            let held: HashSet<&str> = rooms.keys().map(|(name, _)| &**name).collect();
-            numbers.by_name.retain(|name, _| held.contains(&name[..]));
+            let capacities = lock(&self.capacities);
+            let held: HashSet<&str> = capacities.keys().map(|(name, _)| &**name).collect();
+            server_ids.by_name.retain(|name, _| held.contains(&name[..]));
         }
-        numbers.last += 1;
-        let number = ServerId(numbers.last);
-        numbers.by_name.insert(name.to_owned(), number);
-        number
+        server_ids.last += 1;
+        let server_id = ServerId(server_ids.last);
+        server_ids.by_name.insert(name.to_owned(), server_id);
+        server_id
     }
 
     /// A shard beats.
     pub(crate) fn beat(&self, me: Shard) {
-        self.posts.iter().skip(me).take(1).for_each(|post| {
-            post.beat.fetch_add(1, Ordering::Relaxed);
+        self.mailboxes.iter().skip(me).take(1).for_each(|mailbox| {
+            mailbox.heartbeat.fetch_add(1, Ordering::Relaxed);
         });
     }
 
     /// A shard's beats so far, and whether it has ended.
-    pub(crate) fn pulse(&self, shard: Shard) -> (u64, bool) {
-        self.posts
-            .get(shard)
-            .map_or((0, true), |post| (post.beat.load(Ordering::Relaxed), post.ended.load(Ordering::Acquire)))
+    pub(crate) fn heartbeat(&self, shard: Shard) -> (u64, bool) {
+        self.mailboxes.get(shard).map_or((0, true), |mailbox| {
+            (mailbox.heartbeat.load(Ordering::Relaxed), mailbox.ended.load(Ordering::Acquire))
+        })
     }
 
     /// A shard has no clients left and takes no new ones.
-    pub(crate) fn done(&self, me: Shard) {
-        self.posts.iter().skip(me).take(1).for_each(|post| post.done.store(true, Ordering::Release));
+    pub(crate) fn set_drained(&self, me: Shard) {
+        self.mailboxes
+            .iter()
+            .skip(me)
+            .take(1)
+            .for_each(|mailbox| mailbox.drained.store(true, Ordering::Release));
     }
 
     /// Whether no shard has any left.
-    pub(crate) fn all_done(&self) -> bool {
-        let done = |post: &Post<P>| post.done.load(Ordering::Acquire) || post.ended.load(Ordering::Acquire);
-        self.posts.iter().all(done)
+    pub(crate) fn all_drained(&self) -> bool {
+        let drained = |mailbox: &Mailbox<P>| {
+            mailbox.drained.load(Ordering::Acquire) || mailbox.ended.load(Ordering::Acquire)
+        };
+        self.mailboxes.iter().all(drained)
     }
 
     /// A shard has ended, with all its calls: what it had is the others'.
-    pub(crate) fn end(&self, me: Shard) {
-        let Some(post) = self.posts.get(me) else { return };
-        post.ended.store(true, Ordering::Release);
-        let woken =
-            lock(&self.rooms).values().map(|room| room.remove(me)).fold(Wakes::default(), |a, b| a | b);
+    pub(crate) fn end_shard(&self, me: Shard) {
+        let Some(mailbox) = self.mailboxes.get(me) else { return };
+        mailbox.ended.store(true, Ordering::Release);
+        let woken = lock(&self.capacities)
+            .values()
+            .map(|capacity| capacity.remove_shard(me))
+            .fold(WakeSet::default(), |a, b| a | b);
         self.wake(woken);
         self.wake_others(me);
     }
 
     /// A shard does not answer, or does again.
-    pub(crate) fn stalled(&self, shard: Shard, stalled: bool) {
-        self.posts.iter().skip(shard).take(1).for_each(|post| post.stalled.store(stalled, Ordering::Relaxed));
+    pub(crate) fn set_stalled(&self, shard: Shard, stalled: bool) {
+        self.mailboxes
+            .iter()
+            .skip(shard)
+            .take(1)
+            .for_each(|mailbox| mailbox.stalled.store(stalled, Ordering::Relaxed));
     }
 
     /// Whether a shard takes what comes, as far as others have seen.
-    pub(crate) fn answers(&self, shard: Shard) -> bool {
-        let ended = |post: &Post<P>| post.ended.load(Ordering::Acquire);
-        self.posts.get(shard).is_some_and(|post| !post.stalled.load(Ordering::Relaxed) && !ended(post))
+    pub(crate) fn is_responsive(&self, shard: Shard) -> bool {
+        let ended = |mailbox: &Mailbox<P>| mailbox.ended.load(Ordering::Acquire);
+        self.mailboxes
+            .get(shard)
+            .is_some_and(|mailbox| !mailbox.stalled.load(Ordering::Relaxed) && !ended(mailbox))
     }
 
     /// Takes back what a stalled shard has of room without a call on it.
     pub(crate) fn reclaim(&self, shard: Shard) {
-        let rooms = lock(&self.rooms);
-        let woken = rooms.values().map(|room| room.reclaim(shard)).fold(Wakes::default(), |a, b| a | b);
-        drop(rooms);
+        let capacities = lock(&self.capacities);
+        let woken = capacities
+            .values()
+            .map(|capacity| capacity.reclaim(shard))
+            .fold(WakeSet::default(), |a, b| a | b);
+        drop(capacities);
         self.wake(woken);
     }
 }
 
-impl<P: Protocol> Post<P> {
+impl<P: Protocol> Mailbox<P> {
     pub(crate) fn new(
         requests: mpsc::Sender<Handover<P>>,
-        notes: mpsc::UnboundedSender<Note<P>>,
+        messages: mpsc::UnboundedSender<Message<P>>,
         jobs: mpsc::Sender<Job<P>>,
-    ) -> Post<P> {
-        Post {
+    ) -> Mailbox<P> {
+        Mailbox {
             requests,
-            notes,
+            messages,
             jobs,
-            look: Notify::new(),
-            beat: AtomicU64::new(0),
+            wake: Notify::new(),
+            heartbeat: AtomicU64::new(0),
             ended: AtomicBool::new(false),
-            done: AtomicBool::new(false),
+            drained: AtomicBool::new(false),
             stalled: AtomicBool::new(false),
         }
     }
--- a/shards/cores/src/lib.rs
+++ b/shards/cores/src/lib.rs
@@ -8,6 +8,7 @@
 //! Threads meet in four ways, none of which waits: words that are changed by compare-and-swap (room, tickets, beats),
 //! open ids under one of 64 short locks, news under a lock that only changes of the list and of hosts' standing take,
 //! and bounded mail.
+
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -16,5 +17,5 @@
 pub mod member;
 pub mod seat;
 
-pub use hub::{Hub, Sizes};
-pub use seat::Seat;
+pub use hub::{ShardOptions, SharedState};
+pub use seat::PreparedShard;
--- a/shards/src/lib.rs
+++ b/shards/src/lib.rs
@@ -8,13 +8,14 @@
 //!
 //! [`room`] and [`ticket`] are shared by threads and are checked by `loom` in all interleavings of small cases
 //! (`tests/threads.rs`, feature `loom`); the rest belongs to one thread or is under a lock off the ordinary path.
+
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod broadcast;
+pub mod capacity;
+pub mod handover;
 pub mod ids;
-pub mod news;
-pub mod owner;
-pub mod roll;
-pub mod room;
+pub mod liveness;
+pub mod rendezvous;
 mod sync;
-pub mod ticket;
--- a/shards/src/owner.rs
+++ b/shards/src/rendezvous.rs
@@ -5,7 +5,7 @@
 use std::hash::Hasher;
 
 /// Which of these shards a key of a tenant and class belongs to; 0 without any.
-pub fn among(
+pub fn owner(
     shards: impl Iterator<Item = usize>,
     seed: u64,
     tenant: Option<u32>,
@@ -27,30 +27,31 @@
     use super::*;
 
     fn owners(shards: usize) -> Vec<usize> {
-        (0..20_000_u32).map(|n| among(0..shards, 7, Some(n % 3), n % 2, &n.to_be_bytes())).collect()
+        (0..20_000_u32).map(|n| owner(0..shards, 7, Some(n % 3), n % 2, &n.to_be_bytes())).collect()
     }
 
     #[test]
-    fn keys_are_spread_evenly_and_a_shard_more_takes_only_its_part() {
+    fn keys_are_spread_evenly_and_an_added_shard_takes_only_its_share() {
         for shards in 1..9 {
             let (before, after) = (owners(shards), owners(shards + 1));
             for shard in 0..shards {
-                let part = before.iter().filter(|&&own| own == shard).count();
+                let owned = before.iter().filter(|&&owner| owner == shard).count();
                 let even = before.len() / shards;
-                assert!(part.abs_diff(even) * 20 <= even, "{part} of {even}");
+                assert!(owned.abs_diff(even) * 20 <= even, "{owned} of {even}");
             }
             let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
-            let fair = before.len() / (shards + 1);
-            assert!(moved * 20 <= fair * 21, "{moved} moved of {fair}");
+            let share = before.len() / (shards + 1);
+            assert!(moved * 20 <= share * 21, "{moved} moved of {share}");
             assert!(before.iter().zip(&after).all(|(a, b)| a == b || *b == shards), "between two others");
         }
     }
 
     #[test]
     fn a_tenant_and_a_class_are_part_of_a_key() {
-        let of = |tenant, class| (0..64_u8).map(|n| among(0..4, 1, tenant, class, &[n])).collect::<Vec<_>>();
-        assert_ne!(of(None, 0), of(Some(0), 0));
-        assert_ne!(of(None, 0), of(None, 1));
-        assert_eq!(among(0..0, 1, None, 0, b"k"), 0);
+        let owners =
+            |tenant, class| (0..64_u8).map(|n| owner(0..4, 1, tenant, class, &[n])).collect::<Vec<_>>();
+        assert_ne!(owners(None, 0), owners(Some(0), 0));
+        assert_ne!(owners(None, 0), owners(None, 1));
+        assert_eq!(owner(0..0, 1, None, 0, b"k"), 0);
     }
 }
