--- a/keys/fuzz/fuzz_targets/store.rs
+++ b/keys/fuzz/fuzz_targets/store.rs
@@ -1,6 +1,5 @@
-//! Any events, in any order, also such as no driver would tell: the store must keep its bounds, tell each who waits of
-//! one end, and never let two calls of one key run at once.
-
+//! Feeds the store any events in any order, including ones that no caller would report: the store must keep its bounds,
+//! give each waiter exactly one outcome, and never let two calls of one key run at once.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -33,7 +32,7 @@
                     Request { tenant: Some(tenant.into()), class: class.into(), kind, key: &text, digest };
                 match store.admit(now, &request, next, now + u64::from(c)) {
                     Admission::First(run_id) => {
-                        assert!(running.insert((tenant, class, key), run_id).is_none(), "two at once");
+                        assert!(running.insert((tenant, class, key), run_id).is_none(), "two calls at once");
                         waiting.insert(next);
                         run_ids.push(run_id);
                     }
@@ -53,7 +52,7 @@
                 };
                 let completion = store.complete(now, run_id, outcome);
                 for waiter in &completion.waiters {
-                    assert!(waiting.remove(waiter), "told twice");
+                    assert!(waiting.remove(waiter), "not waiting, or answered twice");
                 }
                 match completion.next {
                     Some(next) => assert!(waiting.contains(&next)),
@@ -63,9 +62,12 @@
             3 if !run_ids.is_empty() => {
                 let (run_id, waiter) = (run_ids[usize::from(a) % run_ids.len()], u64::from(b));
                 let removal = store.remove_waiter(run_id, waiter);
-                // It may wait for another slot.
-                assert!(removal == Removal::WasNotWaiting || waiting.remove(&waiter), "told twice");
-                // It is called off, or lingers.
+                // It may wait for another run.
+                assert!(
+                    removal == Removal::WasNotWaiting || waiting.remove(&waiter),
+                    "not waiting, or answered twice"
+                );
+                // The call is cancelled or detached.
                 if removal == Removal::NobodyWaits && c & 1 == 0 {
                     store.complete(now, run_id, RunOutcome::Unsure);
                     running.retain(|_, other| *other != run_id);
@@ -75,13 +77,13 @@
                 let verdict = if b & 1 == 0 { Verdict::Ran } else { Verdict::NeverRan };
                 let run_id = run_ids[usize::from(a) % run_ids.len()];
                 if store.settle(now, run_id, verdict, c & 1 == 0).is_ok() {
-                    assert!(running.values().all(|other| *other != run_id), "it runs");
+                    assert!(running.values().all(|other| *other != run_id), "a running call was settled");
                 }
             }
             _ => {
                 now += u64::from(a);
                 while let Some((run_id, waiter, removal)) = store.pop_overdue(now) {
-                    assert!(waiting.remove(&waiter), "told twice");
+                    assert!(waiting.remove(&waiter), "not waiting, or answered twice");
                     if removal == Removal::NobodyWaits {
                         store.complete(now, run_id, RunOutcome::Unsure);
                         running.retain(|_, other| *other != run_id);
--- a/keys/src/bounds.rs
+++ b/keys/src/bounds.rs
@@ -1,34 +1,35 @@
-//! What a store may hold, and for how long.
+//! Limits on what a store holds, and for how long.
+
 /// How long the end of a call is remembered, in microseconds from that end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// An answer, or the marker that is left of it.
+    /// For an answer, or the marker that remains when the answer was dropped to make room.
     pub answered: u64,
-    /// A failure of a call that may have run.
+    /// For a failure of a call that may have run.
     pub unsure: u64,
 }
 
 impl Default for Retention {
-    /// A minute, and a day for what nobody knows: longer than any client comes again by itself.
+    /// A minute for answers, and a day for keys whose outcome is unknown: longer than any client retries by itself.
     fn default() -> Self {
         Retention { answered: 60_000_000, unsure: 86_400_000_000 }
     }
 }
 
-/// What a store may hold.
+/// Limits on what a store holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Keys in all.
+    /// Most keys in total.
     pub entries: usize,
-    /// Keys of one tenant; requests without one are a tenant of their own.
+    /// Most keys of one tenant. Requests without a tenant count as a tenant of their own.
     pub entries_per_tenant: usize,
-    /// Bytes of all answers that are kept.
+    /// Most bytes of all kept answers together.
     pub answer_bytes: usize,
-    /// Requests that may wait for one running call, the first included.
+    /// Most requests that wait for one running call, including the first.
     pub waiters: usize,
-    /// Bytes of a key; a longer one is turned away.
+    /// Most bytes of a key; a request with a longer one is rejected.
     pub key_bytes: usize,
-    /// Retention by class; one beyond the list has the default.
+    /// Retention by class; a class beyond the end of the list has the default.
     pub retention: Vec<Retention>,
 }
 
--- a/keys/src/detached.rs
+++ b/keys/src/detached.rs
@@ -1,47 +1,51 @@
-//! Calls that nobody waits for any more and that may end all the same: how many, for how long, and which goes first.
+//! Detached calls: calls that continue although no client waits for them any more. Limits how many there are and for
+//! how long, and decides which one is cancelled first.
 //!
-//! A client that gives up and asks again is the ordinary case. What has been written of its call runs at its host
-//! whether anybody listens or not, so listening on costs a connection and gains an answer. It must not cost without
-//! bound: whoever sends and hangs up, again and again, would hold every connection. So there is a bound in all, one
-//! for each host and one for each tenant, and at a bound the oldest makes room.
+//! It is common for a client to give up and retry. Whatever was already written of its call runs at the host whether or
+//! not the proxy keeps waiting for the answer, so waiting on costs a connection and gains an answer for the retry. The
+//! cost has to be limited: a client that sends requests and hangs up, again and again, would otherwise hold every
+//! connection. So there is a limit in total, one per host and one per tenant, and when a limit is exceeded the oldest
+//! detached call is cancelled.
+//!
+//! The settings and the reported state call these calls *lingering*.
 
 use crate::store::{Micros, RunId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::Hash;
 
-/// How many calls may linger.
+/// How many calls may be detached at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DetachedBounds {
-    /// In all; 0: none does.
+    /// In total; 0 allows none.
     pub total: usize,
-    /// With an attempt out at one host.
+    /// With an attempt in flight at one host.
     pub per_host: usize,
-    /// Of one tenant; calls without one are a tenant of their own.
+    /// Of one tenant. Calls without a tenant count as a tenant of their own.
     pub per_tenant: usize,
 }
 
 impl Default for DetachedBounds {
-    /// 128 in all, 8 at a host, 64 of a tenant.
+    /// 128 in total, 8 per host, 64 per tenant.
     fn default() -> Self {
         DetachedBounds { total: 128, per_host: 8, per_tenant: 64 }
     }
 }
 
-/// A call that lingers.
+/// A detached call.
 #[derive(Clone, Debug)]
 struct Call<K> {
     id: K,
     tenant: Option<u32>,
-    /// Where attempts of it were out when it began to linger; no host twice.
+    /// Hosts at which attempts of it were in flight when it was detached, without duplicates.
     hosts: Vec<u32>,
     until: Micros,
 }
 
-/// The calls that linger, by age, under whatever names them.
+/// The detached calls in the order in which they were detached, each under an id of the caller's choice.
 #[derive(Clone, Debug)]
 pub struct DetachedCalls<K = RunId> {
     bounds: DetachedBounds,
-    /// In the order in which they began to.
+    /// By sequence number: the oldest first.
     calls: BTreeMap<u64, Call<K>>,
     next_sequence: u64,
     sequence_by_id: HashMap<K, u64>,
@@ -51,35 +55,37 @@
 }
 
 impl<K: Copy + Eq + Hash> DetachedCalls<K> {
-    /// None yet.
+    /// No calls yet.
     pub fn new(bounds: DetachedBounds) -> DetachedCalls<K> {
         let (calls, next_sequence, sequence_by_id, by_host, by_tenant, by_end) = Default::default();
         DetachedCalls { bounds, calls, next_sequence, sequence_by_id, by_host, by_tenant, by_end }
     }
 
-    /// Goes on under other bounds. None is called off for it: what is over a bound goes as room is needed.
+    /// Replaces the bounds. This cancels no call: calls beyond the new bounds are cancelled when further ones are
+    /// added.
     pub fn set_bounds(&mut self, bounds: DetachedBounds) {
         self.bounds = bounds;
     }
 
-    /// How many linger.
+    /// Number of detached calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether none does.
+    /// Whether there is no detached call.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Whether this call does.
+    /// Whether this call is detached.
     pub fn contains(&self, id: K) -> bool {
         self.sequence_by_id.contains_key(&id)
     }
 
-    /// A call begins to linger, until this moment, with attempts out at these hosts. What comes back no longer does
-    /// and is to be called off, oldest first; under a bound of 0 it is this call itself.
-    #[must_use = "these calls are to be called off"]
+    /// Adds a call that may stay detached until this time, with attempts in flight at these hosts. Returns the calls
+    /// that exceed a bound, oldest first: they are removed here, and the caller must cancel them. With a bound of 0
+    /// this is the added call itself.
+    #[must_use = "these calls are to be cancelled"]
     pub fn add(&mut self, id: K, tenant: Option<u32>, hosts: &[u32], until: Micros) -> Vec<K> {
         self.remove(id);
         let sequence = self.next_sequence;
@@ -112,18 +118,19 @@
         cancelled
     }
 
-    /// A call no longer lingers: it has ended, or is wanted again. `false`: it did not.
+    /// Removes a call because it has ended, or because a client waits for it again. `false`: it was not detached.
     pub fn remove(&mut self, id: K) -> bool {
         let sequence = self.sequence_by_id.get(&id).copied();
         sequence.and_then(|sequence| self.remove_sequence(sequence)).is_some()
     }
 
-    /// When the first of them has lingered for long enough.
+    /// The earliest time at which a call has been detached for as long as it may be.
     pub fn next_due(&self) -> Option<Micros> {
         self.by_end.first().map(|&(until, _)| until)
     }
 
-    /// One that has lingered for long enough now, if there is one: it no longer does, and is to be called off.
+    /// Removes and returns a call that has been detached for as long as it may be, if there is one: the caller must
+    /// cancel it.
     pub fn pop_due(&mut self, now: Micros) -> Option<K> {
         let &(until, sequence) = self.by_end.first()?;
         if until > now {
@@ -158,10 +165,11 @@
 mod tests {
     use super::*;
 
-    /// A call, its tenant, its hosts and its end.
+    /// A call, its tenant, its hosts and the time until which it may be detached.
     type ListedCall = (RunId, Option<u32>, Vec<u32>, u64);
 
-    /// The same by scanning a list: what lingers, what is called off and when the next is due agree at every step.
+    /// Compares with a naive model that scans a list: which calls are detached, which are cancelled and when the next
+    /// is due agree at every step.
     #[test]
     fn agrees_with_a_model_that_scans_a_list() {
         for seed in 0..200_u64 {
--- a/keys/src/inspect.rs
+++ b/keys/src/inspect.rs
@@ -1,75 +1,75 @@
-//! What an operator sees of the store, and the one thing that may be changed in it by hand: a key of which nobody knows
+//! The operators' view of the store, and the one change that an operator may make: settling a key of which it is unknown
 //! whether it ran.
 
 use crate::store::{ClassKind, KeyState, Micros, RunId, State, Store, Verdict};
 use std::fmt;
 
-/// A key, without what of it is secret.
+/// A key as operators see it, without its secret part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyView {
-    /// Which run of it.
+    /// The run of the key.
     pub run_id: RunId,
-    /// Whose it is.
+    /// The tenant of its requests.
     pub tenant: Option<u32>,
-    /// Its class.
+    /// The class of its requests.
     pub class: u32,
-    /// The class's kind.
+    /// The kind of that class.
     pub kind: ClassKind,
-    /// The key, masked.
+    /// The key, masked ([`mask`]).
     pub key: String,
-    /// What it is at.
+    /// The key's state.
     pub state: KeyState,
-    /// How long ago its first request came.
+    /// Microseconds since its first request arrived.
     pub age: Micros,
-    /// For how long it is remembered yet; `None`: until its call ends.
+    /// Microseconds for which it is still remembered; `None` while its call is running.
     pub expires_in: Option<Micros>,
-    /// How many wait for its call.
+    /// Number of requests that wait for its call.
     pub waiters: usize,
-    /// Bytes of its answer.
+    /// Size of its answer in bytes.
     pub answer_bytes: usize,
 }
 
-/// Which keys are asked for. What is `None` says nothing.
+/// Selects keys. A condition that is `None` matches every key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyFilter {
-    /// Those at this.
+    /// Keys in this state.
     pub state: Option<KeyState>,
-    /// Those of this class.
+    /// Keys of this class.
     pub class: Option<u32>,
-    /// Those of this tenant.
+    /// Keys of this tenant.
     pub tenant: Option<u32>,
-    /// Those whose first request came this long ago or longer.
+    /// Keys whose first request arrived at least this many microseconds ago.
     pub min_age: Micros,
-    /// This very key.
+    /// Exactly this key.
     pub key: Option<Vec<u8>>,
 }
 
-/// A part of the keys.
+/// One page of a listing of keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyPage {
-    /// Those that were asked for, in no order.
+    /// The keys that pass the filter, in no particular order.
     pub keys: Vec<KeyView>,
     /// Where the next page begins; `None`: this was the last.
     pub next: Option<usize>,
 }
 
-/// A key that was settled by hand.
+/// The result of settling a key by hand.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settlement {
-    /// As it was before.
+    /// The key as it was before.
     pub before: KeyView,
-    /// For how long the verdict is remembered.
+    /// Microseconds for which the verdict is remembered.
     pub remembered_for: Micros,
 }
 
 /// Why a key was not settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettleError {
-    /// No such run: it has ended and been forgotten, or its key has run again.
+    /// There is no such run: it has been forgotten, or its key has run again.
     Unknown,
-    /// It is not unsure but at this; somebody else may have been first.
+    /// The key is in this state and not unsure; it may have been settled by someone else first.
     NotUnsure(KeyState),
-    /// An attempt of it is still out, so that nobody can say that it never ran.
+    /// An attempt of it is still in flight, so that it can't be settled as never run.
     AttemptInFlight,
 }
 
@@ -85,8 +85,8 @@
 
 impl std::error::Error for SettleError {}
 
-/// A key with what is secret of it hidden: of a long one its first four and last two characters show, of a short one
-/// its length alone. What cannot be shown is a dot.
+/// Masks a key for display: a key of 12 bytes or more shows its first four and last two bytes and its length, a shorter
+/// one its length alone. Bytes that are not printable ASCII show as a dot.
 pub fn mask(key: &[u8]) -> String {
     let printable = |part: &[u8]| -> String {
         part.iter().map(|&byte| if byte.is_ascii_graphic() { char::from(byte) } else { '.' }).collect()
@@ -119,13 +119,14 @@
         })
     }
 
-    /// One key; `None`: that run is not known any more.
+    /// The view of one run of a key; `None` if that run is not known any more.
     pub fn view(&self, now: Micros, run_id: RunId) -> Option<KeyView> {
         self.view_at(now, run_id.index).filter(|view| view.run_id == run_id)
     }
 
-    /// Keys that pass a filter, among the `most` places from `from` on (0 at first): the walk over all may be long,
-    /// and other work is to have its turn between two pages. What comes and goes between them may be missed.
+    /// Lists the keys that pass a filter among `max` entries from index `from` on (0 for the first page). A listing is
+    /// split into pages because it may be long, and the caller has other work to do in between. Keys that are added or
+    /// removed between two pages may be missing.
     pub fn page(&self, now: Micros, filter: &KeyFilter, from: usize, max: usize) -> KeyPage {
         let end = from.saturating_add(max.max(1)).min(self.entries.len());
         let has_wanted_key = |index: usize| {
@@ -144,11 +145,13 @@
         KeyPage { keys, next: Some(end).filter(|end| *end < self.entries.len()) }
     }
 
-    /// Somebody says by hand whether an unsure key ran. It is remembered for as long as an unsure end of its class is.
-    /// An answer that comes all the same holds against it. `out`: an attempt of it is still out.
+    /// Settles an unsure key: an operator states whether it ran. The verdict is remembered for as long as an unsure
+    /// outcome of its class. An answer that arrives later overrides it. `in_flight`: an attempt of the run is still in
+    /// flight.
     ///
     /// # Errors
-    /// It is not unsure: of two who settle one key the second gets this. Or it is said never to have run and may yet.
+    /// The key is not unsure (if two operators settle one key, the second gets this error), the run is unknown, or it
+    /// is settled as never run while an attempt is in flight and may still run.
     pub fn settle(
         &mut self,
         now: Micros,
@@ -185,6 +188,7 @@
         store.admit(now, &request, now, now + 10)
     }
 
+    /// Adds a key whose run ends unsure.
     fn unsure(store: &mut Store<u32>, now: Micros, key: &[u8]) -> RunId {
         let Admission::First(run_id) = admit(store, now, key) else { panic!("a first") };
         store.complete(now + 1, run_id, RunOutcome::Unsure);
@@ -213,7 +217,7 @@
             store.settle(HOUR, ran, Verdict::Ran, false).map(|settlement| settlement.before.state),
             Ok(KeyState::Unsure)
         );
-        // Two settle one key at once: the second is told.
+        // If two operators settle one key, the second gets an error.
         assert_eq!(
             store.settle(HOUR, ran, Verdict::NeverRan, false),
             Err(SettleError::NotUnsure(KeyState::Ran))
@@ -225,10 +229,10 @@
         );
         let again = admit(&mut store, HOUR, b"never");
         assert!(matches!(again, Admission::First(run_id) if run_id != never), "{again:?}");
-        // Its first run is another's, and can no longer be settled nor answered.
+        // The key has run again: its earlier run can neither be settled nor answered any more.
         assert_eq!(store.settle(HOUR, never, Verdict::Ran, false), Err(SettleError::Unknown));
         assert_eq!(store.complete(HOUR, never, RunOutcome::Served { answer: 9, bytes: 1 }).late_for, None);
-        // An answer holds against a word.
+        // An answer overrides an operator's verdict.
         assert!(store.settle(HOUR, late, Verdict::NeverRan, false).is_ok());
         let completion = store.complete(HOUR, late, RunOutcome::Served { answer: 7, bytes: 1 });
         assert_eq!(completion.late_for, Some(KeyState::NeverRan));
--- a/keys/src/shared_usage.rs
+++ b/keys/src/shared_usage.rs
@@ -1,34 +1,37 @@
-//! What several stores hold together: their bounds are one.
+//! Usage that several stores count together, since they share one set of bounds.
 //!
-//! A store makes room from what it has itself. Where it has nothing that can go and another has, it *claims* one of the
-//! other's: it may go one over the bound at once, and the other, when it is told, gives one up. So the bound is passed
-//! by what is claimed and not yet given up, and a store is claimed no more than it could give. A tenant's own bound is
-//! not met so: a store that has none of that tenant's to give up refuses.
+//! A store makes room by evicting entries of its own. If it has none that may be evicted and another store has, it
+//! *requests an eviction* there: the requesting store may add its key at once, and the other store evicts one when it
+//! handles the request. So the bound on keys is exceeded by at most the number of pending eviction requests, and no
+//! store is asked for more evictions than it can perform. The bound per tenant is not enforced in this way: a store
+//! that has no evictable key of the tenant refuses the request.
 
 use crate::bounds::Bounds;
 use crate::store::FullBound;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A store among those that share bounds, from 0.
+/// The number of a store among those that share bounds, from 0.
 pub type StoreId = usize;
 
+/// What one store could evict for others.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct EvictableKeys {
-    /// Keys that could go.
+    /// Keys that may be evicted.
     evictable: usize,
-    /// Those of them that are claimed.
+    /// Pending eviction requests against these keys.
     requested: usize,
-    /// Claims whose keys have gone by themselves, of which the store has not heard.
+    /// Requests whose key was already removed for another reason, and which the store has not handled yet.
     already_removed: usize,
 }
 
-/// What stores could give up.
+/// What each store could evict for others.
 #[derive(Debug, Default)]
 struct EvictableByStore(HashMap<StoreId, EvictableKeys>);
 
 impl EvictableByStore {
-    /// A store has so many that could go. How many claims are settled by that comes back: their keys have gone.
+    /// Sets how many keys a store may evict. Returns how many pending requests this satisfies, since their keys have
+    /// been removed.
     fn set(&mut self, store: StoreId, evictable: usize) -> usize {
         let keys = self.0.entry(store).or_default();
         keys.evictable = evictable;
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Claims one of the store that has most.
+    /// Requests an eviction from the store other than `requester` that has the most unrequested evictable keys.
     fn request(&mut self, requester: StoreId) -> Option<StoreId> {
         let unrequested = |(&store, keys): (&StoreId, &EvictableKeys)| {
             (keys.evictable.saturating_sub(keys.requested), store)
@@ -55,7 +58,7 @@
         Some(store)
     }
 
-    /// The store hears of a claim. `false`: its key has gone by itself.
+    /// A store handles an eviction request. `false`: the requested key was already removed for another reason.
     fn take_request(&mut self, store: StoreId) -> bool {
         let Some(keys) = self.0.get_mut(&store) else { return false };
         let is_pending = keys.already_removed == 0 && keys.requested > 0;
@@ -77,26 +80,26 @@
     keys_by_tenant: HashMap<Option<u32>, usize>,
 }
 
-/// What several stores hold together. What a store held that has gone stays counted: nobody knows what became of its
-/// keys.
+/// Usage that several stores count together. Keys of a store that no longer exists stay counted, since their outcome is
+/// unknown.
 #[derive(Debug, Default)]
 pub struct SharedUsage(Mutex<Usage>);
 
 impl SharedUsage {
-    /// Whole whoever panicked: what is under it changes in single steps.
+    /// Ignores poisoning: everything under the lock changes in single steps, so a panic leaves it consistent.
     fn lock(&self) -> MutexGuard<'_, Usage> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keys that all hold.
+    /// Number of keys in all stores.
     pub fn keys(&self) -> usize {
         self.lock().keys
     }
 
-    /// One more of a tenant, if all hold less than these bounds together.
+    /// Adds a key of a tenant, if all stores together hold less than these bounds.
     ///
     /// # Errors
-    /// Which bound is reached.
+    /// The bound that is reached.
     pub(crate) fn add(&self, tenant: Option<u32>, bounds: &Bounds) -> Result<(), FullBound> {
         let mut usage = self.lock();
         let tenant_keys = usage.keys_by_tenant.get(&tenant).copied().unwrap_or_default();
@@ -111,16 +114,18 @@
         Ok(())
     }
 
-    /// One of another store is to go, so that the bound on all holds again. Which store, if any has one.
+    /// Requests that another store evict a key, so that the total stays within the bound. Returns that store; `None`
+    /// if no other store has an evictable key.
     pub(crate) fn request_eviction(&self, requester: StoreId) -> Option<StoreId> {
         let mut usage = self.lock();
         let store = usage.evictable.request(requester)?;
-        // It is the other's no more, as far as the bound goes.
+        // The requested key no longer counts towards the bound.
         usage.keys = usage.keys.saturating_sub(1);
         Some(store)
     }
 
-    /// The store that was claimed hears of it: what it gives up now was counted. `false`: it has gone by itself.
+    /// A store handles an eviction request: the key that it evicts next was already subtracted, and is counted again
+    /// here. `false`: the requested key was already removed for another reason, and there is nothing to evict.
     #[must_use]
     pub(crate) fn take_eviction_request(&self, store: StoreId) -> bool {
         let mut usage = self.lock();
@@ -129,7 +134,7 @@
         is_pending
     }
 
-    /// One less.
+    /// Removes a key of a tenant.
     pub(crate) fn remove(&self, tenant: Option<u32>) {
         let mut usage = self.lock();
         usage.keys = usage.keys.saturating_sub(1);
@@ -141,14 +146,14 @@
         }
     }
 
-    /// A store has so many keys that could go.
+    /// Sets how many keys a store may evict.
     pub(crate) fn set_evictable(&self, store: StoreId, evictable: usize) {
         let mut usage = self.lock();
-        // They were counted as gone when they were claimed, and are again now.
+        // Requested keys that are removed for another reason are subtracted twice: by the request and by the removal.
         usage.keys += usage.evictable.set(store, evictable);
     }
 
-    /// Room for so many bytes of answers; `false`: all hold too many.
+    /// Reserves bytes for an answer; `false` if all stores together would hold more than `max`.
     pub(crate) fn add_bytes(&self, bytes: usize, max: usize) -> bool {
         let mut usage = self.lock();
         let fits = usage.answer_bytes + bytes <= max;
--- a/keys/src/store.rs
+++ b/keys/src/store.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The state machine of the store.
 
 use crate::bounds::Bounds;
 use crate::shared_usage::{SharedUsage, StoreId};
@@ -10,41 +10,41 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// A moment, in microseconds.
+/// A time, in microseconds.
 pub type Micros = u64;
 
-/// A request that waits, as whoever drives the store numbers it; no two that wait have one number.
+/// The caller's number for a waiting request; no two waiting requests have the same.
 pub type WaiterId = u64;
 
-/// What tells one request from another under the same key: a keyed hash of what it asks for.
+/// A keyed hash of a request's content, which tells different requests with the same key apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest(u128);
 
-/// What kind of class a request is of.
+/// The kind of a request's class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClassKind {
-    /// Hosts know the key too, and drop repeats for a while.
+    /// Hosts receive the key as well, and drop duplicates for some time.
     Keyed,
-    /// Only this store knows the key: a second run is harm for good.
+    /// Only this store knows the key: nothing else prevents or undoes a second run.
     Unsafe,
 }
 
 /// A request with a key.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Whose it is.
+    /// Its tenant.
     pub tenant: Option<u32>,
     /// Its class.
     pub class: u32,
-    /// The class's kind.
+    /// The kind of that class.
     pub kind: ClassKind,
-    /// Its key, as it came.
+    /// Its key, as received.
     pub key: &'a [u8],
     /// Its digest, by [`Store::digest`].
     pub digest: Digest,
 }
 
-/// A running call. It names this one run for good: a key that runs again has another. As text it is `PLACE-SERIAL`.
+/// Identifies one run of a key. A later run of the same key has another id. Its text form is `INDEX-SERIAL`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RunId {
     pub(crate) index: usize,
@@ -74,7 +74,7 @@
     }
 }
 
-/// A text that names no run of a key.
+/// The text is not the text form of a [`RunId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidRunId;
 
@@ -86,25 +86,25 @@
 
 impl std::error::Error for InvalidRunId {}
 
-/// What a key is at.
+/// The state of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum KeyState {
-    /// Its call is out; it may run, and its answer may still come.
+    /// Its call is in flight: it may run, and its answer may still arrive.
     Running,
     /// It ran, and its answer is kept.
     Answered,
-    /// It ran and was answered, and its answer is no longer kept.
+    /// It ran and was answered, but the answer is no longer kept.
     Forgotten,
-    /// It may have run; nobody knows.
+    /// It may have run; the outcome is unknown.
     Unsure,
-    /// It ran, as somebody has said by hand; its answer was never seen.
+    /// It ran, according to an operator; its answer was never received.
     Ran,
-    /// It never ran, as somebody has said by hand: the next request with it is a first.
+    /// It never ran, according to an operator: the next request with this key is sent as a first one.
     NeverRan,
 }
 
 impl KeyState {
-    /// All of them, with their names in answers and at the command line; the names do not change.
+    /// All states with their names, as used in responses and on the command line. The names are stable.
     pub const ALL: [(KeyState, &'static str); 6] = [
         (KeyState::Running, "running"),
         (KeyState::Answered, "answered"),
@@ -114,37 +114,37 @@
         (KeyState::NeverRan, "never-ran"),
     ];
 
-    /// Its name.
+    /// The state's name.
     pub fn name(self) -> &'static str {
         KeyState::ALL.iter().find(|(state, _)| *state == self).map_or("", |(_, name)| name)
     }
 
-    /// The state of this name.
+    /// The state with this name.
     pub fn named(name: &str) -> Option<KeyState> {
         KeyState::ALL.iter().find(|(_, state_name)| *state_name == name).map(|(state, _)| *state)
     }
 }
 
-/// What is known of a key that has no answer to give.
+/// What is known of a key that has no answer to return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyInfo {
-    /// What it is at.
+    /// The key's state.
     pub state: KeyState,
-    /// How long ago its first request came, in microseconds.
+    /// Microseconds since its first request arrived.
     pub age: Micros,
 }
 
-/// What somebody says by hand of a key of which nobody knew.
+/// An operator's decision about a key whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It ran: no request with it goes to a host, and each is told so.
+    /// It ran: no further request with this key is sent to a host, and each is answered accordingly.
     Ran,
-    /// It never ran: the next request with it is a first.
+    /// It never ran: the next request with this key is sent as a first one.
     NeverRan,
 }
 
 impl Verdict {
-    /// What a key is at after it.
+    /// The state of a key with this verdict.
     pub fn state(self) -> KeyState {
         match self {
             Verdict::Ran => KeyState::Ran,
@@ -153,40 +153,40 @@
     }
 }
 
-/// Why a request is not held, or an answer no longer.
+/// The bound that leaves no room for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FullBound {
-    /// All entries are running or unsure.
+    /// [`Bounds::entries`]: no entry may be evicted, since all are running or unsure.
     Entries,
-    /// All of its tenant's are.
+    /// [`Bounds::entries_per_tenant`]: the same for the entries of the request's tenant.
     Tenant,
-    /// As many wait for this key as may.
+    /// [`Bounds::waiters`]: no more requests may wait for this key.
     Waiters,
 }
 
-/// What a request gets.
+/// What the store decides for an arriving request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission<A> {
-    /// It is the first: it is to be sent, and its end told.
+    /// It is the first with its key: the caller sends it, and reports its outcome to [`Store::complete`].
     First(RunId),
-    /// It waits with the first.
+    /// It waits for the running call of its key.
     Joined {
-        /// For which call.
+        /// The run that it waits for.
         run_id: RunId,
-        /// It waits longer than all others: the call is wanted until its deadline now.
+        /// Its deadline is later than that of all other waiters: the call's deadline is to be extended to it.
         longest: bool,
     },
-    /// The first's answer.
+    /// It gets the answer of the first request.
     Replay(A),
-    /// The first ran or may have, and there is no answer to give: no new attempt.
+    /// The first request ran or may have run, and there is no answer to return. It must not be sent again.
     NoAnswer(KeyInfo),
-    /// Another request had this key: an error, 422.
+    /// The key was used by a different request: an error, 422.
     Mismatch,
     /// The key is empty or too long: an error, 400.
     BadKey,
-    /// There is no room, and it can do without: it goes on as if there were no store.
+    /// There is no room, and the request may do without the store: it is sent as if there were none.
     Pass(FullBound),
-    /// There is no room, and without it there may be harm: it is refused, and never ran.
+    /// There is no room, and sending it without the store could run it twice: it is refused, and never ran.
     Refused(FullBound),
 }
 
@@ -197,87 +197,87 @@
     Served {
         /// The answer.
         answer: A,
-        /// How many bytes it holds.
+        /// Size of the answer in bytes.
         bytes: usize,
     },
     /// It may have run, and there is no answer.
     Unsure,
-    /// It surely never ran.
+    /// It certainly never ran.
     NeverRan,
 }
 
-/// Who hears of an end.
+/// The consequences of a run's end for the requests that wait for it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Completion {
-    /// Those who get it, in the order in which they came.
+    /// The requests that get this outcome, in the order of their arrival.
     pub waiters: Vec<WaiterId>,
-    /// The one that is sent now, under the same slot: it becomes the first.
+    /// The request that is to be sent now under the same run id: it becomes the first.
     pub next: Option<WaiterId>,
-    /// An answer came for a key that had been given up, which was at this: the answer holds.
+    /// An answer arrived for a run that had been given up, whose key was in this state. The answer now counts.
     pub late_for: Option<KeyState>,
 }
 
-/// What is left of a call when one who waited has gone.
+/// The effect of removing a waiter from a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Removal {
-    /// Others wait.
+    /// Other requests still wait for the call.
     OthersWait,
-    /// Nobody does. It is to be called off and its end told; or it goes on for a while (see [`crate::Lingering`]), in
-    /// which case a repeat joins it as any.
+    /// No request waits any more. The caller either cancels the call and reports its outcome, or lets it continue for a
+    /// while (see [`crate::DetachedCalls`]), in which case a repeat joins it as usual.
     NobodyWaits,
-    /// It had ended, or did not wait.
+    /// The call had ended, or the request did not wait for it.
     WasNotWaiting,
 }
 
-/// What has been done so far, by cause.
+/// Counters of what the store has done so far. Their names appear in the log and in the library's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that became the first of their key, again after one that never ran included.
+    /// Requests that were the first of their key, including those sent again after a run that never happened.
     pub firsts: u64,
-    /// Repeats that waited with the first.
+    /// Repeats that waited for the running call.
     pub joined: u64,
-    /// Repeats that got its answer later.
+    /// Repeats that got the kept answer later.
     pub replayed: u64,
-    /// Repeats that got its failure.
+    /// Repeats of a key in state [`KeyState::Unsure`].
     pub unsure: u64,
     /// Repeats whose answer was no longer kept.
     pub forgotten: u64,
-    /// Repeats of a key that ran, as somebody has said by hand.
+    /// Repeats of a key that ran according to an operator.
     pub told_by_hand: u64,
-    /// Calls that went on when nobody waited any more.
+    /// Calls that were detached: they continued after no client waited for them any more.
     pub lingered: u64,
-    /// Those of them that a repeat has joined.
+    /// Detached calls that a repeat joined.
     pub rejoined: u64,
-    /// Those of them that were answered.
+    /// Detached calls that were answered.
     pub answered_alone: u64,
-    /// Those of them that made room for others.
+    /// Detached calls that were cancelled to make room for others.
     pub called_off: u64,
-    /// Keys that ended unsure.
+    /// Runs that ended unsure.
     pub ended_unsure: u64,
-    /// Answers that came for a key that had been given up.
+    /// Answers that arrived for a run that had been given up.
     pub late: u64,
-    /// Keys that were settled by hand.
+    /// Keys settled by an operator.
     pub settled: u64,
-    /// Other requests under a key that was taken.
+    /// Requests whose key was in use by a different request.
     pub mismatched: u64,
-    /// Requests with a key that cannot be one.
+    /// Requests with an invalid key.
     pub bad_keys: u64,
-    /// Requests that passed by for want of room, by cause.
+    /// Requests that were sent without the store for lack of room, by [`FullBound`].
     pub passed: [u64; 3],
-    /// Requests refused for want of room, by cause.
+    /// Requests that were refused for lack of room, by [`FullBound`].
     pub refused: [u64; 3],
-    /// Answers that were given up for others, before their time.
+    /// Answers that were dropped early to make room for others.
     pub shrunk: u64,
-    /// Keys that were.
+    /// Keys that were dropped early to make room for others.
     pub evicted: u64,
-    /// Keys whose time was up.
+    /// Keys that were dropped at the end of their retention.
     pub expired: u64,
 }
 
 impl std::ops::Add for Counts {
     type Output = Counts;
 
-    /// What two stores have done together.
+    /// The counters of two stores together.
     fn add(self, other: Counts) -> Counts {
         let both = |a: [u64; 3], b: [u64; 3]| [a[0] + b[0], a[1] + b[1], a[2] + b[2]];
         Counts {
@@ -314,21 +314,21 @@
 
 #[derive(Debug)]
 pub(crate) enum State<A> {
-    /// Those who wait, in the order in which they came, with their deadlines.
     Running {
-        /// Whose request it is that runs; it may have gone.
+        /// The request whose call it is; it may no longer be waiting.
         sent: WaiterId,
+        /// The waiting requests in the order of their arrival, with their deadlines.
         waiters: Vec<(WaiterId, Micros)>,
     },
-    /// `None`: a marker, its answer was given up.
     Answered {
         expires_at: Micros,
+        /// `None`: only a marker remains, since the answer was dropped to make room.
         answer: Option<(A, usize)>,
     },
     Unsure {
         expires_at: Micros,
     },
-    /// By hand.
+    /// An operator has settled the key.
     Settled {
         expires_at: Micros,
         verdict: Verdict,
@@ -341,13 +341,12 @@
     pub(crate) serial: u64,
     pub(crate) kind: ClassKind,
     digest: Digest,
-    /// When its first request came.
+    /// When the first request with the key arrived.
     pub(crate) first_arrival: Micros,
     pub(crate) state: State<A>,
 }
 
 impl<A> Entry<A> {
-    /// What it is at.
     pub(crate) fn key_state(&self) -> KeyState {
         match self.state {
             State::Running { .. } => KeyState::Running,
@@ -359,12 +358,12 @@
     }
 }
 
-/// What may be given up, the first to end by itself first. An entry is in one of the two at most.
+/// Entries that may be evicted, the earliest to expire first. An entry is in at most one of the two sets.
 #[derive(Debug, Default)]
 struct Evictable {
-    /// Answers, which shrink to a marker.
+    /// Entries with a kept answer; the answer may also be dropped alone, which leaves a marker.
     answers: BTreeSet<(Micros, usize)>,
-    /// What can go whole.
+    /// Entries without an answer, which are evicted first.
     without_answer: BTreeSet<(Micros, usize)>,
 }
 
@@ -374,7 +373,7 @@
     evictable: Evictable,
 }
 
-/// Hashes with a seed, so that nobody who does not know it can make keys that collide.
+/// Hashes with a seed, so that keys that collide can't be made without knowing it.
 #[derive(Clone, Copy, Debug)]
 struct Seeded(u64, u64);
 
@@ -388,7 +387,7 @@
 
 /// The store. `A` is an answer; it is cloned for each repeat and should be cheap to clone.
 ///
-/// Its work for one event does not grow with what it holds, but for the logarithm of an ordered set.
+/// The work per event does not grow with the number of entries, except for the logarithmic cost of ordered sets.
 #[derive(Debug)]
 pub struct Store<A> {
     seed: Seeded,
@@ -399,15 +398,16 @@
     next_serial: u64,
     tenants: HashMap<Option<u32>, Tenant, Seeded>,
     evictable: Evictable,
-    /// All that ends by itself.
+    /// All entries that expire.
     expiries: BTreeSet<(Micros, usize)>,
-    /// Those who wait, by deadline.
+    /// All waiting requests, by deadline.
     waiter_deadlines: BTreeSet<(Micros, WaiterId, usize)>,
     answer_bytes: usize,
     counts: Counts,
-    /// Where other stores share its bounds, and which of them it is.
+    /// If the bounds are shared with other stores: this store's number among them, and the usage that they count
+    /// together.
     shared_usage: Option<(StoreId, Arc<SharedUsage>)>,
-    /// What others are to give up for this one, and have not been told; one at most a request.
+    /// Stores that are to evict a key for this one and have not been notified yet; at most one per request.
     eviction_requests: Vec<StoreId>,
 }
 
@@ -417,16 +417,16 @@
     }
 }
 
-/// What goes first of what could: markers and the like before whole answers.
+/// The entry to evict next: one without an answer if there is one, else the answer that expires first.
 fn next_to_evict(evictable: &Evictable) -> Option<usize> {
     evictable.without_answer.first().or(evictable.answers.first()).map(|&(_, index)| index)
 }
 
-/// How many entries whose time is up go with one event: a crowd that ends at once must not hold up the next request.
+/// How many expired entries one call drops at most: when many expire at once, the next request must not wait for all.
 const MAX_EXPIRED_PER_CALL: usize = 16;
 
 impl<A: Clone> Store<A> {
-    /// An empty store. The seed should not be known outside.
+    /// An empty store. The seed should be secret.
     pub fn new(seed: u64, bounds: Bounds) -> Self {
         let seed = Seeded(seed, seed.rotate_left(32) ^ 0x9e37_79b9_7f4a_7c15);
         Store {
@@ -447,8 +447,9 @@
         }
     }
 
-    /// An empty store that shares its bounds on keys and bytes with others, as the one of this number. What can go to
-    /// make room goes from the store that needs it, or else from another ([`Store::claims`]).
+    /// An empty store that shares its bounds on keys and bytes with other stores, as number `store_id` among them. To
+    /// make room it evicts entries of its own, or else requests that another store evicts one
+    /// ([`Store::take_eviction_requests`]).
     pub fn with_shared_usage(
         seed: u64,
         bounds: Bounds,
@@ -458,14 +459,15 @@
         Store { shared_usage: Some((store_id, shared_usage)), ..Store::new(seed, bounds) }
     }
 
-    /// What others are to give up, each by [`Store::give_up`]: to be asked after each request, and told.
+    /// The stores that are to evict a key for this one, each by [`Store::evict_for_peer`]. The caller takes them after
+    /// each request and notifies these stores.
     pub fn take_eviction_requests(&mut self) -> Vec<StoreId> {
         std::mem::take(&mut self.eviction_requests)
     }
 
-    /// Another store has claimed a key of this one.
+    /// Another store has requested that this one evict a key.
     pub fn evict_for_peer(&mut self) {
-        // It may have gone by itself.
+        // The requested key may already have been removed for another reason.
         if !self.shared_usage.as_ref().is_some_and(|(store_id, usage)| usage.take_eviction_request(*store_id))
         {
             return;
@@ -475,14 +477,14 @@
         }
     }
 
-    /// Goes on under other bounds. Nothing is dropped for it: what is over a bound goes as room is needed, and what
-    /// is remembered keeps the time that it was given.
+    /// Replaces the bounds. This drops nothing: entries beyond the new bounds are evicted as room is needed, and what
+    /// is remembered keeps its expiry.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
 
-    /// A digest of these parts, in their order; where one ends counts. 128 bits under the store's seed: nobody who
-    /// does not know it can make two requests that have one digest.
+    /// A digest of these parts in this order; the boundaries between the parts count. 128 bits under the store's seed:
+    /// two requests with the same digest can't be made without knowing it.
     pub fn digest(&self, parts: &[&[u8]]) -> Digest {
         let mut hasher = SipHasher24::new_with_keys(self.seed.1, self.seed.0);
         for part in parts {
@@ -492,28 +494,28 @@
         Digest(hasher.finish128().as_u128())
     }
 
-    /// What has been done so far.
+    /// The counters so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Keys that are held, those whose time is up and that have not gone yet included.
+    /// Number of keys, including expired ones that have not been dropped yet.
     pub fn len(&self) -> usize {
         self.index_by_key.len()
     }
 
-    /// Whether no key is held.
+    /// Whether the store holds no key.
     pub fn is_empty(&self) -> bool {
         self.index_by_key.is_empty()
     }
 
-    /// Bytes of the answers that are kept.
+    /// Size of all kept answers in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// A request comes, which waits until `deadline`. Under a number of its own it waits for an end where it is the
-    /// first or joins, and only then.
+    /// Decides what a request gets that arrives now and waits until `deadline`. Only if it is the first or joins a call
+    /// does the store keep it as a waiter, under the number `waiter`.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -615,13 +617,15 @@
         }
     }
 
-    /// What is known of a key's run, for one who waited for it in vain.
+    /// What is known of a run, for a request that waited for it and got no answer; `None` if the run is not known any
+    /// more.
     pub fn info(&self, now: Micros, run_id: RunId) -> Option<KeyInfo> {
         let entry = self.entries.get(run_id.index)?.as_ref().filter(|entry| entry.serial == run_id.serial)?;
         Some(KeyInfo { state: entry.key_state(), age: now.saturating_sub(entry.first_arrival) })
     }
 
-    /// Whose request it is that runs as a slot's call: the first's, who may have gone. `None`: none runs.
+    /// The request that was sent as the running call of a run; it may no longer be waiting. `None`: the run is not
+    /// running.
     pub fn sent_request(&self, run_id: RunId) -> Option<WaiterId> {
         match self.entries.get(run_id.index)?.as_ref()? {
             Entry { serial, state: State::Running { sent, .. }, .. } if *serial == run_id.serial => {
@@ -631,23 +635,23 @@
         }
     }
 
-    /// Those who wait for a running call, in the order in which they came.
+    /// The requests that wait for a running call, in the order of their arrival.
     pub fn waiters(&mut self, run_id: RunId) -> Vec<WaiterId> {
         self.running(run_id).map(|waiters| waiters.iter().map(|&(id, _)| id).collect()).unwrap_or_default()
     }
 
-    /// Whose key it is that runs in this slot.
+    /// The tenant of a run's key.
     pub fn tenant(&self, run_id: RunId) -> Option<u32> {
         let entry = self.entries.get(run_id.index)?.as_ref().filter(|entry| entry.serial == run_id.serial)?;
         entry.key.tenant
     }
 
-    /// For whoever drives the store: it counts here what it does with calls that linger.
+    /// The counters, in which the caller counts what it does with detached calls.
     pub fn counts_mut(&mut self) -> &mut Counts {
         &mut self.counts
     }
 
-    /// One who waited has gone.
+    /// Removes a request from the waiters of a run, since its client has gone.
     pub fn remove_waiter(&mut self, run_id: RunId, waiter: WaiterId) -> Removal {
         let Some(waiters) = self.running(run_id) else { return Removal::WasNotWaiting };
         let Some(position) = waiters.iter().position(|&(id, _)| id == waiter) else {
@@ -659,13 +663,13 @@
         removal
     }
 
-    /// When the first of those who wait no longer does.
+    /// The earliest deadline of all waiting requests.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.waiter_deadlines.first().map(|&(deadline, ..)| deadline)
     }
 
-    /// One whose time is up now, if there is one, and what is left of its call. Each is told of once; it gets the
-    /// failure, as its call may have run or may yet.
+    /// Removes and returns a waiter whose deadline has passed, if there is one, and the effect on its call. The caller
+    /// answers it with a failure, as its call may have run or may still run.
     pub fn pop_overdue(&mut self, now: Micros) -> Option<(RunId, WaiterId, Removal)> {
         let &(deadline, waiter, index) = self.waiter_deadlines.first()?;
         if deadline > now {
@@ -677,9 +681,8 @@
         Some((run_id, waiter, removal))
     }
 
-    /// The running call of this slot has ended. After one that never ran, the next who waits becomes the first.
-    /// Says nothing of a slot that has ended before, but for an answer that comes when its call was given up as
-    /// unsure: that is kept.
+    /// Records how a running call ended. If it never ran, the next waiter becomes the first and is to be sent. Has no
+    /// effect on a run that ended before, except that an answer to a run that was given up as unsure is kept.
     pub fn complete(&mut self, now: Micros, run_id: RunId, outcome: RunOutcome<A>) -> Completion {
         self.expire(now);
         let Some(entry) = self.entries.get_mut(run_id.index).and_then(Option::as_mut) else {
@@ -703,7 +706,7 @@
             Completion { waiters: waiters.iter().map(|&(id, _)| id).collect(), next: None, late_for };
         match outcome {
             RunOutcome::NeverRan if waiters.len() > 1 => {
-                // The first hears of its own end; the next takes its place, and the others wait on.
+                // The first gets the outcome of its own run; the next takes its place, and the others keep waiting.
                 let (first, deadline) = waiters[0];
                 completion = Completion { waiters: vec![first], next: Some(waiters[1].0), late_for: None };
                 self.waiter_deadlines.remove(&(deadline, first, run_id.index));
@@ -769,7 +772,7 @@
         self.expires_at(index).is_some_and(|expires_at| expires_at <= now)
     }
 
-    /// The sets in which an entry that has ended stands: what may be given up, and how.
+    /// Adds an entry whose run has ended to the indexes of what expires and of what may be evicted.
     pub(crate) fn add_to_indexes(&mut self, index: usize) {
         let Some(expires_at) = self.expires_at(index) else { return };
         self.expiries.insert((expires_at, index));
@@ -782,7 +785,7 @@
             | (State::Settled { verdict: Verdict::NeverRan, .. }, _) => {
                 evictable.without_answer.insert((expires_at, index))
             }
-            // It ran or may have, and its client knows nothing of it: a second run is harm for good.
+            // It ran or may have run, and its client does not know: a second run can't be undone.
             (State::Unsure { .. } | State::Settled { .. }, ClassKind::Unsafe)
             | (State::Running { .. }, _) => false,
         };
@@ -791,7 +794,7 @@
         self.publish_evictable();
     }
 
-    /// The stores that share its bounds know what could go here.
+    /// Publishes to the stores that share the bounds how many keys may be evicted here.
     fn publish_evictable(&self) {
         self.shared_usage
             .iter()
@@ -839,7 +842,7 @@
         }
     }
 
-    /// Gives an answer up; a marker of it stays.
+    /// Drops an entry's answer; the entry remains as a marker.
     fn drop_answer(&mut self, index: usize) {
         self.remove_from_indexes(index);
         if let Some(Entry { state: State::Answered { answer, .. }, .. }) = &mut self.entries[index] {
@@ -852,7 +855,7 @@
         self.add_to_indexes(index);
     }
 
-    /// Room for an answer of so many bytes: older ones shrink for it.
+    /// Makes room for an answer of this size by dropping the answers that expire first. `false`: there is no room.
     fn make_room_for_answer(&mut self, bytes: usize) -> bool {
         if bytes > self.bounds.answer_bytes {
             return false;
@@ -867,8 +870,8 @@
         true
     }
 
-    /// Room for one more key of a tenant: what can go of its own, where it has as many as it may; else of anybody's.
-    /// Markers and the like go before whole answers do.
+    /// Makes room for one more key of a tenant: evicts an entry of the tenant if it has reached its own bound, or else
+    /// of any tenant. Entries without an answer are evicted before those with one.
     fn make_room_for_key(&mut self, tenant: Option<u32>) -> Result<(), FullBound> {
         if let Some((store_id, usage)) = self.shared_usage.clone() {
             while let Err(bound) = usage.add(tenant, &self.bounds) {
--- a/keys/station/src/config.rs
+++ b/keys/station/src/config.rs
@@ -1,4 +1,4 @@
-//! What the station of keys is told, in a file of its own.
+//! The configuration of the key store, which has a file of its own.
 
 use nettleworks_engine::config::Config;
 use nettleworks_engine::extras::Extra;
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The store's configuration, a file of its own.
+/// The configuration file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 struct File {
@@ -33,26 +33,27 @@
     forward: bool,
 }
 
-/// What the station of keys is told.
+/// The configuration of the key store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyStoreConfig {
-    /// What it may hold.
+    /// Limits on what the store holds.
     pub bounds: Bounds,
-    /// How many calls may go on when nobody waits for them.
+    /// How many calls may be detached: continue although no client waits for them.
     pub detached_bounds: DetachedBounds,
-    /// For how long at most, by class; zero: none of it does. No call outlives its class's time.
+    /// How long a call may be detached at most, by class; zero: calls of the class are not detached. A call never
+    /// continues past the deadline of its class.
     pub max_detached_time: Vec<Duration>,
-    /// Whether hosts get the keys of a class that is unsafe, by class.
+    /// Whether the keys of an unsafe class are forwarded to hosts, by class.
     pub forward: Vec<bool>,
-    /// Where an operator looks at keys and settles them; `None`: nowhere.
+    /// Path of the socket at which operators inspect and settle keys; `None`: there is none.
     pub socket: Option<PathBuf>,
 }
 
 impl KeyStoreConfig {
-    /// Reads the store's configuration, a JSON object, for a site with these classes.
+    /// Parses the configuration, a JSON object, for a site with these classes.
     ///
     /// # Errors
-    /// What is wrong, and its place.
+    /// What is wrong, and where.
     pub fn parse(text: &str, classes: &[String]) -> Result<KeyStoreConfig, String> {
         let mut json = serde_json::Deserializer::from_str(text);
         let file: File = serde_path_to_error::deserialize(&mut json).map_err(|error| error.to_string())?;
@@ -111,15 +112,15 @@
 
 impl Extra for KeyStoreConfig {}
 
-/// A configuration with a store of keys.
+/// A configuration with a key store.
 pub trait WithKeys: Sized {
-    /// The same with a store of keys, as this text (`docs/configuration.md`) says.
+    /// Adds a key store with the configuration in this text (`docs/configuration.md`).
     ///
     /// # Errors
-    /// What is wrong with it, and its place.
+    /// What is wrong with it, and where.
     fn with_keys(self, text: &str) -> Result<Self, String>;
 
-    /// What it says of keys; `None`: there is no store.
+    /// The configuration of the key store; `None`: there is no store.
     fn keys(&self) -> Option<&KeyStoreConfig>;
 }
 
--- a/keys/station/src/lib.rs
+++ b/keys/station/src/lib.rs
@@ -1,6 +1,6 @@
-//! The store of idempotency keys as a station on a call's way: repeats wait for one call, or get what is known of it;
-//! a call that nobody waits for any more may end all the same. What is decided is decided in `nettleworks-keys`.
-
+//! Puts the store of idempotency keys on the path of a call: repeats wait for the running call of their key, or get what
+//! is known of it, and a call that no client waits for any more may continue *detached*. The decisions are made in
+//! `nettleworks-keys`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -27,45 +27,45 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How much later than its own time one that waits with others is told that it is over, where its call does not linger:
-/// the module ends a call in its time, and hosts are to be blamed for a time-out, not spared for a caller that has gone.
+/// How long after its deadline a waiting request times out, if its call can't be detached: the decision module ends the
+/// call at the deadline, and hosts must be blamed for the time-out instead of being excused as if the client had gone.
 const GRACE: Duration = Duration::from_millis(5);
-/// When to come again after a refusal for want of room.
+/// When a client may retry after a refusal for lack of room.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the station shows of itself.
+/// The key store's part of the engine's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeysState {
-    /// What it has done so far.
+    /// The counters so far.
     pub counts: Counts,
-    /// Keys that are held.
+    /// Number of keys.
     pub held: usize,
-    /// Bytes of the answers that are kept.
+    /// Size of the kept answers in bytes.
     pub answer_bytes: usize,
 }
 
-/// One who waits for a key.
+/// A request that waits for the outcome of its key.
 struct Waiter<P: Protocol> {
     run_id: RunId,
-    /// The call runs as this one's: others get a replayed answer.
+    /// It was sent as the call of this run; the other waiters get a replayed answer.
     first: bool,
     held: Taken<P>,
 }
 
-/// The station.
+/// Holds requests with an idempotency key until the outcome of their key is known.
 pub struct KeyInterceptor<P: Protocol> {
     store: Store<P::Answer>,
     detached: ShardDetachedCalls,
     config: Rc<KeyStoreConfig>,
     waiters: FxHashMap<WaiterId, Waiter<P>>,
-    /// The slots of the calls that run.
+    /// The runs of the running calls.
     runs: FxHashMap<CallId, RunId>,
-    /// The slots of calls that were given up and are still out.
+    /// The runs of calls that were given up while an attempt was in flight.
     given_up: FxHashMap<CallId, RunId>,
 }
 
 impl<P: Protocol> KeyInterceptor<P> {
-    /// The station that a configuration asks for, if it does.
+    /// The interceptor for a configuration; `None` if that has no key store.
     pub fn new(config: &Config) -> Option<Self> {
         let (keys, context) = (config.keys()?, ShardContext::of(config));
         let bounds = keys.bounds.clone();
@@ -85,11 +85,11 @@
         })
     }
 
-    /// Another station that shares its bounds needs room.
+    /// Handles a request of another shard's key store, with which this one shares its bounds.
     pub fn on_peer_request(&mut self, context: &mut Desk<P>, request: PeerRequest) {
         match request {
             PeerRequest::EvictKey => self.store.evict_for_peer(),
-            // It may have ended by itself, or be wanted again.
+            // The call may have ended in the meantime, or a client may wait for it again.
             PeerRequest::CancelCall(run_id) if self.detached.remove(run_id) => {
                 self.store.counts_mut().called_off += 1;
                 self.give_up(context, run_id);
@@ -98,13 +98,13 @@
         }
     }
 
-    /// For how long calls of a class may go on when nobody waits for them; `None`: not at all.
+    /// How long calls of a class may be detached; `None`: not at all.
     fn max_detached_time(&self, class: ClassId) -> Option<Duration> {
         let time = self.config.max_detached_time.get(class.0).copied();
         time.filter(|time| !time.is_zero() && self.config.detached_bounds.total > 0)
     }
 
-    /// How a call of a class goes on without its clients: until its class's time is up.
+    /// How a call of a class may continue without its clients: until the deadline of its class.
     fn detach_policy(&self, context: &Desk<P>, class: ClassId, deadline: Instant) -> Option<Outlives> {
         self.max_detached_time(class)?;
         let spec = context.config().settings.classes.get(class.0)?;
@@ -112,7 +112,7 @@
         Some(Outlives { until: end.max(deadline), past_aim: spec.repeat == Repeat::SingleShot })
     }
 
-    /// When one that waits is told that its time is up.
+    /// When a waiting request times out.
     fn times_out_at(&self, class: ClassId, deadline: Instant) -> Instant {
         if self.max_detached_time(class).is_some() {
             deadline
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The call that runs for a slot: its number is that of the request that it is.
+    /// The running call of a run. It has the number of the request that was sent.
     fn call(&self, run_id: RunId) -> Option<CallId> {
         self.store.sent_request(run_id).map(CallId)
     }
@@ -130,7 +130,7 @@
         self.waiters.insert(held.guest().number().0, Waiter { run_id, first, held });
     }
 
-    /// The call of a key has ended so.
+    /// Records how the call of a run ended, and answers its waiters.
     fn complete(&mut self, context: &mut Desk<P>, run_id: RunId, mut end: Ended<P::Answer>) {
         let now = context.now();
         let (outcome, replayed) = match &end.reply {
@@ -157,7 +157,7 @@
             let Some(waiter) = self.waiters.remove(&waiter) else { continue };
             let reply = match (&end.reply, &replayed) {
                 (_, Some(replayed)) if !waiter.first => Reply::Served(replayed.clone()),
-                // The one first gets the answer itself: a copy of its head costs more than all else here.
+                // Moved to the first waiter: copying an answer's head costs more than everything else here.
                 (Reply::Served(_), _) if waiter.first => std::mem::replace(&mut end.reply, Reply::Failed),
                 (Reply::Refused(after), _) => Reply::Refused(*after),
                 (reply, _) if !end.may_have_run => reply.clone(),
@@ -165,7 +165,7 @@
             };
             context.answer_taken(waiter.held, reply);
         }
-        // The next who waits takes the first's place.
+        // The next waiter takes the first one's place.
         let Some(next) = completion.next else { return };
         let (class, deadline) = match self.waiters.get(&next) {
             Some(waiter) => (waiter.held.guest().ask().class, waiter.held.guest().ask().deadline),
@@ -179,11 +179,12 @@
         }
     }
 
+    /// Answers a request that no longer waits, since its client has gone or its deadline has passed.
     fn answer_removed(&mut self, context: &mut Desk<P>, waiter: Waiter<P>, removal: Removal) {
         let run_id = waiter.run_id;
         let may_have_run = self.call(run_id).is_some_and(|call| context.may_have_run(call));
         let info = self.store.info(context.now(), run_id);
-        // Whoever has gone does not hear it.
+        // A client that has gone does not receive it.
         let reply = match info {
             _ if removal == Removal::NobodyWaits && !may_have_run => {
                 Reply::Refused(retry_after(context.config()))
@@ -198,7 +199,8 @@
         }
     }
 
-    /// Nobody waits for a call any more. It goes on within its class's time and the bounds, as far as it may.
+    /// Detaches a call that no client waits for any more, as far as its class's limit and the bounds on detached calls
+    /// allow, or else gives it up.
     fn detach_or_give_up(&mut self, context: &mut Desk<P>, run_id: RunId, class: ClassId) {
         let Some(call) = self.call(run_id) else { return };
         let now = Instant::now();
@@ -208,7 +210,7 @@
         });
         let Some((servers, limit, until)) = detachable else { return self.give_up(context, run_id) };
         context.linger(call);
-        // Where it is the class's time that ends it, its attempts time out first, and their hosts are blamed.
+        // If the call ends at the limit of its class, its attempts are to time out first, so that their hosts are blamed.
         let until = if until == limit { until + GRACE } else { until };
         let hosts: Vec<u32> = servers.iter().map(|server| server.0).collect();
         let cancelled = self.detached.add(run_id, self.store.tenant(run_id), &hosts, context.at(until));
@@ -221,11 +223,11 @@
         context.arm(until);
     }
 
-    /// The call of a key that nobody waits for is called off, where that is allowed. Its answer may come all the same,
-    /// where it is not.
+    /// Gives up a call that no client waits for: it is cancelled where that is allowed. Otherwise its answer may still
+    /// arrive.
     fn give_up(&mut self, context: &mut Desk<P>, run_id: RunId) {
         let Some(call) = self.call(run_id) else { return };
-        // One that has ended is told of.
+        // `None`: the call has ended, and its end is reported as usual.
         let Some(may_have_run) = context.give_up(call) else { return };
         self.runs.remove(&call);
         self.given_up.insert(call, run_id);
@@ -277,7 +279,7 @@
             }
             Admission::Pass(_) => return Step::Pass(incoming),
             Admission::Replay(answer) => Reply::Served(answer),
-            // It ran, or may have: never again, and nobody can say what came of it.
+            // It ran or may have run: it is never sent again, and its outcome is unknown.
             Admission::NoAnswer(info) => Reply::Unsure(key_status(info)),
             Admission::Mismatch => Reply::KeyTaken,
             Admission::BadKey => Reply::BadKey,
@@ -288,7 +290,7 @@
     }
 
     fn ended(&mut self, context: &mut Desk<P>, call: CallId, end: Ended<P::Answer>) {
-        // A station behind may answer what was given up.
+        // A later interceptor may answer a call that was given up here.
         let Some(run_id) = self.runs.remove(&call).or_else(|| self.given_up.remove(&call)) else { return };
         self.complete(context, run_id, end);
     }
@@ -319,8 +321,8 @@
         Some(context.instant(next))
     }
 
-    /// Those whose time is up get the failure, as their call may have run or may yet; the last of them is told so only
-    /// if it may have run. What has lingered for long enough is called off.
+    /// Times out overdue waiters: they get a failure, as their call may have run or may still run; the last waiter of a
+    /// call does so only if that may have run. Gives up calls that have been detached for as long as they may be.
     fn wake(&mut self, context: &mut Desk<P>) {
         let now = context.now();
         while let Some((_, waiter, removal)) = self.store.pop_overdue(now) {
@@ -365,7 +367,7 @@
     Doubt { at: info.state.name(), age: Duration::from_micros(info.age) }
 }
 
-/// When to come again after a refusal of our own.
+/// When a client may retry after a refusal by the key store, as far as the settings allow.
 fn retry_after(config: &Config) -> Duration {
     let max: Micros = config.settings.limits.max_retry_after;
     if max == 0 {
--- a/keys/station/src/operations.rs
+++ b/keys/station/src/operations.rs
@@ -1,4 +1,4 @@
-//! What an operator may do with keys.
+//! Operators' actions on keys.
 
 use crate::KeyInterceptor;
 use nettleworks_engine::driver::Handle;
@@ -6,15 +6,15 @@
 use nettleworks_keys::{KeyFilter, KeyPage, KeyView, RunId, SettleError, Settlement, Verdict};
 use std::time::Duration;
 
-/// What an operator may do with keys. `None` comes back where there is no store.
+/// Operators' actions on keys. All return `None` if there is no key store.
 pub trait KeyOperations {
-    /// A part of the keys that pass a filter, and where the next part begins.
+    /// One page of the keys that pass a filter, among `max` entries from index `from` on.
     fn keys_page(&self, filter: &KeyFilter, from: usize, max: usize) -> Option<KeyPage>;
 
-    /// One key; `None` also where that run of it is not known.
+    /// The view of one run of a key; `None` also if that run is not known.
     fn keys_view(&self, run_id: RunId) -> Option<KeyView>;
 
-    /// Settles an unsure key by hand; the log says who did it and why.
+    /// Settles an unsure key. The log records who settled it and why.
     ///
     /// # Errors
     /// As [`nettleworks_keys::Store::settle`].
@@ -59,8 +59,8 @@
                 }
                 Err(error) => format!("not settled by hand: {error}"),
             };
-            // What somebody typed is shown as one line, whatever it holds.
-context.log(&format!("keys: {run_id} {message}; by {who:?}, because {why:?}"));
+            // Debug format, so that text typed by an operator stays on one line.
+            context.log(&format!("keys: {run_id} {message}; by {who:?}, because {why:?}"));
             result
         })
     }
--- a/keys/station/src/shards.rs
+++ b/keys/station/src/shards.rs
@@ -1,4 +1,5 @@
-//! Several stations of a process that serve as one: each has the keys of its shard, and their bounds are one.
+//! The key stores of several shards of a process, which serve as one: each holds the keys that its shard owns, and all
+//! share one set of bounds.
 
 use nettleworks_engine::config::Config;
 use nettleworks_engine::extras::Extra;
@@ -6,19 +7,19 @@
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What a station is told by another, by [`crate::KeyStation::told`].
+/// A request of one shard's key store to another's, handled by [`crate::KeyInterceptor::on_peer_request`].
 #[derive(Clone, Copy, Debug)]
 pub enum PeerRequest {
-    /// A call of it lingers no more, and is to be called off.
+    /// Cancel this detached call, since a bound on detached calls is exceeded.
     CancelCall(RunId),
-    /// A key of it is to make room.
+    /// Evict a key to make room.
     EvictKey,
 }
 
-/// Tells the station of a shard.
+/// Sends a request to the key store of a shard.
 type SendRequest = Box<dyn Fn(usize, PeerRequest) + Send + Sync>;
 
-/// What the stations of all shards share.
+/// State that the key stores of all shards share.
 pub struct SharedKeyState {
     pub(crate) usage: Arc<SharedUsage>,
     detached: Mutex<DetachedCalls<(usize, RunId)>>,
@@ -26,25 +27,25 @@
 }
 
 impl SharedKeyState {
-    /// For stations that are told by `tell`, which is called on the thread of another. What is told at a time is bounded
-    /// by what lingers and by what stores hold.
+    /// State for stores that receive each other's requests through `send`, which is called on the thread of the sending
+    /// shard. The number of pending requests is bounded by the numbers of detached calls and of keys.
     pub fn new(send: impl Fn(usize, PeerRequest) + Send + Sync + 'static) -> Arc<SharedKeyState> {
         let detached = Mutex::new(DetachedCalls::new(DetachedBounds::default()));
         Arc::new(SharedKeyState { usage: Arc::default(), detached, send: Box::new(send) })
     }
 
-    /// Whole whoever panicked: what is under it changes in single steps.
+    /// Ignores poisoning: everything under the lock changes in single steps, so a panic leaves it consistent.
     fn detached(&self) -> MutexGuard<'_, DetachedCalls<(usize, RunId)>> {
         self.detached.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A station's place among those of all shards; goes with its configuration.
+/// The shard that a key store belongs to, and what it shares with the other shards. Part of the shard's configuration.
 #[derive(Clone)]
 pub struct ShardContext {
-    /// Its shard.
+    /// The shard's number.
     pub shard: usize,
-    /// What all share.
+    /// State that all shards share.
     pub shared: Arc<SharedKeyState>,
 }
 
@@ -62,13 +63,13 @@
     }
 }
 
-/// The calls of a station that linger: its own, by themselves or within bounds that it shares.
+/// The detached calls of one key store, within bounds of its own or bounds that it shares with other shards.
 pub(crate) struct ShardDetachedCalls {
     own: DetachedCalls,
     context: Option<ShardContext>,
 }
 
-/// Bounds that are kept elsewhere.
+/// The bounds of a shard's own calls if the shared bounds are enforced elsewhere.
 const UNBOUNDED: DetachedBounds =
     DetachedBounds { total: usize::MAX, per_host: usize::MAX, per_tenant: usize::MAX };
 
@@ -89,8 +90,9 @@
         }
     }
 
-    /// As [`Lingering::begin`]: what comes back is this station's to call off. Those of others are told.
-    #[must_use = "these calls are to be called off"]
+    /// As [`DetachedCalls::add`]. Returns the calls of this shard that are to be cancelled; other shards are requested to
+    /// cancel theirs.
+    #[must_use = "these calls are to be cancelled"]
     pub fn add(&mut self, run_id: RunId, tenant: Option<u32>, hosts: &[u32], until: u64) -> Vec<RunId> {
         let mut cancelled = self.own.add(run_id, tenant, hosts, until);
         if let Some(ShardContext { shard: me, shared }) = &self.context {
@@ -106,21 +108,21 @@
         cancelled
     }
 
-    /// What a store of another shard is to give up.
+    /// Requests that the key stores of these shards evict a key each.
     pub fn request_evictions(&self, shards: Vec<usize>) {
         for shard in shards {
             self.context.iter().for_each(|context| (context.shared.send)(shard, PeerRequest::EvictKey));
         }
     }
 
-    /// As [`Lingering::end`].
+    /// As [`DetachedCalls::remove`].
     pub fn remove(&mut self, run_id: RunId) -> bool {
         let removed = self.own.remove(run_id);
         self.remove_shared(removed.then_some(run_id));
         removed
     }
 
-    /// As [`Lingering::due`].
+    /// As [`DetachedCalls::pop_due`].
     pub fn pop_due(&mut self, now: u64) -> Option<RunId> {
         let due = self.own.pop_due(now);
         self.remove_shared(due);
--- a/keys/tests/interleavings.rs
+++ b/keys/tests/interleavings.rs
@@ -1,14 +1,15 @@
-//! All orders of events on one key up to a depth: repeats that come before, at and after each end of the first, with
-//! one and with many waiting, clients that go, calls that are called off then or linger, times that run out, words by
-//! hand and late answers.
+//! All orders of events on one key up to a depth: repeats that arrive before, during and after the first run, with one
+//! and with many waiters, clients that disconnect, calls that are cancelled then or detached, deadlines that pass,
+//! operators' verdicts and late answers.
 
 use nettleworks_keys::{
     Admission, Bounds, ClassKind, Completion, DetachedBounds, DetachedCalls, KeyInfo, KeyState, Removal,
     Request, Retention, RunId, RunOutcome, Store, Verdict,
 };
 
+/// How long an unsure outcome is remembered.
 const UNSURE_RETENTION: u64 = 1_000;
-/// How long a call lingers: past one wait, not past two.
+/// How long a call stays detached: longer than one [`Step::Wait`], shorter than two.
 const DETACHED_TIME: u64 = 30;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,16 +19,17 @@
     Serve,
     Unsure,
     NeverRan,
+    /// The client of the first or last waiter disconnects.
     FirstDisconnects,
     LastDisconnects,
-    /// Past the short deadlines.
+    /// Waits until the short deadlines have passed.
     Wait,
-    /// Past the time for which an unsure end is remembered.
+    /// Waits until an unsure outcome is no longer remembered.
     Forget,
-    /// Somebody says by hand that it ran, or that it never did.
+    /// An operator settles it as run, or as never run.
     SettleRan,
     SettleNeverRan,
-    /// An answer comes for the run that last ended unsure.
+    /// An answer arrives for the run that last ended unsure.
     LateAnswer,
 }
 
@@ -45,26 +47,26 @@
     Step::SettleNeverRan,
     Step::LateAnswer,
 ];
-/// The first of them: those of a call, without hands and late answers.
+/// The number of steps at the head of [`STEPS`] without verdicts and late answers.
 const CALL_STEPS: usize = 9;
 
-/// One key's world, with the rules that must hold in it.
+/// A store with one key, and what is expected of it.
 struct Simulation {
     store: Store<u32>,
     kind: ClassKind,
-    /// Where calls linger when nobody waits.
+    /// The detached calls; `None`: a call is cancelled when no request waits for it any more.
     detached: Option<DetachedCalls>,
     now: u64,
     next: u64,
-    /// Who waits.
+    /// The waiting requests.
     waiting: Vec<u64>,
-    /// The call that is out.
+    /// The running call.
     running: Option<RunId>,
-    /// Attempts that may have run, since the last time that all was forgotten.
+    /// Calls that may have run since the key was last forgotten.
     may_have_run: usize,
     served: Option<u32>,
     unsure_until: u64,
-    /// The run that ended unsure, and what has been said of it by hand, until it is forgotten or its key runs again.
+    /// The run that ended unsure, until when it is remembered, and the verdict on it; until its key runs again.
     unsure_run: Option<(RunId, u64, Option<Verdict>)>,
     path: Vec<Step>,
 }
@@ -108,7 +110,7 @@
                 assert_eq!(self.running, Some(run_id), "{path:?}");
                 let was_detached = self.waiting.is_empty();
                 assert!(longest || !was_detached, "{path:?}");
-                // Wanted again: it no longer ends by itself.
+                // A client waits again: it is no longer detached.
                 assert_eq!(
                     self.detached.as_mut().is_some_and(|detached| detached.remove(run_id)),
                     was_detached,
@@ -137,7 +139,7 @@
         let Completion { waiters, next, .. } = self.store.complete(self.now, run_id, outcome.clone());
         for id in &waiters {
             let position = self.waiting.iter().position(|other| other == id);
-            let position = position.unwrap_or_else(|| panic!("{:?}: told twice, or never asked", self.path));
+            let position = position.unwrap_or_else(|| panic!("{:?}: answered, but not waiting", self.path));
             self.waiting.remove(position);
         }
         if never_ran && !self.waiting.is_empty() {
@@ -146,7 +148,7 @@
             return;
         }
         assert_eq!(next, None, "{:?}", self.path);
-        assert!(self.waiting.is_empty(), "{:?}: all hear of it", self.path);
+        assert!(self.waiting.is_empty(), "{:?}: all get the outcome", self.path);
         self.running = None;
         if let Some(detached) = &mut self.detached {
             detached.remove(run_id);
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Nobody waits any more: it lingers, or is called off and may have run.
+    /// No request waits any more: the call is detached, or cancelled and may have run.
     fn detach_or_cancel(&mut self, run_id: RunId) {
         match &mut self.detached {
             Some(detached) => assert!(detached.add(run_id, None, &[1], self.now + DETACHED_TIME).is_empty()),
@@ -188,7 +190,7 @@
         let settled = self.store.settle(self.now, run_id, verdict, false).is_ok();
         assert_eq!(settled, earlier.is_none() && until > self.now, "{:?}", self.path);
         if settled {
-            // What was said counts: one that never ran may run.
+            // The verdict counts: a key that never ran may run again.
             self.unsure_until = if verdict == Verdict::Ran { self.now + UNSURE_RETENTION } else { 0 };
             self.may_have_run -= usize::from(verdict == Verdict::NeverRan);
             self.unsure_run = Some((run_id, self.now + UNSURE_RETENTION, Some(verdict)));
@@ -234,7 +236,7 @@
             Step::Wait => self.advance(20),
             Step::Forget => {
                 self.advance(UNSURE_RETENTION);
-                // What ended unsure only now is not forgotten yet.
+                // A run that ended unsure only now is not forgotten yet.
                 let remembered = self.served.is_some() || self.unsure_until > self.now;
                 self.may_have_run = usize::from(remembered);
             }
@@ -246,11 +248,16 @@
         assert!(self.may_have_run <= max, "{:?}: it may have run {} times", self.path, self.may_have_run);
         let detached = self.detached.as_ref().map_or(0, DetachedCalls::len);
         assert_eq!(self.running.is_some(), !self.waiting.is_empty() || detached == 1, "{:?}", self.path);
-        assert!(self.waiting.is_empty() || detached == 0, "{:?}: it lingers and is waited for", self.path);
+        assert!(
+            self.waiting.is_empty() || detached == 0,
+            "{:?}: detached although a request waits",
+            self.path
+        );
     }
 }
 
-/// All orders of the first `kinds` steps, `depth` in a row, for both kinds of class, lingering and not.
+/// Plays all sequences of `depth` steps out of the first `kinds`, for both kinds of class, with and without detached
+/// calls.
 fn all_orders(kinds: usize, depth: u32) {
     for (kind, detaches) in [
         (ClassKind::Unsafe, false),
@@ -260,7 +267,7 @@
     ] {
         let mut orders = 0;
         for number in 0..kinds.pow(depth) {
-            // Orders that do not begin with an arrival are those of a shorter depth.
+            // Sequences that do not begin with an arrival are covered by a smaller depth.
             if number % kinds > 1 {
                 continue;
             }
@@ -286,7 +293,7 @@
     all_orders(STEPS.len(), 5);
 }
 
-/// An answer that comes when its call was given up is kept: the next repeat gets it.
+/// An answer that arrives after its call was given up is kept, and the next repeat gets it.
 #[test]
 fn a_late_answer_replaces_an_unsure_outcome() {
     let mut store: Store<u32> = Store::new(1, Bounds::default());
--- a/keys/tests/model.rs
+++ b/keys/tests/model.rs
@@ -1,4 +1,5 @@
-//! The store against a naive model that scans a list: the same answer to each event, under pressure too.
+//! Compares the store with a naive model that scans a list: both must answer each event alike, also when the bounds are
+//! reached.
 
 use nettleworks_keys::{
     Admission, Bounds, ClassKind, FullBound, KeyInfo, KeyState, Removal, Request, Retention, RunId,
@@ -8,7 +9,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::HashMap;
 
-/// Steps in one run, and runs: 120,000 steps.
+/// Steps per run, and number of runs: 120,000 steps in total.
 const STEPS: usize = 400;
 const RUNS: u32 = 300;
 
@@ -21,25 +22,25 @@
         payload: u8,
         patience: u64,
     },
-    /// The call that has run for the `nth` longest ends.
+    /// The `nth` oldest running call ends.
     End {
         nth: usize,
         how: u8,
         bytes: usize,
     },
-    /// The `nth` of those who wait goes.
+    /// The client of the `nth` waiter disconnects.
     Disconnect {
         nth: usize,
     },
     Wait {
         time: u64,
     },
-    /// Somebody says of the `nth` unsure key whether it ran.
+    /// An operator settles the `nth` unsure key.
     Settle {
         nth: usize,
         ran: bool,
     },
-    /// An answer comes for the `nth` of those that were given up or settled by hand.
+    /// An answer arrives for the `nth` run that was given up or settled by an operator.
     LateAnswer {
         nth: usize,
         bytes: usize,
@@ -49,7 +50,7 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let arrive = (0..3_u32, 0..2_u32, 0..6_u8, 0..8_u8, 1..400_u64).prop_map(
         |(tenant, class, key, payload, patience)| {
-            // One in eight has another payload.
+            // One request in eight has another payload.
             Step::Arrive { tenant, class, key, payload: payload / 7, patience }
         },
     );
@@ -58,14 +59,14 @@
     let wait = (0..200_u64).prop_map(|time| Step::Wait { time });
     let settle = (0..8_usize, any::<bool>()).prop_map(|(nth, ran)| Step::Settle { nth, ran });
     let late = (0..8_usize, 0..60_usize).prop_map(|(nth, bytes)| Step::LateAnswer { nth, bytes });
-    // A call that nobody waits for any more may end only much later: it lingers.
+    // A call that no client waits for any more may end only much later: it is detached.
     let any = prop_oneof![12 => arrive, 8 => end, 4 => disconnect, 2 => wait, 1 => settle, 1 => late];
     prop::collection::vec(any, STEPS)
 }
 
 fn bounds() -> Bounds {
-    // Moments are multiples of 8 and these are not alike in what is left: no two entries end at one moment, so that
-    // the order in which they are given up is plain.
+    // Times are multiples of 8, and these have different remainders: no two entries expire at the same time, so that
+    // the order of eviction is unambiguous.
     let retention =
         vec![Retention { answered: 8_001, unsure: 6_002 }, Retention { answered: 4_003, unsure: 9_004 }];
     Bounds { entries: 12, entries_per_tenant: 6, answer_bytes: 150, waiters: 4, key_bytes: 8, retention }
@@ -126,7 +127,7 @@
         });
     }
 
-    /// What goes first of these, and whether it is there.
+    /// Evicts the first of the entries that match. Returns whether there was one.
     fn evict(&mut self, matches: impl Fn(&Entry) -> bool) -> bool {
         let rank = |entry: &Entry| match entry.state {
             State::Answered { until, answer: None } => Some((0, until)),
@@ -150,7 +151,7 @@
         self.entries.iter().map(bytes).sum()
     }
 
-    /// The answer of an entry, if it fits; older ones shrink to markers for it.
+    /// Keeps the answer of an entry if it fits. Answers that expire earlier are reduced to markers to make room.
     fn answered(&mut self, now: u64, index: usize, answer: u32, bytes: usize, bounds: &Bounds) {
         let until = now + bounds.retention(self.entries[index].class).answered;
         while bytes <= bounds.answer_bytes && self.bytes() + bytes > bounds.answer_bytes {
@@ -167,7 +168,7 @@
         self.entries[index].state = State::Answered { until, answer };
     }
 
-    /// The entries at one of these, the longest known first.
+    /// The indexes of the entries in one of these states, the oldest first.
     fn in_state(&self, now: u64, states: &[KeyState]) -> Vec<usize> {
         (0..self.entries.len())
             .filter(|&index| states.contains(&self.entries[index].info(now).state))
@@ -180,19 +181,20 @@
     let mut store: Store<u32> = Store::new(3, bounds.clone());
     let mut model = Model::default();
     let (mut now, mut waiter, mut answers) = (0_u64, 0_u64, 0_u32);
-    // Who waits, for what, and until when.
+    // The waiting requests and the runs that they wait for.
     let mut waits: Vec<(u64, RunId)> = Vec::new();
+    // How often each request was answered.
     let mut answered: HashMap<u64, usize> = HashMap::new();
     for step in steps {
         now += 8;
-        // Those whose time is up hear of it first, as whoever drives the store sees to.
+        // Overdue waiters are removed first, as the caller of the store does.
         while let Some((run_id, id, removal)) = store.pop_overdue(now) {
             let entry = model.entries.iter_mut().find(|entry| entry.run_id == Some(run_id));
             let Some(Entry { state: State::Running(waiting), .. }) = entry else {
-                return Err(TestCaseError::fail("one waits for what does not run"));
+                return Err(TestCaseError::fail("a request waits for a run that has ended"));
             };
             let position = waiting.iter().position(|&(other, _)| other == id);
-            let position = position.ok_or(TestCaseError::fail("one is overdue who did not wait"))?;
+            let position = position.ok_or(TestCaseError::fail("a request is overdue that did not wait"))?;
             prop_assert!(waiting.remove(position).1 <= now);
             prop_assert_eq!(
                 removal,
@@ -211,7 +213,7 @@
                 let admission = store.admit(now, &request, waiter, deadline);
                 model.expire(now);
                 let same = |entry: &Entry| (entry.tenant, entry.class, entry.key) == (tenant, class, key);
-                // One that never ran, as somebody has said, is as new.
+                // A key that an operator has settled as never run is treated as a new one.
                 let settled_as_never_ran = |entry: &Entry| {
                     same(entry) && matches!(entry.state, State::Settled { verdict: Verdict::NeverRan, .. })
                 };
@@ -356,7 +358,7 @@
                 waiting.retain(|&(other, _)| other != id);
                 let removal = if waiting.is_empty() { Removal::NobodyWaits } else { Removal::OthersWait };
                 prop_assert_eq!(store.remove_waiter(run_id, id), removal);
-                prop_assert_eq!(store.remove_waiter(run_id, id), Removal::WasNotWaiting, "it has gone");
+                prop_assert_eq!(store.remove_waiter(run_id, id), Removal::WasNotWaiting, "it was removed");
                 *answered.entry(id).or_default() += 1;
             }
         }
@@ -366,7 +368,7 @@
         prop_assert!(store.len() >= model.entries.len());
         prop_assert_eq!(waits.is_empty(), store.next_deadline().is_none());
     }
-    prop_assert!(answered.values().all(|&count| count == 1), "one end each");
+    prop_assert!(answered.values().all(|&count| count == 1), "one answer each");
     Ok(())
 }
 
--- a/keys/tests/sharing.rs
+++ b/keys/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! Several stores whose bounds are one, in long random days from fixed seeds.
+//! Several stores that share one set of bounds, in long random sequences of events from a fixed seed.
 
 use nettleworks_keys::{
     Admission, Bounds, ClassKind, FullBound, Request, Retention, RunId, RunOutcome, SharedUsage, Store,
@@ -14,7 +14,7 @@
     Bounds { entries: 8, entries_per_tenant: 5, answer_bytes: 300, retention, ..Bounds::default() }
 }
 
-/// A store is told at some later time of what others have claimed.
+/// Eviction requests reach their store at some later time, in any order.
 #[test]
 fn random_events_keep_the_shared_bounds() {
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
@@ -82,13 +82,13 @@
         let held: usize = stores.iter().map(Store::len).sum();
         prop_assert!(held <= bounds().entries, "{held}");
         prop_assert_eq!(held, shared_usage.keys());
-        prop_assert!(refused > 0, "the bounds are met");
+        prop_assert!(refused > 0, "the bounds are never reached");
         Ok(())
     });
     done.unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// One store is full of answers that could go: another that needs a place gets one of its.
+/// A store that has nothing to evict takes room from another one that holds an answer.
 #[test]
 fn a_store_with_nothing_to_evict_requests_an_eviction_elsewhere() {
     let shared_usage = Arc::new(SharedUsage::default());
@@ -106,10 +106,10 @@
             stores[0].complete(1, run_id, RunOutcome::Served { answer: 1, bytes: 1 });
         }
     }
-    assert!(matches!(admit(&mut stores[1], b"c"), Admission::First(_)), "in the place of the answer");
+    assert!(matches!(admit(&mut stores[1], b"c"), Admission::First(_)), "in place of the answer");
     let eviction_requests = stores[1].take_eviction_requests();
     assert_eq!(eviction_requests.len(), 1);
-    assert!(matches!(admit(&mut stores[1], b"d"), Admission::Refused(_)), "what runs is not claimed");
+    assert!(matches!(admit(&mut stores[1], b"d"), Admission::Refused(_)), "a running entry is not evicted");
     for store in eviction_requests {
         stores[store].evict_for_peer();
     }
--- a/shards/cores/src/crossing.rs
+++ b/shards/cores/src/crossing.rs
@@ -1,13 +1,14 @@
-//! The station that hands a request with a key to the shard that the key belongs to, whole, and hands its answer back.
+//! Forwards a request with an idempotency key to the shard that owns the key, and returns that shard's reply.
 //!
-//! A request is with one shard at a time. Here it waits for its answer, there it is a request like any; whoever gives it
-//! up, this side by its [`Ticket`] or the other by its answer, decides what its client is told:
+//! A request is with one shard at a time. Its client waits here, while the owner handles it like any other request. When
+//! this shard gives a request up, the [`HandoverToken`] decides what its client is told:
 //!
-//! - not yet taken there: withdrawn, it surely never ran, and is refused at once;
-//! - taken there: its answer, or at its deadline, or when that shard has ended, that its key is unsure.
+//! - Not yet accepted by the owner: it is cancelled, certainly never ran, and is refused at once.
+//! - Accepted by the owner: the client gets the owner's reply, or at its deadline, or when the owner has ended, the reply
+//!   that its key is unsure.
 //!
-//! A key whose shard has ended is unsure for as long as a store would have remembered it. One whose shard does not
-//! answer is refused until it does: two stores must not know of one key.
+//! A key whose owner has ended is unsure for as long as a store would have remembered it. Requests for a key whose owner
+//! is stalled are refused until it recovers, since two stores must not hold one key.
 
 use crate::hub::{Handover, Message, SharedState};
 use crate::seat::key_parts;
@@ -26,16 +27,17 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::time::Instant;
 
-/// Requests of a shard that may be with others at a time; one more is refused.
+/// Most requests of a shard that may be with other shards at a time; further ones are refused.
 const MAX_FORWARDED: usize = 4_096;
-/// How much later than at its deadline a request is given up here: the shard that has it ends it in its time.
+/// How long after its deadline a request is given up here: the owner ends it at its deadline.
 const GRACE: Duration = Duration::from_millis(10);
-/// When to come again after a refusal, where the settings allow that.
+/// When a client may retry after a refusal, as far as the settings allow.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What a key is at of which nobody here knows whether it ran: a name of the store of keys.
+/// The state of a key of which it is unknown here whether it ran, by the name that the store of keys has for it.
 const UNSURE: &str = "unsure";
 
+/// A request that is with another shard.
 struct Forwarded<P: Protocol> {
     owner: Shard,
     since: Instant,
@@ -44,20 +46,20 @@
     give_up_at: Instant,
 }
 
-/// What has crossed so far.
+/// Counters of forwarded requests. Their names appear in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Crossed {
-    /// Handed to another shard.
+    /// Requests handed to another shard.
     pub handed: u64,
-    /// Refused: the other shard's queue was full, it did not answer, or too many were out.
+    /// Requests refused: the owner's queue was full, the owner was stalled, or too many were with other shards.
     pub refused: u64,
-    /// Given up at their deadline, or with the shard that had them.
+    /// Requests given up at their deadline, because their client disconnected, or because the owner ended.
     pub given_up: u64,
-    /// Answers that came back.
+    /// Replies received from other shards.
     pub answered: u64,
 }
 
-/// The station.
+/// Forwards requests with an idempotency key to the shard that owns the key.
 pub struct KeyRouter<P: Protocol> {
     shared: Arc<SharedState<P>>,
     me: Shard,
@@ -103,7 +105,7 @@
         Some(forwarded)
     }
 
-    /// An answer has come back. One that was given up has had its own.
+    /// Handles the owner's reply. A request that was given up has already been answered.
     pub(crate) fn reply_received(&mut self, context: &mut Desk<P>, call: CallId, reply: Reply<P::Answer>) {
         if let Some(forwarded) = self.remove(call) {
             self.counters.answered += 1;
@@ -111,21 +113,23 @@
         }
     }
 
-    /// A request is waited for no longer. Whether the other shard is to hear so comes back.
+    /// Gives a request up and answers its client. Returns the owner if that has accepted the request, and is to be
+    /// notified.
     fn give_up(&mut self, context: &mut Desk<P>, call: CallId) -> Option<Shard> {
         let forwarded = self.remove(call)?;
         self.counters.given_up += 1;
         let cancelled = forwarded.token.cancel();
         let reply = match cancelled {
             true => Reply::Refused(Self::retry_after(context)),
-            // The shard that has it may know more, and is late.
+            // The owner may know more, but has not replied in time.
             false => Reply::Unsure(Doubt { at: UNSURE, age: forwarded.since.elapsed() }),
         };
         context.answer_taken(forwarded.held, reply);
         (!cancelled).then_some(forwarded.owner)
     }
 
-    /// A shard has ended, or does not answer: what it had is given up, or what it has not taken.
+    /// Handles a change of a shard's liveness: gives up all requests that are with it if it has ended, or refuses those
+    /// that it has not accepted if it is stalled.
     pub(crate) fn liveness_changed(&mut self, context: &mut Desk<P>, shard: Shard, liveness: Liveness) {
         let at_shard = self.forwarded.iter().filter(|(_, forwarded)| forwarded.owner == shard);
         let calls: Vec<CallId> = at_shard.map(|(call, _)| *call).collect();
@@ -150,9 +154,10 @@
         }
     }
 
+    /// Notifies the owner that no client waits for a request any more.
     fn send_abandoned(&self, shard: Shard, call: CallId) {
         if let Some(mailbox) = self.shared.mailboxes.get(shard) {
-            // One that has ended has nothing to call off.
+            // A shard that has ended has nothing to cancel.
             let _ = mailbox.messages.send(Message::Abandoned { from: self.me, call });
         }
     }
@@ -178,7 +183,7 @@
             return Step::Pass(incoming);
         }
         if liveness == Liveness::Dead {
-            // Nobody knows any more whether it ran.
+            // Only the shard that has ended knew whether it ran.
             context.answer(incoming, Reply::Unsure(Doubt { at: UNSURE, age: Duration::ZERO }));
             return Step::Done;
         }
@@ -192,7 +197,7 @@
         let handover = Handover { from: self.me, call, metadata, request, token: token.clone() };
         match mailbox.requests.try_send(handover) {
             Ok(()) => {}
-            // It has not been taken, and never will be.
+            // It was not accepted, and never will be.
             Err(TrySendError::Full(_) | TrySendError::Closed(_)) => return self.refuse(context, incoming),
         }
         self.counters.handed += 1;
--- a/shards/cores/src/hub.rs
+++ b/shards/cores/src/hub.rs
@@ -1,4 +1,4 @@
-//! What all shards of a process share.
+//! State that all shards of a process share.
 
 use nettleworks_engine::calls::{Ask, Reply};
 use nettleworks_engine::driver::Handle;
@@ -17,40 +17,43 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, Notify};
 
-/// A moment that does not come.
+/// A time that is never reached.
 const NEVER: u64 = u64::MAX;
 /// No shard.
 const NO_SHARD: Shard = Shard::MAX;
-/// Changes of the list that a shard may be behind; one further behind reads the whole list instead.
+/// Changes of the server list that are kept for shards that have not read them; a shard that is further behind reads the
+/// whole list instead.
 const LIST_LOG_CAPACITY: usize = 64;
-/// News of hosts that a shard may be behind. They are advice: one further behind goes on without.
+/// Observations of hosts that are kept for shards that have not read them. They are advisory: a shard that is further
+/// behind continues without them.
 const OBSERVATION_LOG_CAPACITY: usize = 1_024;
 
-/// Names of hosts that are kept before those that have gone are looked for.
+/// Number of host names that are kept before those of removed hosts are dropped.
 const MAX_SERVER_IDS: usize = 8_192;
 
-/// Sizes of what lies between shards.
+/// Options of a process with several shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardOptions {
-    /// How many there are: 1 to [`SHARDS_MOST`].
+    /// Number of shards: 1 to [`MAX_SHARDS`].
     pub shards: usize,
-    /// Requests that may wait to be taken by a shard; one more is refused.
+    /// Most requests that wait in a shard's queue for it to accept them; further ones are refused.
     pub queue: usize,
-    /// Without a beat for so long a shard is taken for stalled.
+    /// A shard whose heartbeat does not advance for this long counts as stalled.
     pub stall_timeout: Duration,
-    /// For so long the keys of a shard that has ended are unsure: no store remembers a key for longer.
+    /// For this long the keys of a shard that has ended are unsure. It must be at least as long as any store remembers a
+    /// key.
     pub key_retention: Duration,
 }
 
 impl ShardOptions {
-    /// For so many shards: 1,024 requests in a queue, a second of patience, a day.
+    /// For this many shards: queues of 1,024 requests, a stall timeout of a second, a key retention of a day.
     pub fn new(shards: usize) -> ShardOptions {
         let (stall_timeout, key_retention) = (Duration::from_secs(1), Duration::from_secs(86_400));
         ShardOptions { shards: shards.clamp(1, MAX_SHARDS), queue: 1_024, stall_timeout, key_retention }
     }
 }
 
-/// A request on its way to the shard that its key belongs to.
+/// A request that is handed over to the shard that owns its key.
 pub struct Handover<P: Protocol> {
     pub(crate) from: Shard,
     pub(crate) call: CallId,
@@ -59,32 +62,33 @@
     pub(crate) token: Arc<HandoverToken>,
 }
 
-/// What shards tell each other of requests that were handed over. Each such request has one answer and is given up once
-/// at the most, so that as many wait as there are requests out; and what else must not be lost.
+/// A message between shards that must not be lost, and is therefore sent over an unbounded queue. Each request that was
+/// handed over is answered once and abandoned at most once, so that the number of messages is bounded by that of the
+/// requests in flight; whoever sends [`Message::Run`] bounds how many.
 pub(crate) enum Message<P: Protocol> {
-    /// The answer of a request.
+    /// The reply to a request that was handed over.
     Reply { call: CallId, reply: Reply<P::Answer> },
-    /// Nobody waits for a request any more.
+    /// The sending shard no longer waits for a request.
     Abandoned { from: Shard, call: CallId },
-    /// Something that is to be done for another, as [`crate::seat::Peers::tell`] has it.
+    /// A job from another shard ([`crate::seat::Peers::submit`]).
     Run(Job<P>),
 }
 
-/// A shard's letter box, from outside.
+/// The sending side of a shard's queues, and the flags that other shards read.
 pub(crate) struct Mailbox<P: Protocol> {
     pub requests: mpsc::Sender<Handover<P>>,
     pub messages: mpsc::UnboundedSender<Message<P>>,
     pub jobs: mpsc::Sender<Job<P>>,
-    /// There is something to look at: room, the list, news, who lives.
+    /// Wakes the shard to read the shared state: capacity, the server list, observations, the shards' liveness.
     pub wake: Notify,
     heartbeat: AtomicU64,
     ended: AtomicBool,
     drained: AtomicBool,
-    /// Some other shard has found that it does not answer.
+    /// Another shard has found that this one does not respond.
     stalled: AtomicBool,
 }
 
-/// The list as the process knows it.
+/// The server list as the process knows it.
 struct SharedList {
     changes: BroadcastLog<Arc<List>>,
     seq: u64,
@@ -92,7 +96,7 @@
 }
 
 impl SharedList {
-    /// All of it.
+    /// The whole list.
     fn snapshot(&self) -> List {
         List { seq: self.seq, whole: true, hosts: self.hosts.values().cloned().collect() }
     }
@@ -100,39 +104,39 @@
 
 type Capacities = HashMap<(Arc<str>, u64), Arc<HostCapacity>>;
 
-/// What a shard is to do for another, on its own thread.
+/// A job that one shard submits to another, which runs it on its own thread.
 pub(crate) type Job<P> = Box<dyn FnOnce(&Handle<P>) + Send>;
 
-/// What all shards of a process share. See the module's page of the crate for how they meet here.
+/// State that all shards of a process share. The crate's documentation says how their threads access it.
 pub struct SharedState<P: Protocol> {
     pub(crate) options: ShardOptions,
     pub(crate) seed: u64,
     pub(crate) ids: OpenIds,
     pub(crate) mailboxes: Vec<Mailbox<P>>,
-    /// How often the process was told of the list.
+    /// How many changes of the server list the process has received.
     pub(crate) list_changes: Arc<AtomicU64>,
     list: Mutex<SharedList>,
-    /// When a watch last proved the list, and when the list expires ([`NEVER`]: it does not), since the start; 0 for the
-    /// first: nobody has said so yet.
+    /// When a watch last verified the list, in microseconds since the start; 0: no shard has published a lease yet.
     list_verified_at: AtomicU64,
+    /// When the list expires, in microseconds since the start; [`NEVER`]: it does not.
     list_expires_at: AtomicU64,
-    /// The shard that said so last; [`NOBODY`] at the start.
+    /// The shard that published the lease last; [`NO_SHARD`] at the start.
     list_publisher: AtomicUsize,
     observations: Mutex<BroadcastLog<(Arc<str>, Observation)>>,
-    /// Room by a host's name and when its process started: a new process is a new host.
+    /// Capacity by a host's name and the start time of its process: a restarted process counts as a new host.
     capacities: Mutex<Capacities>,
     server_ids: Mutex<ServerIds>,
     started: Instant,
 }
 
-/// Hosts' numbers by name; none returns.
+/// Server ids by host name; none is used again.
 #[derive(Default)]
 struct ServerIds {
     by_name: HashMap<String, ServerId>,
     last: u32,
 }
 
-/// All that is under these locks is changed in single steps: it is whole whoever panicked.
+/// Locks and ignores poisoning: everything under these locks changes in single steps, so a panic leaves it consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -160,16 +164,16 @@
         }
     }
 
-    /// A moment, in microseconds since the start.
+    /// The current time, in microseconds since the start.
     pub(crate) fn now(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
     }
 
-    /// The engine that watches knows this of the list's lease; the others look if its end has changed. Each of the two
-    /// moments is read by itself: one may be a little older.
+    /// Publishes the list's lease as the engine that watches the list knows it. The other shards are woken if its expiry
+    /// has changed. The two times are read separately: one may be slightly older than the other.
     ///
-    /// They are not woken when another shard takes over: for a tick two may take themselves for the one that watches, and
-    /// would wake each other for as long.
+    /// The others are not woken when another shard takes over the watch: for one heartbeat interval two shards may both
+    /// consider themselves the watcher, and would wake each other all that time.
     pub(crate) fn publish_lease(&self, me: Shard, lease: Lease) {
         let since_start = |at: tokio::time::Instant| {
             at.into_std().saturating_duration_since(self.started).as_micros() as u64
@@ -184,12 +188,12 @@
         }
     }
 
-    /// Which shard has published a lease last.
+    /// The shard that published the lease last.
     pub(crate) fn last_publisher(&self) -> Option<Shard> {
         Some(self.list_publisher.load(Ordering::Acquire)).filter(|shard| *shard != NO_SHARD)
     }
 
-    /// What was last published of the list's lease.
+    /// The list's lease as last published.
     pub(crate) fn lease(&self) -> Option<Lease> {
         let instant = |micros| tokio::time::Instant::from_std(self.started + Duration::from_micros(micros));
         let verified_at = self.list_verified_at.load(Ordering::Acquire);
@@ -204,13 +208,14 @@
             .for_each(|mailbox| mailbox.wake.notify_one());
     }
 
-    /// All but this one look at what there is.
+    /// Wakes all shards but this one to read the shared state.
     pub(crate) fn wake_others(&self, me: Shard) {
         let others = self.mailboxes.iter().enumerate().filter(|(shard, _)| *shard != me);
         others.for_each(|(_, mailbox)| mailbox.wake.notify_one());
     }
 
-    /// The process was told this of the list, by one shard's watch. How often it was told by now.
+    /// Publishes a change of the list that one shard's watch has received. Returns how many changes the process has
+    /// received by now.
     pub(crate) fn publish_list(&self, me: Shard, change: &List) -> u64 {
         let mut list = lock(&self.list);
         list.seq = change.seq;
@@ -224,14 +229,15 @@
             };
         }
         list.changes.publish(me, self.now(), Arc::new(change.clone()));
-        // Under the lock: whoever sees the count finds the list.
+        // Under the lock, so that a shard that reads the new count finds the change.
         let received = self.list_changes.fetch_add(1, Ordering::AcqRel) + 1;
         drop(list);
         self.wake_others(me);
         received
     }
 
-    /// What the process was told since by others' watches, and how often it was told by now.
+    /// The changes of the list that other shards have published since, and how many changes the process has received by
+    /// now.
     pub(crate) fn read_list_changes(&self, me: Shard, cursor: &mut Cursor) -> (Vec<Arc<List>>, u64) {
         let list = lock(&self.list);
         let changes = match list.changes.read(me, self.now(), cursor) {
@@ -241,12 +247,12 @@
         (changes, self.list_changes.load(Ordering::Acquire))
     }
 
-    /// A shard has learned this of a host.
+    /// Publishes what a shard has observed of a host.
     pub(crate) fn publish_observation(&self, me: Shard, host: &Arc<str>, observation: Observation) {
         lock(&self.observations).publish(me, self.now(), (host.clone(), observation));
     }
 
-    /// What others have learned since, with its age.
+    /// What other shards have observed since, with its age.
     pub(crate) fn read_observations(
         &self,
         me: Shard,
@@ -261,23 +267,23 @@
         }
     }
 
-    /// Room at a host's process.
+    /// The capacity of a host's process.
     pub(crate) fn host_capacity(&self, host: &Arc<str>, born_ms: u64) -> Arc<HostCapacity> {
         let mut capacities = lock(&self.capacities);
-        // What nobody holds any more is of a host that has gone.
+        // An entry that no shard holds any more belongs to a removed host.
         capacities.retain(|_, capacity| Arc::strong_count(capacity) > 1);
         let capacity = capacities.entry((host.clone(), born_ms));
         capacity.or_insert_with(|| Arc::new(HostCapacity::new(self.options.shards))).clone()
     }
 
-    /// A host's number, the same at every shard.
+    /// A host's server id, the same at every shard.
     pub(crate) fn server_id(&self, name: &str) -> ServerId {
         let mut server_ids = lock(&self.server_ids);
         if let Some(&known) = server_ids.by_name.get(name) {
             return known;
         }
         if server_ids.by_name.len() >= MAX_SERVER_IDS {
-            // A shard that knows a host holds its room: others' names are of hosts that have gone.
+            // A shard that knows a host holds its capacity: other names belong to removed hosts.
             let capacities = lock(&self.capacities);
             let held: HashSet<&str> = capacities.keys().map(|(name, _)| &**name).collect();
             server_ids.by_name.retain(|name, _| held.contains(&name[..]));
@@ -288,21 +294,21 @@
         server_id
     }
 
-    /// A shard beats.
+    /// Advances a shard's heartbeat.
     pub(crate) fn beat(&self, me: Shard) {
         self.mailboxes.iter().skip(me).take(1).for_each(|mailbox| {
             mailbox.heartbeat.fetch_add(1, Ordering::Relaxed);
         });
     }
 
-    /// A shard's beats so far, and whether it has ended.
+    /// A shard's heartbeat count, and whether it has ended.
     pub(crate) fn heartbeat(&self, shard: Shard) -> (u64, bool) {
         self.mailboxes.get(shard).map_or((0, true), |mailbox| {
             (mailbox.heartbeat.load(Ordering::Relaxed), mailbox.ended.load(Ordering::Acquire))
         })
     }
 
-    /// A shard has no clients left and takes no new ones.
+    /// Records that a shard has no clients left and accepts no new ones.
     pub(crate) fn set_drained(&self, me: Shard) {
         self.mailboxes
             .iter()
@@ -311,7 +317,7 @@
             .for_each(|mailbox| mailbox.drained.store(true, Ordering::Release));
     }
 
-    /// Whether no shard has any left.
+    /// Whether no shard has clients left.
     pub(crate) fn all_drained(&self) -> bool {
         let drained = |mailbox: &Mailbox<P>| {
             mailbox.drained.load(Ordering::Acquire) || mailbox.ended.load(Ordering::Acquire)
@@ -319,7 +325,7 @@
         self.mailboxes.iter().all(drained)
     }
 
-    /// A shard has ended, with all its calls: what it had is the others'.
+    /// Records that a shard has ended, with all its calls, and frees its capacity for the others.
     pub(crate) fn end_shard(&self, me: Shard) {
         let Some(mailbox) = self.mailboxes.get(me) else { return };
         mailbox.ended.store(true, Ordering::Release);
@@ -331,7 +337,7 @@
         self.wake_others(me);
     }
 
-    /// A shard does not answer, or does again.
+    /// Records whether a shard is stalled, as another one has found.
     pub(crate) fn set_stalled(&self, shard: Shard, stalled: bool) {
         self.mailboxes
             .iter()
@@ -340,7 +346,7 @@
             .for_each(|mailbox| mailbox.stalled.store(stalled, Ordering::Relaxed));
     }
 
-    /// Whether a shard takes what comes, as far as others have seen.
+    /// Whether a shard has neither ended nor been found stalled by another shard.
     pub(crate) fn is_responsive(&self, shard: Shard) -> bool {
         let ended = |mailbox: &Mailbox<P>| mailbox.ended.load(Ordering::Acquire);
         self.mailboxes
@@ -348,7 +354,7 @@
             .is_some_and(|mailbox| !mailbox.stalled.load(Ordering::Relaxed) && !ended(mailbox))
     }
 
-    /// Takes back what a stalled shard has of room without a call on it.
+    /// Takes back a stalled shard's capacity that no call uses.
     pub(crate) fn reclaim(&self, shard: Shard) {
         let capacities = lock(&self.capacities);
         let woken = capacities
--- a/shards/cores/src/lib.rs
+++ b/shards/cores/src/lib.rs
@@ -1,14 +1,14 @@
-//! Several engines of one process, a thread each, that serve as one. What must hold over all of them is decided in
-//! `nettleworks-shards`; this is what lies between: the [`Hub`] that they share, their mail, and each one's side of it.
+//! Runs several engines of one process, each on a thread of its own, so that they serve as one. What must hold across all
+//! of them is decided in `nettleworks-shards`; this package connects the engines: the state that they share
+//! ([`SharedState`]), the messages between them, and each engine's side of it.
 //!
-//! - [`member`]: the engine's [`nettleworks_engine::group::Group`]: room at hosts, open ids, news.
-//! - [`crossing`]: the station that hands a request with a key to the shard that the key belongs to.
-//! - [`seat`]: a shard's place: its mail, its beat, and its look at the others.
+//! - [`member`]: the engine's [`nettleworks_engine::group::Group`]: capacity at hosts, open ids, observations of hosts.
+//! - [`crossing`]: forwards a request with an idempotency key to the shard that owns the key.
+//! - [`seat`]: a shard's life cycle: its mailbox, its heartbeat, and its checks of the other shards.
 //!
-//! Threads meet in four ways, none of which waits: words that are changed by compare-and-swap (room, tickets, beats),
-//! open ids under one of 64 short locks, news under a lock that only changes of the list and of hosts' standing take,
-//! and bounded mail.
-
+//! Threads interact in four ways, none of which blocks for long: words that are changed by compare-and-swap (capacity,
+//! handover tokens, heartbeats), open ids under one of 64 short locks, broadcast logs under a lock that is taken only when
+//! the server list or an observation of a host changes, and bounded queues.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/shards/cores/src/member.rs
+++ b/shards/cores/src/member.rs
@@ -1,8 +1,9 @@
-//! An engine's side of the room that it shares: what it asks for, what it keeps, and what it gives back.
+//! An engine's side of the state that it shares: which capacity it acquires, keeps and releases at each host.
 //!
-//! A shard takes room when calls wait for it, from hosts in an order of its own, so that shards with little to do use
-//! few hosts each and not all the same. It keeps a little of what it has, as calls come in bursts, for as long as nobody
-//! else wants it. Whoever wants room and finds none waits for it in turn and wakes those that have some to spare.
+//! A shard acquires capacity when calls wait for it. It tries the hosts in an order of its own, so that shards with
+//! little load use few hosts each, and not all the same ones. It keeps a small part of its idle capacity, since calls
+//! come in bursts, for as long as no other shard needs it. A shard that finds no free capacity waits for it in turn, and
+//! wakes the shards that have idle capacity.
 
 use crate::hub::SharedState;
 use nettleworks_engine::group::{Group, Lease, Place};
@@ -18,28 +19,28 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Most units that are taken for calls that wait, at a time: the next look takes more.
+/// Most units that are acquired for waiting calls at a time; the next event acquires more.
 const MAX_ACQUIRED: usize = 16;
 
-/// Hosts with room to spare that an idle shard keeps.
+/// Number of hosts at which an idle shard keeps idle capacity.
 const KEPT_CHOICES: usize = 2;
 
-/// What a shard knows of a host's room.
+/// What a shard knows of a host.
 struct KnownHost {
     name: Arc<str>,
     born_ms: u64,
     capacity: Arc<HostCapacity>,
-    /// What its module was last told.
+    /// The lease and the probe permission that the decision module was last told.
     told: (u32, bool),
-    /// The last report, where the others have not heard of it.
+    /// The last load report, if it has not been published to the other shards yet.
     load: Option<Load>,
     /// A call there ended since the last tick.
     used: bool,
-    /// The module has not heard of it.
+    /// The decision module has not received this host yet.
     new: bool,
 }
 
-/// A call's place at a host.
+/// A call in flight at a host. Dropping it ends the call there.
 struct CapacityPermit {
     capacity: Arc<HostCapacity>,
     me: Shard,
@@ -54,23 +55,24 @@
     }
 }
 
-/// One engine of a process.
+/// One engine of a process, as a member of the group of all its engines.
 pub struct GroupMember<P: Protocol> {
     shared: Arc<SharedState<P>>,
     me: Shard,
     freshness: Fresh,
     liveness: Rc<RefCell<LivenessTable>>,
     hosts: BTreeMap<ServerId, KnownHost>,
-    /// Where calls have ended since the last look; as many as there were calls.
+    /// The servers at which calls have ended since the last event, once per call.
     ended: Rc<RefCell<Vec<ServerId>>>,
-    /// Where calls had ended at the last look, whose outcome the module has heard of by now.
+    /// The servers at which calls had ended before the last event: the decision module knows their outcomes by now.
     processed: Vec<ServerId>,
+    /// New hosts that the decision module has not received yet.
     new_hosts: Vec<ServerId>,
-    /// Where it has told that it waits.
+    /// The servers at which this shard waits for capacity.
     waiting: BTreeSet<ServerId>,
-    /// Where it has the trial.
+    /// The servers at which this shard holds the probe permission.
     probes: Vec<ServerId>,
-    /// What the module is to hear, all at once.
+    /// Changed allocations, which the decision module receives in one event.
     allocations: Vec<policy::Room>,
     woken: bool,
     ticked: bool,
@@ -100,12 +102,13 @@
         }
     }
 
-    /// Another shard waits for room, or has given some.
+    /// Called when another shard has woken this one: it waits for capacity, or has granted some.
     pub(crate) fn woken(&mut self) {
         self.woken = true;
     }
 
-    /// Comes every tick: what is long unused goes back, and the others hear of loads.
+    /// Called on every heartbeat: publishes load reports. Capacity that has not been used for some time is released by
+    /// the next event.
     pub(crate) fn tick(&mut self) {
         self.ticked = true;
         for known in self.hosts.values_mut() {
@@ -115,7 +118,7 @@
         }
     }
 
-    /// The room at a host, for whoever looks.
+    /// This shard's part of a host's capacity, for inspection.
     pub fn allocation(&self, server: ServerId) -> Option<ShardAllocation> {
         Some(self.hosts.get(&server)?.capacity.allocation(self.me))
     }
@@ -124,7 +127,7 @@
         self.shared.wake(known.capacity.release_idle(self.me, keep));
     }
 
-    /// The module is to hear what it has at a host, if that is new.
+    /// Queues this shard's allocation at a host for the decision module, if it has changed.
     fn update_module(&mut self, server: ServerId) {
         let Some(known) = self.hosts.get_mut(&server) else { return };
         let allocation = known.capacity.allocation(self.me);
@@ -135,15 +138,15 @@
         }
     }
 
-    /// What the module allows at a host counts for the process.
+    /// Adds the decision module's limit at a host to the process's capacity there.
     fn publish_limit(&self, now: Micros, balancer: &Balancer, server: ServerId) {
         if let Some(known) = self.hosts.get(&server) {
             self.shared.wake(known.capacity.set_limit(self.me, balancer.allows(now, server)));
         }
     }
 
-    /// Calls have ended at a host: their room goes on if others want it and this shard has more than its part. Else its
-    /// own calls may have it.
+    /// After calls have ended at a host: releases their capacity if other shards need it and this one has no waiting
+    /// calls, or more than its even share. Otherwise this shard's own calls may use it.
     fn yield_capacity(&self, server: ServerId, queued: usize) {
         let Some(known) = self.hosts.get(&server).filter(|known| known.capacity.is_contended(self.me)) else {
             return;
@@ -154,17 +157,17 @@
         }
     }
 
-    /// Calls wait: takes room for them, or the trial, or else waits.
+    /// Acquires capacity or a probe permission for waiting calls, or else waits for capacity.
     fn acquire_for_queued(&mut self, now: Micros, balancer: &Balancer, queued: usize) {
         let mut demands: Vec<Short> = balancer.short(now).collect();
-        // Each shard begins elsewhere, and always there: what it uses it goes on using.
+        // Each shard begins at another host, and always at the same one, so that it keeps using the same hosts.
         let begin = self.me * demands.len() / self.shared.options.shards;
         demands.rotate_left(begin);
         demands.sort_by_key(|demand| demand.strained);
         let mut need = queued.min(MAX_ACQUIRED);
-        // One more than is needed, as a choice of two is better than none.
+        // One unit more than needed, since a choice between two hosts is better than none.
         let mut wanted = need + 1;
-        // One at each host, and again: what waits is to be spread.
+        // One unit per host and round, so that the waiting calls are spread.
         let mut more = true;
         while std::mem::take(&mut more) {
             for demand in demands.iter().filter(|demand| demand.room) {
@@ -201,19 +204,19 @@
         self.shared.wake(wakes);
     }
 
-    /// Nothing waits here any more.
+    /// Stops waiting for capacity at all hosts, since no call waits here any more.
     fn stop_waiting(&mut self) {
         for server in std::mem::take(&mut self.waiting) {
             if let Some(known) = self.hosts.get(&server) {
                 known.capacity.stop_waiting(self.me);
-                // It may have been given some just now.
+                // A unit may have been granted in the meantime.
                 self.release_idle(known, 1);
                 self.update_module(server);
             }
         }
     }
 
-    /// The trials that are not out go back.
+    /// Returns the probe permissions that no call uses.
     fn release_probes(&mut self, balancer: &Balancer) {
         for server in std::mem::take(&mut self.probes) {
             let Some(known) = self.hosts.get(&server) else { continue };
@@ -227,6 +230,7 @@
         }
     }
 
+    /// Reviews this shard's capacity at all hosts, after a tick or when another shard has woken this one.
     fn review_hosts(&mut self, now: Micros, balancer: &Balancer) {
         let servers: Vec<ServerId> = self.hosts.keys().copied().collect();
         let ticked = std::mem::take(&mut self.ticked);
@@ -240,15 +244,15 @@
             let used = if ticked { std::mem::take(&mut known.used) } else { known.used };
             let known = &self.hosts[&server];
             if known.capacity.is_contended(self.me) {
-                // What is not used now is wanted next door.
+                // Another shard needs what is idle here.
                 self.release_idle(known, 0);
             } else if ticked {
-                // A choice of two is kept where nobody else wants it, and no room where others do better.
+                // Keeps a choice of hosts while no other shard needs it, but nothing at a host that is overloaded.
                 let keep = (used || choices < KEPT_CHOICES) && !balancer.strained(server);
                 self.release_idle(known, u32::from(keep) + known.capacity.allocation(self.me).in_flight / 2);
             }
             choices += usize::from(known.capacity.allocation(self.me).idle() > 0);
-            // Where it was given some it waits no more.
+            // A shard that was granted capacity no longer waits.
             if known.capacity.allocation(self.me).idle() > 0 {
                 self.waiting.remove(&server);
             }
@@ -292,7 +296,7 @@
         let known =
             KnownHost { name, born_ms, capacity, told: (0, false), load: None, used: false, new: true };
         self.hosts.insert(server, known);
-        // The module hears of it first; what it allows there counts from then on.
+        // The decision module receives the host first; its limit there counts from then on.
         self.processed.push(server);
     }
 
@@ -312,7 +316,7 @@
     fn begin(&mut self, server: ServerId) -> Option<Place> {
         let known = self.hosts.get(&server)?;
         if !known.capacity.begin_call(self.me) {
-            // It was taken back while this shard did not answer: the module is to hear of it.
+            // It was reclaimed while this shard was stalled: the decision module has to be updated.
             self.woken = true;
             return None;
         }
@@ -341,7 +345,7 @@
             if known.is_some_and(|known| std::mem::replace(&mut known.new, false))
                 && balancer.allows(now, server) == 0.0
             {
-                // The next event may be the list that the module hears of it by.
+                // The next event may be the list with which the decision module receives the host.
                 self.new_hosts.push(server);
                 continue;
             }
@@ -364,14 +368,14 @@
         if self.woken || self.ticked {
             self.review_hosts(now, balancer);
         }
-        // What has just come may be enough.
+        // Capacity that was just granted may be enough for the waiting calls.
         if queued > 0 && self.allocations.is_empty() {
             self.acquire_for_queued(now, balancer, queued);
         } else if queued == 0 && !self.waiting.is_empty() {
             self.stop_waiting();
         }
         if !self.allocations.is_empty() {
-            // It is handled before this comes again.
+            // The decision module handles this event before the next call of this method.
             events.push_front(Event::Rooms { rooms: std::mem::take(&mut self.allocations) });
         }
     }
@@ -382,8 +386,8 @@
 }
 
 impl<P: Protocol> GroupMember<P> {
-    /// A host is not on the list any more, or another process is in its place: its room goes back. Calls that are out
-    /// there keep theirs until they end.
+    /// Removes a host that is no longer on the list, or whose process was replaced by another, and releases its
+    /// capacity. Calls in flight there keep theirs until they end.
     fn remove_host(&mut self, server: ServerId) {
         let Some(known) = self.hosts.remove(&server) else { return };
         self.waiting.remove(&server);
--- a/shards/cores/src/seat.rs
+++ b/shards/cores/src/seat.rs
@@ -1,4 +1,4 @@
-//! A shard's place: its mail, its beat, and its look at the others.
+//! A shard's life cycle: its mailbox, its heartbeat, and its checks of the other shards.
 
 use crate::crossing::KeyRouter;
 use crate::hub::{Handover, Job, Mailbox, Message, ShardOptions, SharedState};
@@ -26,18 +26,18 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-/// How often a shard beats and looks at the others.
+/// How often a shard advances its heartbeat and checks the others.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// Requests that are taken in before the next look at anything else.
+/// Most requests that are accepted before the mailbox's other queues are read again.
 const REQUEST_BATCH: usize = 32;
-/// Jobs of others that may wait at a shard; whoever brings one more waits.
+/// Most jobs that wait in a shard's queue; a sender of one more waits.
 const MAX_QUEUED_JOBS: usize = 16;
-/// How often a shard that is done looks whether all are.
+/// How often a drained shard checks whether all are.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How long what a torn engine has open has to be told so.
+/// After a panic has ended an engine, how long its open calls have to send their clients the outcome.
 const ABORT_GRACE: Duration = Duration::from_millis(200);
 
-/// A shard's place, before it has a thread.
+/// A shard before it runs on a thread.
 pub struct PreparedShard<P: Protocol> {
     shared: Arc<SharedState<P>>,
     me: Shard,
@@ -46,7 +46,8 @@
     jobs: mpsc::Receiver<Job<P>>,
 }
 
-/// What an engine of a process is told, for one of so many: it is one balancer among more, and room is shared.
+/// The configuration of one engine out of `shards`: each is a balancer of its own towards the fleet, and they share the
+/// capacity of the hosts.
 pub fn shard_config(config: &Config, shards: usize, me: Shard) -> Config {
     let mut part = config.clone();
     let (all, me) = (u32::try_from(shards).unwrap_or(1), me as u32);
@@ -59,7 +60,7 @@
 }
 
 impl<P: Protocol> PreparedShard<P> {
-    /// Seats for all shards of a process that share a configuration's seed.
+    /// Prepares all shards of a process. The seed is that of the process's configuration.
     pub fn prepare_all(options: ShardOptions, seed: u64) -> Vec<PreparedShard<P>> {
         let (mailboxes, receivers): (Vec<_>, Vec<_>) = (0..options.shards)
             .map(|_| {
@@ -80,23 +81,24 @@
         receivers.into_iter().enumerate().map(prepare).collect()
     }
 
-    /// Which shard it is.
+    /// The shard's number.
     pub fn shard(&self) -> Shard {
         self.me
     }
 
-    /// All shards.
+    /// All shards of the process.
     pub fn peers(&self) -> Peers<P> {
         Peers(self.shared.clone())
     }
 
-    /// Says that a shard has ended when dropped, however its thread did. To be made on that thread, before all else.
+    /// A guard that reports the shard as ended when it is dropped, however its thread ends. It must be created on that
+    /// thread before anything else, so that it is dropped last.
     pub fn guard(&self) -> ShardGuard<P> {
         ShardGuard { shared: self.shared.clone(), me: self.me }
     }
 }
 
-/// A shard's thread. Its end is told to the others when this is dropped.
+/// Reports the shard as ended to the others when it is dropped.
 pub struct ShardGuard<P: Protocol> {
     shared: Arc<SharedState<P>>,
     me: Shard,
@@ -108,28 +110,28 @@
     }
 }
 
-/// Who takes the new clients of which shard, by number.
+/// By shard: the shard that accepts its new clients.
 pub type StandIns = watch::Receiver<Vec<Shard>>;
 
-/// A shard that runs.
+/// A shard whose engine is running.
 pub struct RunningShard<P: Protocol> {
     /// Its engine.
     pub driver: Handle<P>,
-    /// Who takes whose new clients, as it sees it.
+    /// By shard: the shard that accepts its new clients, as this shard sees it.
     pub stand_ins: StandIns,
-    /// All shards.
+    /// All shards of the process.
     pub peers: Peers<P>,
     mailbox: MailboxTask<P>,
 }
 
-/// What a request's key belongs to, and the key.
+/// The tenant, class and key that decide which shard owns a request; `None` without a key.
 pub(crate) fn key_parts<I>(metadata: &Ask<I>) -> Option<(Option<u32>, u32, &[u8])> {
     let key = metadata.key.as_ref()?;
     let tenant = metadata.tenant.and_then(|tenant| u32::try_from(tenant.0).ok());
     Some((tenant, u32::try_from(metadata.class.0).unwrap_or(u32::MAX), key))
 }
 
-/// All shards, for what is to be done at one of them.
+/// A handle on all shards of the process, to run jobs at one of them.
 pub struct Peers<P: Protocol>(Arc<SharedState<P>>);
 
 impl<P: Protocol> Clone for Peers<P> {
@@ -139,13 +141,13 @@
 }
 
 impl<P: Protocol> Peers<P> {
-    /// How many there are.
+    /// Number of shards.
     pub fn count(&self) -> usize {
         self.0.options.shards
     }
 
-    /// A shard that is to stop has no clients left. Waits until none has any: until then others may need what it
-    /// knows.
+    /// Called by a stopping shard that has no clients left. Waits until no shard has any, since the others may need this
+    /// one's keys until then.
     pub async fn wait_until_all_drained(&self, me: Shard) {
         self.0.set_drained(me);
         while !self.0.all_drained() {
@@ -153,27 +155,28 @@
         }
     }
 
-    /// Whether a shard takes what comes, as far as others have seen.
+    /// Whether a shard has neither ended nor been found stalled by another shard.
     pub fn is_responsive(&self, shard: Shard) -> bool {
         self.0.is_responsive(shard)
     }
 
-    /// Which shard a request's key belongs to, if it has one.
+    /// The shard that owns a request's key; `None` without a key. Ended shards are not left out.
     pub fn key_owner(&self, metadata: &Ask<P::Id>) -> Option<Shard> {
         let (tenant, class, key) = key_parts(metadata)?;
         Some(rendezvous::owner(0..self.count(), self.0.seed, tenant, class, key))
     }
 
-    /// Does something at a shard, on its own thread, and waits for nothing. Whoever tells it bounds how much is told.
+    /// Submits a job that a shard runs on its own thread, without waiting for it. The queue is unbounded: the caller has
+    /// to bound the number of jobs.
     pub fn submit(&self, shard: Shard, job: impl FnOnce(&Handle<P>) + Send + 'static) {
         if let Some(mailbox) = self.0.mailboxes.get(shard) {
-            // One that has ended has nothing to do it with.
+            // A shard that has ended can't run it any more.
             let _ = mailbox.messages.send(Message::Run(Box::new(job)));
         }
     }
 
-    /// Does something at a shard, on its own thread, and gives what came of it; `None`: it has ended, or does not answer
-    /// within its patience.
+    /// Runs a job at a shard, on the shard's own thread, and returns its result; `None` if the shard has ended, or does
+    /// not respond within the stall timeout.
     pub async fn run_on<T: Send + 'static>(
         &self,
         shard: Shard,
@@ -181,7 +184,7 @@
     ) -> Option<T> {
         let (sender, result) = oneshot::channel();
         let job: Job<P> = Box::new(move |driver| {
-            // Nobody may wait for it any more.
+            // The caller may have stopped waiting.
             let _ = sender.send(job(driver));
         });
         let run = async {
@@ -192,15 +195,17 @@
     }
 }
 
+/// The task that reads a shard's mailbox.
 struct MailboxTask<P: Protocol> {
     prepared: PreparedShard<P>,
     driver: Handle<P>,
     liveness: Rc<RefCell<LivenessTable>>,
     stand_ins: watch::Sender<Vec<Shard>>,
-    /// Requests of others that are taken here.
+    /// The tasks of requests that were accepted from other shards.
     accepted: Rc<RefCell<HashMap<(Shard, CallId), Task>>>,
     list_cursor: Cursor,
     observation_cursor: Cursor,
+    /// How many changes of the server list have been read.
     list_changes_read: u64,
 }
 
@@ -210,8 +215,8 @@
     P::Request: Clone + Send,
     P::Answer: Send,
 {
-    /// Starts the shard's engine on the thread that this is called on. `config` is its own part ([`part`]); requests
-    /// with a key go to the shard that it belongs to, ahead of the stations.
+    /// Starts the shard's engine on the current thread. `config` is the shard's own ([`shard_config`]). Requests with a
+    /// key are forwarded to the shard that owns the key before any of `interceptors` sees them.
     pub fn start(
         self,
         config: Rc<Config>,
@@ -256,13 +261,13 @@
     P::Request: Clone + Send,
     P::Answer: Send,
 {
-    /// Does the shard's part for the others for as long as it is polled. It returns only when a panic has left its
-    /// engine half way through a change, after all that it had open was told so: the thread is to end then.
+    /// Serves the other shards for as long as it is polled. It returns only after a panic has left the engine in the
+    /// middle of a change and all of its open calls were answered accordingly: the thread is to end then.
     pub async fn serve(self) {
-        // A task of its own: a panic ends it, and not what is to be said then.
+        // In a task of its own, so that a panic ends that task and not the code below.
         let mut mailbox = JoinSet::new();
         mailbox.spawn_local(self.mailbox.run());
-        // However it has ended.
+        // Whether it has returned or panicked.
         let _ = mailbox.join_next().await;
         self.driver.abandon();
         self.driver.log("a panic has left this shard half way through a change: it ends");
@@ -296,7 +301,7 @@
         }
     }
 
-    /// Room, the list, and news of hosts.
+    /// Reads changes of the server list and observations of hosts, and checks capacity and the shards' liveness.
     fn read_shared_state(&mut self) {
         if self.prepared.shared.list_changes.load(Ordering::Acquire) > self.list_changes_read {
             let (changes, received) =
@@ -311,7 +316,7 @@
             self.driver.heard(&host, observation, age);
         }
         self.driver.group(|member: &mut GroupMember<P>| member.woken());
-        // A shard that has just ended is missed at once.
+        // Here and not only on a tick, so that a shard that has just ended is noticed at once.
         self.check_liveness();
     }
 
@@ -319,7 +324,7 @@
         self.prepared.shared.beat(self.prepared.me);
         self.driver.group(|member: &mut GroupMember<P>| member.tick());
         self.read_shared_state();
-        // What one that is stalled was given since goes back too.
+        // On each tick, since capacity may have been granted to a stalled shard in the meantime.
         let stalled = |shard: &Shard| self.liveness.borrow().liveness(*shard) == Liveness::Stalled;
         for shard in (0..self.prepared.shared.options.shards).filter(stalled) {
             self.prepared.shared.reclaim(shard);
@@ -335,7 +340,7 @@
             self.driver
                 .station(|router: &mut KeyRouter<P>, context| router.liveness_changed(context, shard, now));
             if now == Liveness::Dead {
-                // Nobody there waits any more.
+                // No client waits at that shard any more.
                 self.accepted.borrow_mut().retain(|(from, _), _| *from != shard);
             }
         }
@@ -355,8 +360,8 @@
                     router.reply_received(context, call, reply)
                 });
             }
-            // What it had here ends as that of any client that has gone.
             Message::Run(job) => job(&self.driver),
+            // Dropping the task ends the call like that of any client that has disconnected.
             Message::Abandoned { from, call } => drop(self.accepted.borrow_mut().remove(&(from, call))),
         }
     }
@@ -372,7 +377,7 @@
         let task = task::spawn(async move {
             let reply = pending.reply().await;
             if let Some(mailbox) = shared.mailboxes.get(from) {
-                // One that has ended has nobody who waits.
+                // At a shard that has ended no client waits.
                 let _ = mailbox.messages.send(Message::Reply { call, reply });
             }
             let done = accepted.borrow_mut().remove(&id);
--- a/shards/src/broadcast.rs
+++ b/shards/src/broadcast.rs
@@ -1,18 +1,20 @@
-//! What one shard has learned, told to the others: a bounded log in one order, read by each at its own pace.
+//! What one shard has learned, broadcast to the others: a bounded log with one order, which each shard reads at its own
+//! pace.
 //!
-//! A reader that is so slow that news was dropped unread is told that it has missed some, and starts over from a
-//! snapshot; it never goes on as if it had heard all.
+//! A reader that is so slow that entries were dropped before it read them is told so, and has to start over from a
+//! snapshot; it never continues as if it had read everything.
 
 use std::collections::VecDeque;
 
-/// A moment, in microseconds.
+/// A time, in microseconds.
 pub type Micros = u64;
 
-/// A log of news of which the last `most` are kept.
+/// A log of which the last `capacity` entries are kept.
 #[derive(Clone, Debug)]
 pub struct BroadcastLog<T> {
+    /// Each entry with the shard that published it, and when.
     entries: VecDeque<(usize, Micros, T)>,
-    /// Number of the first that is kept.
+    /// Sequence number of the first kept entry.
     first: u64,
     capacity: usize,
 }
@@ -20,9 +22,9 @@
 /// What a reader gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Read<T> {
-    /// What others have told since, with its age.
+    /// What other shards have published since, each with its age in microseconds.
     Entries(Vec<(Micros, T)>),
-    /// Some was dropped unread: a snapshot is needed.
+    /// Entries were dropped before this shard read them: it needs a snapshot.
     Lagged,
 }
 
@@ -31,12 +33,12 @@
 pub struct Cursor(u64);
 
 impl<T: Clone> BroadcastLog<T> {
-    /// An empty log; at least one is kept.
+    /// An empty log; its capacity is at least one entry.
     pub fn new(capacity: usize) -> BroadcastLog<T> {
         BroadcastLog { entries: VecDeque::new(), first: 0, capacity: capacity.max(1) }
     }
 
-    /// A shard tells something; the oldest goes where there are too many.
+    /// Appends an entry of shard `from`; the oldest entry is dropped if the log is full.
     pub fn publish(&mut self, from: usize, now: Micros, entry: T) {
         if self.entries.len() == self.capacity {
             self.entries.pop_front();
@@ -45,7 +47,7 @@
         self.entries.push_back((from, now, entry));
     }
 
-    /// What others than `shard` have told since its cursor, which moves on to the end either way.
+    /// What shards other than `shard` have published since its cursor. The cursor moves to the end in any case.
     pub fn read(&self, shard: usize, now: Micros, cursor: &mut Cursor) -> Read<T> {
         let end = self.first + self.entries.len() as u64;
         let from = std::mem::replace(&mut cursor.0, end);
--- a/shards/src/capacity.rs
+++ b/shards/src/capacity.rs
@@ -1,32 +1,34 @@
-//! Room at one host for calls in flight, which is one for the process and is leased to its shards.
+//! The capacity of one host: how many calls of the process may be in flight there. It is one for the process and is
+//! leased to its shards.
 //!
-//! Each shard's module has a budget of its own at the host, as one balancer among as many as there are shards; what
-//! they allow together, rounded once, is the room. A unit of it is in one place only: free, on a shard's lease, or in
-//! the hands of whoever moves it. A call in flight stands on a unit of its shard's lease, and leases move to where
-//! calls wait: whoever returns room hands it to the shards that wait, in turn, and only what nobody waits for is free.
+//! Each shard's decision module has a concurrency limit of its own at the host, as one balancer among as many as there
+//! are shards. The capacity is the sum of these limits, rounded once. A unit of capacity is in one place at a time: free,
+//! leased to a shard, or allocation by the thread that moves it. A call in flight occupies a unit of its shard's lease. Leases
+//! move to the shards where calls wait: a shard that releases capacity grants it to the waiting shards in round-robin
+//! order, and only what no shard waits for becomes free.
 //!
-//! Nothing here locks or waits. All that must change together is one word, so that there is no order of two writes to
-//! get wrong: what is free and who waits are one, and a shard's lease and its calls in flight are one. The price is two
-//! uncontended compare-and-swaps a call.
+//! Nothing here takes a lock or blocks. Values that must change together share one word, so that no two writes can be
+//! ordered wrongly: the free capacity and the set of waiting shards, and a shard's lease and its calls in flight. The
+//! price is two uncontended compare-and-swaps per call.
 
 use crate::sync::{AtomicI64, AtomicU32, AtomicU64, Ordering};
 
 /// A shard of the process, from 0.
 pub type Shard = usize;
 
-/// Most shards of a process: who waits is a bit each.
+/// Most shards of a process: the set of waiting shards is a word with a bit for each.
 pub const MAX_SHARDS: usize = 32;
 
-/// Parts of a call in which shards tell what their modules allow.
+/// Fractions of a call in which shards state their modules' limits.
 pub const PARTS_PER_CALL: f64 = 1024.0;
 
-/// Shards that are to look at what they have, a bit each.
+/// Shards that are to be woken since their lease may have grown, with a bit for each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-#[must_use = "a shard that is not woken does not see what it was given"]
+#[must_use = "a shard that is not woken does not see what it was granted"]
 pub struct WakeSet(pub u32);
 
 impl WakeSet {
-    /// The shards.
+    /// The shards in the set.
     pub fn shards(self) -> impl Iterator<Item = Shard> {
         (0..MAX_SHARDS).filter(move |shard| self.0 & (1 << shard) != 0)
     }
@@ -40,16 +42,16 @@
     }
 }
 
-/// What a shard has there.
+/// A shard's part of the capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ShardAllocation {
-    /// Room that is its own for now.
+    /// Units that are leased to it.
     pub lease: u32,
-    /// Its calls in flight; one more than the lease at most, and only by the trial.
+    /// Its calls in flight: at most the lease, and one more with the probe permission.
     pub in_flight: u32,
-    /// It alone may go one call beyond its lease.
+    /// Whether it holds the probe permission: it alone may exceed its lease by one call.
     pub probe: bool,
-    /// It has ended: it is given nothing more.
+    /// Whether it has ended: nothing more is granted to it.
     pub dead: bool,
 }
 
@@ -72,22 +74,23 @@
         flags | ((u64::from(self.lease) & LEASE) << 32) | u64::from(self.in_flight)
     }
 
-    /// Calls that may be in flight.
+    /// Most calls that may be in flight.
     fn max_in_flight(self) -> u32 {
         self.lease + u32::from(self.probe)
     }
 
-    /// Room without a call on it.
+    /// Leased units without a call.
     pub fn idle(self) -> u32 {
         self.lease.saturating_sub(self.in_flight)
     }
 }
 
-/// What is free, and who waits.
+/// The free units and the waiting shards.
 #[derive(Clone, Copy)]
 struct FreeState {
-    /// Below 0 where more is leased than there is room: calls that are out go on when a budget falls.
+    /// Below 0 if more is leased than the capacity: calls in flight continue when a limit falls.
     free: i32,
+    /// The waiting shards, with a bit for each.
     waiting: u32,
 }
 
@@ -103,30 +106,32 @@
 
 #[derive(Debug)]
 struct ShardState {
+    /// The shard's [`ShardAllocation`].
     allocation: AtomicU64,
-    /// What its module allows, in [`PARTS`]. Its own word, but when it has ended.
+    /// Its module's limit, in [`PARTS_PER_CALL`]. Only the shard itself writes it, except when it has ended.
     limit: AtomicI64,
 }
 
-/// Room at one host. See the module's page.
+/// The capacity of one host. See the module documentation.
 #[derive(Debug)]
 pub struct HostCapacity {
+    /// A [`FreeState`].
     free: AtomicU64,
-    /// What all modules allow, in [`PARTS`].
+    /// The sum of all modules' limits, in [`PARTS_PER_CALL`].
     limit_sum: AtomicI64,
-    /// The shard that has the trial, and one more; 0: none.
+    /// The number of the shard that holds the probe permission, plus one; 0: no shard does.
     probe_holder: AtomicU32,
     shards: Box<[ShardState]>,
 }
 
-/// Room for whole calls: a host that any module allows anything takes one.
+/// The capacity in whole calls: at least one if any module's limit is above 0.
 fn whole_calls(limit_sum: i64) -> i32 {
     let calls = (limit_sum as f64 / PARTS_PER_CALL).round() as i32;
     calls.max(i32::from(limit_sum > 0))
 }
 
 impl HostCapacity {
-    /// For so many shards, [`SHARDS_MOST`] at most, without any room yet.
+    /// For this many shards, [`MAX_SHARDS`] at most; the capacity is 0 at first.
     pub fn new(shards: usize) -> HostCapacity {
         let shard = |_| ShardState { allocation: AtomicU64::new(0), limit: AtomicI64::new(0) };
         HostCapacity {
@@ -137,24 +142,24 @@
         }
     }
 
-    /// What a shard has.
+    /// A shard's part of the capacity.
     pub fn allocation(&self, shard: Shard) -> ShardAllocation {
         self.shards.get(shard).map_or_else(ShardAllocation::default, |state| {
             ShardAllocation::read(state.allocation.load(Ordering::Acquire))
         })
     }
 
-    /// Room for the whole process.
+    /// The capacity for the whole process, in calls.
     pub fn total(&self) -> u32 {
         u32::try_from(whole_calls(self.limit_sum.load(Ordering::Acquire))).unwrap_or(0)
     }
 
-    /// Room that nobody has; below 0 where more is out than there is.
+    /// Units that are not leased; below 0 if more is leased than the capacity.
     pub fn free(&self) -> i32 {
         FreeState::read(self.free.load(Ordering::Acquire)).free
     }
 
-    /// Whether others wait for room here, or more is leased than there is.
+    /// Whether other shards wait for capacity, or more is leased than the capacity.
     pub fn is_contended(&self, shard: Shard) -> bool {
         let state = FreeState::read(self.free.load(Ordering::Acquire));
         state.free < 0 || state.waiting & !(1 << shard) != 0
@@ -187,7 +192,8 @@
         }
     }
 
-    /// So much more is free, or less; who waits gets of it, one unit each and in turn behind `from`.
+    /// Adds to the free units, or subtracts from them. Grants free units to the waiting shards, one unit each, in
+    /// round-robin order after shard `from`.
     fn add_free(&self, from: Shard, by: i32) -> WakeSet {
         let mut woken = WakeSet::default();
         let mut by = by;
@@ -196,7 +202,7 @@
                 state.free = state.free.saturating_add(by);
                 let mut granted = 0_u32;
                 while state.free > 0 && state.waiting != 0 {
-                    // The first behind `from`, and around.
+                    // The first waiting shard after `from`, wrapping around.
                     let after = state.waiting & !(u32::MAX >> (31 - from.min(31)));
                     let next = if after != 0 { after } else { state.waiting }.trailing_zeros();
                     state.waiting &= !(1 << next);
@@ -207,7 +213,7 @@
             });
             by = 0;
             for shard in WakeSet(granted).shards() {
-                // One that has ended meanwhile takes nothing: it goes on to the next.
+                // A shard that has ended meanwhile takes nothing: its unit goes to the next one.
                 by += i32::from(!self.grant(shard, 1));
             }
             woken = woken | WakeSet(granted);
@@ -225,7 +231,7 @@
         self.update_allocation(shard, more).is_some()
     }
 
-    /// A shard's module allows so many calls now, as a mean.
+    /// Sets the limit of a shard's module, in calls (a mean, not necessarily whole).
     pub fn set_limit(&self, shard: Shard, calls: f64) -> WakeSet {
         let Some(state) = self.shards.get(shard) else { return WakeSet::default() };
         let parts = (calls.clamp(0.0, 1e6) * PARTS_PER_CALL) as i64;
@@ -237,9 +243,10 @@
         self.add_free(shard, whole_calls(before + more) - whole_calls(before))
     }
 
-    /// Takes up to `most` of what is free. Nothing while others wait: who comes must not pass them.
+    /// Leases up to `max` free units to a shard and returns how many; none while other shards wait, since they come
+    /// first.
     pub fn acquire(&self, shard: Shard, max: u32) -> u32 {
-        // Where there is none, looking is cheaper than trying: others change this word too.
+        // If nothing is free, a load is cheaper than a failed exchange: other shards write this word too.
         let state = FreeState::read(self.free.load(Ordering::Acquire));
         if state.free <= 0 || state.waiting & !(1 << shard) != 0 {
             return 0;
@@ -255,21 +262,22 @@
         u32::from(self.grant_or_return(shard, units)) * units
     }
 
-    /// What was taken goes on the shard's lease; one that has ended has no use for it.
+    /// Adds units that were taken from the free ones to a shard's lease, or returns them if the shard has ended.
     fn grant_or_return(&self, shard: Shard, units: u32) -> bool {
         let granted = units > 0 && self.grant(shard, units);
         if units > 0 && !granted {
-            // Nobody waited when it was taken, and whoever does by now looks again by itself.
+            // No shard waited when the units were taken, and one that waits by now checks again by itself.
             let _ = self.add_free(shard, units as i32);
         }
         granted
     }
 
-    /// Takes a unit if there is one; else the shard waits, and is woken when it has been given one. `true`: it has one.
+    /// Leases a free unit to a shard and returns `true`. If there is none, the shard waits, and is woken once it has been
+    /// granted one.
     pub fn acquire_or_wait(&self, shard: Shard) -> bool {
         let state = FreeState::read(self.free.load(Ordering::Acquire));
         if state.free <= 0 && state.waiting & (1 << shard) != 0 {
-            // It waits already.
+            // It is waiting already.
             return false;
         }
         let acquired = self.update_free(|mut state| {
@@ -281,15 +289,15 @@
         self.grant_or_return(shard, u32::from(acquired))
     }
 
-    /// The shard waits no more. What it has been given meanwhile is on its lease.
+    /// Ends a shard's wait. A unit that it was granted meanwhile is on its lease.
     pub fn stop_waiting(&self, shard: Shard) {
-        // Most never waited.
+        // Most shards are not waiting, and need no exchange.
         if FreeState::read(self.free.load(Ordering::Acquire)).waiting & 1 << shard != 0 {
             self.update_free(|state| (FreeState { waiting: state.waiting & !(1 << shard), ..state }, ()));
         }
     }
 
-    /// Returns what has no call on it, but for `keep`.
+    /// Releases a shard's idle units, except for `keep` of them.
     pub fn release_idle(&self, shard: Shard, keep: u32) -> WakeSet {
         let less = |allocation: ShardAllocation| {
             let lease = allocation.lease.min(allocation.in_flight.saturating_add(keep));
@@ -301,7 +309,7 @@
         }
     }
 
-    /// A call goes. `false`: its shard has no room for it, and it must not.
+    /// Starts a call. `false`: the shard has no unit for it, and the call must not be sent.
     #[must_use]
     pub fn begin_call(&self, shard: Shard) -> bool {
         let more = |allocation: ShardAllocation| {
@@ -311,7 +319,7 @@
         self.update_allocation(shard, more).is_some()
     }
 
-    /// A call that had begun has ended.
+    /// Ends a call that [`HostCapacity::begin_call`] has started.
     pub fn end_call(&self, shard: Shard) {
         let less = |allocation: ShardAllocation| {
             Some(ShardAllocation { in_flight: allocation.in_flight.saturating_sub(1), ..allocation })
@@ -319,7 +327,7 @@
         self.update_allocation(shard, less);
     }
 
-    /// Takes the one trial, if no shard has it.
+    /// Takes the probe permission, of which there is one per host, unless another shard holds it. `true`: it was taken.
     pub fn acquire_probe(&self, shard: Shard) -> bool {
         let word = shard as u32 + 1;
         if self.probe_holder.compare_exchange(0, word, Ordering::AcqRel, Ordering::Acquire).is_err() {
@@ -335,7 +343,7 @@
         true
     }
 
-    /// Returns the trial, unless a call is out on it.
+    /// Returns the probe permission, unless a call in flight uses it. `true`: it was returned.
     pub fn release_probe(&self, shard: Shard) -> bool {
         let without_probe = |allocation: ShardAllocation| {
             (allocation.probe && allocation.in_flight <= allocation.lease)
@@ -348,15 +356,15 @@
         released
     }
 
-    /// A shard does not answer: what it has without a call on it is taken back. It may wake at any moment and finds
-    /// what is left; calls of it that are out keep their room.
+    /// Takes back a stalled shard's idle units. The shard may recover at any time and finds what is left; its calls in
+    /// flight keep their units.
     pub fn reclaim(&self, shard: Shard) -> WakeSet {
         self.stop_waiting(shard);
         self.release_probe(shard);
         self.release_idle(shard, 0)
     }
 
-    /// A shard has ended, with all its calls: what it had is free, and what its module allowed is no more.
+    /// Removes a shard that has ended, with all its calls: its lease becomes free, and its module's limit 0.
     pub fn remove_shard(&self, shard: Shard) -> WakeSet {
         let dead = |allocation: ShardAllocation| {
             (!allocation.dead).then_some(ShardAllocation { dead: true, ..ShardAllocation::default() })
--- a/shards/src/handover.rs
+++ b/shards/src/handover.rs
@@ -1,4 +1,5 @@
-//! Whether a request that was handed to another shard has been taken there: the proof that it never ran.
+//! Whether a request that was handed over to another shard was accepted there. A request that was cancelled before it
+//! was accepted certainly never ran.
 
 use crate::sync::{AtomicU8, Ordering};
 
@@ -6,8 +7,8 @@
 const ACCEPTED: u8 = 1;
 const CANCELLED: u8 = 2;
 
-/// Goes with a request from shard to shard. Either the one takes it or the other withdraws it, never both, however the
-/// two meet; what was withdrawn surely never ran.
+/// Accompanies a request that is handed over from one shard to another. Either the receiving shard accepts it or the
+/// sending shard cancels it, never both, however the two race. A cancelled request certainly never ran.
 #[derive(Debug)]
 pub struct HandoverToken(AtomicU8);
 
@@ -22,13 +23,13 @@
         self.0.compare_exchange(QUEUED, to, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
-    /// The shard that it came to takes it. `false`: it was withdrawn, and must not run.
+    /// Called by the receiving shard. `false`: the request was cancelled, and must not run.
     #[must_use]
     pub fn accept(&self) -> bool {
         self.decide(ACCEPTED)
     }
 
-    /// The shard that it came from withdraws it. `false`: it was taken, and may run or have run.
+    /// Called by the sending shard. `false`: the request was accepted, and may run or may have run.
     #[must_use]
     pub fn cancel(&self) -> bool {
         self.decide(CANCELLED)
--- a/shards/src/ids.rs
+++ b/shards/src/ids.rs
@@ -1,15 +1,16 @@
-//! The ids of all open calls of the process: hosts would take two calls of one id for one.
+//! The ids of all open calls of the process. Hosts treat two calls with the same id as one, so an id may be open only
+//! once.
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::collections::HashSet;
 use std::hash::Hash;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Parts under a lock each: with so many, two shards seldom meet in one.
+/// Number of partitions with a lock each: with this many, two shards rarely contend for one.
 const PARTITIONS: usize = 64;
 
-/// Open ids, as hashes of 128 bits under a seed: two that differ are taken for one with a chance of 2^-128 a pair.
-/// Bounded by what is open.
+/// The open ids, as seeded 128-bit hashes: two different ids collide with a probability of 2^-128. The size is bounded by
+/// the number of open calls.
 #[derive(Debug)]
 pub struct OpenIds {
     seed: (u64, u64),
@@ -17,7 +18,7 @@
 }
 
 impl OpenIds {
-    /// None yet.
+    /// No open ids yet.
     pub fn new(seed: u64) -> OpenIds {
         let partitions = (0..PARTITIONS).map(|_| Mutex::default()).collect();
         OpenIds { seed: (seed, seed.rotate_left(32) ^ 0x6964), partitions }
@@ -27,13 +28,13 @@
         let mut hasher = SipHasher13::new_with_keys(self.seed.0, self.seed.1);
         id.hash(&mut hasher);
         let hash = hasher.finish128().as_u128();
-        // A set is whole whoever panicked: its operations are single.
+        // Poisoning is ignored: each change of the set is a single operation, so a panic leaves it consistent.
         let partition =
             self.partitions[hash as usize % PARTITIONS].lock().unwrap_or_else(PoisonError::into_inner);
         (hash, partition)
     }
 
-    /// Opens an id. `false`: it is open already.
+    /// Opens an id. `false`: it is already open.
     #[must_use]
     pub fn open(&self, id: &impl Hash) -> bool {
         let (hash, mut partition) = self.partition(id);
@@ -45,12 +46,12 @@
         let (hash, mut partition) = self.partition(id);
         partition.remove(&hash);
         if partition.is_empty() {
-            // A burst's size is not kept.
+            // Releases the memory that a burst of calls needed.
             partition.shrink_to(256);
         }
     }
 
-    /// How many are open.
+    /// Number of open ids.
     pub fn len(&self) -> usize {
         self.partitions
             .iter()
@@ -58,7 +59,7 @@
             .sum()
     }
 
-    /// Whether none is open.
+    /// Whether no id is open.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/shards/src/lib.rs
+++ b/shards/src/lib.rs
@@ -1,14 +1,17 @@
-//! What must hold over several engines (*shards*) of one process, decided without I/O and without a clock.
+//! What must hold across several engines (*shards*) of one process. Every decision is made without I/O and without
+//! reading a clock.
 //!
-//! - [`room`]: calls in flight at a host. The process's room is one, leased to shards and moved to where calls wait.
-//! - [`ticket`]: whether a request that was handed to another shard was taken there, or surely never ran.
-//! - [`owner`] and [`roll`]: which shard a key belongs to, who lives, and who stands in for one that does not answer.
-//! - [`news`]: what one shard has learned, told to the others in order, with an age.
+//! - [`capacity`]: the concurrency limit at a host. It is one for the process, is leased to shards and moves to the
+//!   shards where calls wait.
+//! - [`handover`]: whether a request that was forwarded to another shard was accepted there, or certainly never ran.
+//! - [`rendezvous`] and [`liveness`]: which shard owns a key, which shards are alive, and which one stands in for a shard
+//!   that does not respond.
+//! - [`broadcast`]: what one shard has learned, read by the others in order, with its age.
 //! - [`ids`]: the ids of all open calls.
 //!
-//! [`room`] and [`ticket`] are shared by threads and are checked by `loom` in all interleavings of small cases
-//! (`tests/threads.rs`, feature `loom`); the rest belongs to one thread or is under a lock off the ordinary path.
-
+//! [`capacity`] and [`handover`] are shared between threads without locks, and are checked by `loom` in all
+//! interleavings of small cases (`tests/threads.rs`, feature `loom`). The other modules belong to one thread, or are
+//! under a lock that the path of ordinary calls does not take.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/shards/src/liveness.rs
+++ b/shards/src/liveness.rs
@@ -1,29 +1,30 @@
-//! Who of the shards lives: what the others see of its beats, and who stands in for one that does not answer.
+//! Which shards are alive, by the heartbeats that each shard observes of the others, and which shard stands in for one
+//! that does not respond.
 
 use crate::capacity::Shard;
 use crate::rendezvous;
 use std::fmt;
 
-/// A moment, in microseconds.
+/// A time, in microseconds.
 pub type Micros = u64;
 
-/// What is known of a shard.
+/// The liveness of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// It beats.
+    /// Its heartbeat advances.
     Alive,
-    /// It has not beaten for too long: its thread is blocked, or has no processor. It may come back.
+    /// Its heartbeat has not advanced for too long: its thread is blocked, or gets no processor time. It may recover.
     Stalled,
-    /// It has ended, and does not come back.
+    /// Its thread has ended. It never recovers.
     Dead,
 }
 
-/// A change.
+/// A change of a shard's liveness. Its text goes to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LivenessChange {
-    /// Of which shard.
+    /// The shard.
     pub shard: Shard,
-    /// What it is now.
+    /// Its liveness from now on.
     pub now: Liveness,
 }
 
@@ -42,23 +43,24 @@
 struct Observed {
     liveness: Liveness,
     heartbeat: u64,
+    /// When the heartbeat last advanced, or the liveness last changed.
     since: Micros,
 }
 
-/// One shard's view of all.
+/// The liveness of all shards, as one of them observes it.
 #[derive(Clone, Debug)]
 pub struct LivenessTable {
     me: Shard,
     shards: Vec<Observed>,
-    /// Without a beat for so long a shard is taken for stalled.
+    /// A shard whose heartbeat does not advance for this long counts as stalled.
     stall_timeout: Micros,
-    /// For so long after its end nobody knows what became of a dead shard's keys.
+    /// For this long after a shard has ended, the outcome of the keys that it owned counts as unknown.
     key_retention: Micros,
     last_update: Micros,
 }
 
 impl LivenessTable {
-    /// Of so many shards, all living.
+    /// A table of this many shards, all alive, as shard `me` observes them.
     pub fn new(
         me: Shard,
         shards: usize,
@@ -70,9 +72,9 @@
         LivenessTable { me, shards, stall_timeout, key_retention, last_update: now }
     }
 
-    /// Looks at all beats, and at who has ended. What has changed comes back.
+    /// Reads all shards' heartbeat counts and whether they have ended. Returns what has changed.
     ///
-    /// Whoever looks late has been stalled itself, and knows nothing of the others: it begins anew with those.
+    /// A shard that calls this late was stalled itself and can't judge the others: their time starts anew.
     pub fn update(&mut self, now: Micros, heartbeat: impl Fn(Shard) -> (u64, bool)) -> Vec<LivenessChange> {
         let late = now.saturating_sub(self.last_update) > self.stall_timeout / 2;
         self.last_update = now;
@@ -107,17 +109,17 @@
         changes
     }
 
-    /// What a shard is at.
+    /// A shard's liveness.
     pub fn liveness(&self, shard: Shard) -> Liveness {
         self.shards.get(shard).map_or(Liveness::Dead, |observed| observed.liveness)
     }
 
-    /// Who watches the list: the first that lives.
+    /// The shard that watches the server list for all: the first that is alive.
     pub fn leader(&self) -> Shard {
         self.shards.iter().position(|observed| observed.liveness == Liveness::Alive).unwrap_or(self.me)
     }
 
-    /// Who takes a shard's new clients: itself, or the next that lives.
+    /// The shard that accepts a shard's new clients: that shard itself, or the next one that is alive.
     pub fn stand_in(&self, shard: Shard) -> Shard {
         let count = self.shards.len();
         let ring = (0..count).map(|offset| (shard + offset) % count);
@@ -125,8 +127,8 @@
         alive.next().unwrap_or(self.me)
     }
 
-    /// Which shard a key belongs to. One that is stalled keeps its own, and so does a dead one for as long as it would
-    /// have remembered them: nobody else knows whether they ran.
+    /// The shard that owns a key. A stalled shard keeps its keys, and so does a dead one for as long as it would have
+    /// remembered them, since no other shard knows whether they ran.
     pub fn key_owner(&self, now: Micros, seed: u64, tenant: Option<u32>, class: u32, key: &[u8]) -> Shard {
         let is_forgotten = |shard: Shard| {
             let observed = &self.shards[shard];
@@ -141,7 +143,7 @@
         )
     }
 
-    /// How many live.
+    /// Number of shards that are alive.
     pub fn alive(&self) -> usize {
         self.shards.iter().filter(|observed| observed.liveness == Liveness::Alive).count()
     }
@@ -179,7 +181,7 @@
     #[test]
     fn a_shard_that_was_stalled_itself_does_not_report_the_others() {
         let mut table = LivenessTable::new(1, 3, 0, STALL_TIMEOUT, 50_000);
-        // All were without a processor for long, this one too.
+        // No shard had a processor for a long time, including this one.
         assert_eq!(update(&mut table, 9_000, [0, 1, 0], None), []);
         assert_eq!(update(&mut table, 9_300, [0, 2, 1], None), []);
         for now in [9_600, 9_900] {
@@ -195,12 +197,12 @@
             |table: &LivenessTable, now, key: u32| table.key_owner(now, 7, None, 0, &key.to_be_bytes());
         let before: Vec<Shard> = (0..300).map(|key| owner(&table, 0, key)).collect();
         assert_eq!(update(&mut table, 100, [1, 1, 1], Some(2)), [(2, Liveness::Dead)]);
-        assert_eq!(update(&mut table, 200, [2, 2, 2], None), [], "it does not come back");
+        assert_eq!(update(&mut table, 200, [2, 2, 2], None), [], "a dead shard never recovers");
         let at_once: Vec<Shard> = (0..300).map(|key| owner(&table, 40_000, key)).collect();
         assert_eq!(before, at_once);
         let later: Vec<Shard> = (0..300).map(|key| owner(&table, 60_000, key)).collect();
         assert!(later.iter().all(|&shard| shard < 2));
-        // Those of the living stay where they are.
+        // Keys of the other shards do not move.
         assert!(before.iter().zip(&later).all(|(a, b)| *a == 2 || a == b));
     }
 }
--- a/shards/src/rendezvous.rs
+++ b/shards/src/rendezvous.rs
@@ -1,10 +1,11 @@
-//! Which shard a key belongs to: rendezvous hashing (Thaler and Ravishankar, 1998) under a seed, so that nobody who does
-//! not know it can send all keys to one shard, and a shard more or less moves no key between two others.
+//! Which shard owns a key: rendezvous hashing (Thaler and Ravishankar, 1998). A shard that is added or removed moves no
+//! key between two other shards. The hash has a seed, so that keys that all belong to one shard can't be made without
+//! knowing it.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Which of these shards a key of a tenant and class belongs to; 0 without any.
+/// The owner, among these shards, of a key of a tenant and class; 0 if there are no shards.
 pub fn owner(
     shards: impl Iterator<Item = usize>,
     seed: u64,
@@ -42,7 +43,10 @@
             let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
             let share = before.len() / (shards + 1);
             assert!(moved * 20 <= share * 21, "{moved} moved of {share}");
-            assert!(before.iter().zip(&after).all(|(a, b)| a == b || *b == shards), "between two others");
+            assert!(
+                before.iter().zip(&after).all(|(a, b)| a == b || *b == shards),
+                "a key moved between two other shards"
+            );
         }
     }
 
--- a/shards/tests/capacity.rs
+++ b/shards/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! Room that is leased to shards, in long random days from fixed seeds and in the cases that matter.
+//! The capacity of a host that is leased to shards, in long random sequences of steps from a fixed seed and in specific
+//! cases.
 
 use nettleworks_shards::capacity::HostCapacity;
 use proptest::prelude::*;
@@ -33,7 +34,8 @@
     ]
 }
 
-/// The room of a process against what one may say of it at any time.
+/// Checks the invariants of the capacity after each step: no unit is created or lost, no shard exceeds its lease, and no
+/// shard waits while units are free.
 #[test]
 fn random_steps_keep_the_invariants() {
     let config = Config { cases: 100, failure_persistence: None, ..Config::default() };
@@ -87,16 +89,20 @@
             }
             let allocations: Vec<_> = (0..shards).map(|shard| capacity.allocation(shard)).collect();
             let leased: i64 = allocations.iter().map(|allocation| i64::from(allocation.lease)).sum();
-            prop_assert_eq!(leased + i64::from(capacity.free()), i64::from(capacity.total()), "made or lost");
+            prop_assert_eq!(
+                leased + i64::from(capacity.free()),
+                i64::from(capacity.total()),
+                "a unit was created or lost"
+            );
             let sum: f64 = limits.iter().sum();
             prop_assert!((f64::from(capacity.total()) - sum).abs() <= 1.0, "{} for {sum}", capacity.total());
-            prop_assert!(allocations.iter().filter(|allocation| allocation.probe).count() <= 1, "one trial");
+            prop_assert!(allocations.iter().filter(|allocation| allocation.probe).count() <= 1, "two probes");
             for (shard, allocation) in allocations.iter().enumerate() {
                 prop_assert_eq!(allocation.in_flight, in_flight[shard]);
                 prop_assert!(allocation.in_flight <= allocation.lease + u32::from(allocation.probe));
                 prop_assert!(
                     capacity.free() <= 0 || !capacity.is_contended(shard),
-                    "somebody waits, and there is room"
+                    "a shard waits while units are free"
                 );
             }
         }
@@ -105,7 +111,7 @@
     done.unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// A lease is given back while the calls that it stood for are out: they keep their room until they end.
+/// A shard releases its lease while calls are in flight: they keep their units until they end.
 #[test]
 fn units_of_calls_in_flight_are_not_released() {
     let capacity = HostCapacity::new(2);
@@ -120,8 +126,8 @@
     assert_eq!((capacity.allocation(0).lease, capacity.free()), (1, 1));
 }
 
-/// A budget that falls below what is out, and below the number of shards: nobody begins a call until enough have ended,
-/// and then one at a time.
+/// The limit falls below the number of calls in flight and of shards: no shard begins a call until enough have ended, and
+/// then the shards take turns.
 #[test]
 fn a_limit_below_the_number_of_shards_is_used_in_turn() {
     let capacity = HostCapacity::new(4);
@@ -136,10 +142,10 @@
     }
     for shard in 0..3 {
         capacity.end_call(shard);
-        assert_eq!(capacity.release_idle(shard, 0).0, 0, "more is out than there is room");
+        assert_eq!(capacity.release_idle(shard, 0).0, 0, "more is leased than the capacity");
     }
     capacity.end_call(3);
-    // In turn behind the one that returns it.
+    // Round-robin, after the shard that releases the unit.
     let mut order = Vec::new();
     let mut last = 3;
     for _ in 0..4 {
@@ -153,7 +159,7 @@
     assert_eq!(order, [0, 1, 2, 3]);
 }
 
-/// Who comes does not pass those that wait, and a shard that has ended is given nothing.
+/// Waiting shards come before new ones, and nothing is granted to a shard that has ended.
 #[test]
 fn waiting_shards_come_first() {
     let capacity = HostCapacity::new(3);
@@ -163,11 +169,11 @@
     assert_eq!(
         (capacity.allocation(1).lease, capacity.acquire(2, 1)),
         (1, 0),
-        "what is new is the waiting one's"
+        "the new unit goes to the waiting shard"
     );
     assert!(!capacity.acquire_or_wait(1) && !capacity.acquire_or_wait(2));
     let _ = capacity.remove_shard(1);
-    // What it had is the other's.
+    // Its unit goes to the other waiting shard.
     assert_eq!((capacity.allocation(1).lease, capacity.allocation(2).lease), (0, 1));
     assert!(!capacity.begin_call(1) && !capacity.acquire_probe(1));
 }
--- a/shards/tests/threads.rs
+++ b/shards/tests/threads.rs
@@ -1,5 +1,5 @@
-//! All interleavings of two or three threads, by loom: room is never made or lost, nobody waits while there is some, and
-//! a request that was handed over runs or never runs, but not both.
+//! All interleavings of two or three threads, by loom: capacity is never created or lost, no shard waits while units are
+//! free, and a request that was handed over is either accepted or cancelled.
 //!
 //! `cargo test -p nettleworks-shards --features loom --test threads`
 
@@ -8,7 +8,8 @@
 use nettleworks_shards::capacity::{HostCapacity, WakeSet};
 use nettleworks_shards::handover::HandoverToken;
 
-/// Preemptions a run: all interleavings with up to so many. Without a bound these cases have millions.
+/// Most preemptions per run: all interleavings with up to this many are checked. Without a bound these cases have
+/// millions.
 const MAX_PREEMPTIONS: usize = 3;
 
 fn check(test: impl Fn() + Sync + Send + 'static) {
@@ -17,15 +18,20 @@
     model.check(test);
 }
 
-/// Nothing is under way: what is leased and free is what there is, and nobody waits for what is there.
+/// Checks the state after all threads have ended: leased and free units add up to the capacity, and no shard waits while
+/// units are free.
 fn check_invariants(capacity: &HostCapacity, shards: usize) {
     let leased: u32 = (0..shards).map(|shard| capacity.allocation(shard).lease).sum();
-    assert_eq!(i64::from(capacity.free()) + i64::from(leased), i64::from(capacity.total()), "made or lost");
+    assert_eq!(
+        i64::from(capacity.free()) + i64::from(leased),
+        i64::from(capacity.total()),
+        "a unit was created or lost"
+    );
     let a_shard_waits = (0..shards).any(|shard| capacity.is_contended(shard));
-    assert!(!a_shard_waits || capacity.free() <= 0, "somebody waits while {} are free", capacity.free());
+    assert!(!a_shard_waits || capacity.free() <= 0, "a shard waits while {} are free", capacity.free());
 }
 
-/// A call from its wish for room to its end. `false`: it waits, and has been given nothing yet.
+/// Acquires a unit, and begins and ends a call. `false`: the shard waits and has been granted nothing yet.
 fn run_call(capacity: &HostCapacity, shard: usize) -> (bool, WakeSet) {
     if !capacity.acquire_or_wait(shard) && capacity.allocation(shard).idle() == 0 {
         return (false, WakeSet::default());
@@ -38,7 +44,8 @@
     (begun, capacity.release_idle(shard, 0))
 }
 
-/// Two shards want the last room: one has it at a time, and if one waited it has been given it, and is woken.
+/// Two shards contend for the last unit: one has it at a time, and if one waited it has been granted the unit, and is
+/// woken.
 #[test]
 fn two_shards_contend_for_the_last_unit() {
     check(|| {
@@ -48,10 +55,10 @@
         let thread = thread::spawn(move || run_call(&other, 1));
         let (first_ran, first_wakes) = run_call(&capacity, 0);
         let (second_ran, second_wakes) = thread.join().expect("no panic");
-        assert!(first_ran || second_ran, "one of them had it");
+        assert!(first_ran || second_ran, "neither had the unit");
         for (shard, ran, woken) in [(0, first_ran, second_wakes), (1, second_ran, first_wakes)] {
             if !ran {
-                // It waited, and whoever returned the room has given it on and said so.
+                // It waited, and the shard that released the unit has granted it and reports the wake-up.
                 assert_eq!(capacity.allocation(shard).idle(), 1, "shard {shard}");
                 assert!(
                     woken.shards().any(|woken_shard| woken_shard == shard),
@@ -63,7 +70,7 @@
     });
 }
 
-/// A budget falls while one shard begins a call and another returns what it has.
+/// The limit falls while one shard begins a call and another releases its idle unit.
 #[test]
 fn the_limit_falls_while_calls_begin() {
     check(|| {
@@ -73,7 +80,7 @@
         let other = capacity.clone();
         let thread = thread::spawn(move || {
             let begun = other.begin_call(1);
-            assert!(begun, "it is on its lease");
+            assert!(begun, "it is within its lease");
             other.end_call(1);
             let _ = other.release_idle(1, 0);
         });
@@ -85,7 +92,8 @@
     });
 }
 
-/// A shard is taken for stalled and wakes just then: what it begins stands on room that was not taken from it.
+/// A shard that counts as stalled recovers while its idle units are reclaimed: a call that it begins has a unit that was
+/// not reclaimed.
 #[test]
 fn a_stalled_shard_recovers_while_its_units_are_reclaimed() {
     check(|| {
@@ -102,7 +110,7 @@
     });
 }
 
-/// One trial, whoever asks, and it is not taken back from under a call.
+/// Only one shard gets the probe permission, and it is not released while a call uses it.
 #[test]
 fn only_one_shard_probes() {
     check(|| {
@@ -113,7 +121,7 @@
         let second_began = thread.join().expect("no panic");
         assert!(first_began != second_began);
         let holder = usize::from(second_began);
-        assert!(!capacity.release_probe(holder), "a call is out on it");
+        assert!(!capacity.release_probe(holder), "a call uses it");
         assert!(!capacity.acquire_probe(1 - holder));
         capacity.end_call(holder);
         assert!(capacity.release_probe(holder) && capacity.acquire_probe(1 - holder));
@@ -121,7 +129,7 @@
     });
 }
 
-/// A shard ends while it is being given room: nothing is lost with it.
+/// A shard ends while a unit is granted to it: the unit is not lost.
 #[test]
 fn a_shard_ends_while_a_unit_is_granted_to_it() {
     check(|| {
@@ -133,13 +141,13 @@
         let thread = thread::spawn(move || other.remove_shard(1));
         let first_wakes = capacity.release_idle(0, 0);
         let second_wakes = thread.join().expect("no panic");
-        assert_eq!(capacity.allocation(2).lease, 1, "the one that lives has it");
+        assert_eq!(capacity.allocation(2).lease, 1, "the remaining shard has it");
         assert!((first_wakes | second_wakes).shards().any(|shard| shard == 2));
         check_invariants(&capacity, 3);
     });
 }
 
-/// Whoever hands a request over gives up just as it is taken: it runs, or surely never does.
+/// The sending shard cancels a request while the receiving shard accepts it: exactly one of them succeeds.
 #[test]
 fn a_request_is_either_accepted_or_cancelled() {
     check(|| {
@@ -148,6 +156,6 @@
         let thread = thread::spawn(move || other.accept());
         let cancelled = token.cancel();
         assert!(cancelled != thread.join().expect("no panic"));
-        assert!(!token.accept() && !token.cancel(), "it is decided for good");
+        assert!(!token.accept() && !token.cancel(), "the decision is final");
     });
 }
