--- a/keys/src/detached.rs
+++ b/keys/src/detached.rs
@@ -103,8 +103,13 @@
         let mut cancelled = Vec::new();
         for host in hosts {
             while self.by_host.get(&host).is_some_and(|calls| calls.len() > self.bounds.per_host) {
-                let oldest = self.by_host.get(&host).and_then(BTreeSet::first).copied();
-                cancelled.extend(oldest.and_then(|sequence| self.remove_sequence(sequence)));
+                cancelled.extend(
+                    self.by_host
+                        .get(&host)
+                        .and_then(BTreeSet::first)
+                        .copied()
+                        .and_then(|sequence| self.remove_sequence(sequence)),
+                );
             }
         }
         while self.by_tenant.get(&tenant).is_some_and(|calls| calls.len() > self.bounds.per_tenant) {
--- a/keys/tests/interleavings.rs
+++ b/keys/tests/interleavings.rs
@@ -139,8 +139,8 @@
         let Completion { waiters, next, .. } = self.store.complete(self.now, run_id, outcome.clone());
         for id in &waiters {
             let position = self.waiting.iter().position(|other| other == id);
-            let position = position.unwrap_or_else(|| panic!("{:?}: answered, but not waiting", self.path));
-            self.waiting.remove(position);
+            self.waiting
+                .remove(position.unwrap_or_else(|| panic!("{:?}: answered, but not waiting", self.path)));
         }
         if never_ran && !self.waiting.is_empty() {
             assert_eq!(next, self.waiting.first().copied(), "{:?}: exactly one becomes the first", self.path);
--- a/shards/src/liveness.rs
+++ b/shards/src/liveness.rs
@@ -123,7 +123,7 @@
     pub fn stand_in(&self, shard: Shard) -> Shard {
         let count = self.shards.len();
         let ring = (0..count).map(|offset| (shard + offset) % count);
-        let mut alive = ring.filter(|&shard| self.liveness(shard) == Liveness::Alive);
+        let mut alive = ring.filter(|&candidate| self.liveness(candidate) == Liveness::Alive);
         alive.next().unwrap_or(self.me)
     }
 
