--- a/keys/src/store.rs
+++ b/keys/src/store.rs
@@ -651,7 +651,7 @@
         &mut self.counts
     }
 
-    /// Removes a request from the waiters of a run, since its client has gone.
+    /// Removes a request from the waiters of a run, since its client has disconnected.
     pub fn remove_waiter(&mut self, run_id: RunId, waiter: WaiterId) -> Removal {
         let Some(waiters) = self.running(run_id) else { return Removal::WasNotWaiting };
         let Some(position) = waiters.iter().position(|&(id, _)| id == waiter) else {
--- a/keys/station/src/lib.rs
+++ b/keys/station/src/lib.rs
@@ -28,7 +28,7 @@
 use tokio::time::Instant;
 
 /// How long after its deadline a waiting request times out, if its call can't be detached: the decision module ends the
-/// call at the deadline, and hosts must be blamed for the time-out instead of being excused as if the client had gone.
+/// call at the deadline, and hosts must be blamed for the time-out instead of being excused as if the client had disconnected.
 const GRACE: Duration = Duration::from_millis(5);
 /// When a client may retry after a refusal for lack of room.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -179,12 +179,12 @@
         }
     }
 
-    /// Answers a request that no longer waits, since its client has gone or its deadline has passed.
+    /// Answers a request that no longer waits, since its client has disconnected or its deadline has passed.
     fn answer_removed(&mut self, context: &mut Desk<P>, waiter: Waiter<P>, removal: Removal) {
         let run_id = waiter.run_id;
         let may_have_run = self.call(run_id).is_some_and(|call| context.may_have_run(call));
         let info = self.store.info(context.now(), run_id);
-        // A client that has gone does not receive it.
+        // A client that has disconnected does not receive it.
         let reply = match info {
             _ if removal == Removal::NobodyWaits && !may_have_run => {
                 Reply::Refused(retry_after(context.config()))
@@ -242,14 +242,14 @@
     }
 
     fn arrive(&mut self, context: &mut Desk<P>, incoming: Guest<P>) -> Step<P> {
-        let metadata = incoming.ask();
-        let Some(key) = &metadata.key else { return Step::Pass(incoming) };
-        let (class, deadline, call) = (metadata.class, metadata.deadline, incoming.number());
+        let request_info = incoming.ask();
+        let Some(key) = &request_info.key else { return Step::Pass(incoming) };
+        let (class, deadline, call) = (request_info.class, request_info.deadline, incoming.number());
         let times_out_at = self.times_out_at(class, deadline);
         let unsafe_class =
             context.config().settings.classes.get(class.0).is_none_or(|c| c.repeat == Repeat::SingleShot);
         let request = Request {
-            tenant: metadata.tenant.and_then(|tenant| u32::try_from(tenant.0).ok()),
+            tenant: request_info.tenant.and_then(|tenant| u32::try_from(tenant.0).ok()),
             class: u32::try_from(class.0).unwrap_or(u32::MAX),
             kind: if unsafe_class { ClassKind::Unsafe } else { ClassKind::Keyed },
             key,
--- a/shards/cores/src/crossing.rs
+++ b/shards/cores/src/crossing.rs
@@ -172,8 +172,8 @@
     }
 
     fn arrive(&mut self, context: &mut Desk<P>, incoming: Guest<P>) -> Step<P> {
-        let metadata = incoming.ask();
-        let Some((tenant, class, key)) = key_parts(metadata) else { return Step::Pass(incoming) };
+        let request_info = incoming.ask();
+        let Some((tenant, class, key)) = key_parts(request_info) else { return Step::Pass(incoming) };
         let (owner, liveness) = {
             let table = self.liveness.borrow();
             let owner = table.key_owner(self.shared.now(), self.shared.seed, tenant, class, key);
@@ -192,9 +192,9 @@
         }
         let Some(mailbox) = self.shared.mailboxes.get(owner) else { return self.refuse(context, incoming) };
         let (call, token) = (incoming.number(), Arc::new(HandoverToken::default()));
-        let (metadata, request) = (metadata.clone(), incoming.request().clone());
-        let give_up_at = metadata.deadline + GRACE;
-        let handover = Handover { from: self.me, call, metadata, request, token: token.clone() };
+        let (request_info, request) = (request_info.clone(), incoming.request().clone());
+        let give_up_at = request_info.deadline + GRACE;
+        let handover = Handover { from: self.me, call, request_info, request, token: token.clone() };
         match mailbox.requests.try_send(handover) {
             Ok(()) => {}
             // It was not accepted, and never will be.
--- a/shards/cores/src/hub.rs
+++ b/shards/cores/src/hub.rs
@@ -57,7 +57,7 @@
 pub struct Handover<P: Protocol> {
     pub(crate) from: Shard,
     pub(crate) call: CallId,
-    pub(crate) metadata: Ask<P::Id>,
+    pub(crate) request_info: Ask<P::Id>,
     pub(crate) request: P::Request,
     pub(crate) token: Arc<HandoverToken>,
 }
--- a/shards/cores/src/member.rs
+++ b/shards/cores/src/member.rs
@@ -30,8 +30,8 @@
     name: Arc<str>,
     born_ms: u64,
     capacity: Arc<HostCapacity>,
-    /// The lease and the probe permission that the decision module was last told.
-    told: (u32, bool),
+    /// The lease and the probe permission as last sent to the decision module.
+    sent_to_module: (u32, bool),
     /// The last load report, if it has not been published to the other shards yet.
     load: Option<Load>,
     /// A call there ended since the last tick.
@@ -132,8 +132,8 @@
         let Some(known) = self.hosts.get_mut(&server) else { return };
         let allocation = known.capacity.allocation(self.me);
         let now = (allocation.lease, allocation.probe);
-        if known.told != now {
-            known.told = now;
+        if known.sent_to_module != now {
+            known.sent_to_module = now;
             self.allocations.push(policy::Room { server, room: allocation.lease, trial: allocation.probe });
         }
     }
@@ -293,8 +293,15 @@
         self.remove_host(server);
         let name: Arc<str> = name.into();
         let capacity = self.shared.host_capacity(&name, born_ms);
-        let known =
-            KnownHost { name, born_ms, capacity, told: (0, false), load: None, used: false, new: true };
+        let known = KnownHost {
+            name,
+            born_ms,
+            capacity,
+            sent_to_module: (0, false),
+            load: None,
+            used: false,
+            new: true,
+        };
         self.hosts.insert(server, known);
         // The decision module receives the host first; its limit there counts from then on.
         self.processed.push(server);
--- a/shards/cores/src/seat.rs
+++ b/shards/cores/src/seat.rs
@@ -125,10 +125,10 @@
 }
 
 /// The tenant, class and key that decide which shard owns a request; `None` without a key.
-pub(crate) fn key_parts<I>(metadata: &Ask<I>) -> Option<(Option<u32>, u32, &[u8])> {
-    let key = metadata.key.as_ref()?;
-    let tenant = metadata.tenant.and_then(|tenant| u32::try_from(tenant.0).ok());
-    Some((tenant, u32::try_from(metadata.class.0).unwrap_or(u32::MAX), key))
+pub(crate) fn key_parts<I>(request_info: &Ask<I>) -> Option<(Option<u32>, u32, &[u8])> {
+    let key = request_info.key.as_ref()?;
+    let tenant = request_info.tenant.and_then(|tenant| u32::try_from(tenant.0).ok());
+    Some((tenant, u32::try_from(request_info.class.0).unwrap_or(u32::MAX), key))
 }
 
 /// A handle on all shards of the process, to run jobs at one of them.
@@ -160,9 +160,9 @@
         self.0.is_responsive(shard)
     }
 
-    /// The shard that owns a request's key; `None` without a key. Ended shards are not left out.
-    pub fn key_owner(&self, metadata: &Ask<P::Id>) -> Option<Shard> {
-        let (tenant, class, key) = key_parts(metadata)?;
+    /// The shard that owns a request's key; `None` without a key. Shards that have ended still count as owners.
+    pub fn key_owner(&self, request_info: &Ask<P::Id>) -> Option<Shard> {
+        let (tenant, class, key) = key_parts(request_info)?;
         Some(rendezvous::owner(0..self.count(), self.0.seed, tenant, class, key))
     }
 
@@ -367,12 +367,12 @@
     }
 
     fn accept(&mut self, handover: Handover<P>) {
-        let Handover { from, call, metadata, request, token } = handover;
+        let Handover { from, call, request_info, request, token } = handover;
         if !token.accept() {
             return;
         }
-        let metadata: Ask<P::Id> = metadata;
-        let pending = self.driver.request_handed(metadata, request);
+        let request_info: Ask<P::Id> = request_info;
+        let pending = self.driver.request_handed(request_info, request);
         let (shared, accepted, id) = (self.prepared.shared.clone(), self.accepted.clone(), (from, call));
         let task = task::spawn(async move {
             let reply = pending.reply().await;
