--- a/keys/station/src/lib.rs
+++ b/keys/station/src/lib.rs
@@ -28,7 +28,8 @@
 use tokio::time::Instant;
 
 /// How long after its deadline a waiting request times out, if its call can't be detached: the decision module ends the
-/// call at the deadline, and hosts must be blamed for the time-out instead of being excused as if the client had disconnected.
+/// call at the deadline, and hosts must be blamed for the time-out instead of being excused as if the client had
+/// disconnected.
 const GRACE: Duration = Duration::from_millis(5);
 /// When a client may retry after a refusal for lack of room.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
