--- a/keys/src/store.rs
+++ b/keys/src/store.rs
@@ -1,7 +1,7 @@
-//! The state machine.
+//! The state machine of the store.
 
 use crate::bounds::Bounds;
-use crate::tally::{Sharer, Tally};
+use crate::shared_usage::{SharedUsage, StoreId};
 use siphasher::sip::SipHasher13;
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::collections::{BTreeSet, HashMap};
@@ -10,101 +10,101 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// A moment, in microseconds.
+/// A time, in microseconds.
 pub type Micros = u64;
 
-/// A request that waits, as whoever drives the store numbers it; no two that wait have one number.
+/// The caller's number for a waiting request; no two waiting requests have the same.
 pub type WaiterId = u64;
 
-/// What tells one request from another under the same key: a keyed hash of what it asks for.
+/// A keyed hash of a request's content, which tells different requests with the same key apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest(u128);
 
-/// What kind of class a request is of.
+/// The kind of a request's class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Hosts know the key too, and drop repeats for a while.
+pub enum ClassKind {
+    /// Hosts receive the key as well, and drop duplicates for some time.
     Keyed,
-    /// Only this store knows the key: a second run is harm for good.
+    /// Only this store knows the key: nothing else prevents or undoes a second run.
     Unsafe,
 }
 
 /// A request with a key.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Whose it is.
+    /// Its tenant.
     pub tenant: Option<u32>,
     /// Its class.
     pub class: u32,
-    /// The class's kind.
-    pub kind: Kind,
-    /// Its key, as it came.
+    /// The kind of that class.
+    pub kind: ClassKind,
+    /// Its key, as received.
     pub key: &'a [u8],
     /// Its digest, by [`Store::digest`].
     pub digest: Digest,
 }
 
-/// A running call. It names this one run for good: a key that runs again has another. As text it is `PLACE-SERIAL`.
+/// Identifies one run of a key. A later run of the same key has another id. Its text form is `INDEX-SERIAL`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Slot {
-    pub(crate) place: usize,
+pub struct RunId {
+    pub(crate) index: usize,
     pub(crate) serial: u64,
 }
 
-impl Slot {
+impl RunId {
     #[cfg(test)]
-    pub(crate) fn of(place: usize, serial: u64) -> Slot {
-        Slot { place, serial }
+    pub(crate) fn new(index: usize, serial: u64) -> RunId {
+        RunId { index, serial }
     }
 }
 
-impl fmt::Display for Slot {
+impl fmt::Display for RunId {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}-{}", self.place, self.serial)
+        write!(out, "{}-{}", self.index, self.serial)
     }
 }
 
-impl FromStr for Slot {
-    type Err = BadSlot;
+impl FromStr for RunId {
+    type Err = InvalidRunId;
 
-    fn from_str(text: &str) -> Result<Slot, BadSlot> {
-        let (place, serial) = text.split_once('-').ok_or(BadSlot)?;
-        let place = place.parse().map_err(|_| BadSlot)?;
-        Ok(Slot { place, serial: serial.parse().map_err(|_| BadSlot)? })
+    fn from_str(text: &str) -> Result<RunId, InvalidRunId> {
+        let (index, serial) = text.split_once('-').ok_or(InvalidRunId)?;
+        let index = index.parse().map_err(|_| InvalidRunId)?;
+        Ok(RunId { index, serial: serial.parse().map_err(|_| InvalidRunId)? })
     }
 }
 
-/// A text that names no run of a key.
+/// The text is not the text form of a [`RunId`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadSlot;
+pub struct InvalidRunId;
 
-impl fmt::Display for BadSlot {
+impl fmt::Display for InvalidRunId {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str("not an id of a key, which is two whole numbers with a dash between them")
     }
 }
 
-impl std::error::Error for BadSlot {}
+impl std::error::Error for InvalidRunId {}
 
-/// What a key is at.
+/// The state of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum KeyState {
-    /// Its call is out; it may run, and its answer may still come.
+    /// Its call is in flight: it may run, and its answer may still arrive.
     Running,
     /// It ran, and its answer is kept.
     Answered,
-    /// It ran and was answered, and its answer is no longer kept.
+    /// It ran and was answered, but the answer is no longer kept.
     Forgotten,
-    /// It may have run; nobody knows.
+    /// It may have run; the outcome is unknown.
     Unsure,
-    /// It ran, as somebody has said by hand; its answer was never seen.
+    /// It ran, according to an operator; its answer was never received.
     Ran,
-    /// It never ran, as somebody has said by hand: the next request with it is a first.
+    /// It never ran, according to an operator: the next request with this key is sent as a first one.
     NeverRan,
 }
 
 impl KeyState {
-    /// All of them, with their names in answers and at the command line; the names do not change.
+    /// All states with their names, as used in responses and on the command line. The names are stable.
     pub const ALL: [(KeyState, &'static str); 6] = [
         (KeyState::Running, "running"),
         (KeyState::Answered, "answered"),
@@ -114,37 +114,37 @@
         (KeyState::NeverRan, "never-ran"),
     ];
 
-    /// Its name.
+    /// The state's name.
     pub fn name(self) -> &'static str {
         KeyState::ALL.iter().find(|(state, _)| *state == self).map_or("", |(_, name)| name)
     }
 
-    /// The state of this name.
+    /// The state with this name.
     pub fn named(name: &str) -> Option<KeyState> {
-        KeyState::ALL.iter().find(|(_, known)| *known == name).map(|(state, _)| *state)
+        KeyState::ALL.iter().find(|(_, state_name)| *state_name == name).map(|(state, _)| *state)
     }
 }
 
-/// What is known of a key that has no answer to give.
+/// What is known of a key that has no answer to return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
-    /// What it is at.
+pub struct KeyInfo {
+    /// The key's state.
     pub state: KeyState,
-    /// How long ago its first request came, in microseconds.
+    /// Microseconds since its first request arrived.
     pub age: Micros,
 }
 
-/// What somebody says by hand of a key of which nobody knew.
+/// An operator's decision about a key whose outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It ran: no request with it goes to a host, and each is told so.
+    /// It ran: no further request with this key is sent to a host, and each is answered accordingly.
     Ran,
-    /// It never ran: the next request with it is a first.
+    /// It never ran: the next request with this key is sent as a first one.
     NeverRan,
 }
 
 impl Verdict {
-    /// What a key is at after it.
+    /// The state of a key with this verdict.
     pub fn state(self) -> KeyState {
         match self {
             Verdict::Ran => KeyState::Ran,
@@ -153,131 +153,131 @@
     }
 }
 
-/// Why a request is not held, or an answer no longer.
+/// The bound that leaves no room for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Cause {
-    /// All entries are running or unsure.
+pub enum FullBound {
+    /// [`Bounds::entries`]: no entry may be evicted, since all are running or unsure.
     Entries,
-    /// All of its tenant's are.
+    /// [`Bounds::entries_per_tenant`]: the same for the entries of the request's tenant.
     Tenant,
-    /// As many wait for this key as may.
+    /// [`Bounds::waiters`]: no more requests may wait for this key.
     Waiters,
 }
 
-/// What a request gets.
+/// What the store decides for an arriving request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Arrival<A> {
-    /// It is the first: it is to be sent, and its end told.
-    First(Slot),
-    /// It waits with the first.
+pub enum Admission<A> {
+    /// It is the first with its key: the caller sends it, and reports its outcome to [`Store::complete`].
+    First(RunId),
+    /// It waits for the running call of its key.
     Joined {
-        /// For which call.
-        slot: Slot,
-        /// It waits longer than all others: the call is wanted until its deadline now.
+        /// The run that it waits for.
+        run_id: RunId,
+        /// Its deadline is later than that of all other waiters: the call's deadline is to be extended to it.
         longest: bool,
     },
-    /// The first's answer.
+    /// It gets the answer of the first request.
     Replay(A),
-    /// The first ran or may have, and there is no answer to give: no new attempt.
-    Known(Known),
-    /// Another request had this key: an error, 422.
+    /// The first request ran or may have run, and there is no answer to return. It must not be sent again.
+    NoAnswer(KeyInfo),
+    /// The key was used by a different request: an error, 422.
     Mismatch,
     /// The key is empty or too long: an error, 400.
     BadKey,
-    /// There is no room, and it can do without: it goes on as if there were no store.
-    Pass(Cause),
-    /// There is no room, and without it there may be harm: it is refused, and never ran.
-    Refused(Cause),
+    /// There is no room, and the request may do without the store: it is sent as if there were none.
+    Pass(FullBound),
+    /// There is no room, and sending it without the store could run it twice: it is refused, and never ran.
+    Refused(FullBound),
 }
 
 /// How a running call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End<A> {
+pub enum RunOutcome<A> {
     /// It was answered.
     Served {
         /// The answer.
         answer: A,
-        /// How many bytes it holds.
+        /// Size of the answer in bytes.
         bytes: usize,
     },
     /// It may have run, and there is no answer.
     Unsure,
-    /// It surely never ran.
+    /// It certainly never ran.
     NeverRan,
 }
 
-/// Who hears of an end.
+/// The consequences of a run's end for the requests that wait for it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ended {
-    /// Those who get it, in the order in which they came.
+pub struct Completion {
+    /// The requests that get this outcome, in the order of their arrival.
     pub waiters: Vec<WaiterId>,
-    /// The one that is sent now, under the same slot: it becomes the first.
+    /// The request that is to be sent now under the same run id: it becomes the first.
     pub next: Option<WaiterId>,
-    /// An answer came for a key that had been given up, which was at this: the answer holds.
-    pub late: Option<KeyState>,
+    /// An answer arrived for a run that had been given up, whose key was in this state. The answer now counts.
+    pub late_for: Option<KeyState>,
 }
 
-/// What is left of a call when one who waited has gone.
+/// The effect of removing a waiter from a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Left {
-    /// Others wait.
-    Others,
-    /// Nobody does. It is to be called off and its end told; or it goes on for a while (see [`crate::Lingering`]), in
-    /// which case a repeat joins it as any.
-    Nobody,
-    /// It had ended, or did not wait.
-    Nothing,
+pub enum Removal {
+    /// Other requests still wait for the call.
+    OthersWait,
+    /// No request waits any more. The caller either cancels the call and reports its outcome, or lets it continue for a
+    /// while (see [`crate::DetachedCalls`]), in which case a repeat joins it as usual.
+    NobodyWaits,
+    /// The call had ended, or the request did not wait for it.
+    WasNotWaiting,
 }
 
-/// What has been done so far, by cause.
+/// Counters of what the store has done so far. Their names appear in the log and in the library's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that became the first of their key, again after one that never ran included.
+    /// Requests that were the first of their key, including those sent again after a run that never happened.
     pub firsts: u64,
-    /// Repeats that waited with the first.
+    /// Repeats that waited for the running call.
     pub joined: u64,
-    /// Repeats that got its answer later.
+    /// Repeats that got the kept answer later.
     pub replayed: u64,
-    /// Repeats that got its failure.
+    /// Repeats of a key in state [`KeyState::Unsure`].
     pub unsure: u64,
     /// Repeats whose answer was no longer kept.
     pub forgotten: u64,
-    /// Repeats of a key that ran, as somebody has said by hand.
+    /// Repeats of a key that ran according to an operator.
     pub told_by_hand: u64,
-    /// Calls that went on when nobody waited any more.
+    /// Calls that were detached: they continued after no client waited for them any more.
     pub lingered: u64,
-    /// Those of them that a repeat has joined.
+    /// Detached calls that a repeat joined.
     pub rejoined: u64,
-    /// Those of them that were answered.
+    /// Detached calls that were answered.
     pub answered_alone: u64,
-    /// Those of them that made room for others.
+    /// Detached calls that were cancelled to make room for others.
     pub called_off: u64,
-    /// Keys that ended unsure.
+    /// Runs that ended unsure.
     pub ended_unsure: u64,
-    /// Answers that came for a key that had been given up.
+    /// Answers that arrived for a run that had been given up.
     pub late: u64,
-    /// Keys that were settled by hand.
+    /// Keys settled by an operator.
     pub settled: u64,
-    /// Other requests under a key that was taken.
+    /// Requests whose key was in use by a different request.
     pub mismatched: u64,
-    /// Requests with a key that cannot be one.
+    /// Requests with an invalid key.
     pub bad_keys: u64,
-    /// Requests that passed by for want of room, by cause.
+    /// Requests that were sent without the store for lack of room, by [`FullBound`].
     pub passed: [u64; 3],
-    /// Requests refused for want of room, by cause.
+    /// Requests that were refused for lack of room, by [`FullBound`].
     pub refused: [u64; 3],
-    /// Answers that were given up for others, before their time.
+    /// Answers that were dropped early to make room for others.
     pub shrunk: u64,
-    /// Keys that were.
+    /// Keys that were dropped early to make room for others.
     pub evicted: u64,
-    /// Keys whose time was up.
+    /// Keys that were dropped at the end of their retention.
     pub expired: u64,
 }
 
 impl std::ops::Add for Counts {
     type Output = Counts;
 
-    /// What two stores have done together.
+    /// The counters of two stores together.
     fn add(self, other: Counts) -> Counts {
         let both = |a: [u64; 3], b: [u64; 3]| [a[0] + b[0], a[1] + b[1], a[2] + b[2]];
         Counts {
@@ -314,23 +314,23 @@
 
 #[derive(Debug)]
 pub(crate) enum State<A> {
-    /// Those who wait, in the order in which they came, with their deadlines.
     Running {
-        /// Whose request it is that runs; it may have gone.
-        runs: WaiterId,
+        /// The request whose call it is; it may no longer be waiting.
+        sent: WaiterId,
+        /// The waiting requests in the order of their arrival, with their deadlines.
         waiters: Vec<(WaiterId, Micros)>,
     },
-    /// `None`: a marker, its answer was given up.
     Answered {
-        until: Micros,
+        expires_at: Micros,
+        /// `None`: only a marker remains, since the answer was dropped to make room.
         answer: Option<(A, usize)>,
     },
     Unsure {
-        until: Micros,
+        expires_at: Micros,
     },
-    /// By hand.
+    /// An operator has settled the key.
     Settled {
-        until: Micros,
+        expires_at: Micros,
         verdict: Verdict,
     },
 }
@@ -339,16 +339,15 @@
 pub(crate) struct Entry<A> {
     pub(crate) key: Key,
     pub(crate) serial: u64,
-    pub(crate) kind: Kind,
+    pub(crate) kind: ClassKind,
     digest: Digest,
-    /// When its first request came.
-    pub(crate) came: Micros,
+    /// When the first request with the key arrived.
+    pub(crate) first_arrival: Micros,
     pub(crate) state: State<A>,
 }
 
 impl<A> Entry<A> {
-    /// What it is at.
-    pub(crate) fn at(&self) -> KeyState {
+    pub(crate) fn key_state(&self) -> KeyState {
         match self.state {
             State::Running { .. } => KeyState::Running,
             State::Answered { answer: Some(_), .. } => KeyState::Answered,
@@ -359,22 +358,22 @@
     }
 }
 
-/// What may be given up, the first to end by itself first. An entry is in one of the two at most.
+/// Entries that may be evicted, the earliest to expire first. An entry is in at most one of the two sets.
 #[derive(Debug, Default)]
-struct Spare {
-    /// Answers, which shrink to a marker.
+struct Evictable {
+    /// Entries with a kept answer; the answer may also be dropped alone, which leaves a marker.
     answers: BTreeSet<(Micros, usize)>,
-    /// What can go whole.
-    rest: BTreeSet<(Micros, usize)>,
+    /// Entries without an answer, which are evicted first.
+    without_answer: BTreeSet<(Micros, usize)>,
 }
 
 #[derive(Debug, Default)]
 struct Tenant {
     entries: usize,
-    spare: Spare,
+    evictable: Evictable,
 }
 
-/// Hashes with a seed, so that nobody who does not know it can make keys that collide.
+/// Hashes with a seed, so that keys that collide can't be made without knowing it.
 #[derive(Clone, Copy, Debug)]
 struct Seeded(u64, u64);
 
@@ -388,95 +387,104 @@
 
 /// The store. `A` is an answer; it is cloned for each repeat and should be cheap to clone.
 ///
-/// Its work for one event does not grow with what it holds, but for the logarithm of an ordered set.
+/// The work per event does not grow with the number of entries, except for the logarithmic cost of ordered sets.
 #[derive(Debug)]
 pub struct Store<A> {
     seed: Seeded,
     bounds: Bounds,
-    places: HashMap<Key, usize, Seeded>,
+    index_by_key: HashMap<Key, usize, Seeded>,
     pub(crate) entries: Vec<Option<Entry<A>>>,
     free: Vec<usize>,
     next_serial: u64,
     tenants: HashMap<Option<u32>, Tenant, Seeded>,
-    spare: Spare,
-    /// All that ends by itself.
-    ends: BTreeSet<(Micros, usize)>,
-    /// Those who wait, by deadline.
-    waiting: BTreeSet<(Micros, WaiterId, usize)>,
-    bytes: usize,
+    evictable: Evictable,
+    /// All entries that expire.
+    expiries: BTreeSet<(Micros, usize)>,
+    /// All waiting requests, by deadline.
+    waiter_deadlines: BTreeSet<(Micros, WaiterId, usize)>,
+    answer_bytes: usize,
     counts: Counts,
-    /// Where other stores share its bounds, and which of them it is.
-    tally: Option<(Sharer, Arc<Tally>)>,
-    /// What others are to give up for this one, and have not been told; one at most a request.
-    claims: Vec<Sharer>,
+    /// If the bounds are shared with other stores: this store's number among them, and the usage that they count
+    /// together.
+    shared_usage: Option<(StoreId, Arc<SharedUsage>)>,
+    /// Stores that are to evict a key for this one and have not been notified yet; at most one per request.
+    eviction_requests: Vec<StoreId>,
 }
 
-impl Spare {
+impl Evictable {
     fn len(&self) -> usize {
-        self.rest.len() + self.answers.len()
+        self.without_answer.len() + self.answers.len()
     }
 }
 
-/// What goes first of what could: markers and the like before whole answers.
-fn first(spare: &Spare) -> Option<usize> {
-    spare.rest.first().or(spare.answers.first()).map(|&(_, place)| place)
+/// The entry to evict next: one without an answer if there is one, else the answer that expires first.
+fn next_to_evict(evictable: &Evictable) -> Option<usize> {
+    evictable.without_answer.first().or(evictable.answers.first()).map(|&(_, index)| index)
 }
 
-/// How many entries whose time is up go with one event: a crowd that ends at once must not hold up the next request.
-const EXPIRE_MOST: usize = 16;
+/// How many expired entries one call drops at most: when many expire at once, the next request must not wait for all.
+const MAX_EXPIRED_PER_CALL: usize = 16;
 
 impl<A: Clone> Store<A> {
-    /// An empty store. The seed should not be known outside.
+    /// An empty store. The seed should be secret.
     pub fn new(seed: u64, bounds: Bounds) -> Self {
         let seed = Seeded(seed, seed.rotate_left(32) ^ 0x9e37_79b9_7f4a_7c15);
         Store {
             seed,
             bounds,
-            places: HashMap::with_hasher(seed),
+            index_by_key: HashMap::with_hasher(seed),
             entries: Vec::new(),
             free: Vec::new(),
             next_serial: 0,
             tenants: HashMap::with_hasher(seed),
-            spare: Spare::default(),
-            ends: BTreeSet::new(),
-            waiting: BTreeSet::new(),
-            bytes: 0,
+            evictable: Evictable::default(),
+            expiries: BTreeSet::new(),
+            waiter_deadlines: BTreeSet::new(),
+            answer_bytes: 0,
             counts: Counts::default(),
-            tally: None,
-            claims: Vec::new(),
+            shared_usage: None,
+            eviction_requests: Vec::new(),
         }
     }
 
-    /// An empty store that shares its bounds on keys and bytes with others, as the one of this number. What can go to
-    /// make room goes from the store that needs it, or else from another ([`Store::claims`]).
-    pub fn sharing(seed: u64, bounds: Bounds, me: Sharer, tally: Arc<Tally>) -> Self {
-        Store { tally: Some((me, tally)), ..Store::new(seed, bounds) }
+    /// An empty store that shares its bounds on keys and bytes with other stores, as number `store_id` among them. To
+    /// make room it evicts entries of its own, or else requests that another store evicts one
+    /// ([`Store::take_eviction_requests`]).
+    pub fn with_shared_usage(
+        seed: u64,
+        bounds: Bounds,
+        store_id: StoreId,
+        shared_usage: Arc<SharedUsage>,
+    ) -> Self {
+        Store { shared_usage: Some((store_id, shared_usage)), ..Store::new(seed, bounds) }
     }
 
-    /// What others are to give up, each by [`Store::give_up`]: to be asked after each request, and told.
-    pub fn claims(&mut self) -> Vec<Sharer> {
-        std::mem::take(&mut self.claims)
+    /// The stores that are to evict a key for this one, each by [`Store::evict_for_peer`]. The caller takes them after
+    /// each request and notifies these stores.
+    pub fn take_eviction_requests(&mut self) -> Vec<StoreId> {
+        std::mem::take(&mut self.eviction_requests)
     }
 
-    /// Another store has claimed a key of this one.
-    pub fn give_up(&mut self) {
-        // It may have gone by itself.
-        if !self.tally.as_ref().is_some_and(|(me, tally)| tally.unclaim(*me)) {
+    /// Another store has requested that this one evict a key.
+    pub fn evict_for_peer(&mut self) {
+        // The requested key may already have been removed for another reason.
+        if !self.shared_usage.as_ref().is_some_and(|(store_id, usage)| usage.take_eviction_request(*store_id))
+        {
             return;
         }
-        if let Some(place) = first(&self.spare) {
-            self.evict(place);
+        if let Some(index) = next_to_evict(&self.evictable) {
+            self.evict(index);
         }
     }
 
-    /// Goes on under other bounds. Nothing is dropped for it: what is over a bound goes as room is needed, and what
-    /// is remembered keeps the time that it was given.
-    pub fn rebound(&mut self, bounds: Bounds) {
+    /// Replaces the bounds. This drops nothing: entries beyond the new bounds are evicted as room is needed, and what
+    /// is remembered keeps its expiry.
+    pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
 
-    /// A digest of these parts, in their order; where one ends counts. 128 bits under the store's seed: nobody who
-    /// does not know it can make two requests that have one digest.
+    /// A digest of these parts in this order; the boundaries between the parts count. 128 bits under the store's seed:
+    /// two requests with the same digest can't be made without knowing it.
     pub fn digest(&self, parts: &[&[u8]]) -> Digest {
         let mut hasher = SipHasher24::new_with_keys(self.seed.1, self.seed.0);
         for part in parts {
@@ -486,60 +494,63 @@
         Digest(hasher.finish128().as_u128())
     }
 
-    /// What has been done so far.
+    /// The counters so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Keys that are held, those whose time is up and that have not gone yet included.
+    /// Number of keys, including expired ones that have not been dropped yet.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.index_by_key.len()
     }
 
-    /// Whether no key is held.
+    /// Whether the store holds no key.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.index_by_key.is_empty()
     }
 
-    /// Bytes of the answers that are kept.
+    /// Size of all kept answers in bytes.
     pub fn answer_bytes(&self) -> usize {
-        self.bytes
+        self.answer_bytes
     }
 
-    /// A request comes, which waits until `deadline`. Under a number of its own it waits for an end where it is the
-    /// first or joins, and only then.
-    pub fn arrive(
+    /// Decides what a request gets that arrives now and waits until `deadline`. Only if it is the first or joins a call
+    /// does the store keep it as a waiter, under the number `waiter`.
+    pub fn admit(
         &mut self,
         now: Micros,
         request: &Request,
         waiter: WaiterId,
         deadline: Micros,
-    ) -> Arrival<A> {
+    ) -> Admission<A> {
         self.expire(now);
         if request.key.is_empty() || request.key.len() > self.bounds.key_bytes {
             self.counts.bad_keys += 1;
-            return Arrival::BadKey;
+            return Admission::BadKey;
         }
         let key = Key { tenant: request.tenant, class: request.class, key: request.key.into() };
-        if let Some(&place) = self.places.get(&key) {
-            if self.has_ended(now, place) {
-                self.remove(place);
+        if let Some(&index) = self.index_by_key.get(&key) {
+            if self.has_expired(now, index) {
+                self.remove(index);
                 self.counts.expired += 1;
-            } else if self.entries[place].as_ref().is_some_and(|entry| entry.at() == KeyState::NeverRan) {
-                self.remove(place);
+            } else if self.entries[index]
+                .as_ref()
+                .is_some_and(|entry| entry.key_state() == KeyState::NeverRan)
+            {
+                self.remove(index);
             } else {
-                return self.repeat(now, place, request, waiter, deadline);
+                return self.repeat(now, index, request, waiter, deadline);
             }
         }
-        if let Err(cause) = self.make_room(key.tenant) {
+        if let Err(bound) = self.make_room_for_key(key.tenant) {
             return match request.kind {
-                Kind::Keyed => {
-                    self.counts.passed[cause as usize] += 1;
-                    Arrival::Pass(cause)
+                ClassKind::Keyed => {
+                    self.counts.passed[bound as usize] += 1;
+                    Admission::Pass(bound)
                 }
-                Kind::Unsafe => {
-                    self.counts.refused[cause as usize] += 1;
-                    Arrival::Refused(cause)
+                ClassKind::Unsafe => {
+                    self.counts.refused[bound as usize] += 1;
+                    Admission::Refused(bound)
                 }
             };
         }
@@ -547,261 +558,270 @@
         let serial = self.next_serial;
         self.next_serial += 1;
         self.tenants.entry(key.tenant).or_default().entries += 1;
-        let place = self.free.pop().unwrap_or_else(|| {
+        let index = self.free.pop().unwrap_or_else(|| {
             self.entries.push(None);
             self.entries.len() - 1
         });
-        self.places.insert(key.clone(), place);
-        self.waiting.insert((deadline, waiter, place));
-        let state = State::Running { runs: waiter, waiters: vec![(waiter, deadline)] };
+        self.index_by_key.insert(key.clone(), index);
+        self.waiter_deadlines.insert((deadline, waiter, index));
+        let state = State::Running { sent: waiter, waiters: vec![(waiter, deadline)] };
         let (kind, digest) = (request.kind, request.digest);
-        self.entries[place] = Some(Entry { key, serial, kind, digest, came: now, state });
-        Arrival::First(Slot { place, serial })
+        self.entries[index] = Some(Entry { key, serial, kind, digest, first_arrival: now, state });
+        Admission::First(RunId { index, serial })
     }
 
     fn repeat(
         &mut self,
         now: Micros,
-        place: usize,
+        index: usize,
         request: &Request,
         waiter: WaiterId,
         deadline: Micros,
-    ) -> Arrival<A> {
-        let Some(entry) = &mut self.entries[place] else {
-            return Arrival::Known(Known { state: KeyState::Unsure, age: 0 });
+    ) -> Admission<A> {
+        let Some(entry) = &mut self.entries[index] else {
+            return Admission::NoAnswer(KeyInfo { state: KeyState::Unsure, age: 0 });
         };
-        let known = Known { state: entry.at(), age: now.saturating_sub(entry.came) };
+        let info = KeyInfo { state: entry.key_state(), age: now.saturating_sub(entry.first_arrival) };
         if entry.digest != request.digest {
             self.counts.mismatched += 1;
-            return Arrival::Mismatch;
+            return Admission::Mismatch;
         }
         match &mut entry.state {
             State::Running { waiters, .. } if waiters.len() >= self.bounds.waiters => {
-                self.counts.refused[Cause::Waiters as usize] += 1;
-                Arrival::Refused(Cause::Waiters)
+                self.counts.refused[FullBound::Waiters as usize] += 1;
+                Admission::Refused(FullBound::Waiters)
             }
             State::Running { waiters, .. } => {
                 let longest = waiters.iter().all(|&(_, other)| other < deadline);
                 waiters.push((waiter, deadline));
-                self.waiting.insert((deadline, waiter, place));
+                self.waiter_deadlines.insert((deadline, waiter, index));
                 self.counts.joined += 1;
-                Arrival::Joined { slot: Slot { place, serial: entry.serial }, longest }
+                Admission::Joined { run_id: RunId { index, serial: entry.serial }, longest }
             }
             State::Answered { answer: Some((answer, _)), .. } => {
                 self.counts.replayed += 1;
-                Arrival::Replay(answer.clone())
+                Admission::Replay(answer.clone())
             }
             State::Answered { answer: None, .. } => {
                 self.counts.forgotten += 1;
-                Arrival::Known(known)
+                Admission::NoAnswer(info)
             }
             State::Unsure { .. } => {
                 self.counts.unsure += 1;
-                Arrival::Known(known)
+                Admission::NoAnswer(info)
             }
             State::Settled { .. } => {
                 self.counts.told_by_hand += 1;
-                Arrival::Known(known)
+                Admission::NoAnswer(info)
             }
         }
     }
 
-    /// What is known of a key's run, for one who waited for it in vain.
-    pub fn known(&self, now: Micros, slot: Slot) -> Option<Known> {
-        let entry = self.entries.get(slot.place)?.as_ref().filter(|entry| entry.serial == slot.serial)?;
-        Some(Known { state: entry.at(), age: now.saturating_sub(entry.came) })
+    /// What is known of a run, for a request that waited for it and got no answer; `None` if the run is not known any
+    /// more.
+    pub fn info(&self, now: Micros, run_id: RunId) -> Option<KeyInfo> {
+        let entry = self.entries.get(run_id.index)?.as_ref().filter(|entry| entry.serial == run_id.serial)?;
+        Some(KeyInfo { state: entry.key_state(), age: now.saturating_sub(entry.first_arrival) })
     }
 
-    /// Whose request it is that runs as a slot's call: the first's, who may have gone. `None`: none runs.
-    pub fn runner(&self, slot: Slot) -> Option<WaiterId> {
-        match self.entries.get(slot.place)?.as_ref()? {
-            Entry { serial, state: State::Running { runs, .. }, .. } if *serial == slot.serial => Some(*runs),
+    /// The request that was sent as the running call of a run; it may no longer be waiting. `None`: the run is not
+    /// running.
+    pub fn sent_request(&self, run_id: RunId) -> Option<WaiterId> {
+        match self.entries.get(run_id.index)?.as_ref()? {
+            Entry { serial, state: State::Running { sent, .. }, .. } if *serial == run_id.serial => {
+                Some(*sent)
+            }
             _ => None,
         }
     }
 
-    /// Those who wait for a running call, in the order in which they came.
-    pub fn waiters(&mut self, slot: Slot) -> Vec<WaiterId> {
-        self.running(slot).map(|waiters| waiters.iter().map(|&(id, _)| id).collect()).unwrap_or_default()
+    /// The requests that wait for a running call, in the order of their arrival.
+    pub fn waiters(&mut self, run_id: RunId) -> Vec<WaiterId> {
+        self.running(run_id).map(|waiters| waiters.iter().map(|&(id, _)| id).collect()).unwrap_or_default()
     }
 
-    /// Whose key it is that runs in this slot.
-    pub fn tenant(&self, slot: Slot) -> Option<u32> {
-        let entry = self.entries.get(slot.place)?.as_ref().filter(|entry| entry.serial == slot.serial)?;
+    /// The tenant of a run's key.
+    pub fn tenant(&self, run_id: RunId) -> Option<u32> {
+        let entry = self.entries.get(run_id.index)?.as_ref().filter(|entry| entry.serial == run_id.serial)?;
         entry.key.tenant
     }
 
-    /// For whoever drives the store: it counts here what it does with calls that linger.
+    /// The counters, in which the caller counts what it does with detached calls.
     pub fn counts_mut(&mut self) -> &mut Counts {
         &mut self.counts
     }
 
-    /// One who waited has gone.
-    pub fn gone(&mut self, slot: Slot, waiter: WaiterId) -> Left {
-        let Some(waiters) = self.running(slot) else { return Left::Nothing };
-        let Some(at) = waiters.iter().position(|&(id, _)| id == waiter) else { return Left::Nothing };
-        let (_, deadline) = waiters.remove(at);
-        let left = if waiters.is_empty() { Left::Nobody } else { Left::Others };
-        self.waiting.remove(&(deadline, waiter, slot.place));
-        left
+    /// Removes a request from the waiters of a run, since its client has disconnected.
+    pub fn remove_waiter(&mut self, run_id: RunId, waiter: WaiterId) -> Removal {
+        let Some(waiters) = self.running(run_id) else { return Removal::WasNotWaiting };
+        let Some(position) = waiters.iter().position(|&(id, _)| id == waiter) else {
+            return Removal::WasNotWaiting;
+        };
+        let (_, deadline) = waiters.remove(position);
+        let removal = if waiters.is_empty() { Removal::NobodyWaits } else { Removal::OthersWait };
+        self.waiter_deadlines.remove(&(deadline, waiter, run_id.index));
+        removal
     }
 
-    /// When the first of those who wait no longer does.
+    /// The earliest deadline of all waiting requests.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.waiting.first().map(|&(deadline, ..)| deadline)
+        self.waiter_deadlines.first().map(|&(deadline, ..)| deadline)
     }
 
-    /// One whose time is up now, if there is one, and what is left of its call. Each is told of once; it gets the
-    /// failure, as its call may have run or may yet.
-    pub fn overdue(&mut self, now: Micros) -> Option<(Slot, WaiterId, Left)> {
-        let &(deadline, waiter, place) = self.waiting.first()?;
+    /// Removes and returns a waiter whose deadline has passed, if there is one, and the effect on its call. The caller
+    /// answers it with a failure, as its call may have run or may still run.
+    pub fn pop_overdue(&mut self, now: Micros) -> Option<(RunId, WaiterId, Removal)> {
+        let &(deadline, waiter, index) = self.waiter_deadlines.first()?;
         if deadline > now {
             return None;
         }
-        let serial = self.entries[place].as_ref()?.serial;
-        let slot = Slot { place, serial };
-        let left = self.gone(slot, waiter);
-        Some((slot, waiter, left))
+        let serial = self.entries[index].as_ref()?.serial;
+        let run_id = RunId { index, serial };
+        let removal = self.remove_waiter(run_id, waiter);
+        Some((run_id, waiter, removal))
     }
 
-    /// The running call of this slot has ended. After one that never ran, the next who waits becomes the first.
-    /// Says nothing of a slot that has ended before, but for an answer that comes when its call was given up as
-    /// unsure: that is kept.
-    pub fn ended(&mut self, now: Micros, slot: Slot, end: End<A>) -> Ended {
+    /// Records how a running call ended. If it never ran, the next waiter becomes the first and is to be sent. Has no
+    /// effect on a run that ended before, except that an answer to a run that was given up as unsure is kept.
+    pub fn complete(&mut self, now: Micros, run_id: RunId, outcome: RunOutcome<A>) -> Completion {
         self.expire(now);
-        let Some(entry) = self.entries.get_mut(slot.place).and_then(Option::as_mut) else {
-            return Ended::default();
+        let Some(entry) = self.entries.get_mut(run_id.index).and_then(Option::as_mut) else {
+            return Completion::default();
         };
-        if entry.serial != slot.serial {
-            return Ended::default();
+        if entry.serial != run_id.serial {
+            return Completion::default();
         }
-        let at = entry.at();
+        let key_state = entry.key_state();
         let waiters = match &mut entry.state {
             State::Running { waiters, .. } => std::mem::take(waiters),
-            State::Unsure { .. } | State::Settled { .. } if matches!(end, End::Served { .. }) => {
-                self.unlist(slot.place);
+            State::Unsure { .. } | State::Settled { .. } if matches!(outcome, RunOutcome::Served { .. }) => {
+                self.remove_from_indexes(run_id.index);
                 self.counts.late += 1;
                 Vec::new()
             }
-            _ => return Ended::default(),
+            _ => return Completion::default(),
         };
-        let late = Some(at).filter(|at| *at != KeyState::Running);
-        let mut ended = Ended { waiters: waiters.iter().map(|&(id, _)| id).collect(), next: None, late };
-        match end {
-            End::NeverRan if waiters.len() > 1 => {
-                // The first hears of its own end; the next takes its place, and the others wait on.
+        let late_for = Some(key_state).filter(|key_state| *key_state != KeyState::Running);
+        let mut completion =
+            Completion { waiters: waiters.iter().map(|&(id, _)| id).collect(), next: None, late_for };
+        match outcome {
+            RunOutcome::NeverRan if waiters.len() > 1 => {
+                // The first gets the outcome of its own run; the next takes its place, and the others keep waiting.
                 let (first, deadline) = waiters[0];
-                ended = Ended { waiters: vec![first], next: Some(waiters[1].0), late: None };
-                self.waiting.remove(&(deadline, first, slot.place));
+                completion = Completion { waiters: vec![first], next: Some(waiters[1].0), late_for: None };
+                self.waiter_deadlines.remove(&(deadline, first, run_id.index));
                 let waiters = waiters[1..].to_vec();
-                self.set(slot.place, State::Running { runs: waiters[0].0, waiters });
+                self.set_state(run_id.index, State::Running { sent: waiters[0].0, waiters });
                 self.counts.firsts += 1;
-                return ended;
+                return completion;
             }
-            End::NeverRan => self.remove(slot.place),
-            End::Unsure => {
+            RunOutcome::NeverRan => self.remove(run_id.index),
+            RunOutcome::Unsure => {
                 self.counts.ended_unsure += 1;
-                let until = now.saturating_add(self.retention(slot.place).unsure);
-                self.set(slot.place, State::Unsure { until });
-                self.list(slot.place);
+                let expires_at = now.saturating_add(self.retention(run_id.index).unsure);
+                self.set_state(run_id.index, State::Unsure { expires_at });
+                self.add_to_indexes(run_id.index);
             }
-            End::Served { answer, bytes } => {
-                let until = now.saturating_add(self.retention(slot.place).answered);
-                let answer = self.make_bytes(bytes).then_some((answer, bytes));
+            RunOutcome::Served { answer, bytes } => {
+                let expires_at = now.saturating_add(self.retention(run_id.index).answered);
+                let answer = self.make_room_for_answer(bytes).then_some((answer, bytes));
                 if answer.is_none() {
                     self.counts.shrunk += 1;
                 }
-                self.bytes += answer.as_ref().map_or(0, |_| bytes);
-                self.set(slot.place, State::Answered { until, answer });
-                self.list(slot.place);
+                self.answer_bytes += answer.as_ref().map_or(0, |_| bytes);
+                self.set_state(run_id.index, State::Answered { expires_at, answer });
+                self.add_to_indexes(run_id.index);
             }
         }
         for (waiter, deadline) in waiters {
-            self.waiting.remove(&(deadline, waiter, slot.place));
+            self.waiter_deadlines.remove(&(deadline, waiter, run_id.index));
         }
-        ended
+        completion
     }
 
-    pub(crate) fn retention(&self, place: usize) -> crate::Retention {
-        let class = self.entries[place].as_ref().map_or(u32::MAX, |entry| entry.key.class);
+    pub(crate) fn retention(&self, index: usize) -> crate::Retention {
+        let class = self.entries[index].as_ref().map_or(u32::MAX, |entry| entry.key.class);
         self.bounds.retention(class)
     }
 
-    fn running(&mut self, slot: Slot) -> Option<&mut Vec<(WaiterId, Micros)>> {
-        match self.entries.get_mut(slot.place)?.as_mut()? {
-            Entry { serial, state: State::Running { waiters, .. }, .. } if *serial == slot.serial => {
+    fn running(&mut self, run_id: RunId) -> Option<&mut Vec<(WaiterId, Micros)>> {
+        match self.entries.get_mut(run_id.index)?.as_mut()? {
+            Entry { serial, state: State::Running { waiters, .. }, .. } if *serial == run_id.serial => {
                 Some(waiters)
             }
             _ => None,
         }
     }
 
-    pub(crate) fn set(&mut self, place: usize, state: State<A>) {
-        if let Some(entry) = &mut self.entries[place] {
+    pub(crate) fn set_state(&mut self, index: usize, state: State<A>) {
+        if let Some(entry) = &mut self.entries[index] {
             entry.state = state;
         }
     }
 
-    pub(crate) fn until(&self, place: usize) -> Option<Micros> {
-        match self.entries[place].as_ref()?.state {
+    pub(crate) fn expires_at(&self, index: usize) -> Option<Micros> {
+        match self.entries[index].as_ref()?.state {
             State::Running { .. } => None,
-            State::Answered { until, .. } | State::Unsure { until } | State::Settled { until, .. } => {
-                Some(until)
-            }
+            State::Answered { expires_at, .. }
+            | State::Unsure { expires_at }
+            | State::Settled { expires_at, .. } => Some(expires_at),
         }
     }
 
-    pub(crate) fn has_ended(&self, now: Micros, place: usize) -> bool {
-        self.until(place).is_some_and(|until| until <= now)
+    pub(crate) fn has_expired(&self, now: Micros, index: usize) -> bool {
+        self.expires_at(index).is_some_and(|expires_at| expires_at <= now)
     }
 
-    /// The sets in which an entry that has ended stands: what may be given up, and how.
-    pub(crate) fn list(&mut self, place: usize) {
-        let Some(until) = self.until(place) else { return };
-        self.ends.insert((until, place));
-        let Some(entry) = &self.entries[place] else { return };
+    /// Adds an entry whose run has ended to the indexes of what expires and of what may be evicted.
+    pub(crate) fn add_to_indexes(&mut self, index: usize) {
+        let Some(expires_at) = self.expires_at(index) else { return };
+        self.expiries.insert((expires_at, index));
+        let Some(entry) = &self.entries[index] else { return };
         let tenant = self.tenants.entry(entry.key.tenant).or_default();
-        let of = |spare: &mut Spare| match (&entry.state, entry.kind) {
-            (State::Answered { answer: Some(_), .. }, _) => spare.answers.insert((until, place)),
+        let insert = |evictable: &mut Evictable| match (&entry.state, entry.kind) {
+            (State::Answered { answer: Some(_), .. }, _) => evictable.answers.insert((expires_at, index)),
             (State::Answered { answer: None, .. }, _)
-            | (State::Unsure { .. } | State::Settled { .. }, Kind::Keyed)
-            | (State::Settled { verdict: Verdict::NeverRan, .. }, _) => spare.rest.insert((until, place)),
-            // It ran or may have, and its client knows nothing of it: a second run is harm for good.
-            (State::Unsure { .. } | State::Settled { .. }, Kind::Unsafe) | (State::Running { .. }, _) => {
-                false
+            | (State::Unsure { .. } | State::Settled { .. }, ClassKind::Keyed)
+            | (State::Settled { verdict: Verdict::NeverRan, .. }, _) => {
+                evictable.without_answer.insert((expires_at, index))
             }
+            // It ran or may have run, and its client does not know: a second run can't be undone.
+            (State::Unsure { .. } | State::Settled { .. }, ClassKind::Unsafe)
+            | (State::Running { .. }, _) => false,
         };
-        of(&mut tenant.spare);
-        of(&mut self.spare);
-        self.tell_spare();
-    }
-
-    /// The stores that share its bounds know what could go here.
-    fn tell_spare(&self) {
-        self.tally.iter().for_each(|(me, tally)| tally.spare(*me, self.spare.len()));
-    }
-
-    pub(crate) fn unlist(&mut self, place: usize) {
-        let Some(until) = self.until(place) else { return };
-        self.ends.remove(&(until, place));
-        let Some(entry) = &self.entries[place] else { return };
-        let tenant = self.tenants.get_mut(&entry.key.tenant).map(|tenant| &mut tenant.spare);
-        for spare in tenant.into_iter().chain([&mut self.spare]) {
-            spare.answers.remove(&(until, place));
-            spare.rest.remove(&(until, place));
+        insert(&mut tenant.evictable);
+        insert(&mut self.evictable);
+        self.publish_evictable();
+    }
+
+    /// Publishes to the stores that share the bounds how many keys may be evicted here.
+    fn publish_evictable(&self) {
+        self.shared_usage
+            .iter()
+            .for_each(|(store_id, usage)| usage.set_evictable(*store_id, self.evictable.len()));
+    }
+
+    pub(crate) fn remove_from_indexes(&mut self, index: usize) {
+        let Some(expires_at) = self.expires_at(index) else { return };
+        self.expiries.remove(&(expires_at, index));
+        let Some(entry) = &self.entries[index] else { return };
+        let tenant = self.tenants.get_mut(&entry.key.tenant).map(|tenant| &mut tenant.evictable);
+        for evictable in tenant.into_iter().chain([&mut self.evictable]) {
+            evictable.answers.remove(&(expires_at, index));
+            evictable.without_answer.remove(&(expires_at, index));
         }
     }
 
-    fn remove(&mut self, place: usize) {
-        self.unlist(place);
-        self.tell_spare();
-        let Some(entry) = self.entries[place].take() else { return };
-        self.places.remove(&entry.key);
-        self.free.push(place);
-        self.tally.iter().for_each(|(_, tally)| tally.remove(entry.key.tenant));
+    fn remove(&mut self, index: usize) {
+        self.remove_from_indexes(index);
+        self.publish_evictable();
+        let Some(entry) = self.entries[index].take() else { return };
+        self.index_by_key.remove(&entry.key);
+        self.free.push(index);
+        self.shared_usage.iter().for_each(|(_, usage)| usage.remove(entry.key.tenant));
         if let State::Answered { answer: Some((_, bytes)), .. } = entry.state {
-            self.bytes -= bytes;
-            self.tally.iter().for_each(|(_, tally)| tally.remove_bytes(bytes));
+            self.answer_bytes -= bytes;
+            self.shared_usage.iter().for_each(|(_, usage)| usage.remove_bytes(bytes));
         }
         if let Some(tenant) = self.tenants.get_mut(&entry.key.tenant) {
             tenant.entries -= 1;
@@ -812,73 +832,77 @@
     }
 
     fn expire(&mut self, now: Micros) {
-        for _ in 0..EXPIRE_MOST {
-            let Some(&(until, place)) = self.ends.first() else { return };
-            if until > now {
+        for _ in 0..MAX_EXPIRED_PER_CALL {
+            let Some(&(expires_at, index)) = self.expiries.first() else { return };
+            if expires_at > now {
                 return;
             }
-            self.remove(place);
+            self.remove(index);
             self.counts.expired += 1;
         }
     }
 
-    /// Gives an answer up; a marker of it stays.
-    fn shrink(&mut self, place: usize) {
-        self.unlist(place);
-        if let Some(Entry { state: State::Answered { answer, .. }, .. }) = &mut self.entries[place] {
+    /// Drops an entry's answer; the entry remains as a marker.
+    fn drop_answer(&mut self, index: usize) {
+        self.remove_from_indexes(index);
+        if let Some(Entry { state: State::Answered { answer, .. }, .. }) = &mut self.entries[index] {
             if let Some((_, bytes)) = answer.take() {
-                self.bytes -= bytes;
-                self.tally.iter().for_each(|(_, tally)| tally.remove_bytes(bytes));
+                self.answer_bytes -= bytes;
+                self.shared_usage.iter().for_each(|(_, usage)| usage.remove_bytes(bytes));
                 self.counts.shrunk += 1;
             }
         }
-        self.list(place);
+        self.add_to_indexes(index);
     }
 
-    /// Room for an answer of so many bytes: older ones shrink for it.
-    fn make_bytes(&mut self, bytes: usize) -> bool {
+    /// Makes room for an answer of this size by dropping the answers that expire first. `false`: there is no room.
+    fn make_room_for_answer(&mut self, bytes: usize) -> bool {
         if bytes > self.bounds.answer_bytes {
             return false;
         }
-        while !match &self.tally {
-            Some((_, tally)) => tally.add_bytes(bytes, self.bounds.answer_bytes),
-            None => self.bytes + bytes <= self.bounds.answer_bytes,
+        while !match &self.shared_usage {
+            Some((_, usage)) => usage.add_bytes(bytes, self.bounds.answer_bytes),
+            None => self.answer_bytes + bytes <= self.bounds.answer_bytes,
         } {
-            let Some(&(_, place)) = self.spare.answers.first() else { return false };
-            self.shrink(place);
+            let Some(&(_, index)) = self.evictable.answers.first() else { return false };
+            self.drop_answer(index);
         }
         true
     }
 
-    /// Room for one more key of a tenant: what can go of its own, where it has as many as it may; else of anybody's.
-    /// Markers and the like go before whole answers do.
-    fn make_room(&mut self, tenant: Option<u32>) -> Result<(), Cause> {
-        if let Some((me, tally)) = self.tally.clone() {
-            while let Err(cause) = tally.add(tenant, &self.bounds) {
-                let own = self.tenants.get(&tenant).and_then(|own| first(&own.spare));
-                let place = if cause == Cause::Tenant { own } else { first(&self.spare) };
-                match place {
-                    Some(place) => self.evict(place),
-                    None if cause == Cause::Entries => self.claims.push(tally.claim(me).ok_or(cause)?),
-                    None => return Err(cause),
+    /// Makes room for one more key of a tenant: evicts an entry of the tenant if it has reached its own bound, or else
+    /// of any tenant. Entries without an answer are evicted before those with one.
+    fn make_room_for_key(&mut self, tenant: Option<u32>) -> Result<(), FullBound> {
+        if let Some((store_id, usage)) = self.shared_usage.clone() {
+            while let Err(bound) = usage.add(tenant, &self.bounds) {
+                let of_tenant = self.tenants.get(&tenant).and_then(|state| next_to_evict(&state.evictable));
+                let index =
+                    if bound == FullBound::Tenant { of_tenant } else { next_to_evict(&self.evictable) };
+                match index {
+                    Some(index) => self.evict(index),
+                    None if bound == FullBound::Entries => {
+                        self.eviction_requests.push(usage.request_eviction(store_id).ok_or(bound)?)
+                    }
+                    None => return Err(bound),
                 }
             }
             return Ok(());
         }
-        let own = self.tenants.get(&tenant);
-        if own.map_or(0, |own| own.entries) >= self.bounds.entries_a_tenant {
-            let place = own.and_then(|own| first(&own.spare)).ok_or(Cause::Tenant)?;
-            self.evict(place);
+        let tenant_state = self.tenants.get(&tenant);
+        if tenant_state.map_or(0, |state| state.entries) >= self.bounds.entries_per_tenant {
+            let index =
+                tenant_state.and_then(|state| next_to_evict(&state.evictable)).ok_or(FullBound::Tenant)?;
+            self.evict(index);
         }
-        if self.places.len() >= self.bounds.entries {
-            let place = first(&self.spare).ok_or(Cause::Entries)?;
-            self.evict(place);
+        if self.index_by_key.len() >= self.bounds.entries {
+            let index = next_to_evict(&self.evictable).ok_or(FullBound::Entries)?;
+            self.evict(index);
         }
         Ok(())
     }
 
-    fn evict(&mut self, place: usize) {
-        self.remove(place);
+    fn evict(&mut self, index: usize) {
+        self.remove(index);
         self.counts.evicted += 1;
     }
 }
--- a/proxy/src/requests.rs
+++ b/proxy/src/requests.rs
@@ -12,7 +12,7 @@
 use nettleworks_engine::http1::{BoxError, ForwardedRequest, Http1, MAX_BODY_BYTES};
 use nettleworks_engine::socket::Socket;
 use nettleworks_keys::KeyState;
-use nettleworks_keys_station::{Keys, WithKeys};
+use nettleworks_keys_station::{KeyStoreConfig, WithKeys};
 use nettleworks_policy::{ClassId, Idempotency, TenantId};
 use std::pin::pin;
 use std::time::Duration;
@@ -134,7 +134,7 @@
 ) -> ForwardedRequest {
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let mut headers = end_to_end(head.headers);
-    let goes_on = |keys: &Keys| keys.forward.get(ask.class.0).copied().unwrap_or_default();
+    let goes_on = |keys: &KeyStoreConfig| keys.forward.get(ask.class.0).copied().unwrap_or_default();
     let class = config.settings.classes.get(ask.class.0);
     let held = ask.key.is_some() && class.is_some_and(|class| class.idempotency == Idempotency::SingleShot);
     if held && !config.keys().is_some_and(goes_on) {
--- a/shards/cores/src/member.rs
+++ b/shards/cores/src/member.rs
@@ -1,10 +1,11 @@
-//! An engine's side of the room that it shares: what it asks for, what it keeps, and what it gives back.
+//! An engine's side of the state that it shares: which capacity it acquires, keeps and releases at each host.
 //!
-//! A shard takes room when calls wait for it, from hosts in an order of its own, so that shards with little to do use
-//! few hosts each and not all the same. It keeps a little of what it has, as calls come in bursts, for as long as nobody
-//! else wants it. Whoever wants room and finds none waits for it in turn and wakes those that have some to spare.
+//! A shard acquires capacity when calls wait for it. It tries the hosts in an order of its own, so that shards with
+//! little load use few hosts each, and not all the same ones. It keeps a small part of its idle capacity, since calls
+//! come in bursts, for as long as no other shard needs it. A shard that finds no free capacity waits for it in turn, and
+//! wakes the shards that have idle capacity.
 
-use crate::hub::Hub;
+use crate::shared::SharedState;
 use nettleworks_engine::group::{Group, HostPermit, Lease};
 use nettleworks_engine::list::List;
 use nettleworks_engine::meter::FreshnessGate;
@@ -12,310 +13,328 @@
 use nettleworks_policy::{
     self as policy, Balancer, CapacityDemand, Event, Load, Micros, Observation, ServerId,
 };
-use nettleworks_shards::roll::Roll;
-use nettleworks_shards::room::{Held, Room, Shard, Wakes};
+use nettleworks_shards::capacity::{HostCapacity, Shard, ShardAllocation, WakeSet};
+use nettleworks_shards::liveness::LivenessTable;
 use std::any::Any;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Most units that are taken for calls that wait, at a time: the next look takes more.
-const TAKE_MOST: usize = 16;
+/// Most units that are acquired for waiting calls at a time; the next event acquires more.
+const MAX_ACQUIRED: usize = 16;
 
-/// Hosts with room to spare that an idle shard keeps.
-const CHOICES: usize = 2;
+/// Number of hosts at which an idle shard keeps idle capacity.
+const KEPT_CHOICES: usize = 2;
 
-/// What a shard knows of a host's room.
-struct Known {
+/// What a shard knows of a host.
+struct KnownHost {
     name: Arc<str>,
     born_ms: u64,
-    room: Arc<Room>,
-    /// What its module was last told.
-    told: (u32, bool),
-    /// The last report, where the others have not heard of it.
+    capacity: Arc<HostCapacity>,
+    /// The lease and the probe permission as last sent to the decision module.
+    sent_to_module: (u32, bool),
+    /// The last load report, if it has not been published to the other shards yet.
     load: Option<Load>,
     /// A call there ended since the last tick.
     used: bool,
-    /// The module has not heard of it.
+    /// The decision module has not received this host yet.
     new: bool,
 }
 
-/// A call's place at a host.
-struct At {
-    room: Arc<Room>,
+/// A call in flight at a host. Dropping it ends the call there.
+struct CapacityPermit {
+    capacity: Arc<HostCapacity>,
     me: Shard,
     server: ServerId,
     ended: Rc<RefCell<Vec<ServerId>>>,
 }
 
-impl Drop for At {
+impl Drop for CapacityPermit {
     fn drop(&mut self) {
-        self.room.end(self.me);
+        self.capacity.end_call(self.me);
         self.ended.borrow_mut().push(self.server);
     }
 }
 
-/// One engine of a process.
-pub struct Member<P: Protocol> {
-    hub: Arc<Hub<P>>,
+/// One engine of a process, as a member of the group of all its engines.
+pub struct GroupMember<P: Protocol> {
+    shared: Arc<SharedState<P>>,
     me: Shard,
-    fresh: FreshnessGate,
-    roll: Rc<RefCell<Roll>>,
-    hosts: BTreeMap<ServerId, Known>,
-    /// Where calls have ended since the last look; as many as there were calls.
+    freshness: FreshnessGate,
+    liveness: Rc<RefCell<LivenessTable>>,
+    hosts: BTreeMap<ServerId, KnownHost>,
+    /// The servers at which calls have ended since the last event, once per call.
     ended: Rc<RefCell<Vec<ServerId>>>,
-    /// Where calls had ended at the last look, whose outcome the module has heard of by now.
-    heard: Vec<ServerId>,
-    fresh_hosts: Vec<ServerId>,
-    /// Where it has told that it waits.
+    /// The servers at which calls had ended before the last event: the decision module knows their outcomes by now.
+    processed: Vec<ServerId>,
+    /// New hosts that the decision module has not received yet.
+    new_hosts: Vec<ServerId>,
+    /// The servers at which this shard waits for capacity.
     waiting: BTreeSet<ServerId>,
-    /// Where it has the trial.
-    trials: Vec<ServerId>,
-    /// What the module is to hear, all at once.
-    rooms: Vec<policy::Allocation>,
+    /// The servers at which this shard holds the probe permission.
+    probes: Vec<ServerId>,
+    /// Changed allocations, which the decision module receives in one event.
+    allocations: Vec<policy::Allocation>,
     woken: bool,
     ticked: bool,
 }
 
-impl<P: Protocol> Member<P> {
+impl<P: Protocol> GroupMember<P> {
     pub(crate) fn new(
-        hub: Arc<Hub<P>>,
+        shared: Arc<SharedState<P>>,
         me: Shard,
-        fresh: FreshnessGate,
-        roll: Rc<RefCell<Roll>>,
-    ) -> Member<P> {
-        Member {
-            hub,
+        freshness: FreshnessGate,
+        liveness: Rc<RefCell<LivenessTable>>,
+    ) -> GroupMember<P> {
+        GroupMember {
+            shared,
             me,
-            fresh,
-            roll,
+            freshness,
+            liveness,
             hosts: BTreeMap::new(),
             ended: Rc::default(),
-            heard: Vec::new(),
-            fresh_hosts: Vec::new(),
+            processed: Vec::new(),
+            new_hosts: Vec::new(),
             waiting: BTreeSet::new(),
-            trials: Vec::new(),
-            rooms: Vec::new(),
+            probes: Vec::new(),
+            allocations: Vec::new(),
             woken: false,
             ticked: false,
         }
     }
 
-    /// Another shard waits for room, or has given some.
+    /// Called when another shard has woken this one: it waits for capacity, or has granted some.
     pub(crate) fn woken(&mut self) {
         self.woken = true;
     }
 
-    /// Comes every tick: what is long unused goes back, and the others hear of loads.
+    /// Called on every heartbeat: publishes load reports. Capacity that has not been used for some time is released by
+    /// the next event.
     pub(crate) fn tick(&mut self) {
         self.ticked = true;
         for known in self.hosts.values_mut() {
             if let Some(load) = known.load.take() {
-                self.hub.learn(self.me, &known.name, Observation::Load(load));
+                self.shared.publish_observation(self.me, &known.name, Observation::Load(load));
             }
         }
     }
 
-    /// The room at a host, for whoever looks.
-    pub fn held(&self, server: ServerId) -> Option<Held> {
-        Some(self.hosts.get(&server)?.room.held(self.me))
+    /// This shard's part of a host's capacity, for inspection.
+    pub fn allocation(&self, server: ServerId) -> Option<ShardAllocation> {
+        Some(self.hosts.get(&server)?.capacity.allocation(self.me))
     }
 
-    fn give(&self, known: &Known, keep: u32) {
-        self.hub.wake(known.room.give(self.me, keep));
+    fn release_idle(&self, known: &KnownHost, keep: u32) {
+        self.shared.wake(known.capacity.release_idle(self.me, keep));
     }
 
-    /// The module is to hear what it has at a host, if that is new.
-    fn tell_module(&mut self, server: ServerId) {
+    /// Queues this shard's allocation at a host for the decision module, if it has changed.
+    fn update_module(&mut self, server: ServerId) {
         let Some(known) = self.hosts.get_mut(&server) else { return };
-        let held = known.room.held(self.me);
-        let now = (held.lease, held.trial);
-        if known.told != now {
-            known.told = now;
-            self.rooms.push(policy::Allocation { server, concurrency: held.lease, probe: held.trial });
+        let allocation = known.capacity.allocation(self.me);
+        let now = (allocation.lease, allocation.probe);
+        if known.sent_to_module != now {
+            known.sent_to_module = now;
+            self.allocations.push(policy::Allocation {
+                server,
+                concurrency: allocation.lease,
+                probe: allocation.probe,
+            });
         }
     }
 
-    /// What the module allows at a host counts for the process.
-    fn allow(&self, now: Micros, balancer: &Balancer, server: ServerId) {
+    /// Adds the decision module's limit at a host to the process's capacity there.
+    fn publish_limit(&self, now: Micros, balancer: &Balancer, server: ServerId) {
         if let Some(known) = self.hosts.get(&server) {
-            self.hub.wake(known.room.allow(self.me, balancer.concurrency_limit(now, server)));
+            self.shared.wake(known.capacity.set_limit(self.me, balancer.concurrency_limit(now, server)));
         }
     }
 
-    /// Calls have ended at a host: their room goes on if others want it and this shard has more than its part. Else its
-    /// own calls may have it.
-    fn yield_room(&self, server: ServerId, held: usize) {
-        let Some(known) = self.hosts.get(&server).filter(|known| known.room.pressed(self.me)) else { return };
-        let part = known.room.total() / self.roll.borrow().living().max(1) as u32;
-        if held == 0 || known.room.held(self.me).lease > part {
-            self.give(known, 0);
+    /// After calls have ended at a host: releases their capacity if other shards need it and this one has no waiting
+    /// calls, or more than its even share. Otherwise this shard's own calls may use it.
+    fn yield_capacity(&self, server: ServerId, queued: usize) {
+        let Some(known) = self.hosts.get(&server).filter(|known| known.capacity.is_contended(self.me)) else {
+            return;
+        };
+        let share = known.capacity.total() / self.liveness.borrow().alive().max(1) as u32;
+        if queued == 0 || known.capacity.allocation(self.me).lease > share {
+            self.release_idle(known, 0);
         }
     }
 
-    /// Calls wait: takes room for them, or the trial, or else waits.
-    fn ask(&mut self, now: Micros, balancer: &Balancer, held: usize) {
-        let mut short: Vec<CapacityDemand> = balancer.capacity_demands(now).collect();
-        // Each shard begins elsewhere, and always there: what it uses it goes on using.
-        let begin = self.me * short.len() / self.hub.sizes.shards;
-        short.rotate_left(begin);
-        short.sort_by_key(|at| at.overloaded);
-        let mut need = held.min(TAKE_MOST);
-        // One more than is needed, as a choice of two is better than none.
+    /// Acquires capacity or a probe permission for waiting calls, or else waits for capacity.
+    fn acquire_for_queued(&mut self, now: Micros, balancer: &Balancer, queued: usize) {
+        let mut demands: Vec<CapacityDemand> = balancer.capacity_demands(now).collect();
+        // Each shard begins at another host, and always at the same one, so that it keeps using the same hosts.
+        let begin = self.me * demands.len() / self.shared.options.shards;
+        demands.rotate_left(begin);
+        demands.sort_by_key(|demand| demand.overloaded);
+        let mut need = queued.min(MAX_ACQUIRED);
+        // One unit more than needed, since a choice between two hosts is better than none.
         let mut wanted = need + 1;
-        // One at each host, and again: what waits is to be spread.
+        // One unit per host and round, so that the waiting calls are spread.
         let mut more = true;
         while std::mem::take(&mut more) {
-            for at in short.iter().filter(|at| at.full) {
-                let Some(known) = self.hosts.get(&at.server) else { continue };
-                if wanted > 0 && known.room.take(self.me, 1) == 1 {
+            for demand in demands.iter().filter(|demand| demand.full) {
+                let Some(known) = self.hosts.get(&demand.server) else { continue };
+                if wanted > 0 && known.capacity.acquire(self.me, 1) == 1 {
                     (wanted, more) = (wanted - 1, true);
                     need = need.saturating_sub(1);
                 }
             }
         }
-        short.iter().for_each(|at| self.tell_module(at.server));
-        for at in short.iter().filter(|at| at.probe) {
-            let Some(known) = self.hosts.get(&at.server) else { continue };
-            if need > 0 && known.room.take_trial(self.me) {
+        demands.iter().for_each(|demand| self.update_module(demand.server));
+        for demand in demands.iter().filter(|demand| demand.probe) {
+            let Some(known) = self.hosts.get(&demand.server) else { continue };
+            if need > 0 && known.capacity.acquire_probe(self.me) {
                 need -= 1;
-                self.trials.push(at.server);
-                self.tell_module(at.server);
+                self.probes.push(demand.server);
+                self.update_module(demand.server);
             }
         }
         if need == 0 {
             return;
         }
-        let mut wakes = Wakes::default();
-        for at in short.iter().filter(|at| at.full) {
-            let Some(known) = self.hosts.get(&at.server) else { continue };
-            if known.room.take_or_wait(self.me) {
-                self.tell_module(at.server);
-            } else if self.waiting.insert(at.server) {
-                let spares = |&shard: &Shard| shard != self.me && known.room.held(shard).spare() > 0;
-                (0..self.hub.sizes.shards).filter(spares).for_each(|shard| wakes.0 |= 1 << shard);
+        let mut wakes = WakeSet::default();
+        for demand in demands.iter().filter(|demand| demand.full) {
+            let Some(known) = self.hosts.get(&demand.server) else { continue };
+            if known.capacity.acquire_or_wait(self.me) {
+                self.update_module(demand.server);
+            } else if self.waiting.insert(demand.server) {
+                let has_idle =
+                    |&shard: &Shard| shard != self.me && known.capacity.allocation(shard).idle() > 0;
+                (0..self.shared.options.shards).filter(has_idle).for_each(|shard| wakes.0 |= 1 << shard);
             }
         }
-        self.hub.wake(wakes);
+        self.shared.wake(wakes);
     }
 
-    /// Nothing waits here any more.
-    fn wait_no_more(&mut self) {
+    /// Stops waiting for capacity at all hosts, since no call waits here any more.
+    fn stop_waiting(&mut self) {
         for server in std::mem::take(&mut self.waiting) {
             if let Some(known) = self.hosts.get(&server) {
-                known.room.wait_no_more(self.me);
-                // It may have been given some just now.
-                self.give(known, 1);
-                self.tell_module(server);
+                known.capacity.stop_waiting(self.me);
+                // A unit may have been granted in the meantime.
+                self.release_idle(known, 1);
+                self.update_module(server);
             }
         }
     }
 
-    /// The trials that are not out go back.
-    fn give_trials(&mut self, balancer: &Balancer) {
-        for server in std::mem::take(&mut self.trials) {
+    /// Returns the probe permissions that no call uses.
+    fn release_probes(&mut self, balancer: &Balancer) {
+        for server in std::mem::take(&mut self.probes) {
             let Some(known) = self.hosts.get(&server) else { continue };
             if balancer.is_probing(server)
-                || !known.room.give_trial(self.me) && known.room.held(self.me).trial
+                || !known.capacity.release_probe(self.me) && known.capacity.allocation(self.me).probe
             {
-                self.trials.push(server);
+                self.probes.push(server);
             } else {
-                self.tell_module(server);
+                self.update_module(server);
             }
         }
     }
 
-    fn look_at_all(&mut self, now: Micros, balancer: &Balancer) {
+    /// Reviews this shard's capacity at all hosts, after a tick or when another shard has woken this one.
+    fn review_hosts(&mut self, now: Micros, balancer: &Balancer) {
         let servers: Vec<ServerId> = self.hosts.keys().copied().collect();
         let ticked = std::mem::take(&mut self.ticked);
         let mut choices = 0;
         self.woken = false;
         for server in servers {
             if ticked {
-                self.allow(now, balancer, server);
+                self.publish_limit(now, balancer, server);
             }
             let Some(known) = self.hosts.get_mut(&server) else { continue };
             let used = if ticked { std::mem::take(&mut known.used) } else { known.used };
             let known = &self.hosts[&server];
-            if known.room.pressed(self.me) {
-                // What is not used now is wanted next door.
-                self.give(known, 0);
+            if known.capacity.is_contended(self.me) {
+                // Another shard needs what is idle here.
+                self.release_idle(known, 0);
             } else if ticked {
-                // A choice of two is kept where nobody else wants it, and no room where others do better.
-                let keep = (used || choices < CHOICES) && !balancer.is_overloaded(server);
-                self.give(known, u32::from(keep) + known.room.held(self.me).in_flight / 2);
+                // Keeps a choice of hosts while no other shard needs it, but nothing at a host that is overloaded.
+                let keep = (used || choices < KEPT_CHOICES) && !balancer.is_overloaded(server);
+                self.release_idle(known, u32::from(keep) + known.capacity.allocation(self.me).in_flight / 2);
             }
-            choices += usize::from(known.room.held(self.me).spare() > 0);
-            // Where it was given some it waits no more.
-            if known.room.held(self.me).spare() > 0 {
+            choices += usize::from(known.capacity.allocation(self.me).idle() > 0);
+            // A shard that was granted capacity no longer waits.
+            if known.capacity.allocation(self.me).idle() > 0 {
                 self.waiting.remove(&server);
             }
-            self.tell_module(server);
+            self.update_module(server);
         }
     }
 }
 
-impl<P: Protocol> Group<P> for Member<P> {
+impl<P: Protocol> Group<P> for GroupMember<P> {
     fn is_watcher(&self) -> bool {
-        self.roll.borrow().leader() == self.me
+        self.liveness.borrow().leader() == self.me
     }
 
-    fn publish_list(&mut self, list: &List) {
-        self.fresh.mark_applied(self.hub.list(self.me, list));
+    fn publish_list(&mut self, change: &List) {
+        self.freshness.mark_applied(self.shared.publish_list(self.me, change));
     }
 
     fn publish_lease(&mut self, lease: Lease) {
-        self.hub.publish(self.me, lease);
+        self.shared.publish_lease(self.me, lease);
     }
 
     fn lease(&self) -> Option<Lease> {
-        self.hub.lease()
+        self.shared.lease()
     }
 
     fn is_superseded(&self) -> bool {
-        self.hub.last_published().is_some_and(|shard| shard != self.me)
+        self.shared.last_publisher().is_some_and(|shard| shard != self.me)
     }
 
     fn server_id(&mut self, name: &str) -> ServerId {
-        self.hub.number(name)
+        self.shared.server_id(name)
     }
 
     fn host_listed(&mut self, server: ServerId, name: &str, born_ms: u64) {
         if self.hosts.get(&server).is_some_and(|known| known.born_ms == born_ms && &*known.name == name) {
             return;
         }
-        self.leave(server);
+        self.remove_host(server);
         let name: Arc<str> = name.into();
-        let room = self.hub.room(&name, born_ms);
-        let known = Known { name, born_ms, room, told: (0, false), load: None, used: false, new: true };
+        let capacity = self.shared.host_capacity(&name, born_ms);
+        let known = KnownHost {
+            name,
+            born_ms,
+            capacity,
+            sent_to_module: (0, false),
+            load: None,
+            used: false,
+            new: true,
+        };
         self.hosts.insert(server, known);
-        // The module hears of it first; what it allows there counts from then on.
-        self.heard.push(server);
+        // The decision module receives the host first; its limit there counts from then on.
+        self.processed.push(server);
     }
 
     fn retain_hosts(&mut self, listed: &dyn Fn(ServerId) -> bool) {
-        let gone: Vec<ServerId> = self.hosts.keys().copied().filter(|&server| !listed(server)).collect();
-        gone.into_iter().for_each(|server| self.leave(server));
+        let removed: Vec<ServerId> = self.hosts.keys().copied().filter(|&server| !listed(server)).collect();
+        removed.into_iter().for_each(|server| self.remove_host(server));
     }
 
     fn open_id(&mut self, id: &P::Id) -> bool {
-        self.hub.ids.open(id)
+        self.shared.ids.open(id)
     }
 
     fn close_id(&mut self, id: &P::Id) {
-        self.hub.ids.close(id);
+        self.shared.ids.close(id);
     }
 
     fn acquire(&mut self, server: ServerId) -> Option<HostPermit> {
         let known = self.hosts.get(&server)?;
-        if !known.room.begin(self.me) {
-            // It was taken back while this shard did not answer: the module is to hear of it.
+        if !known.capacity.begin_call(self.me) {
+            // It was reclaimed while this shard was stalled: the decision module has to be updated.
             self.woken = true;
             return None;
         }
-        let (room, me, ended) = (known.room.clone(), self.me, self.ended.clone());
-        Some(Box::new(At { room, me, server, ended }))
+        let (capacity, me, ended) = (known.capacity.clone(), self.me, self.ended.clone());
+        Some(Box::new(CapacityPermit { capacity, me, server, ended }))
     }
 
     fn load_reported(&mut self, server: ServerId, load: Load) {
@@ -324,53 +343,53 @@
         }
     }
 
-    fn share_observation(&mut self, server: ServerId, news: Observation) {
+    fn share_observation(&mut self, server: ServerId, observation: Observation) {
         if let Some(known) = self.hosts.get(&server) {
-            self.hub.learn(self.me, &known.name, news);
-            self.hub.wake_others(self.me);
+            self.shared.publish_observation(self.me, &known.name, observation);
+            self.shared.wake_others(self.me);
         }
     }
 
     fn synchronize(&mut self, now: Micros, balancer: &Balancer, events: &mut VecDeque<Event>) {
-        let held = balancer.queued();
-        for server in std::mem::take(&mut self.heard) {
-            self.allow(now, balancer, server);
+        let queued = balancer.queued();
+        for server in std::mem::take(&mut self.processed) {
+            self.publish_limit(now, balancer, server);
             let known = self.hosts.get_mut(&server);
             if known.is_some_and(|known| std::mem::replace(&mut known.new, false))
                 && balancer.concurrency_limit(now, server) == 0.0
             {
-                // The next event may be the list that the module hears of it by.
-                self.fresh_hosts.push(server);
+                // The next event may be the list with which the decision module receives the host.
+                self.new_hosts.push(server);
                 continue;
             }
-            if held == 0 {
-                self.yield_room(server, held);
+            if queued == 0 {
+                self.yield_capacity(server, queued);
             }
-            self.tell_module(server);
+            self.update_module(server);
         }
         let ended = std::mem::take(&mut *self.ended.borrow_mut());
         for &server in &ended {
-            self.yield_room(server, held);
+            self.yield_capacity(server, queued);
             self.hosts.get_mut(&server).into_iter().for_each(|known| known.used = true);
-            self.tell_module(server);
+            self.update_module(server);
         }
-        self.heard = ended;
-        self.heard.append(&mut self.fresh_hosts);
-        if !self.trials.is_empty() {
-            self.give_trials(balancer);
+        self.processed = ended;
+        self.processed.append(&mut self.new_hosts);
+        if !self.probes.is_empty() {
+            self.release_probes(balancer);
         }
         if self.woken || self.ticked {
-            self.look_at_all(now, balancer);
+            self.review_hosts(now, balancer);
         }
-        // What has just come may be enough.
-        if held > 0 && self.rooms.is_empty() {
-            self.ask(now, balancer, held);
-        } else if held == 0 && !self.waiting.is_empty() {
-            self.wait_no_more();
+        // Capacity that was just granted may be enough for the waiting calls.
+        if queued > 0 && self.allocations.is_empty() {
+            self.acquire_for_queued(now, balancer, queued);
+        } else if queued == 0 && !self.waiting.is_empty() {
+            self.stop_waiting();
         }
-        if !self.rooms.is_empty() {
-            // It is handled before this comes again.
-            events.push_front(Event::Allocations { allocations: std::mem::take(&mut self.rooms) });
+        if !self.allocations.is_empty() {
+            // The decision module handles this event before the next call of this method.
+            events.push_front(Event::Allocations { allocations: std::mem::take(&mut self.allocations) });
         }
     }
 
@@ -379,15 +398,15 @@
     }
 }
 
-impl<P: Protocol> Member<P> {
-    /// A host is not on the list any more, or another process is in its place: its room goes back. Calls that are out
-    /// there keep theirs until they end.
-    fn leave(&mut self, server: ServerId) {
+impl<P: Protocol> GroupMember<P> {
+    /// Removes a host that is no longer on the list, or whose process was replaced by another, and releases its
+    /// capacity. Calls in flight there keep theirs until they end.
+    fn remove_host(&mut self, server: ServerId) {
         let Some(known) = self.hosts.remove(&server) else { return };
         self.waiting.remove(&server);
-        self.trials.retain(|&at| at != server);
-        known.room.wait_no_more(self.me);
-        known.room.give_trial(self.me);
-        self.hub.wake(known.room.allow(self.me, 0.0) | known.room.give(self.me, 0));
+        self.probes.retain(|&held| held != server);
+        known.capacity.stop_waiting(self.me);
+        known.capacity.release_probe(self.me);
+        self.shared.wake(known.capacity.set_limit(self.me, 0.0) | known.capacity.release_idle(self.me, 0));
     }
 }
