--- a/proxy/tests/suite/lingering.rs
+++ b/proxy/tests/suite/detached_calls.rs
@@ -1,54 +1,55 @@
 //! Keys whose first client has gone: what is written of the call goes on, and who asks again gets its answer.
 
-use crate::form::*;
+use crate::harness::*;
 use serde_json::Value;
 use std::slice::from_ref;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-const KEYS: &str = r#"{"classes": {"unsafe": {"forward": true}}}"#;
-const BOTH: [&str; 2] = ["unsafe", "keyed"];
+const KEYS_SETTINGS: &str = r#"{"classes": {"unsafe": {"forward": true}}}"#;
+const CLASSES_WITH_KEYS: [&str; 2] = ["unsafe", "keyed"];
 
 /// A charge or an entry under a key, by a client that waits so long.
-fn ask(class: &str, key: &str, wait: Duration) -> String {
+fn keyed_request(class: &str, key: &str, wait: Duration) -> String {
     let text = request(class, &format!("Idempotency-Key: {key}\r\n"), "pays");
     text.replace("X-Budget-Ms: 8000", &format!("X-Budget-Ms: {}", wait.as_millis()))
 }
 
-fn long(class: &str, key: &str) -> String {
-    ask(class, key, Duration::from_secs(8))
+fn long_request(class: &str, key: &str) -> String {
+    keyed_request(class, key, Duration::from_secs(8))
 }
 
 /// A client goes, and whichever engine its key belongs to has heard of it. That engine reads who has gone ahead of what
 /// is asked, but the two may come between its looks at the one and the other: the second round comes after both.
-async fn go(proxy: &Proxy, client: Client, class: &str, key: &str) {
+async fn disconnect(proxy: &Proxy, client: Client, class: &str, key: &str) {
     client.go().await;
     for _ in 0..2 {
         // The key is taken by another request, or it is free and this one's time runs out: neither changes it.
-        let other = ask(class, key, Duration::from_millis(50)).replace("\r\n\r\npays", "\r\n\r\nnone");
+        let other =
+            keyed_request(class, key, Duration::from_millis(50)).replace("\r\n\r\npays", "\r\n\r\nnone");
         assert_ne!(proxy.client().await.ask(&other).await.status(), 200, "it gets nobody's answer");
     }
 }
 
 /// A client asks, the host has it, and the client goes.
-async fn ask_and_go(proxy: &Proxy, host: &Host, class: &str, key: &str) {
-    ask_for_and_go(proxy, host, class, key, Duration::from_secs(8)).await;
+async fn send_and_disconnect(proxy: &Proxy, host: &Host, class: &str, key: &str) {
+    send_with_budget_and_disconnect(proxy, host, class, key, Duration::from_secs(8)).await;
 }
 
 /// The same by a client that would have waited so long.
-async fn ask_for_and_go(proxy: &Proxy, host: &Host, class: &str, key: &str, wait: Duration) {
+async fn send_with_budget_and_disconnect(proxy: &Proxy, host: &Host, class: &str, key: &str, wait: Duration) {
     let before = host.count();
     let mut client = proxy.client().await;
-    client.send(&ask(class, key, wait)).await;
+    client.send(&keyed_request(class, key, wait)).await;
     tokio::select! {
         () = eventually("the host has it", || host.count() > before) => {}
         answer = client.message() => panic!("answered before the host has it: {answer:?}"),
     }
-    go(proxy, client, class, key).await;
+    disconnect(proxy, client, class, key).await;
 }
 
 /// 502 with problem details that say what the key is at.
-fn is(answer: &Message, name: &str, state: &str) {
+fn assert_problem(answer: &Message, name: &str, state: &str) {
     assert_eq!(answer.status(), 502);
     assert_eq!(answer.header("content-type"), Some("application/problem+json"));
     let body: Value = serde_json::from_slice(&answer.body).expect("an object");
@@ -61,20 +62,20 @@
 /// sent, and it is refused: then no host has seen it. Of several engines the one that hands a request over knows less than
 /// the one that has it, and says no more than that where that one is late. Each request has an id of its own, as the
 /// platform's clients send them: an id whose call is still with its host is turned away.
-async fn told_that_it_runs(client: &mut Client, host: &Host, class: &str, key: &str, wait: Duration) {
+async fn ask_until_running(client: &mut Client, host: &Host, class: &str, key: &str, wait: Duration) {
     let until = Instant::now() + Duration::from_secs(10);
-    let mut answer = client.ask(&ask(class, key, wait)).await;
+    let mut answer = client.ask(&keyed_request(class, key, wait)).await;
     loop {
         assert!(Instant::now() < until, "{answer:?}");
         if answer.status() == 503 {
             assert!(answer.header("retry-after").is_some(), "{answer:?}");
             assert_eq!(host.count(), 0, "refused, and it ran");
         } else if ENGINES > 1 && answer.body.windows(10).any(|part| part == b"key-unsure") {
-            is(&answer, "key-unsure", "unsure");
+            assert_problem(&answer, "key-unsure", "unsure");
         } else {
-            return is(&answer, "key-running", "running");
+            return assert_problem(&answer, "key-running", "running");
         }
-        answer = client.ask(&ask(class, key, wait)).await;
+        answer = client.ask(&keyed_request(class, key, wait)).await;
     }
 }
 
@@ -85,23 +86,23 @@
 /// The first has gone when its call is written: the call goes on, and its answer is there for whoever asks again, while
 /// it runs or later.
 #[test]
-fn a_repeat_gets_the_answer_of_a_call_whose_client_has_gone() {
+fn a_repeat_gets_the_response_of_a_detached_call() {
     run(async {
-        for class in BOTH {
+        for class in CLASSES_WITH_KEYS {
             let host = Host::start([Act::Stall, Act::Stall, ok("never asked")]).await;
-            let proxy = Proxy::with_keys(from_ref(&host), KEYS, |_| ()).await;
+            let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
             // It comes again while the call runs.
-            ask_and_go(&proxy, &host, class, "k1").await;
+            send_and_disconnect(&proxy, &host, class, "k1").await;
             let mut again = proxy.client().await;
-            again.send(&long(class, "k1")).await;
+            again.send(&long_request(class, "k1")).await;
             proxy.has_noticed().await;
             host.release.notify_one();
             let answer = again.message().await.expect("an answer");
             assert!(is_replayed(&answer) && answer.body == b"released", "{class}: {answer:?}");
             // It comes again when the call has been answered.
-            ask_and_go(&proxy, &host, class, "k2").await;
+            send_and_disconnect(&proxy, &host, class, "k2").await;
             host.release.notify_one();
-            let answer = proxy.client().await.ask(&long(class, "k2")).await;
+            let answer = proxy.client().await.ask(&long_request(class, "k2")).await;
             assert!(is_replayed(&answer) && answer.body == b"released", "{class}: {answer:?}");
             assert_eq!(host.count(), 2, "{class}: each ran once");
         }
@@ -110,33 +111,33 @@
 
 /// Without lingering the call is called off, and nobody will ever know: the difference that it makes.
 #[test]
-fn where_calls_do_not_linger_the_key_is_unsure() {
+fn without_detached_calls_the_key_is_unsure() {
     run(async {
         let host = Host::start([Act::Stall]).await;
         let off = r#"{"classes": {"unsafe": {"linger_ms": 0}}}"#;
         let proxy = Proxy::with_keys(from_ref(&host), off, |_| ()).await;
-        ask_and_go(&proxy, &host, "unsafe", "k").await;
+        send_and_disconnect(&proxy, &host, "unsafe", "k").await;
         eventually("it is called off", || host.open.get() == 0).await;
-        is(&proxy.client().await.ask(&long("unsafe", "k")).await, "key-unsure", "unsure");
+        assert_problem(&proxy.client().await.ask(&long_request("unsafe", "k")).await, "key-unsure", "unsure");
         assert_eq!(host.count(), 1);
     });
 }
 
 /// The first has gone before anything is written: nothing is, and a repeat is a first.
 #[test]
-fn what_is_not_written_when_its_client_goes_never_is() {
+fn a_request_unwritten_at_its_clients_disconnect_is_dropped() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let discovery = Discovery::quiet().await;
         let config = configuration(discovery.address, &[], |_| ());
-        let proxy = Proxy::configured(Setup { config, keys: Some(KEYS.to_owned()) }).await;
+        let proxy = Proxy::configured(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
         eventually("it is watched", || !discovery.asked.borrow().is_empty()).await;
         let mut client = proxy.client().await;
-        client.send(&long("unsafe", "k")).await;
-        go(&proxy, client, "unsafe", "k").await;
+        client.send(&long_request("unsafe", "k")).await;
+        disconnect(&proxy, client, "unsafe", "k").await;
         let line = list(50, true, &[entry("s-0", host.address, "Ready")]);
         discovery.push(&chunk(&line)).await;
-        let answer = proxy.client().await.ask(&long("unsafe", "k")).await;
+        let answer = proxy.client().await.ask(&long_request("unsafe", "k")).await;
         assert_eq!((answer.status(), is_replayed(&answer)), (200, false));
         assert_eq!(host.count(), 1, "it went once, for the client that waits");
     });
@@ -145,19 +146,19 @@
 /// Each deadline is its own: a repeat that waits for less than the call takes is told that it runs, and one that waits
 /// longer gets the answer. Neither makes it run again.
 #[test]
-fn repeats_of_a_lingering_call_have_their_own_deadlines() {
+fn repeats_of_a_detached_call_have_their_own_deadlines() {
     run(async {
-        for class in BOTH {
+        for class in CLASSES_WITH_KEYS {
             let host = Host::start([Act::Stall]).await;
-            let proxy = Proxy::with_keys(from_ref(&host), KEYS, |_| ()).await;
-            ask_for_and_go(&proxy, &host, class, "k", Duration::from_secs(2)).await;
+            let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+            send_with_budget_and_disconnect(&proxy, &host, class, "k", Duration::from_secs(2)).await;
             let started = Instant::now();
-            let short = ask(class, "k", Duration::from_millis(120));
-            is(&proxy.client().await.ask(&short).await, "key-running", "running");
+            let short = keyed_request(class, "k", Duration::from_millis(120));
+            assert_problem(&proxy.client().await.ask(&short).await, "key-running", "running");
             assert!(started.elapsed() < Duration::from_millis(1_000), "{:?}", started.elapsed());
             // It lingers again, and is joined by one that waits for longer than the first would have.
             let mut again = proxy.client().await;
-            again.send(&long(class, "k")).await;
+            again.send(&long_request(class, "k")).await;
             proxy.has_noticed().await;
             host.release.notify_one();
             assert!(is_replayed(&again.message().await.expect("an answer")), "{class}");
@@ -168,14 +169,14 @@
 
 /// A client whose time runs out is told so in its time, and the call goes on as if it had gone.
 #[test]
-fn a_call_outlives_its_clients_time() {
+fn a_call_continues_after_its_clients_budget() {
     run(async {
         let host = Host::start([Act::Stall]).await;
-        let proxy = Proxy::with_keys(from_ref(&host), KEYS, |_| ()).await;
+        let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
         let mut client = proxy.client().await;
-        told_that_it_runs(&mut client, &host, "unsafe", "k", Duration::from_millis(150)).await;
+        ask_until_running(&mut client, &host, "unsafe", "k", Duration::from_millis(150)).await;
         host.release.notify_one();
-        let again = client.ask(&long("unsafe", "k")).await;
+        let again = client.ask(&long_request("unsafe", "k")).await;
         assert!(is_replayed(&again), "{again:?}");
         assert_eq!(host.count(), 1);
     });
@@ -184,34 +185,34 @@
 /// The module's own time for an unsafe call is its class's aim, where a late answer is worth nothing. Its clients are
 /// told then, and the answer still settles the key.
 #[test]
-fn an_answer_past_the_aim_still_settles_its_key() {
+fn a_response_after_the_latency_target_still_settles_its_key() {
     run(async {
         let host = Host::start([Act::Stall]).await;
-        let proxy = Proxy::with_keys(from_ref(&host), KEYS, |config| {
+        let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |config| {
             config["settings"]["classes"][2]["objective_us"] = 300_000.into();
         })
         .await;
         let started = Instant::now();
-        let answer = proxy.client().await.ask(&long("unsafe", "k")).await;
-        is(&answer, "key-running", "running");
+        let answer = proxy.client().await.ask(&long_request("unsafe", "k")).await;
+        assert_problem(&answer, "key-running", "running");
         assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
         host.release.notify_one();
-        assert!(is_replayed(&proxy.client().await.ask(&long("unsafe", "k")).await));
+        assert!(is_replayed(&proxy.client().await.ask(&long_request("unsafe", "k")).await));
         assert_eq!(host.count(), 1);
     });
 }
 
 /// The first goes while its answer is read, and the repeat gets the whole of it.
 #[test]
-fn a_client_that_goes_while_its_answer_is_read_leaves_it_to_the_next() {
+fn a_response_half_read_at_a_disconnect_is_completed_for_the_repeat() {
     run(async {
-        for class in BOTH {
+        for class in CLASSES_WITH_KEYS {
             let (head, rest) = ("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\npa", "id k");
             let host = Host::start([Act::SayInTwo(head.to_owned(), rest.to_owned())]).await;
-            let proxy = Proxy::with_keys(from_ref(&host), KEYS, |_| ()).await;
-            ask_and_go(&proxy, &host, class, "k").await;
+            let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+            send_and_disconnect(&proxy, &host, class, "k").await;
             let mut again = proxy.client().await;
-            again.send(&long(class, "k")).await;
+            again.send(&long_request(class, "k")).await;
             proxy.has_noticed().await;
             host.release.notify_one();
             let answer = again.message().await.expect("an answer");
@@ -223,14 +224,14 @@
 
 /// The host of a call that nobody waits for drains: it lets the call end, and its answer is kept.
 #[test]
-fn a_drain_lets_a_lingering_call_end() {
+fn a_drain_lets_a_detached_call_complete() {
     run(async {
         let (host, other) = (Host::start([Act::Stall, ok("old")]).await, Host::start([ok("other")]).await);
         let discovery = Discovery::quiet().await;
         let config = configuration(discovery.address, from_ref(&host), |_| ());
-        let proxy = Proxy::configured(Setup { config, keys: Some(KEYS.to_owned()) }).await;
+        let proxy = Proxy::configured(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
         eventually("it is watched", || !discovery.asked.borrow().is_empty()).await;
-        ask_and_go(&proxy, &host, "unsafe", "k").await;
+        send_and_disconnect(&proxy, &host, "unsafe", "k").await;
         let hosts = [entry("s-0", host.address, "Terminating"), entry("s-1", other.address, "Ready")];
         discovery.push(&chunk(&list(50, true, &hosts))).await;
         // It has heard of it once a request goes to the other one.
@@ -242,7 +243,7 @@
         // Of several engines, another may close what it kept a moment later.
         eventually("its connection alone is kept", || host.open.get() == 1).await;
         host.release.notify_one();
-        let answer = proxy.client().await.ask(&long("unsafe", "k")).await;
+        let answer = proxy.client().await.ask(&long_request("unsafe", "k")).await;
         assert!(is_replayed(&answer) && answer.body == b"released", "{answer:?}");
         eventually("it is closed then", || host.open.get() == 0).await;
         assert_eq!(host.count() - early, 1, "{early} others went there before the drain was heard of");
@@ -252,55 +253,63 @@
 /// The host dies, or its answer is spoilt, while nobody waits: whoever asks again hears that nobody knows, and nothing
 /// goes again, for entries neither.
 #[test]
-fn a_lingering_call_that_fails_leaves_its_key_unsure() {
+fn a_detached_call_that_fails_leaves_its_key_unsure() {
     run(async {
         let head = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\npa".to_owned();
-        for class in BOTH {
+        for class in CLASSES_WITH_KEYS {
             for act in [Act::Stall, Act::SayInTwo("HTTP/1.1 ".to_owned(), "nonsense\r\n\r\n".to_owned())] {
                 let hosts = [Host::start([act.clone()]).await];
-                let proxy = Proxy::with_keys(&hosts, KEYS, |_| ()).await;
-                ask_and_go(&proxy, &hosts[0], class, "k").await;
+                let proxy = Proxy::with_keys(&hosts, KEYS_SETTINGS, |_| ()).await;
+                send_and_disconnect(&proxy, &hosts[0], class, "k").await;
                 match act {
                     Act::Stall => hosts[0].kill(),
                     _ => hosts[0].release.notify_one(),
                 }
                 eventually("its connection has gone", || hosts[0].open.get() == 0).await;
                 proxy.has_noticed().await;
-                is(&proxy.client().await.ask(&long(class, "k")).await, "key-unsure", "unsure");
+                assert_problem(
+                    &proxy.client().await.ask(&long_request(class, "k")).await,
+                    "key-unsure",
+                    "unsure",
+                );
                 assert_eq!(hosts[0].count(), 1);
             }
             // Cut short.
             let host = Host::start([Act::SayInTwo(head.clone(), String::new())]).await;
-            let proxy = Proxy::with_keys(from_ref(&host), KEYS, |_| ()).await;
-            ask_and_go(&proxy, &host, class, "k").await;
+            let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+            send_and_disconnect(&proxy, &host, class, "k").await;
             host.kill();
             eventually("its connection has gone", || host.open.get() == 0).await;
             proxy.has_noticed().await;
-            is(&proxy.client().await.ask(&long(class, "k")).await, "key-unsure", "unsure");
+            assert_problem(
+                &proxy.client().await.ask(&long_request(class, "k")).await,
+                "key-unsure",
+                "unsure",
+            );
         }
     });
 }
 
 /// The host answers twice while nobody waits: the first answer is the key's, and the second nobody's.
 #[test]
-fn a_second_answer_to_a_lingering_call_is_nobodys() {
+fn a_second_response_to_a_detached_call_is_discarded() {
     run(async {
         let one = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
         let two = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo";
         let twice = Act::SayInTwo(String::new(), [one, two].concat());
         let host = Host::start([twice, ok("own")]).await;
-        let proxy = Proxy::with_keys(from_ref(&host), KEYS, |_| ()).await;
-        ask_and_go(&proxy, &host, "unsafe", "k").await;
+        let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+        send_and_disconnect(&proxy, &host, "unsafe", "k").await;
         host.release.notify_one();
-        let again = proxy.client().await.ask(&long("unsafe", "k")).await;
+        let again = proxy.client().await.ask(&long_request("unsafe", "k")).await;
         assert!(is_replayed(&again) && again.body == b"one", "{again:?}");
-        assert_eq!(proxy.client().await.ask(&long("unsafe", "k2")).await.body, b"own");
+        assert_eq!(proxy.client().await.ask(&long_request("unsafe", "k2")).await.body, b"own");
     });
 }
 
 /// The host never answers: the call lingers no longer than its time, its connection is closed and its key is unsure.
 #[test]
-fn a_call_lingers_no_longer_than_its_time() {
+fn a_detached_call_ends_at_its_time_limit() {
     run(async {
         for (keys, deadline) in [
             (r#"{"classes": {"unsafe": {"linger_ms": 200}}}"#, 9_000_000),
@@ -312,40 +321,48 @@
                 config["settings"]["classes"][2]["deadline_us"] = deadline.into();
             })
             .await;
-            ask_and_go(&proxy, &host, "unsafe", "k").await;
+            send_and_disconnect(&proxy, &host, "unsafe", "k").await;
             assert_eq!(host.open.get(), 1, "it lingers");
             let started = Instant::now();
             eventually("it is closed", || host.open.get() == 0).await;
             assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
             proxy.has_noticed().await;
-            is(&proxy.client().await.ask(&long("unsafe", "k")).await, "key-unsure", "unsure");
+            assert_problem(
+                &proxy.client().await.ask(&long_request("unsafe", "k")).await,
+                "key-unsure",
+                "unsure",
+            );
         }
     });
 }
 
 /// At a bound the oldest call that nobody waits for is called off, and becomes unsure; the others go on.
 #[test]
-fn at_a_bound_the_oldest_lingering_call_is_called_off() {
+fn at_a_limit_the_oldest_detached_call_is_cancelled() {
     run(async {
-        for bound in ["lingering", "lingering_a_host", "lingering_a_tenant"] {
+        for limit in ["lingering", "lingering_a_host", "lingering_a_tenant"] {
             let host = Host::start([Act::Stall]).await;
-            let keys = format!(r#"{{"{bound}": 2}}"#);
+            let keys = format!(r#"{{"{limit}": 2}}"#);
             let proxy = Proxy::with_keys(from_ref(&host), &keys, |_| ()).await;
             for key in ["k1", "k2", "k3"] {
-                ask_and_go(&proxy, &host, "unsafe", key).await;
+                send_and_disconnect(&proxy, &host, "unsafe", key).await;
             }
             eventually("one is closed", || host.open.get() == 2).await;
-            is(&proxy.client().await.ask(&long("unsafe", "k1")).await, "key-unsure", "unsure");
-            let short = ask("unsafe", "k2", Duration::from_millis(100));
-            is(&proxy.client().await.ask(&short).await, "key-running", "running");
-            assert_eq!(host.count(), 3, "{bound}");
+            assert_problem(
+                &proxy.client().await.ask(&long_request("unsafe", "k1")).await,
+                "key-unsure",
+                "unsure",
+            );
+            let short = keyed_request("unsafe", "k2", Duration::from_millis(100));
+            assert_problem(&proxy.client().await.ask(&short).await, "key-running", "running");
+            assert_eq!(host.count(), 3, "{limit}");
         }
     });
 }
 
 /// Half of a request is written when its client goes: nothing more of it is sent, and as some of it was, nobody knows.
 #[test]
-fn a_request_that_is_half_written_is_called_off() {
+fn a_half_written_request_is_cancelled() {
     run(async {
         let listener = narrow_listener();
         let address = listener.local_addr().expect("an address");
@@ -354,7 +371,7 @@
             config["known"] =
                 serde_json::json!({"seq": 1, "whole": true, "hosts": [entry("s-0", address, "Ready")]});
         });
-        let proxy = Proxy::configured(Setup { config, keys: Some(KEYS.to_owned()) }).await;
+        let proxy = Proxy::configured(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
         let body = "x".repeat(60_000);
         let text = request("unsafe", "Idempotency-Key: k\r\n", &body);
         let mut client = proxy.client().await;
@@ -362,7 +379,7 @@
         let (stream, _) = listener.accept().await.expect("accepted");
         // Not readable(): that may say so of a stream of which nothing has come yet.
         assert!(stream.peek(&mut [0]).await.expect("it is written to") > 0);
-        go(&proxy, client, "unsafe", "k").await;
+        disconnect(&proxy, client, "unsafe", "k").await;
         // Only now the host reads: it finds less than the request, and its end.
         let mut read = 0;
         loop {
@@ -376,23 +393,23 @@
             }
         }
         assert!(read > 0 && read < body.len(), "{read} of {}", body.len());
-        is(&proxy.client().await.ask(&text).await, "key-unsure", "unsure");
+        assert_problem(&proxy.client().await.ask(&text).await, "key-unsure", "unsure");
     });
 }
 
 /// A client's machine dies without a word: its connection stays open and nobody reads. The repeat comes from elsewhere.
 #[test]
-fn a_client_that_dies_without_a_word_keeps_nothing_from_the_next() {
+fn a_client_that_dies_silently_does_not_block_a_repeat() {
     run(async {
         let host = Host::start([Act::Stall]).await;
-        let proxy = Proxy::with_keys(from_ref(&host), KEYS, |_| ()).await;
+        let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
         let mut dead = proxy.client().await;
-        dead.send(&ask("unsafe", "k", Duration::from_millis(200))).await;
+        dead.send(&keyed_request("unsafe", "k", Duration::from_millis(200))).await;
         eventually("the host has it", || host.count() == 1).await;
         // Past its time the proxy has answered, into nowhere.
         dead.stream.readable().await.expect("its answer");
         let mut again = proxy.client().await;
-        again.send(&long("unsafe", "k")).await;
+        again.send(&long_request("unsafe", "k")).await;
         proxy.has_noticed().await;
         host.release.notify_one();
         assert!(is_replayed(&again.message().await.expect("an answer")));
@@ -402,24 +419,24 @@
 
 /// A keyed repeat outside its window: while the store remembers the key, nothing goes to a host, however late it comes.
 #[test]
-fn a_keyed_repeat_outside_its_window_gets_what_is_known() {
+fn a_keyed_repeat_outside_its_window_is_not_sent() {
     run(async {
         let host = Host::start([ok("one"), Act::Reset, ok("other")]).await;
-        let proxy = Proxy::with_keys(from_ref(&host), KEYS, |config| {
+        let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |config| {
             config["settings"]["classes"][1]["repeat_window_us"] = 20_000.into();
         })
         .await;
-        assert_eq!(proxy.client().await.ask(&long("keyed", "k1")).await.body, b"one");
+        assert_eq!(proxy.client().await.ask(&long_request("keyed", "k1")).await.body, b"one");
         sleep(Duration::from_millis(60)).await;
-        assert!(is_replayed(&proxy.client().await.ask(&long("keyed", "k1")).await));
+        assert!(is_replayed(&proxy.client().await.ask(&long_request("keyed", "k1")).await));
         // One that broke may go again within the window, and not after it.
-        let broken = proxy.client().await.ask(&long("keyed", "k2")).await;
+        let broken = proxy.client().await.ask(&long_request("keyed", "k2")).await;
         let count = host.count();
         sleep(Duration::from_millis(60)).await;
-        let again = proxy.client().await.ask(&long("keyed", "k2")).await;
+        let again = proxy.client().await.ask(&long_request("keyed", "k2")).await;
         match broken.status() {
             200 => assert!(is_replayed(&again)),
-            _ => is(&again, "key-unsure", "unsure"),
+            _ => assert_problem(&again, "key-unsure", "unsure"),
         }
         assert_eq!(host.count(), count, "nothing went again");
     });
@@ -428,9 +445,9 @@
 /// Hundreds of clients send a charge and hang up, on a new key each, again and again: connections to hosts stay within
 /// bounds, and those who wait for their answers get them.
 #[test]
-fn clients_that_hang_up_take_nothing_from_those_that_wait() {
-    const HANG_UPS: usize = 400;
-    const ASKED: usize = 300;
+fn disconnecting_clients_do_not_starve_waiting_ones() {
+    const DISCONNECTS: usize = 400;
+    const REQUESTS: usize = 300;
     run(async {
         let ledger = Ledger::default();
         let plan = Plan { service: Duration::from_millis(4), ..Plan::default() };
@@ -440,25 +457,25 @@
         }
         let proxy = Proxy::with_keys(&hosts, r#"{"lingering": 16}"#, |_| ()).await;
         let address = proxy.address;
-        let hang_up = tokio::task::spawn_local(async move {
-            for number in 0..HANG_UPS {
+        let disconnecting = tokio::task::spawn_local(async move {
+            for number in 0..DISCONNECTS {
                 let mut client: Client =
                     Reader::new(tokio::net::TcpStream::connect(address).await.expect("it accepts"));
-                client.send(&long("unsafe", &format!("gone-{number}"))).await;
+                client.send(&long_request("unsafe", &format!("gone-{number}"))).await;
                 sleep(Duration::from_millis(1)).await;
             }
         });
         let (mut served, mut most) = (0, 0);
         let mut client = proxy.client().await;
-        for number in 0..ASKED {
+        for number in 0..REQUESTS {
             let class = ["free", "keyed", "unsafe"][number % 3];
             served += usize::from(client.ask(&request(class, "", "")).await.status() == 200);
             most = most.max(hosts.iter().map(|host| host.open.get()).sum());
         }
-        assert!(served * 100 >= ASKED * 95, "{served} of {ASKED}");
+        assert!(served * 100 >= REQUESTS * 95, "{served} of {REQUESTS}");
         // What lingers, what is being asked for, and connections that wait to be closed.
         assert!(most <= 16 + 48, "{most} connections to hosts");
-        hang_up.await.expect("they hang up");
+        disconnecting.await.expect("they hang up");
         assert_eq!(ledger.twice(Duration::from_secs(9)), []);
     });
 }
--- a/proxy/tests/suite/discovery.rs
+++ b/proxy/tests/suite/discovery.rs
@@ -1,27 +1,27 @@
 //! The list of hosts as it comes over a watch.
 
-use crate::form::*;
+use crate::harness::*;
 use std::slice::from_ref;
 
-const NONE: fn(&mut serde_json::Value) = |config| config["known"]["hosts"] = serde_json::json!([]);
+const NO_HOSTS: fn(&mut serde_json::Value) = |config| config["known"]["hosts"] = serde_json::json!([]);
 const PUSHED: fn(&mut serde_json::Value) = |config| {
-    NONE(config);
+    NO_HOSTS(config);
     config["settings"]["discovery"] = "push".into();
 };
 
 /// Waits until it has a list, and asks for something.
-async fn serves(proxy: &Proxy) {
+async fn assert_serves(proxy: &Proxy) {
     let mut client = proxy.client().await;
     while client.ask(HEALTH).await.status() != 200 {}
     assert_eq!(client.ask(&request("unsafe", "", "")).await.status(), 200);
 }
 
 #[test]
-fn a_proxy_without_a_list_is_not_ready_and_with_one_it_serves() {
+fn a_proxy_is_ready_once_it_has_a_list() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let discovery = Discovery::silent().await;
-        let proxy = Proxy::with(&discovery, &[], NONE).await;
+        let proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
         let mut client = proxy.client().await;
         assert_eq!(client.ask(HEALTH).await.status(), 503);
         eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
@@ -39,16 +39,16 @@
 /// A watch that ends, is refused, or brings what cannot be read has failed; the next one begins where the
 /// list in hand ends.
 #[test]
-fn a_watch_that_fails_is_opened_again_from_the_version_in_hand() {
+fn a_failed_watch_is_reopened_from_the_current_version() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let busy = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned();
-        let news = format!("{WATCH}{}", chunk(&list(50, true, &[entry("s-9", host.address, "Ready")])));
+        let good = format!("{WATCH}{}", chunk(&list(50, true, &[entry("s-9", host.address, "Ready")])));
         let bad = format!("{WATCH}{}", chunk("{\"seq\":"));
         let odd = format!("{WATCH}{}", chunk(&list(51, false, &[entry("s-9", host.address, "Dancing")])));
         let ended = format!("{WATCH}0\r\n\r\n");
-        let discovery = Discovery::start([busy, format!("{news}0\r\n\r\n"), bad, odd, ended]).await;
-        let proxy = Proxy::with(&discovery, &[], NONE).await;
+        let discovery = Discovery::start([busy, format!("{good}0\r\n\r\n"), bad, odd, ended]).await;
+        let proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
         eventually("six watches", || discovery.asked.borrow().len() == 6).await;
         let asked = discovery.asked.borrow().clone();
         let versions: Vec<&str> = asked
@@ -60,10 +60,10 @@
         // Half a list had come, so nothing was sent until a whole one has: the sixth watch brings it.
         let mut client = proxy.client().await;
         let mut answer = client.ask(&request("unsafe", "", "")).await;
-        let asked = tokio::time::Instant::now();
+        let started = tokio::time::Instant::now();
         while answer.status() != 200 {
             assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, true), "{answer:?}");
-            assert!(asked.elapsed() < std::time::Duration::from_secs(2), "{answer:?}");
+            assert!(started.elapsed() < std::time::Duration::from_secs(2), "{answer:?}");
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             answer = client.ask(&request("unsafe", "", "")).await;
         }
@@ -72,10 +72,10 @@
 
 /// A watch whose machine has vanished says nothing for good: without heartbeats it has failed.
 #[test]
-fn a_silent_watch_is_given_up() {
+fn a_silent_watch_is_reopened() {
     run(async {
         let discovery = Discovery::silent().await;
-        let _proxy = Proxy::with(&discovery, &[], NONE).await;
+        let _proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
         eventually("a second watch", || discovery.asked.borrow().len() == 2).await;
     });
 }
@@ -83,19 +83,19 @@
 /// What a silent watch hides counts as told six seconds after it fell silent, however many proxies there are that must
 /// not ask at one moment.
 #[test]
-fn one_of_many_opens_a_silent_watch_again_in_time() {
+fn a_silent_watch_is_reopened_in_time_in_a_large_fleet() {
     run(async {
         let discovery = Discovery::silent().await;
         let _proxy = Proxy::with(&discovery, &[], |config| {
-            NONE(config);
+            NO_HOSTS(config);
             config["settings"]["balancers"] = 300.into();
             config["settings"]["invariants"]["ask_every_us"] = 5_000_000.into();
         })
         .await;
         eventually("a watch", || discovery.asked.borrow().len() == 1).await;
-        let silent_from = tokio::time::Instant::now();
+        let silent_since = tokio::time::Instant::now();
         eventually("a second watch", || discovery.asked.borrow().len() == 2).await;
-        let took = silent_from.elapsed();
+        let took = silent_since.elapsed();
         assert!(took < std::time::Duration::from_secs(6), "{took:?}");
     });
 }
@@ -103,7 +103,7 @@
 /// A host that is gone gets nothing more, and idle connections to it are closed; one at its address under
 /// another name is another host.
 #[test]
-fn a_host_that_is_gone_is_left_alone() {
+fn a_removed_host_gets_no_request() {
     run(async {
         let (old, new) = (Host::start([ok("old")]).await, Host::start([ok("new")]).await);
         let discovery = Discovery::quiet().await;
@@ -124,24 +124,24 @@
 
 /// Where lists are pushed the module never asks: the proxy watches its agent all the same.
 #[test]
-fn a_pushed_list_is_watched_too() {
+fn the_agent_is_watched_for_pushed_lists() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let list = list(42, true, &[entry("s-9", host.address, "Ready")]);
         let discovery =
             Discovery::start(["HTTP/1.1 503 No\r\n\r\n".to_owned(), format!("{WATCH}{}", chunk(&list))])
                 .await;
-        serves(&Proxy::with(&discovery, &[], PUSHED).await).await;
+        assert_serves(&Proxy::with(&discovery, &[], PUSHED).await).await;
     });
 }
 
 /// Lists may come indented, over many lines and pieces.
 #[test]
-fn an_indented_list_is_taken() {
+fn an_indented_list_is_accepted() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let discovery = Discovery::silent().await;
-        let proxy = Proxy::with(&discovery, &[], NONE).await;
+        let proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
         eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
         let line = list(42, true, &[entry("s-9", host.address, "Ready")]);
         let value: serde_json::Value = serde_json::from_str(&line).expect("a list");
@@ -149,17 +149,17 @@
         for part in text.as_bytes().chunks(7) {
             discovery.push(&piece(std::str::from_utf8(part).expect("text"))).await;
         }
-        serves(&proxy).await;
+        assert_serves(&proxy).await;
         assert_eq!(discovery.asked.borrow().len(), 1, "on the first watch");
     });
 }
 
 /// A watch that goes on sending and never brings a whole list has fallen silent all the same.
 #[test]
-fn a_watch_that_never_ends_its_list_is_given_up() {
+fn a_watch_that_never_completes_a_list_is_reopened() {
     run(async {
         let discovery = Discovery::silent().await;
-        let _proxy = Proxy::with(&discovery, &[], NONE).await;
+        let _proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
         eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
         discovery.push(&piece("{\"seq\":")).await;
         while discovery.asked.borrow().len() == 1 && !discovery.is_left() {
@@ -173,16 +173,16 @@
 /// What an agent has counts as told whether or not a watch is open, with a second's grace: where its watches break the
 /// next are opened well within that.
 #[test]
-fn a_pushed_watch_that_breaks_is_opened_again_at_once() {
+fn a_broken_watch_of_pushed_lists_is_reopened_at_once() {
     run(async {
         let ended = format!("{WATCH}0\r\n\r\n");
         let host = Host::start([ok("served")]).await;
-        let news = format!("{WATCH}{}", chunk(&list(50, true, &[entry("s-9", host.address, "Ready")])));
-        let discovery = Discovery::start([ended.clone(), ended, news]).await;
+        let good = format!("{WATCH}{}", chunk(&list(50, true, &[entry("s-9", host.address, "Ready")])));
+        let discovery = Discovery::start([ended.clone(), ended, good]).await;
         let proxy = Proxy::with(&discovery, &[], PUSHED).await;
         eventually("a watch", || !discovery.asked.borrow().is_empty()).await;
         let start = tokio::time::Instant::now();
-        serves(&proxy).await;
+        assert_serves(&proxy).await;
         // Each of the two pauses was a second.
         assert!(start.elapsed() < std::time::Duration::from_millis(1_500), "{:?}", start.elapsed());
     });
--- a/proxy/tests/suite/hosts.rs
+++ b/proxy/tests/suite/hosts.rs
@@ -1,6 +1,6 @@
 //! Connections to hosts: kept, given up, withdrawn.
 
-use crate::form::*;
+use crate::harness::*;
 use std::slice::from_ref;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -9,7 +9,7 @@
 /// A connection costs a host many times a request's overhead. It must be back before the outcome is told:
 /// else the request that the outcome lets go opens another.
 #[test]
-fn one_request_after_the_other_shares_one_connection() {
+fn sequential_requests_share_one_connection() {
     run(async {
         let host = Host::start([ok("served"), turn_away(), ok("served")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
@@ -23,10 +23,10 @@
 
 /// A connection that the host has closed while it was idle is no failure of the request: nothing is written.
 #[test]
-fn a_connection_closed_by_its_host_is_not_used_again() {
+fn a_connection_closed_by_its_host_is_not_reused() {
     run(async {
-        let bye = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-        let host = Host::start([Act::SayAndClose(bye.to_owned())]).await;
+        let response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+        let host = Host::start([Act::SayAndClose(response.to_owned())]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
         let mut client = proxy.client().await;
         for count in 1..=5 {
@@ -40,7 +40,7 @@
 /// A host may close a kept connection just as a request is written to it. What may be repeated goes again at once,
 /// to the same host, which is not to blame.
 #[test]
-fn a_kept_connection_that_breaks_sets_no_host_aside() {
+fn a_broken_reused_connection_ejects_no_host() {
     run(async {
         let host = Host::start([ok("one"), Act::SayAndClose(String::new()), ok("three")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
@@ -53,7 +53,7 @@
 
 /// More than belongs to an answer makes its connection useless; a later request must not get it.
 #[test]
-fn what_follows_an_answer_is_nobodys() {
+fn bytes_after_a_response_are_discarded_with_the_connection() {
     run(async {
         let double = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
         let host = Host::start([Act::Say(double.to_owned()), ok("right")]).await;
@@ -67,7 +67,7 @@
 
 /// Answers that announce themselves are passed on as if they had not.
 #[test]
-fn informational_answers_are_passed_over() {
+fn informational_responses_are_skipped() {
     run(async {
         let early = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
         let Act::Say(good) = ok("served") else { return };
@@ -83,7 +83,7 @@
 
 /// Idle connections are closed before the host does it: a request that crosses the host's close is lost.
 #[test]
-fn an_idle_connection_is_retired_before_its_host_closes_it() {
+fn an_idle_connection_is_closed_before_its_host_closes_it() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&host), |config| {
@@ -97,7 +97,7 @@
 
 /// Nor is one used that is due and not yet retired: looking through them now and then would leave a gap.
 #[test]
-fn a_connection_that_is_due_is_not_used_again() {
+fn an_expired_connection_is_not_reused() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&host), |config| {
@@ -113,27 +113,27 @@
 }
 
 /// An address where connections do not come up: the listener's queue of new ones is full.
-async fn never_up() -> (Host, Vec<TcpStream>, TcpListener) {
+async fn unreachable_host() -> (Host, Vec<TcpStream>, TcpListener) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(0).expect("it listens");
     let address = listener.local_addr().expect("an address");
-    let (mut full, wait) = (Vec::new(), Duration::from_millis(200));
+    let (mut queued, wait) = (Vec::new(), Duration::from_millis(200));
     while let Ok(Ok(stream)) = timeout(wait, TcpStream::connect(address)).await {
-        full.push(stream);
+        queued.push(stream);
     }
-    (Host { address, ..Host::start([ok("")]).await }, full, listener)
+    (Host { address, ..Host::start([ok("")]).await }, queued, listener)
 }
 
 /// A send counts when it is written. One that still waits for its connection when its host is told draining
 /// must not be written there later; it goes elsewhere at once.
 #[test]
-fn what_is_not_yet_written_to_a_draining_host_is_withdrawn() {
+fn a_request_not_yet_written_to_a_draining_host_goes_elsewhere() {
     run(async {
-        let (stuck, _full, listener) = never_up().await;
+        let (unreachable, _queued, listener) = unreachable_host().await;
         let other = Host::start([ok("served")]).await;
         let discovery = Discovery::quiet().await;
-        let proxy = Proxy::with(&discovery, from_ref(&stuck), |config| {
+        let proxy = Proxy::with(&discovery, from_ref(&unreachable), |config| {
             config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
         })
         .await;
@@ -142,7 +142,7 @@
         eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
         // Sent later and answered: the proxy has read the request before.
         assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
-        let hosts = [entry("s-0", stuck.address, "Terminating"), entry("s-1", other.address, "Ready")];
+        let hosts = [entry("s-0", unreachable.address, "Terminating"), entry("s-1", other.address, "Ready")];
         discovery.push(&chunk(&list(42, false, &hosts))).await;
         assert_eq!(client.message().await.expect("an answer").status(), 200);
         assert_eq!(other.count(), 1);
@@ -153,10 +153,10 @@
 /// Nothing is sent for a call that is over, also where the site does not let attempts be called off: one that
 /// still waits for its connection must not be written once that comes up.
 #[test]
-fn what_is_not_yet_written_is_withdrawn_when_its_call_ends() {
+fn a_request_not_yet_written_is_dropped_when_its_call_ends() {
     run(async {
-        let (stuck, full, listener) = never_up().await;
-        let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&stuck), |config| {
+        let (unreachable, queued, listener) = unreachable_host().await;
+        let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&unreachable), |config| {
             config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
             config["settings"]["limits"]["cancel"] = false.into();
         })
@@ -170,7 +170,7 @@
         assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
         // From here on connections come up, the first one's before the second's.
         let host = Host::on(listener, [ok("served")]);
-        drop(full);
+        drop(queued);
         assert_eq!(client.message().await.expect("an answer").status(), 200);
         let bodies: Vec<_> = host.seen.borrow().iter().map(|message| message.body.clone()).collect();
         assert_eq!(bodies, [b"the second"]);
@@ -179,7 +179,7 @@
 
 /// A host that has moved gets nothing at its old address, where another may listen by now.
 #[test]
-fn a_host_that_has_moved_is_met_at_its_new_address() {
+fn a_host_with_a_new_address_is_reached_there() {
     run(async {
         let (old, new) = (Host::start([Act::Stall, ok("old")]).await, Host::start([ok("new")]).await);
         let discovery = Discovery::quiet().await;
@@ -200,11 +200,11 @@
 
 /// A connection that does not come up in time proves that the request never ran: it may go elsewhere.
 #[test]
-fn a_connection_that_never_comes_up_is_bounded() {
+fn a_connect_timeout_sends_the_request_elsewhere() {
     run(async {
-        let (stuck, _full, _listener) = never_up().await;
+        let (unreachable, _queued, _listener) = unreachable_host().await;
         let other = Host::start([ok("served")]).await;
-        let proxy = Proxy::with(&Discovery::quiet().await, &[stuck, other.clone()], |config| {
+        let proxy = Proxy::with(&Discovery::quiet().await, &[unreachable, other.clone()], |config| {
             config["settings"]["limits"]["connect_timeout_us"] = 50_000.into();
         })
         .await;
@@ -218,7 +218,7 @@
 
 /// The limit on sockets holds for hosts too: a call beyond it ends, and no descriptor is opened for it.
 #[test]
-fn connections_to_hosts_stay_under_the_limit() {
+fn connections_to_hosts_stay_within_the_limit() {
     run(async {
         let mut hosts = Vec::new();
         for _ in 0..24 {
--- a/proxy/tests/suite/listening.rs
+++ b/proxy/tests/suite/listening.rs
@@ -1,7 +1,7 @@
 //! What belongs to the listening side: slow, silent and idle connections, and the stop. It runs on the forms that
 //! listen by themselves, the program and `fleet.serve`; in an application these are its own server's.
 
-use crate::form::*;
+use crate::harness::*;
 use std::slice::from_ref;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -28,12 +28,12 @@
                 tokio::time::sleep(std::time::Duration::from_millis(100)).await;
             }
         };
-        let rest = async {
+        let others = async {
             assert!(silent.message().await.is_none());
             assert!(half.message().await.is_none());
             assert_eq!(body.message().await.map(|answer| answer.status()), Some(408));
         };
-        tokio::join!(trickle, rest);
+        tokio::join!(trickle, others);
         assert_eq!(host.count(), 1);
     });
 }
@@ -59,8 +59,8 @@
             clients.push(client);
         }
         assert!((1..=6).contains(&closed), "{closed}");
-        let left = |client: &Client| client.stream.try_read(&mut [0]).is_ok_and(|count| count == 0);
-        eventually("they are closed", || clients.iter().filter(|client| left(client)).count() == closed)
+        let is_closed = |client: &Client| client.stream.try_read(&mut [0]).is_ok_and(|count| count == 0);
+        eventually("they are closed", || clients.iter().filter(|client| is_closed(client)).count() == closed)
             .await;
         assert_eq!(clients[0].ask(&request("free", "", "")).await.status(), 200, "the others are kept");
     });
@@ -68,26 +68,26 @@
 
 /// At the limit those that never asked make room first, and one that has just been answered keeps its connection.
 #[test]
-fn clients_that_ask_keep_their_connections() {
+fn active_clients_keep_their_connections() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let proxy = Proxy::with(&Discovery::quiet().await, &[host], |config| {
             config["limits"]["sockets"] = 64.into();
         })
         .await;
-        let mut usual = proxy.client().await;
-        assert_eq!(usual.ask(&request("free", "", "")).await.status(), 200);
+        let mut active = proxy.client().await;
+        assert_eq!(active.ask(&request("free", "", "")).await.status(), 200);
         let mut silent = Vec::new();
         for _ in 0..100 {
             silent.push(proxy.client().await);
-            assert_eq!(usual.ask(&request("free", "", "")).await.status(), 200);
+            assert_eq!(active.ask(&request("free", "", "")).await.status(), 200);
         }
     });
 }
 
 /// Clients that connect and say nothing must not keep others out, nor cost more descriptors than there are.
 #[test]
-fn silent_connections_do_not_keep_others_out() {
+fn silent_connections_do_not_lock_out_others() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let proxy = Proxy::with(&Discovery::quiet().await, &[host], |config| {
@@ -104,7 +104,7 @@
 
 /// A stop must answer all that was taken, take new connections for as long as they come, and close the rest.
 #[test]
-fn a_stop_answers_what_was_taken() {
+fn a_shutdown_answers_all_accepted_requests() {
     run(async {
         let host = Host::start([ok("before"), Act::Stall, ok("after")]).await;
         let mut proxy = Proxy::start(from_ref(&host)).await;
--- a/proxy/tests/suite/repeats.rs
+++ b/proxy/tests/suite/repeats.rs
@@ -1,7 +1,7 @@
 //! Repeats, and what crosses them: a connection that comes up late. The test makes it late itself: a host's queue of new
 //! connections is full until the proxy's first try to connect was dropped.
 
-use crate::form::*;
+use crate::harness::*;
 use serde_json::json;
 use std::net::SocketAddr;
 use tokio::io::AsyncWriteExt;
@@ -12,9 +12,9 @@
 /// that one's connection comes up when the system asks for it again, a second later. Nothing is written to it then, and
 /// the client is told at the end of the 0.9 s.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
+fn a_retry_connected_after_its_window_is_not_written() {
     run(async {
-        let hosts = [scarce(), scarce()];
+        let hosts = [short_queue_listener(), short_queue_listener()];
         let at = |host: usize| hosts[host].local_addr().expect("an address");
         let proxy = Proxy::with(&Discovery::quiet().await, &[], |config| {
             let listed = [0, 1].map(|host| entry(&format!("s-{host}"), at(host), "Ready"));
@@ -27,8 +27,8 @@
         let mut stalling = proxy.client().await;
         stalling.send(&request("free", "", "")).await;
         let (late, stalled) = tokio::select! {
-            taken = hosts[0].accept() => (0, taken),
-            taken = hosts[1].accept() => (1, taken),
+            accepted = hosts[0].accept() => (0, accepted),
+            accepted = hosts[1].accept() => (1, accepted),
         };
         let mut stalled = Reader::new(stalled.expect("accepted").0);
         stalled.message().await.expect("the call that stalls");
@@ -44,17 +44,17 @@
         let first = first.stream.into_std().expect("a stream");
         socket2::SockRef::from(&first).set_linger(Some(std::time::Duration::ZERO)).expect("it can be set");
         drop(first);
-        eventually("the repeat's connection waits", || connecting_to(at(late))).await;
+        eventually("the repeat's connection waits", || is_connecting_to(at(late))).await;
         for _ in 0..queued.len() {
             hosts[late].accept().await.expect("one that filled the queue");
         }
         let [one, other] = hosts;
         let host = if late == 0 { one } else { other };
         let read = spawn_local(async move {
-            let mut repeat = Reader::new(host.accept().await.expect("accepted").0);
-            let read = repeat.message().await;
+            let mut retry = Reader::new(host.accept().await.expect("accepted").0);
+            let read = retry.message().await;
             let Act::Say(answer) = ok("ran twice") else { unreachable!("it says so") };
-            let _ = repeat.stream.write_all(answer.as_bytes()).await;
+            let _ = retry.stream.write_all(answer.as_bytes()).await;
             read.is_some()
         });
         let answer = client.message().await.expect("an answer");
@@ -64,14 +64,14 @@
 }
 
 /// A listener whose queue of new connections takes two.
-fn scarce() -> TcpListener {
+fn short_queue_listener() -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     socket.listen(1).expect("it listens")
 }
 
 /// Whether a connection to an address is asked for and not up, by the system's table.
-fn connecting_to(address: SocketAddr) -> bool {
+fn is_connecting_to(address: SocketAddr) -> bool {
     let SocketAddr::V4(address) = address else { return false };
     let remote = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
--- a/proxy/tests/suite/requests.rs
+++ b/proxy/tests/suite/requests.rs
@@ -1,13 +1,13 @@
 //! What the application meets: requests that are served, refused, failed or unusable.
 
-use crate::form::*;
+use crate::harness::*;
 use std::slice::from_ref;
 use tokio::io::AsyncWriteExt;
 
 const CHUNKED: &str = "Transfer-Encoding: chunked\r\n\r\n";
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     run(async {
         let host = Host::start([ok("the answer")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
@@ -30,7 +30,7 @@
 
 /// What cannot be used must end at once and reach neither the module nor a host.
 #[test]
-fn unusable_requests_are_turned_away_at_once() {
+fn invalid_requests_are_rejected_at_once() {
     run(async {
         let host = Host::start([ok("")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
@@ -88,7 +88,7 @@
 
 /// Hosts take two requests with one id for one: the second is turned away while the first is open.
 #[test]
-fn an_id_that_is_open_is_turned_away() {
+fn a_duplicate_of_an_open_id_is_rejected() {
     run(async {
         let host = Host::start([Act::Stall, ok("again")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_surely_never_ran_goes_again() {
+fn an_unsafe_request_that_never_ran_is_retried() {
     run(async {
         let hosts = [Host::start([turn_away()]).await, Host::start([turn_away()]).await];
         hosts[1].acts.borrow_mut().clear();
@@ -154,25 +154,25 @@
 
 /// Given up, a request is answered at once, and told when to come back.
 #[test]
-fn a_refusal_comes_at_once_with_advice() {
+fn a_refusal_comes_at_once_with_a_retry_after() {
     run(async {
         let host = Host::start([ok("")]).await;
-        let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let dead = Host { address: gone.local_addr().expect("an address"), ..host };
-        drop(gone);
+        let closed = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let dead = Host { address: closed.local_addr().expect("an address"), ..host };
+        drop(closed);
         let proxy = Proxy::start(&[dead]).await;
         let started = std::time::Instant::now();
         let answer = proxy.client().await.ask(&request("unsafe", "", "")).await;
         assert_eq!(answer.status(), 503);
         assert!(started.elapsed().as_millis() < 7_000, "not sat on until its deadline");
-        let advice = answer.header("retry-after").and_then(|v| v.parse::<f64>().ok());
-        assert!(advice.is_some_and(|seconds| seconds > 0.0 && seconds <= 0.75), "{answer:?}");
+        let retry_after = answer.header("retry-after").and_then(|v| v.parse::<f64>().ok());
+        assert!(retry_after.is_some_and(|seconds| seconds > 0.0 && seconds <= 0.75), "{answer:?}");
     });
 }
 
 /// Guards against an advice of zero, which brings a client back at once, where the settings allow none.
 #[test]
-fn a_refusal_without_advice_names_no_time() {
+fn a_refusal_without_advice_has_no_retry_after() {
     run(async {
         let proxy = Proxy::with(&Discovery::quiet().await, &[], |config| {
             config["settings"]["limits"]["max_retry_after_us"] = 0.into();
@@ -185,7 +185,7 @@
 
 /// A client that goes away must not leave its attempt behind.
 #[test]
-fn a_client_that_closes_ends_its_attempt() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     run(async {
         let host = Host::start([Act::Stall]).await;
         let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&host), |config| {
@@ -204,7 +204,7 @@
 
 /// A time-out closes the attempt's connection and fails the request within the client's time.
 #[test]
-fn a_host_that_says_nothing_is_given_up_in_the_clients_time() {
+fn a_silent_host_times_out_within_the_clients_budget() {
     run(async {
         let host = Host::start([Act::Stall]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
--- a/proxy/tests/suite/stopping.rs
+++ b/proxy/tests/suite/shutdown.rs
@@ -1,36 +1,36 @@
 //! The stop, and what crosses it; and clients that leave. Each test makes the two events meet itself: what a client or a
 //! host does, it does when the test says so.
 
-use crate::form::*;
+use crate::harness::*;
 use std::slice::from_ref;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-const HOSTLESS: fn(&mut serde_json::Value) = |config| config["known"]["hosts"] = serde_json::json!([]);
+const NO_HOSTS: fn(&mut serde_json::Value) = |config| config["known"]["hosts"] = serde_json::json!([]);
 
 /// SIGKILL comes 3.7 s after SIGTERM where deadlines are longer than 3 s (here 9 s). What has no answer by then has one
 /// before the process ends: failed where it may have run, refused where it surely never did.
 #[test]
-fn what_is_open_at_the_end_of_a_stop_is_answered_and_not_dropped() {
+fn open_requests_are_answered_at_the_end_of_a_shutdown() {
     run(async {
         let host = Host::start([Act::Stall]).await;
         let mut hanging = Proxy::start(from_ref(&host)).await;
-        let mut without = Proxy::with(&Discovery::quiet().await, &[], HOSTLESS).await;
-        let (mut ran, mut held) = (hanging.client().await, without.client().await);
+        let mut hostless = Proxy::with(&Discovery::quiet().await, &[], NO_HOSTS).await;
+        let (mut ran, mut held) = (hanging.client().await, hostless.client().await);
         ran.send(&request("unsafe", "", "pays")).await;
         held.send(&request("unsafe", "", "pays")).await;
         eventually("the charge is at the host", || host.count() == 1).await;
         // It has been read: an answer comes to what came after it.
-        without.has_noticed().await;
-        for proxy in [&mut hanging, &mut without] {
+        hostless.has_noticed().await;
+        for proxy in [&mut hanging, &mut hostless] {
             proxy.stop.take().expect("it runs").send(()).expect("it stops");
         }
         let (ran, held) = tokio::join!(ran.message(), held.message());
         let (ran, held) = (ran.expect("a whole answer"), held.expect("a whole answer"));
         assert_eq!((ran.status(), held.status()), (502, 503));
-        for proxy in [hanging, without] {
+        for proxy in [hanging, hostless] {
             proxy.task.await.expect("it ends well");
         }
         assert_eq!(host.count(), 1);
@@ -40,7 +40,7 @@
 /// A connection on which nothing is asked is closed while new ones are still taken, so that a request that crosses its
 /// close has where to come again; the answer to what is open says that its connection closes.
 #[test]
-fn a_stop_closes_idle_connections_while_new_ones_are_taken() {
+fn a_shutdown_closes_idle_connections_while_new_ones_are_accepted() {
     run(async {
         let (head, rest) = ("HTTP/1.1 200 OK\r\n".to_owned(), "Content-Length: 4\r\n\r\npaid".to_owned());
         let host = Host::start([ok("first"), ok("second"), Act::SayInTwo(head, rest), ok("again")]).await;
@@ -66,7 +66,7 @@
 /// Half of a request is there when the stop is told, and the other half comes after it; a connection that has said
 /// nothing yet asks after it, too. Both are answered.
 #[test]
-fn what_comes_across_the_order_to_stop_is_answered() {
+fn requests_that_cross_the_start_of_a_shutdown_are_answered() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let mut proxy = Proxy::start(from_ref(&host)).await;
@@ -90,7 +90,7 @@
 /// A whole request lies unread on an idle connection when the stop is told, and nothing is polled in between where the
 /// proxy is on this thread: it is answered, and its connection not closed on it.
 #[test]
-fn what_was_not_read_when_the_stop_is_told_is_answered() {
+fn a_request_unread_at_the_start_of_a_shutdown_is_answered() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let mut proxy = Proxy::start(from_ref(&host)).await;
@@ -106,9 +106,9 @@
 
 /// A client that has sent more than its request and then left has left: its call ends, and no answer is made for it.
 #[test]
-fn a_client_that_sent_more_and_left_has_left() {
+fn a_disconnect_is_noticed_behind_unread_input() {
     run(async {
-        let proxy = Proxy::with(&Discovery::quiet().await, &[], HOSTLESS).await;
+        let proxy = Proxy::with(&Discovery::quiet().await, &[], NO_HOSTS).await;
         for more in ["", "GET /", &request("unsafe", "", "once more")] {
             let mut client = proxy.client().await;
             client.send(&(request("unsafe", "", "pays") + more)).await;
@@ -123,11 +123,11 @@
 /// The operators' term, over many cases: requests that wait for a host, whose clients leave by closing or by a reset,
 /// some with more behind the request. 0.3 s later a host comes: none of theirs is sent to it.
 #[test]
-fn of_many_clients_that_left_while_they_waited_none_is_sent_on() {
+fn requests_of_disconnected_clients_are_not_sent() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let discovery = Discovery::quiet().await;
-        let proxy = Proxy::with(&discovery, &[], HOSTLESS).await;
+        let proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
         eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
         let mut clients = Vec::new();
         for number in 0..90 {
@@ -136,8 +136,8 @@
             client.send(&(request(["free", "keyed", "unsafe"][number / 3 % 3], "", "") + &more)).await;
             clients.push(client);
         }
-        let mut stays = proxy.client().await;
-        stays.send(&request("unsafe", "", "stays")).await;
+        let mut connected = proxy.client().await;
+        connected.send(&request("unsafe", "", "stays")).await;
         proxy.has_noticed().await;
         for (number, client) in clients.into_iter().enumerate() {
             if number % 2 == 0 {
@@ -146,7 +146,7 @@
         }
         sleep(Duration::from_millis(300)).await;
         discovery.push(&chunk(&list(42, true, &[entry("s-9", host.address, "Ready")]))).await;
-        assert_eq!(stays.message().await.expect("an answer").status(), 200);
+        assert_eq!(connected.message().await.expect("an answer").status(), 200);
         // What was held with it goes before its answer is read, or never.
         assert_eq!(proxy.client().await.ask(&request("unsafe", "", "after")).await.status(), 200);
         let bodies: Vec<_> = host.seen.borrow().iter().map(|seen| seen.body.clone()).collect();
--- a/proxy/tests/syscall_faults.rs
+++ b/proxy/tests/syscall_faults.rs
@@ -12,36 +12,36 @@
 
 /// A read or write that moves a part leaves the rest to a further one; no new event tells of it.
 #[test]
-fn a_request_whose_reads_and_writes_are_short_is_answered() {
+fn requests_are_answered_despite_short_reads_and_writes() {
     run(async {
         let mut fleet = Fleet::prepare("short", 1).await;
         let faults = Faults::new(fleet.folder(), 7);
-        fleet.in_environment(faults.environment());
-        fleet.serve(6, Duration::from_secs(6), |_| ()).await;
+        fleet.set_environment(faults.environment());
+        fleet.start_processes(6, Duration::from_secs(6), |_| ()).await;
         faults.set(&[("short_per_mille", 100)]);
         sleep(Duration::from_secs(5)).await;
-        fleet.ended().await;
+        fleet.wait_for_clients().await;
         assert!(fleet.tally.borrow().served > 200, "{} served", fleet.tally.borrow().served);
     });
 }
 
 /// The machine is short of descriptors and memory for sockets in the first second of a process.
 #[test]
-fn a_process_starts_though_the_machine_is_short_of_something_at_first() {
+fn a_process_starts_after_a_shortage_of_resources() {
     run(async {
         // ENFILE, EMFILE, ENOBUFS.
         for error in [23, 24, 105] {
             let mut fleet = Fleet::prepare(&format!("start-{error}"), 1).await;
             let faults = Faults::new(fleet.folder(), 1);
-            fleet.in_environment(faults.environment());
+            fleet.set_environment(faults.environment());
             faults.set(&[("socket_error", error), ("open_error", error)]);
-            let over = std::thread::spawn(move || {
+            let recovery = std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_secs(1));
                 faults.set(&[]);
             });
-            fleet.serve(1, Duration::from_secs(1), |_| ()).await;
-            over.join().expect("it ended well");
-            fleet.ended().await;
+            fleet.start_processes(1, Duration::from_secs(1), |_| ()).await;
+            recovery.join().expect("it ended well");
+            fleet.wait_for_clients().await;
             assert!(fleet.tally.borrow().served > 0, "{error}");
         }
     });
@@ -50,29 +50,33 @@
 /// No descriptor can be had for a second, and each request needs a connection of its own. That says nothing of the servers:
 /// when it is over none of them is rested or passed over.
 #[test]
-fn a_shortage_of_this_machine_sets_no_server_aside() {
+fn a_local_shortage_ejects_no_server() {
     run(async {
         let mut fleet = Fleet::prepare("own-errors", 1).await;
         let faults = Faults::new(fleet.folder(), 3);
-        fleet.in_environment(faults.environment());
+        fleet.set_environment(faults.environment());
         let close_at_once = |config: &mut serde_json::Value| {
             config["settings"]["limits"]["conn_idle_us"] = 1_000.into();
         };
-        fleet.serve(4, Duration::from_secs(4), close_at_once).await;
+        fleet.start_processes(4, Duration::from_secs(4), close_at_once).await;
         sleep(Duration::from_millis(500)).await;
         faults.set(&[("socket_error", 23)]);
         sleep(Duration::from_millis(1_500)).await;
         faults.set(&[]);
         sleep(Duration::from_millis(100)).await;
-        let (refused, served) = (fleet.tally.borrow().refused, fleet.tally.borrow().served);
-        fleet.ended().await;
+        let (refused_before, served_before) = (fleet.tally.borrow().refused, fleet.tally.borrow().served);
+        fleet.wait_for_clients().await;
         let tally = fleet.tally.borrow();
         assert_eq!(
-            tally.refused - refused,
+            tally.refused - refused_before,
             0,
             "refused after the shortage, {} served",
-            tally.served - served
+            tally.served - served_before
+        );
+        assert!(
+            tally.served - served_before > 20,
+            "{} served after the shortage",
+            tally.served - served_before
         );
-        assert!(tally.served - served > 20, "{} served after the shortage", tally.served - served);
     });
 }
