--- a/proxy/src/arguments.rs
+++ b/proxy/src/arguments.rs
@@ -5,7 +5,8 @@
 
 /// A client proxy that spreads an application's requests over a fleet of hosts.
 ///
-/// SIGHUP reads the files again; SIGTERM answers what was taken and ends. docs/configuration.md explains every key.
+/// SIGHUP reloads the configuration files; SIGTERM answers open requests and exits. docs/configuration.md explains
+/// every key.
 #[derive(Debug, Parser)]
 #[command(
     name = "nettleworks",
@@ -19,15 +20,15 @@
   nettleworks members --members FILE"
 )]
 pub struct Arguments {
-    /// Serve as this file says; without it as the file that ROUTER_CONFIG names
+    /// Configuration to serve with; the file that ROUTER_CONFIG names if not given
     pub file: Option<PathBuf>,
-    /// With a store of idempotency keys, as this file says
+    /// Settings of a store of idempotency keys; no store if not given
     #[arg(long, global = true, value_name = "FILE")]
     pub keys: Option<PathBuf>,
-    /// As one of the client proxies that know each other, as this file says
+    /// Settings of the cluster membership; not a member if not given
     #[arg(long, global = true, value_name = "FILE")]
     pub members: Option<PathBuf>,
-    /// With so many engines, a thread each, that serve as one
+    /// Number of engines that serve together, each on a thread of its own
     #[arg(long, value_name = "N", default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=32))]
     pub cores: u8,
     #[command(subcommand)]
@@ -36,28 +37,28 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Say whether a file is a good configuration; exit status 1 if not
+    /// Check whether a file is a valid configuration; exit status 1 if not
     Check {
         /// The configuration
         file: PathBuf,
     },
-    /// Show whom a running proxy takes to be there, and where it stands among them
+    /// Show the members that a running proxy knows, and its own standing among them
     Members {
-        /// The proxy's operators' socket; without it the one that the file of --members names
+        /// The proxy's operators' socket; the one that the file of --members names if not given
         #[arg(long, value_name = "FILE")]
         socket: Option<PathBuf>,
-        /// All that it says, as one JSON object
+        /// Print the whole report as one JSON object
         #[arg(long)]
         json: bool,
-        /// Only those in this condition: alive, suspected, failed or left
+        /// Only members in this condition: alive, suspected, failed or left
         #[arg(long)]
         condition: Option<String>,
     },
-    /// Look at a running proxy's idempotency keys, and settle one by hand
+    /// List a running proxy's idempotency keys, and settle one by hand
     Keys {
         #[command(subcommand)]
         command: KeysCommand,
-        /// The proxy's operators' socket; without it the one that the file of --keys names
+        /// The proxy's operators' socket; the one that the file of --keys names if not given
         #[arg(long, global = true, value_name = "FILE")]
         socket: Option<PathBuf>,
     },
@@ -69,17 +70,17 @@
     List(ListArguments),
     /// Show one key
     Show {
-        /// Its id, as the list has it
+        /// The key's id, as shown in the list
         id: String,
     },
-    /// Say of an unsure key whether it ran; an answer that comes all the same holds against it
+    /// Record whether an unsure key's request ran; an answer that still arrives takes precedence
     Settle {
-        /// Its id, as the list has it
+        /// The key's id, as shown in the list
         id: String,
-        /// What is known of it now
+        /// Whether the request ran
         #[arg(long = "as", value_enum)]
         verdict: SettledAs,
-        /// How it is known; the log has it
+        /// How this is known; written to the log
         #[arg(long)]
         why: String,
     },
@@ -87,30 +88,30 @@
 
 #[derive(Debug, Args)]
 pub struct ListArguments {
-    /// Those at this: running, answered, forgotten, unsure, ran or never-ran
+    /// Only keys in this state: running, answered, forgotten, unsure, ran or never-ran
     #[arg(long)]
     pub state: Option<String>,
-    /// Those of this class
+    /// Only keys of this class
     #[arg(long)]
     pub class: Option<String>,
-    /// Those of this tenant
+    /// Only keys of this tenant
     #[arg(long)]
     pub tenant: Option<String>,
-    /// Those whose first request came so many seconds ago or more
+    /// Only keys whose first request arrived at least this many seconds ago
     #[arg(long, default_value_t = 0, value_name = "SECONDS")]
     pub older: u64,
-    /// The key that this file holds, or standard input where it is "-": keys do not belong on command lines
+    /// Only the key in this file, or on standard input for "-": keys are secrets and do not belong on command lines
     #[arg(long, value_name = "FILE")]
     pub key_from: Option<PathBuf>,
-    /// Most that are listed
+    /// Most keys to list
     #[arg(long, default_value_t = 100)]
     pub most: usize,
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum SettledAs {
-    /// It ran: each request with it is told so, and none goes to a host
+    /// It ran: further requests with the key are told so, and none is sent to a host
     Ran,
-    /// It never ran: the next request with it is a first
+    /// It never ran: the next request with the key counts as the first
     NeverRan,
 }
--- a/proxy/src/control.rs
+++ b/proxy/src/control.rs
@@ -1,5 +1,5 @@
-//! An operators' socket: a file, for its owner alone. Each line that comes is one JSON object, and so is its answer:
-//! `{"ok": …}` or `{"error": "…"}`.
+//! The server side of an operators' socket: a Unix socket that only its owner can open. Each line that is received is
+//! one JSON object, and so is its response: `{"ok": …}` or `{"error": "…"}`.
 
 use serde_json::{json, Value};
 use socket2::{Domain, SockAddr, Socket, Type};
@@ -16,27 +16,27 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// Most bytes of a line. The longest key and reason fit.
+/// Longest line in bytes. The longest key and reason fit.
 const MAX_LINE_BYTES: u64 = 64 << 10;
-/// Most connections at a time; a further one waits.
+/// Most connections that are served at a time; a further one waits.
 const MAX_CONNECTIONS: usize = 4;
-/// How long a connection may say nothing, or not read.
+/// How long a connection may send nothing, or not read its response, before it is closed.
 const IO_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The socket's file, which goes with the socket.
+/// The socket's file, which is removed when the socket is closed.
 struct SocketFile(PathBuf);
 
 impl Drop for SocketFile {
     fn drop(&mut self) {
-        // Somebody may have removed it.
+        // It may have been removed by hand.
         let _ = fs::remove_file(&self.0);
     }
 }
 
-/// Listens at a file that only its owner can open, from its first moment on: it is made in a folder of its own and
-/// put in its place when it is ready. A file that a dead process has left is replaced.
+/// Listens at a path that only its owner can open from the first moment on: the socket is created in a private
+/// directory and renamed once its permissions are set. A socket file left behind by a dead process is replaced.
 fn bind(path: &Path) -> io::Result<UnixListener> {
-    // One that is there and busy must not keep this process waiting.
+    // Non-blocking, so that a busy process at this path does not block this one.
     let probe = Socket::new(Domain::UNIX, Type::STREAM, None)?;
     probe.set_nonblocking(true)?;
     match probe.connect(&SockAddr::unix(path)?) {
@@ -50,11 +50,11 @@
         use std::os::unix::fs::FileTypeExt;
         !metadata.file_type().is_socket()
     }) {
-        return Err(io::Error::new(io::ErrorKind::AlreadyExists, "a file that is no socket is there"));
+        return Err(io::Error::new(io::ErrorKind::AlreadyExists, "the path exists and is not a socket"));
     }
     let name = path.file_name().ok_or(io::ErrorKind::InvalidInput)?.to_string_lossy();
     let directory = path.with_file_name(format!(".{name}.{}", std::process::id()));
-    // One that an earlier process of this number has left.
+    // An earlier process with this id may have left one behind.
     let _ = fs::remove_dir_all(&directory);
     DirBuilder::new().mode(0o700).create(&directory)?;
     let bound = (|| {
@@ -68,12 +68,13 @@
     bound
 }
 
-/// Takes the socket; what comes back serves on it for as long as it is kept, inside a [`tokio::task::LocalSet`]. Each line is
-/// answered by `answer`, which is told who asks; `log` hears what goes wrong.
+/// Binds the socket. The returned future serves on it until it is dropped, and must be polled inside a
+/// [`tokio::task::LocalSet`]. Each line is passed to `handle` together with a description of the peer; `log` receives
+/// errors of the listener.
 ///
 /// # Errors
 ///
-/// Another process serves there, a file that is no socket is there, or what the system says.
+/// Another process serves at this path, the path exists and is not a socket, or a system call failed.
 pub fn serve<A>(path: &Path, log: impl Fn(&str) + 'static, handle: A) -> io::Result<impl Future<Output = ()>>
 where
     A: AsyncFn(Vec<u8>, String) -> Result<Value, String> + 'static,
@@ -89,7 +90,7 @@
                 Ok((stream, _)) => {
                     let handle = handle.clone();
                     tokio::task::spawn_local(async move {
-                        // Whoever has gone, or is silent, has no use for more.
+                        // A peer that has disconnected or timed out needs no error response.
                         let _ = serve_connection(stream, &*handle).await;
                         drop(permit);
                     });
--- a/proxy/src/cores.rs
+++ b/proxy/src/cores.rs
@@ -1,4 +1,5 @@
-//! Several engines of one process, a thread each, behind one address: how they are started, told and stopped as one.
+//! Several engines (shards) of one process, each on a thread of its own, behind one address: they are started, reloaded
+//! and stopped together.
 
 use crate::server;
 use nettleworks_cores::seat::{self, Ending, Peers, StandIns};
@@ -20,21 +21,20 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout_at};
 
-/// Connections that were accepted for a shard that does not answer, and not yet taken in.
+/// Capacity of the queue of connections that were accepted in place of a stalled shard and are not served yet.
 const ACCEPT_QUEUE_CAPACITY: usize = 16;
-/// Pause after a failure to accept for another.
+/// Pause after a failed accept in place of a stalled shard.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// An engine of a process, as the daemon's fronts drive it.
+/// A started shard that speaks HTTP/1.
 pub type RunningShard = nettleworks_cores::seat::Shared<Http1>;
 
-/// Places for so many shards of a process with this configuration.
-/// Each comes with its part of the configuration.
+/// Prepares this number of shards of a process, each with its own configuration.
 pub fn prepare_shards(config: &Config, shards: usize) -> Vec<(Seat<Http1>, Config)> {
     prepare_shards_sized(config, Sizes::of(shards))
 }
 
-/// The same with sizes of one's own; keys are remembered for as long as the configuration says.
+/// The same with these sizes; how long keys are remembered is taken from the configuration, if it says so.
 pub fn prepare_shards_sized(config: &Config, sizes: Sizes) -> Vec<(Seat<Http1>, Config)> {
     let shards = sizes.shards;
     let remembered = config.keys().map_or(sizes.remembered, Keys::longest);
@@ -55,29 +55,33 @@
     prepared_shards.into_iter().map(with_config).collect()
 }
 
-/// What one of so many shards is told.
+/// The configuration of one shard out of this number of shards.
 pub fn shard_config(config: &Config, shards: usize, shard: usize) -> Config {
     seat::part(config, shards, shard)
 }
 
-/// Starts a shard's engine on the thread that this is called on.
+/// Starts a shard's engine on the current thread.
 pub fn start_shard(prepared: Seat<Http1>, config: Config, log: Log) -> RunningShard {
     let config = Rc::new(config);
     let interceptors = crate::interceptors(&config);
     prepared.start(config.clone(), Http1::new(&config), interceptors, log)
 }
 
-/// How a shard's thread has ended.
+/// How a shard's thread ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardExit {
-    /// It was stopped, and all that it had taken was answered.
+    /// It was stopped, and all requests that it had accepted were answered.
     Clean,
-    /// By a panic: the process goes on without it.
+    /// It panicked; the process continues without it.
     Panicked,
 }
 
-/// Runs a shard on the thread that this is called on, as `run` says. A panic ends the shard and no other: what it had
-/// is the others', and they are told when its connections are closed.
+/// Runs `run` as a shard on the current thread and returns its result. A panic ends this shard alone: the other shards
+/// take over what it held, and are notified after its connections have been closed.
+///
+/// # Errors
+///
+/// The thread's runtime could not be created.
 pub fn run_thread<T>(
     prepared: Seat<Http1>,
     run: impl AsyncFnOnce(Seat<Http1>) -> Option<T>,
@@ -87,7 +91,7 @@
     let ended = catch_unwind(AssertUnwindSafe(|| {
         let local = LocalSet::new();
         let result = local.block_on(&runtime, run(prepared));
-        // Connections and calls go before anybody hears that it has ended.
+        // Connections and calls are dropped before the other shards are notified that this one has ended.
         drop(local);
         drop(runtime);
         result
@@ -99,22 +103,24 @@
     })
 }
 
-/// The listeners of all shards once more, for those that stand in for one that does not answer. They are closed when
-/// the process is told to stop: each shard then takes what has come to its own.
+/// Duplicates of the listeners of all shards, so that another shard can accept in place of a stalled one. They are
+/// closed when the process is ordered to stop: from then on each shard accepts only what has arrived at its own
+/// listener.
 #[derive(Clone, Debug)]
 pub struct BackupListeners(Arc<Mutex<Vec<TcpListener>>>);
 
 impl BackupListeners {
-    /// Of these listeners.
+    /// Duplicates these listeners, which are in the order of the shards.
     ///
     /// # Errors
-    /// Too few descriptors.
+    ///
+    /// Too few file descriptors.
     pub fn duplicate(listeners: &[TcpListener]) -> io::Result<BackupListeners> {
         let duplicates = listeners.iter().map(TcpListener::try_clone).collect::<io::Result<_>>()?;
         Ok(BackupListeners(Arc::new(Mutex::new(duplicates))))
     }
 
-    /// Closes them.
+    /// Closes all duplicates, those of all clones included.
     pub fn close(&self) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
@@ -125,7 +131,8 @@
     }
 }
 
-/// Accepts for those that this shard stands in for, as long as it does. `stand_ins` says who does for whom.
+/// Accepts connections in place of stalled shards and sends them to `to`. `acceptors` holds, by shard, which shard
+/// accepts its new connections; those that name `this_shard` are accepted here, for as long as they do.
 pub async fn accept_for_stalled_shards(
     this_shard: usize,
     backups: BackupListeners,
@@ -170,17 +177,17 @@
     }
 }
 
-/// What all shards of the daemon are told at once.
+/// The channels over which all shards of a process are ordered to stop or to reload.
 #[derive(Clone)]
 pub struct ShardSignals {
-    /// Whether to stop.
+    /// Turns true when the shards are to stop.
     pub stop: watch::Receiver<bool>,
-    /// The newest configuration, of the whole process.
+    /// The newest configuration of the whole process; `None` before the first reload.
     pub reload: watch::Receiver<Option<Arc<Config>>>,
 }
 
-/// Serves as one shard of the daemon until it is told to stop and all that it took is answered. `None`: its engine was
-/// torn by a panic.
+/// Serves as one shard of the daemon until it is ordered to stop and all requests that it accepted are answered. `None`
+/// if it has no listener, or if a panic has left its engine in an inconsistent state.
 pub async fn serve_shard(
     prepared: Seat<Http1>,
     config: Config,
@@ -196,11 +203,11 @@
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(error) => {
-            driver.log(&format!("no listener: {error}"));
+            driver.log(&format!("the listener cannot be used: {error}"));
             return None;
         }
     };
-    // One socket for all.
+    // One operators' socket for all shards.
     let _operators =
         (this_shard == 0).then(|| crate::operators::start_for_shards(&driver, Some(peers.clone())));
     let ShardSignals { mut stop, mut reload } = signals;
@@ -214,14 +221,14 @@
         std::future::pending::<()>().await
     };
     let stopped = async move {
-        // Whoever could say so has gone: that is a stop too.
+        // A closed channel is an order to stop, too.
         let _ = stop.wait_for(|stop| *stop).await;
         drop(backup_accepts);
     };
     let front = async {
         let exit_by = server::serve_with_accepted(listener, Some(accepted), driver.clone(), stopped).await;
         driver.log_counts();
-        // One that does not answer must not keep the others.
+        // A stalled shard must not keep the others from exiting.
         let _ = timeout_at(exit_by, peers.done(this_shard)).await;
     };
     tokio::select! {
@@ -231,5 +238,5 @@
     }
 }
 
-/// All shards, for the operators' socket.
+/// Handles of all shards of a process, by which jobs are run at any of them.
 pub type Shards = Peers<Http1>;
--- a/proxy/src/files.rs
+++ b/proxy/src/files.rs
@@ -1,4 +1,4 @@
-//! The files that say what to do.
+//! The configuration files that the command line names.
 
 use crate::member::Member;
 use nettleworks_engine::config::{Config, LoadError};
@@ -9,13 +9,13 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Where they are.
+/// The paths of the configuration files.
 pub struct ConfigFiles {
     /// The configuration.
     pub config: PathBuf,
     /// The settings of the store of keys.
     pub keys: Option<PathBuf>,
-    /// The settings of the members.
+    /// The settings of the cluster membership.
     pub members: Option<PathBuf>,
 }
 
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     ///
-    /// The first file that is not read, and why.
+    /// The first file that cannot be read or is invalid, and the reason.
     pub fn load(&self) -> Result<Config, LoadError> {
         let config = Config::load(&self.config)?;
         let Some(path) = &self.keys else { return Ok(config) };
@@ -35,11 +35,11 @@
         config.with_keys(&text).map_err(|error| bad(false, error))
     }
 
-    /// The same, and again for so long while the system is short of something.
+    /// Reads the configuration, and retries for at most `most` while the system is short of a resource.
     ///
     /// # Errors
     ///
-    /// The last one, in words.
+    /// The reason of the last failure.
     pub async fn load_with_retry(&self, most: Duration) -> Result<Config, String> {
         let until = Instant::now() + most;
         loop {
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Starts as a member, where there are settings for it.
+    /// Joins the cluster membership, if there are settings for it.
     ///
     /// # Errors
     ///
-    /// What is wrong with the settings, or with the socket.
+    /// What is wrong with the settings or with the socket.
     pub async fn start_member(&self) -> Result<Option<Rc<Member>>, String> {
         match &self.members {
             Some(file) => Member::start(file).await.map(|member| Some(Rc::new(member))),
--- a/proxy/src/keys_command.rs
+++ b/proxy/src/keys_command.rs
@@ -1,19 +1,19 @@
-//! `nettleworks keys`: asks a running proxy over its operators' socket.
+//! The command `nettleworks keys`: requests to a running proxy over its operators' socket.
 
 use crate::arguments::{KeysCommand, ListArguments, SettledAs};
 use crate::operator_client::{self, cell_text, Connection};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 
-/// Where a configuration of keys has its socket.
+/// The path of the operators' socket, from the settings file of the store of keys.
 pub fn socket_path(keys: &Path) -> Result<PathBuf, String> {
     let bad = |error: &dyn std::fmt::Display| format!("{}: {error}", keys.display());
     let text = std::fs::read_to_string(keys).map_err(|error| bad(&error))?;
     let file: Value = serde_json::from_str(&text).map_err(|error| bad(&error))?;
-    file["socket"].as_str().map(PathBuf::from).ok_or_else(|| bad(&"it names no socket"))
+    file["socket"].as_str().map(PathBuf::from).ok_or_else(|| bad(&"no socket is configured"))
 }
 
-/// Carries a command out; gives what it says.
+/// Executes a command and returns its output.
 pub fn run(socket: &Path, command: &KeysCommand) -> Result<String, String> {
     let mut proxy = Connection::open(socket)?;
     match command {
@@ -30,7 +30,7 @@
 }
 
 impl Connection {
-    /// All parts of the list are asked for, as the oldest may be in the last; no more are kept than are shown.
+    /// Requests all pages of the list, as the oldest key may be on the last one, and keeps no more keys than are shown.
     fn list(&mut self, arguments: &ListArguments) -> Result<String, String> {
         let ListArguments { state, class, tenant, older, key_from, most } = arguments;
         let key = key_from.as_deref().map(read_key).transpose()?;
@@ -53,7 +53,7 @@
     }
 }
 
-/// The key that a file holds, or standard input; a line's end does not count.
+/// Reads a key from a file, or from standard input for the path "-", without the line ending.
 fn read_key(path: &Path) -> Result<String, String> {
     let text = match path.to_str() {
         Some("-") => std::io::read_to_string(std::io::stdin()),
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! nettleworks is a client proxy: it takes an application's requests and passes each to a host of a fleet, as
-//! the decision module `nettleworks_policy` says. This is its HTTP front; the engine is `nettleworks_engine`.
+//! nettleworks is a client proxy: it accepts an application's requests and sends each to a host of a fleet that the
+//! decision module `nettleworks_policy` picks. This crate is its HTTP front; the engine is `nettleworks_engine`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -21,14 +21,14 @@
 use std::future::Future;
 use std::rc::Rc;
 
-/// The stations that a configuration asks for, in their order on a call's way.
+/// The interceptors that a configuration enables, in the order in which a call passes them.
 pub fn interceptors(config: &Config) -> Stations<Http1> {
     let keys = KeyStation::new(config).map(|keys| Box::new(keys) as _);
     keys.into_iter().collect()
 }
 
-/// Serves until `stop` is done and all that was taken is answered. `reload` gives the next configuration each
-/// time there is one, and `None` when none will come. Runs inside a [`tokio::task::LocalSet`].
+/// Serves until `stop` completes and all accepted requests are answered. `reload` waits for the next configuration and
+/// returns it, or `None` when there will be no more. Must be polled inside a [`tokio::task::LocalSet`].
 pub async fn run(
     config: Config,
     log: Log,
@@ -43,7 +43,7 @@
         while let Some(config) = reload().await {
             match config {
                 Ok(config) => driver.reload(config),
-                // A broken file must not end what serves well with the one before.
+                // An invalid file must not stop a proxy that serves well with the previous one.
                 Err(reason) => driver.log(&format!("configuration kept: {}", reason.replace('\n', " "))),
             }
         }
--- a/proxy/src/main.rs
+++ b/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads the configuration, serves, reads it again on SIGHUP, and stops on SIGTERM.
+//! The program: reads the configuration, serves, reloads it on SIGHUP, and shuts down on SIGTERM.
 #![forbid(unsafe_code)]
 
 mod arguments;
@@ -26,21 +26,21 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// For so long a configuration is tried to be read again after SIGHUP while several engines serve.
+/// How long reading the configuration is retried after SIGHUP while several engines serve.
 const RELOAD_RETRY_TIME: Duration = Duration::from_millis(500);
-/// What the process still has after the moment by which its engines are to have ended.
+/// Extra time for the engines to end after the moment by which they should have, before the process exits without them.
 const ENGINE_EXIT_GRACE: Duration = Duration::from_millis(20);
 
 fn main() -> ExitCode {
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
         Err(error) if !error.use_stderr() => {
-            // Whoever asked for help may have stopped reading.
+            // The reader of the help may have closed the pipe.
             let _ = error.print();
             return ExitCode::SUCCESS;
         }
         Err(error) => {
-            // One line, as every failure: up to the first empty one it says what is wrong.
+            // One line, as for every failure: the lines before the first empty one name the error.
             let text = error.to_string();
             let message: Vec<&str> =
                 text.lines().take_while(|line| !line.is_empty()).map(|line| line.trim()).collect();
@@ -66,7 +66,7 @@
             let socket = socket.map_or_else(
                 || match &keys {
                     Some(keys) => keys_command::socket_path(keys),
-                    None => Err("say --socket FILE, or --keys FILE with the proxy's".to_owned()),
+                    None => Err("--socket FILE or --keys FILE of the proxy is required".to_owned()),
                 },
                 Ok,
             );
@@ -88,13 +88,13 @@
 }
 
 fn print(text: &str) -> Result<(), String> {
-    // Whoever asked may have stopped reading.
+    // The reader may have closed the pipe.
     let _ = writeln!(std::io::stdout(), "{text}");
     Ok(())
 }
 
-/// Says what is wrong with a file. A key outside the settings that is not known is a slip here; the daemon, which
-/// must start under a later platform too, only logs it.
+/// Checks the files and prints the result. An unknown key outside the settings is an error here; the daemon only logs
+/// it, as it must also start under a later version of the platform.
 fn check(files: &ConfigFiles) -> Result<(), String> {
     let (path, config) = (&files.config, files.load().map_err(|error| error.reason)?);
     if let Some(members) = &files.members {
@@ -111,7 +111,7 @@
     Err(format!("{}: unknown keys: {}", path.display(), config.unknown.join(", ")))
 }
 
-/// A runtime for this thread. It needs descriptors, of which the machine may be short for a moment.
+/// Creates a runtime for this thread. It needs file descriptors, and the machine may be short of them for a moment.
 fn new_runtime() -> Result<Runtime, String> {
     keep_trying(|| runtime::Builder::new_current_thread().enable_all().build()).map_err(|e| e.to_string())
 }
@@ -119,7 +119,7 @@
 fn serve_single(files: &ConfigFiles) -> Result<(), String> {
     let runtime = new_runtime()?;
     LocalSet::new().block_on(&runtime, async {
-        // First of all: a signal without a handler ends the program.
+        // Before anything else, as a signal without a handler kills the process.
         let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
         let mut hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
         let config = files.load_with_retry(passing::MOST).await?;
@@ -127,9 +127,9 @@
         let listener = keep_trying(|| server::listen(config.listen)).map_err(listen_error)?;
         let log = nettleworks_engine::log_to_stderr();
         for key in &config.unknown {
-            log(&format!("configuration: {key}: unknown key, not used"));
+            log(&format!("configuration: {key}: unknown key, ignored"));
         }
-        // Port 0 is any that is free.
+        // For port 0 the system has chosen a free port.
         let address = listener.local_addr().map_err(|e| e.to_string())?;
         log(&format!("serving at {address}"));
         let member = files.start_member().await?;
@@ -147,13 +147,14 @@
             Some(files.load_with_retry(passing::MOST).await)
         };
         nettleworks::run(config, log, listener, reload, stop).await;
-        // What is left are tasks without a client: the watch, idle connections.
+        // The remaining tasks serve no client: the watch, idle connections.
         finish_leaving(member).await;
         Ok(())
     })
 }
 
-/// Serves with several engines, a thread each. This thread tells them all of signals, and ends when all have ended.
+/// Serves with several engines, each on a thread of its own. This thread passes signals on to all of them, and returns
+/// when all have ended or the time for it is over.
 fn serve_shards(files: &ConfigFiles, cores: usize) -> Result<(), String> {
     let runtime = new_runtime()?;
     LocalSet::new().block_on(&runtime, async {
@@ -165,14 +166,16 @@
         let backups = keep_trying(|| BackupListeners::duplicate(&listeners)).map_err(listen_error)?;
         let log = nettleworks_engine::log_to_stderr();
         for key in &config.unknown {
-            log(&format!("configuration: {key}: unknown key, not used"));
+            log(&format!("configuration: {key}: unknown key, ignored"));
         }
         let address = listeners[0].local_addr().map_err(|e| e.to_string())?;
         let (stop, stopped) = watch::channel(false);
         let (reloads, reloaded) = watch::channel(None);
         let (ended, mut exits) = mpsc::channel(cores);
-        for ((prepared, config), listener) in cores::prepare_shards(&config, cores).into_iter().zip(listeners) {
-            let (backups, signals) = (backups.clone(), ShardSignals { stop: stopped.clone(), reload: reloaded.clone() });
+        for ((prepared, config), listener) in cores::prepare_shards(&config, cores).into_iter().zip(listeners)
+        {
+            let (backups, signals) =
+                (backups.clone(), ShardSignals { stop: stopped.clone(), reload: reloaded.clone() });
             let ended = ended.clone();
             let name = format!("nettleworks-{}", prepared.shard());
             let thread = move || {
@@ -181,9 +184,9 @@
                     let log = Rc::new(move |line: &str| log_for_shard(shard, line));
                     cores::serve_shard(prepared, config, log, listener, backups, signals).await
                 };
-                let exit =
-                    cores::run_thread(prepared, run).map_or_else(|e| Err(e.to_string()), |(exit, _)| Ok(exit));
-                // The process may have been told to end by now.
+                let exit = cores::run_thread(prepared, run)
+                    .map_or_else(|e| Err(e.to_string()), |(exit, _)| Ok(exit));
+                // The main thread may no longer wait for it.
                 let _ = ended.blocking_send((shard, exit));
             };
             std::thread::Builder::new().name(name).spawn(thread).map_err(|e| e.to_string())?;
@@ -201,15 +204,15 @@
             if let Some(member) = &member {
                 member.leave().await;
             }
-            // Each ends by itself in its time; one that does not answer is not waited for.
+            // Each engine ends by itself in time; a stalled one is not waited for.
             tokio::time::sleep_until(exit_by + ENGINE_EXIT_GRACE).await;
         });
         let result = loop {
             tokio::select! {
                 exit = exits.recv() => match exit {
                     Some((_, Ok(ShardExit::Clean))) => clean_exits += 1,
-                    Some((shard, Ok(ShardExit::Panicked))) => log(&format!("shard {shard} has ended by a panic")),
-                    Some((shard, Err(reason))) => log(&format!("shard {shard} has not started: {reason}")),
+                    Some((shard, Ok(ShardExit::Panicked))) => log(&format!("shard {shard} has panicked")),
+                    Some((shard, Err(reason))) => log(&format!("shard {shard} failed to start: {reason}")),
                     None if clean_exits > 0 => break Ok(()),
                     None => break Err("no shard is left".to_owned()),
                 },
@@ -233,7 +236,7 @@
     })
 }
 
-/// The word that this process leaves has a last moment to go round.
+/// Waits for a short time until the other members have been told that this one leaves.
 async fn finish_leaving(member: Option<Rc<Member>>) {
     if let Some(member) = member {
         member.wait_until_left().await;
@@ -241,6 +244,6 @@
 }
 
 fn log_for_shard(shard: usize, line: &str) {
-    // One that cannot be written to is no reason to stop serving.
+    // A failed write to the log is no reason to stop serving.
     let _ = writeln!(std::io::stderr(), "nettleworks: shard {shard}: {line}");
 }
--- a/proxy/src/member.rs
+++ b/proxy/src/member.rs
@@ -1,4 +1,4 @@
-//! The proxy as one of those that know each other: started with it, told of its signals, looked at over a socket.
+//! This process as a member of the cluster of proxies: starting and leaving, reloading, and the operators' view of it.
 
 use crate::operator_client::{self, Connection};
 use nettleworks::control;
@@ -10,12 +10,12 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout};
 
-/// How long the word that this process leaves may take: it goes round three times.
+/// How long a leaving member may take to announce it: the announcement is gossiped three times.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Milliseconds of what is shown.
+/// Microseconds per millisecond; times are shown in milliseconds.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// This process among the others. Dropped, it says nothing more.
+/// This process's membership. When dropped it stops without an announcement.
 pub struct Member {
     file: PathBuf,
     handle: Handle,
@@ -24,16 +24,16 @@
 }
 
 fn log(line: &str) {
-    // One that cannot be written to is no reason to stop serving.
+    // A failed write to the log is no reason to stop serving.
     let _ = writeln!(std::io::stderr(), "nettleworks: {line}");
 }
 
 impl Member {
-    /// Begins, inside a [`tokio::task::LocalSet`].
+    /// Joins the cluster. Must be called inside a [`tokio::task::LocalSet`].
     ///
     /// # Errors
     ///
-    /// The file or its key is no good, or the address is not to be had.
+    /// The settings file or its key is invalid, or the address cannot be bound.
     pub async fn start(file: &Path) -> Result<Member, String> {
         let settings = Settings::load(file)?;
         let (handle, running) = start(settings.clone(), env!("CARGO_PKG_VERSION"), log).await?;
@@ -42,7 +42,7 @@
         Ok(Member { file: file.to_owned(), handle, running, operators })
     }
 
-    /// Reads its file again.
+    /// Reads the settings file again and applies it.
     pub async fn reload(&self) {
         let done = match Settings::load(&self.file) {
             Ok(settings) => self.handle.reload(settings).await,
@@ -53,19 +53,19 @@
         }
     }
 
-    /// Asks it to say to the others that it goes.
+    /// Begins to announce to the other members that this one leaves.
     pub async fn leave(&self) {
         self.handle.leave().await;
     }
 
-    /// Waits until that has gone round, for a second at the most.
+    /// Waits until the announcement has been sent, for at most [`LEAVE_TIMEOUT`].
     pub async fn wait_until_left(&self) {
         let ended = async {
             while !self.running.is_finished() {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        // One that did not say so in its time is found out as any that dies.
+        // On a timeout the other members detect the failure, as for any process that dies.
         let _ = timeout(LEAVE_TIMEOUT, ended).await;
     }
 }
@@ -77,13 +77,16 @@
     }
 }
 
+/// Serves `{"op":"members"}` on the operators' socket. A failure to bind is logged and otherwise ignored.
 fn serve_operators(path: &Path, handle: &Handle) -> Option<JoinHandle<()>> {
     let member = handle.clone();
     let answer = async move |line: Vec<u8>, _peer| {
         let request: Value = serde_json::from_slice(&line).map_err(|error| error.to_string())?;
         match request["op"].as_str() {
-            Some("members") => Ok(report_json(&member.report().await.ok_or("this member has ended")?)),
-            _ => Err("what can be asked: {\"op\":\"members\"}".to_owned()),
+            Some("members") => {
+                Ok(report_json(&member.report().await.ok_or("the membership of this process has ended")?))
+            }
+            _ => Err("unknown request; supported: {\"op\":\"members\"}".to_owned()),
         }
     };
     match control::serve(path, |line| log(&format!("members: {line}")), answer) {
@@ -145,11 +148,11 @@
     })
 }
 
-/// `nettleworks members`.
+/// The command `nettleworks members`; returns its output.
 ///
 /// # Errors
 ///
-/// Nobody answers at the socket, or the condition is none.
+/// No proxy responds at the socket, or there is no such condition.
 pub fn command(
     socket: Option<PathBuf>,
     members: Option<&Path>,
@@ -158,12 +161,12 @@
 ) -> Result<String, String> {
     let socket = match (socket, members) {
         (Some(socket), _) => socket,
-        (None, Some(file)) => Settings::load(file)?.socket.ok_or("the file names no socket")?,
-        (None, None) => return Err("say --socket FILE, or --members FILE with the proxy's".to_owned()),
+        (None, Some(file)) => Settings::load(file)?.socket.ok_or("no socket is configured in this file")?,
+        (None, None) => return Err("--socket FILE or --members FILE of the proxy is required".to_owned()),
     };
     let conditions = ["alive", "suspected", "failed", "left"];
     if let Some(other) = condition.filter(|condition| !conditions.contains(condition)) {
-        return Err(format!("{other:?}: a member is {}", conditions.join(", ")));
+        return Err(format!("{other:?}: not a condition; the conditions are {}", conditions.join(", ")));
     }
     let mut view = Connection::open(&socket)?.request(&json!({"op": "members"}))?;
     let mut rows = view["members"].as_array_mut().map(std::mem::take).unwrap_or_default();
@@ -197,7 +200,7 @@
     }
     let text = |value: &Value| operator_client::cell_text(value);
     Ok(format!(
-        "{} stands {}, in doubt of itself by {}, list {}\n{}{} of {total}: {summary}; {differ} had another list",
+        "{}: standing {}, health score {}, list digest {}\n{}{} of {total}: {summary}; {differ} with another list",
         text(&view["name"]),
         text(&view["standing"]),
         text(&view["doubt"]),
--- a/proxy/src/operator_client.rs
+++ b/proxy/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! What the commands for operators share: a connection to a running proxy, and tables.
+//! What the operators' commands share: a connection to a running proxy's operators' socket, and tables of text.
 
 use serde_json::Value;
 use std::fmt::Write as _;
@@ -7,15 +7,16 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long the proxy may take for an answer.
+/// How long the proxy may take to read a request or to write its response.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest answer: a part of the list.
+/// Longest response in bytes: one page of the list of keys.
 const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
-/// To a proxy's operators' socket.
+/// A connection to a proxy's operators' socket.
 pub struct Connection(BufReader<UnixStream>);
 
 impl Connection {
+    /// Connects to the socket at this path; the error names the path.
     pub fn open(socket: &Path) -> Result<Connection, String> {
         let stream = UnixStream::connect(socket);
         let stream = stream.and_then(|stream| {
@@ -26,13 +27,14 @@
         Ok(Connection(BufReader::new(stream.map_err(|error| format!("{}: {error}", socket.display()))?)))
     }
 
+    /// Sends one request and returns the value of its response; the proxy's refusal is returned as an error.
     pub fn request(&mut self, request: &Value) -> Result<Value, String> {
         let failed = |error: std::io::Error| format!("the proxy does not answer: {error}");
         self.0.get_mut().write_all(format!("{request}\n").as_bytes()).map_err(failed)?;
         let mut line = String::new();
         (&mut self.0).take(MAX_RESPONSE_BYTES).read_line(&mut line).map_err(failed)?;
         let mut response: Value =
-            serde_json::from_str(&line).map_err(|error| format!("the proxy's answer: {error}"))?;
+            serde_json::from_str(&line).map_err(|error| format!("invalid response of the proxy: {error}"))?;
         match response["error"].as_str() {
             Some(error) => Err(error.to_owned()),
             None => Ok(response["ok"].take()),
@@ -40,7 +42,7 @@
     }
 }
 
-/// A value in a cell.
+/// A JSON value as the text of a table cell; null is "-".
 pub fn cell_text(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
@@ -49,7 +51,7 @@
     }
 }
 
-/// Rows under their heads, each ended by a newline.
+/// A table with these columns as headers, one line for each row, each line ended by a newline.
 pub fn format_table(columns: &[&str], rows: &[Value]) -> String {
     let rows: Vec<Vec<String>> =
         rows.iter().map(|row| columns.iter().map(|column| cell_text(&row[*column])).collect()).collect();
--- a/proxy/src/operators.rs
+++ b/proxy/src/operators.rs
@@ -1,7 +1,8 @@
-//! The operators' socket over which keys are looked at and settled by hand ([`crate::control`]). What is asked:
+//! The operators' socket for idempotency keys: they are listed and settled by hand over it ([`crate::control`]).
+//! Requests:
 //!
-//! - `{"op":"list","state":"unsure","class":"…","tenant":"…","older_ms":0,"key":"…","from":0}`, all but `op` left out
-//!   at will: a part of the keys that pass, and `next`, which is the `from` of the next part or null.
+//! - `{"op":"list","state":"unsure","class":"…","tenant":"…","older_ms":0,"key":"…","from":0}`, where all but `op` is
+//!   optional: one page of the keys that match, and `next`, which is the `from` of the next page or null.
 //! - `{"op":"show","id":"12-345"}`: one key.
 //! - `{"op":"settle","id":"12-345","as":"ran","why":"…"}`, or `"as":"never-ran"`: settles an unsure key.
 
@@ -15,14 +16,14 @@
 use nettleworks_keys_station::{Operate, WithKeys};
 use serde::Deserialize;
 use serde_json::{json, Value};
-/// Most bytes of a reason, which goes to the log.
+/// Longest reason in bytes; it is written to the log.
 const MAX_REASON_BYTES: usize = 512;
-/// A place of the list within its shard.
+/// Bits of a list position that address the store's entry; the higher bits are the shard's number.
 const POSITION_BITS: u32 = 40;
-/// How many places of the store are looked through for one answer: calls wait meanwhile.
+/// How many entries of the store one page looks through: calls wait meanwhile.
 const POSITIONS_PER_PAGE: usize = 2_048;
 
-/// What is asked of the socket.
+/// A request on the socket.
 #[derive(Debug, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase", deny_unknown_fields)]
 enum Request {
@@ -47,14 +48,14 @@
     },
 }
 
-/// Serves on the socket that the configuration of keys names for as long as what comes back is kept; nothing where it
-/// names none. What stands in the way of it is said in the log, and is no reason not to serve clients.
+/// Serves on the socket that the settings of the store of keys name, until the returned task is dropped; `None` if they
+/// name none. A failure to bind it is logged and does not keep the proxy from serving clients.
 pub fn start(driver: &Handle<Http1>) -> Option<Task> {
     start_for_shards(driver, None)
 }
 
-/// The same for all shards of a process, of which this engine is one. Ids of keys are those of a shard with its number
-/// ahead: `2/12-345`.
+/// The same for all shards of a process, of which this engine is one. The id of a key is then prefixed with its shard's
+/// number: `2/12-345`.
 pub fn start_for_shards(driver: &Handle<Http1>, shards: Option<Shards>) -> Option<Task> {
     let path = driver.config().keys()?.socket.clone()?;
     let stores = Stores { driver: driver.clone(), shards };
@@ -76,7 +77,7 @@
     }
 }
 
-/// Where the keys are: with one engine, or with all shards.
+/// The stores of keys of a process: the one of a single engine, or one for each shard.
 #[derive(Clone)]
 struct Stores {
     driver: Handle<Http1>,
@@ -88,7 +89,7 @@
         self.shards.as_ref().map_or(1, Shards::count)
     }
 
-    /// Does something where a shard's keys are.
+    /// Runs a job at the engine of a shard.
     async fn run_on<T: Send + 'static>(
         &self,
         shard: usize,
@@ -97,12 +98,12 @@
         match &self.shards {
             None => Ok(job(&self.driver)),
             Some(shards) => {
-                shards.at(shard, job).await.ok_or(format!("shard {shard} does not answer, or has ended"))
+                shards.at(shard, job).await.ok_or(format!("shard {shard} does not answer or has ended"))
             }
         }
     }
 
-    /// A key's id, as it is shown.
+    /// A key's id, as it is shown to operators.
     fn format_id(&self, shard: usize, slot: Slot) -> String {
         match self.shards {
             None => slot.to_string(),
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Which key an id names.
+    /// The shard and the key that an id names.
     fn parse_id(&self, id: &str) -> Result<(usize, Slot), String> {
         let bad = |error: &dyn std::fmt::Display| format!("{id:?}: {error}");
         let (shard, slot) = match (&self.shards, id.split_once('/')) {
@@ -149,10 +150,10 @@
                 older: older_ms.saturating_mul(1_000),
                 key: key.map(String::into_bytes),
             };
-            // Shard by shard; the upper half of a place says which.
+            // Shard by shard; the higher bits of a position are the shard's number.
             let (shard, position) = (from >> POSITION_BITS, from & ((1 << POSITION_BITS) - 1));
             if shard >= stores.count() {
-                return Err("there is no such place".to_owned());
+                return Err("no such position of the list".to_owned());
             }
             let page = stores
                 .run_on(shard, move |driver| driver.keys_page(&filter, position, POSITIONS_PER_PAGE))
--- a/proxy/src/requests.rs
+++ b/proxy/src/requests.rs
@@ -1,4 +1,4 @@
-//! What a client's request says and whether it can be used, and the answers that clients get.
+//! Parsing and validation of client requests, and the responses that clients get.
 
 use crate::shutdown::ShutdownDeadline;
 use http::request::Parts;
@@ -19,28 +19,29 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// The part of a client's time that is kept for the answer's way back.
+/// Part of a client's time budget that is reserved for sending the response back.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
-/// What is still read of a body that is turned away, and for how long.
+/// Most bytes that are still read of the body of a rejected request.
 const MAX_DRAINED_BYTES: usize = 1 << 20;
+/// How long the body of a rejected request is still read.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The driver that this front brings its requests to.
+/// The engine that this front passes its requests to.
 pub type Driver = Handle<Http1>;
 
-/// An answer to a client.
+/// A response to a client.
 pub type ClientResponse = Response<Full<Bytes>>;
 
-/// How a request comes.
+/// The connection that a request arrives on, and the time limit for reading it.
 #[derive(Clone, Debug)]
 pub struct RequestSource {
-    /// Where it is read. Its client's time runs from its last byte, also while it waits behind another.
+    /// The connection. The client's time budget runs from the request's last byte, also while it waits behind another.
     pub socket: Socket,
-    /// By when its body must be whole.
+    /// By when the whole body must have been read.
     pub body_deadline: Instant,
 }
 
-/// Gives a request its one answer.
+/// Handles one request and returns its response. Once a shutdown has begun, the response comes by its deadline.
 pub async fn respond(
     driver: Driver,
     request: Request<Incoming>,
@@ -54,8 +55,8 @@
             let RequestSource { socket, body_deadline } = source;
             match read_request(&driver.config(), request, body_deadline, || socket.read_at()).await {
                 Ok((mut ask, forward)) => {
-                    // Nobody is there to hear of a request whose client has left, also where what that sent lay behind
-                    // another.
+                    // The response has no reader once the client has closed the connection, also where this request
+                    // waited behind another.
                     if socket.is_left() {
                         return closing_response(StatusCode::BAD_REQUEST);
                     }
@@ -84,12 +85,12 @@
     }
 }
 
-/// A request that is turned away; the module never sees it.
+/// A request that is rejected before the decision module sees it.
 #[derive(Debug)]
 pub struct RejectedRequest<B> {
-    /// What its client is told.
+    /// The status of the response.
     pub status: StatusCode,
-    /// What has not been read of it: to be read on for a while, see [`drain`].
+    /// The body, if none of it has been read: it should be passed to [`drain`].
     pub unread_body: Option<B>,
 }
 
@@ -99,8 +100,13 @@
     }
 }
 
-/// Reads a request whole: its body must be there by `whole_by` and hold [`BODY_MOST`] bytes at most. Its client's
-/// time runs from `read_at`, asked when it is whole. What cannot be used is turned away with a status.
+/// Reads and validates a whole request. Its body must have arrived by `body_deadline` and have [`BODY_MOST`] bytes at
+/// most. The client's time budget runs from the instant that `read_at` returns, which is called once the body is
+/// complete.
+///
+/// # Errors
+///
+/// The request is not usable, too large, too slow, or its body could not be read.
 pub async fn read_request<B>(
     config: &Config,
     request: Request<B>,
@@ -130,8 +136,8 @@
     Err(RejectedRequest { status, unread_body: None })
 }
 
-/// What goes on to hosts of a request that can be used. A key that only the store of keys knows goes on where that is
-/// configured.
+/// The request as it is sent to hosts. A key of a single-shot class, which only the store of keys uses, is forwarded
+/// only if the class is configured for it.
 pub fn forwarded_request(config: &Config, ask: &Ask<HeaderValue>, head: Parts, body: Bytes) -> Forward {
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let mut headers = end_to_end(head.headers);
@@ -145,8 +151,8 @@
     Forward { method: head.method, target, headers, body }
 }
 
-/// Reads on and throws away, within bounds: closing on a client that is sending would reset the connection, and the
-/// answer might be lost with it.
+/// Reads and discards a body, within bounds: closing the connection of a client that is still sending would reset it,
+/// and the response might be lost.
 pub async fn drain<B: Body>(body: B) {
     if !body.is_end_stream() {
         let discard = async {
@@ -161,23 +167,27 @@
     }
 }
 
-/// What a head says, and the client's time in all, from now on. A status if it says too little, or two things.
-/// `empty`: there is no body.
+/// Parses the head of a request: its metadata, whose deadline is yet to be set, and the client's time budget. `empty`
+/// means that the request has no body.
+///
+/// # Errors
+///
+/// The status of the response, if the head is incomplete, ambiguous or invalid.
 pub fn parse_head(
     config: &Config,
     method: &Method,
     headers: &HeaderMap,
     empty: bool,
 ) -> Result<(Ask<HeaderValue>, Duration), StatusCode> {
-    // Beside a length it may hide a second request in the body, and the length is no longer there to be seen:
-    // hyper drops it. No client of ours needs it.
+    // With a Content-Length beside it the body could smuggle a second request, and that header can no longer be
+    // checked, as hyper has dropped it. The application's clients do not need chunked requests.
     if headers.contains_key(header::TRANSFER_ENCODING) {
         return Err(StatusCode::LENGTH_REQUIRED);
     }
     parse_valid(config, method, headers, empty).ok_or(StatusCode::BAD_REQUEST)
 }
 
-/// `None` if the id, class or budget is missing, double or unusable, or the request is not of its class's form.
+/// `None` if the id, class or budget is missing, repeated or invalid, or if method, body and key do not fit the class.
 fn parse_valid(
     config: &Config,
     method: &Method,
@@ -188,7 +198,7 @@
     let id = headers.get("x-call-id")?.clone();
     let class = index_of(&config.classes, single(headers, "x-call-class")?)?;
     let spec = config.settings.classes.get(class)?;
-    // Hosts go by the form: a keyed request without its key would run again wherever it is sent again.
+    // Hosts go by method and key: a keyed request without its key would run again on every retry.
     let keyed = headers.contains_key("idempotency-key");
     let fits = match spec.repeat {
         Repeat::Free => method == Method::GET && empty && !keyed,
@@ -196,7 +206,7 @@
             single(headers, "idempotency-key").filter(|key| !key.is_empty())?;
             method == Method::POST
         }
-        // Hosts know nothing of its key; the store of keys does, where there is one.
+        // Hosts ignore the key of such a request; the store of keys uses it, if there is one.
         Repeat::SingleShot if keyed && config.keys().is_some() => {
             single(headers, "idempotency-key").filter(|key| !key.is_empty())?;
             method == Method::POST
@@ -205,7 +215,7 @@
     };
     let digits = |text: &&str| text.bytes().all(|byte| byte.is_ascii_digit());
     let budget = single(headers, "x-budget-ms").filter(digits)?.parse::<u32>().ok().filter(|ms| *ms > 0)?;
-    // No client waits longer than its class.
+    // No client waits longer than the deadline of its class.
     let budget = Duration::from_millis(budget.into()).min(Duration::from_micros(spec.deadline));
     let tenant = single(headers, "x-caller").and_then(|name| index_of(&config.tenants, name)).map(TenantId);
     let resent = single(headers, "x-again").is_some_and(|value| value == "1");
@@ -224,7 +234,7 @@
     values.next().filter(|_| values.next().is_none())?.to_str().ok()
 }
 
-/// The answer that a client gets for a reply.
+/// The response to a client for a reply of the engine.
 pub fn reply_response(reply: Reply<Response<Bytes>>) -> ClientResponse {
     match reply {
         Reply::Served(response) => strip_connection_headers(response).map(Full::new),
@@ -237,7 +247,7 @@
     }
 }
 
-/// Headers that go on to the other side: all but those of this connection and its framing.
+/// The end-to-end headers: all but the hop-by-hop headers of this connection and those of its framing.
 pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
     let listed = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
     let listed: Vec<String> = listed.flat_map(|v| v.split(',')).map(|name| name.trim().to_owned()).collect();
@@ -250,15 +260,15 @@
     headers
 }
 
-/// A host's answer without what belongs to the host's connection.
+/// A host's response without the headers of the host's connection.
 pub fn strip_connection_headers(response: Response<Bytes>) -> Response<Bytes> {
     let (mut head, body) = response.into_parts();
     head.headers = end_to_end(head.headers);
     Response::from_parts(head, body)
 }
 
-/// Turned away unharmed; the client may come again after this time, rounded up to milliseconds. After zero it is not
-/// told when: it would come again at once.
+/// 503 for a request that was not executed. The client may retry after this time, rounded up to milliseconds. Zero is
+/// left out, as the client would retry at once.
 pub fn refused_response(after: Duration) -> ClientResponse {
     let mut response = status_response(StatusCode::SERVICE_UNAVAILABLE);
     let milliseconds = after.as_micros().div_ceil(1_000);
@@ -270,9 +280,9 @@
     response
 }
 
-/// The answer for a key whose request ran or may have, where there is no answer to pass on: 502 with problem details
-/// (RFC 9457), so that an application can tell it from a bad gateway. `type` and the values of `key_state` do not
-/// change; `key_age_ms` counts from the key's first request.
+/// The response for a key whose request ran or may have run, if there is no host's response to pass on: 502 with
+/// problem details (RFC 9457), by which an application can tell it from a bad gateway. `type` and the values of
+/// `key_state` are stable; `key_age_ms` counts from the key's first request.
 pub fn unsure_response(key: Doubt) -> ClientResponse {
     let (name, title) = match KeyState::named(key.at).unwrap_or(KeyState::Unsure) {
         KeyState::Running => ("key-running", "The request is still running."),
@@ -294,14 +304,14 @@
     response
 }
 
-/// Turned away for good, and with it the connection: what else came on it might be read as a request.
+/// A response of this status that also closes the connection: what else arrived on it might be read as a request.
 pub fn closing_response(status: StatusCode) -> ClientResponse {
     let mut response = status_response(status);
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-/// An answer of a status alone.
+/// A response that consists of a status alone.
 pub fn status_response(status: StatusCode) -> ClientResponse {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -1,4 +1,5 @@
-//! The application's connections: takes them in, closes those that are due or in the way, and stops.
+//! The application's connections: they are accepted, served, closed when idle or too slow, evicted at the limit, and
+//! closed in order at a shutdown.
 
 use crate::requests::{respond, Driver, RequestSource};
 use crate::shutdown::{ShutdownDeadline, ShutdownSchedule};
@@ -23,39 +24,47 @@
 use tokio::task::{spawn_local, yield_now, JoinHandle};
 use tokio::time::{interval, sleep, sleep_until, timeout, timeout_at, Instant, MissedTickBehavior};
 
-/// Connections that may wait to be accepted.
+/// Length of the listener's queue of connections that wait to be accepted.
 const BACKLOG: i32 = 1_024;
-/// How often a stop looks whether all connections have ended.
+/// How often a shutdown checks whether all connections have ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a connection that has said nothing is kept in a stop: whoever opens one means to ask at once, and one that
-/// is closed on it may find nobody else to ask.
+/// How long a new connection without a request is kept during a shutdown: a client that opens one sends its request at
+/// once, and if the connection is closed it may find no other proxy that accepts one.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(250);
-/// Time for a whole request, however it trickles: from its connection's start, or from its own first byte.
-/// Clients are owed an answer or a close within 3 s.
+/// Time within which a whole request must have been read, however slowly it arrives: from the start of its connection,
+/// or from its own first byte. Clients must get a response or a close within 3 s.
 pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a connection is kept on which no request is open. Clients may keep theirs for good and never use
-/// them again; those that do use them come back far sooner.
+/// How long an idle connection is kept. Clients may keep their connections forever without using them again; those that
+/// reuse them do so far sooner.
 const MAX_IDLE: Duration = Duration::from_secs(30);
-/// A connection on which no request has been open for this long may be closed for another's sake; all such are
-/// while many are open: clients that need a new one must find it at once.
+/// How long a connection must have been idle to be evicted for a new one. While many are open, all that have been idle
+/// for this long are closed, so that clients that need a new connection get it at once.
 const MIN_IDLE: Duration = Duration::from_secs(2);
-/// A client that means to ask has begun to by now, and has read its last answer.
+/// Time after which a client that is going to send a request has begun to, and has read its last response.
 const REQUEST_START_GRACE: Duration = Duration::from_millis(100);
-/// How often connections are looked through for those that are due.
+/// How often the connections are checked for those that have to be closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause after a failure to accept, which descriptors that are set free must end.
+/// Pause after a failed accept: file descriptors must become free first.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Listens at an address. A proxy that was killed leaves connections behind there, which must not keep the
-/// next one from starting. It is not yet bound to a runtime.
+/// Listens at an address; the listener is not bound to a runtime. Connections that a killed proxy has left behind at
+/// this address do not prevent it (`SO_REUSEADDR`).
+///
+/// # Errors
+///
+/// The address is in use or invalid, or a system call failed.
 pub fn bind(address: SocketAddr) -> io::Result<std::net::TcpListener> {
     bind_socket(address, false)
 }
 
-/// Listens at an address so many times; the system spreads new connections over these (`SO_REUSEPORT`).
+/// Creates this number of listeners at one address; the system spreads new connections over them (`SO_REUSEPORT`).
+///
+/// # Errors
+///
+/// As for [`bind`].
 pub fn bind_all(address: SocketAddr, listeners: usize) -> io::Result<Vec<std::net::TcpListener>> {
     let first = bind_socket(address, listeners > 1)?;
-    // Port 0 is any that is free: the others take the same.
+    // For port 0 the system chooses a free port, which the others use too.
     let address = first.local_addr()?;
     let others = (1..listeners).map(|_| bind_socket(address, true));
     std::iter::once(Ok(first)).chain(others).collect()
@@ -73,21 +82,24 @@
     Ok(socket.into())
 }
 
-/// As [`bind`], for the runtime that this is called from.
+/// As [`bind`], for the current runtime.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::from_std(bind(address)?)
 }
 
-/// Serves until `stop` is done, and then goes on in this order, by the times of [`Schedule`]: connections on which
-/// nothing is asked are closed at once, while new ones are still taken, so that a request that crosses its close has
-/// where to come again; each answer says that its connection closes; then no new connection is taken; and calls that
-/// have no answer when the process must end get their last one then. Returns when no connection is left, and by that
-/// moment in any case, which it gives.
+/// Serves until `stop` completes, and then shuts down by the [`ShutdownSchedule`]:
+///
+/// - Idle connections are closed at once while new ones are still accepted, so that a request that crosses such a close
+///   can be sent again; each response closes its connection.
+/// - Then no new connection is accepted.
+/// - Calls without a reply when the process has to exit get a final response.
+///
+/// Returns when no connection is left, and at the schedule's `exit_by` in any case; that moment is the result.
 pub async fn serve(listener: impl Into<Listener>, driver: Driver, stop: impl Future<Output = ()>) -> Instant {
     serve_with_accepted(listener, None, driver, stop).await
 }
 
-/// The same; connections that others have accepted come by `more`.
+/// The same; `accepted` yields connections that were accepted elsewhere, in place of a stalled shard.
 pub async fn serve_with_accepted(
     listener: impl Into<Listener>,
     mut accepted: Option<mpsc::Receiver<Stream>>,
@@ -104,7 +116,7 @@
     sweeps.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let schedule = loop {
         let has_room = clients.make_room();
-        // In this order, not in one drawn anew. What comes seldom is first: a crowd at the door must not keep it back.
+        // Polled in this order, rare events first: a flood of new connections must not delay them.
         tokio::select! {
             biased;
             () = &mut stop, if shutting_down.is_none() => {
@@ -119,25 +131,25 @@
             result = listener.accept(), if has_room => match result {
                 Ok(stream) => {
                     clients.serve(stream);
-                    // Those that ask at once are known from those that say nothing only when they are read.
+                    // Only a read tells a connection with a request from a silent one.
                     yield_now().await;
                 }
                 Err(error) => {
-                    clients.driver.log(&format!("accept: {error}"));
+                    clients.driver.log(&format!("accepting a connection failed: {error}"));
                     clients.evict();
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
         }
     };
-    // What the machine has accepted by now has been taken: closing the listener would reset it.
+    // Accepts what is left in the listener's queue: closing the listener would reset it.
     while clients.make_room() {
         let Ok(Ok(stream)) = timeout(Duration::ZERO, listener.accept()).await else { break };
         clients.serve(stream);
     }
     drop(listener);
-    // Whoever has sent half a request by then, or does not read its answer, must not keep the process; neither must
-    // calls that nobody waits for.
+    // A client that has sent half a request or does not read its response must not keep the process from exiting, nor
+    // must detached calls.
     let driver = clients.driver.clone();
     let ended = timeout_at(schedule.exit_by, async {
         while !clients.all_closed() {
@@ -147,12 +159,12 @@
     });
     if ended.await.is_err() {
         let (open, detached) = (clients.open.len(), driver.lingering());
-        driver.log(&format!("stopped with {open} connections and {detached} calls that nobody waits for"));
+        driver.log(&format!("stopped with {open} open connections and {detached} detached calls"));
     }
     schedule.exit_by
 }
 
-/// When no new connection is taken any more.
+/// Waits until no new connection is accepted any more; forever if there is no shutdown.
 async fn accept_period_over(schedule: Option<ShutdownSchedule>) -> ShutdownSchedule {
     match schedule {
         Some(schedule) => {
@@ -163,7 +175,7 @@
     }
 }
 
-/// The next connection that somebody else has accepted; none comes where nobody does.
+/// The next connection that was accepted elsewhere; waits forever if there is no such channel or it is closed.
 async fn next_accepted(accepted: &mut Option<mpsc::Receiver<Stream>>) -> Stream {
     if let Some(streams) = accepted {
         if let Some(stream) = streams.recv().await {
@@ -174,21 +186,21 @@
     std::future::pending().await
 }
 
-/// What a client's connection is at, and since when.
+/// The state of a client's connection, and since when.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// Its first request has not come whole.
+    /// The first request has not been read completely.
     New(Instant),
     /// No request is open.
     Idle(Instant),
-    /// A further request has begun to come.
+    /// A further request is being received.
     Receiving(Instant),
     /// A request is open.
     Open,
 }
 
 impl Phase {
-    /// By when the request that comes now must be whole.
+    /// By when the request that is being received must have been read completely.
     fn body_deadline(self, socket: &Socket) -> Instant {
         match self {
             Phase::New(since) | Phase::Receiving(since) => since + REQUEST_READ_TIMEOUT,
@@ -200,7 +212,7 @@
 /// A client's connection.
 struct Client {
     task: JoinHandle<()>,
-    /// Told: it closes as soon as its answer, if it has one, is written.
+    /// When notified, the connection closes as soon as the response, if there is one, has been written.
     close: Rc<Notify>,
     socket: Socket,
     phase: Rc<Cell<Phase>>,
@@ -208,58 +220,59 @@
 }
 
 impl Client {
-    /// Whether its time is up; one with no request open has `idle`.
+    /// Whether it has to be closed: too slow, abandoned by its client, or idle for `idle`.
     fn is_expired(&self, now: Instant, idle: Duration) -> bool {
         match self.phase.get() {
             Phase::New(since) | Phase::Receiving(since) => now >= since + REQUEST_READ_TIMEOUT,
-            // What has come and was not read may be a whole request.
+            // Unread input may be a whole request.
             Phase::Idle(since) => now >= since + idle && self.socket.is_quiet(),
-            // hyper does not look for the end of what it still has to read a further request from.
+            // hyper does not notice the end of the stream while it still has buffered input of a further request.
             Phase::Open => self.socket.is_left(),
         }
     }
 
-    /// Whether it may be closed by a stop: nothing is asked on it, all that was answered is written, and whoever may
-    /// be asking now can come again.
+    /// Whether a shutdown may close it: no request is open, all responses have been written, and a client that is just
+    /// sending a request can send it again.
     fn can_close(&self, now: Instant) -> bool {
         let is_silent = match self.phase.get() {
             Phase::New(since) => self.socket.reads() == 0 && now >= since + NEW_CONNECTION_GRACE,
             Phase::Idle(_) => !self.socket.is_blocked(),
             Phase::Receiving(_) | Phase::Open => false,
         };
-        // What has come and was not read may be a whole request.
+        // Unread input may be a whole request.
         is_silent && self.socket.is_quiet()
     }
 
-    /// How well it can be spared, those with the least number first; `None`: not at all. A new one is given time
-    /// to ask, else each of a crowd would be closed for the next before its request is there.
+    /// The order of eviction, the least first; `None` if it must not be evicted. A new connection is given time to send
+    /// its request: otherwise, of many that arrive at once, each would be closed for the next one before its request
+    /// arrives.
     fn eviction_rank(&self, now: Instant) -> Option<(u8, Instant)> {
         let (rank, since) = match self.phase.get() {
             Phase::New(since) | Phase::Receiving(since) => (0, since),
             Phase::Idle(since) if now >= since + MIN_IDLE => (1, since),
-            // Its answer is not all written.
+            // Its response has not been written completely.
             Phase::Idle(_) if self.socket.is_blocked() => return None,
-            // Those that come back keep theirs before those that have asked once, and may never again.
+            // Connections that were reused are kept before those of one request, which may never be used again.
             Phase::Idle(since) if self.socket.reads() <= 1 => (2, since),
             Phase::Idle(since) => (3, since),
             Phase::Open => return None,
         };
-        // What has come and was not read may be a whole request.
+        // Unread input may be a whole request.
         let has_input = rank > 0 && !self.socket.is_quiet();
         (now >= since + REQUEST_START_GRACE && !has_input).then_some((rank, since))
     }
 
-    /// Closes it; its descriptor is free when this returns.
+    /// Closes it; its file descriptor is free when this returns.
     fn close(&self) {
         self.socket.close();
         self.task.abort();
     }
 }
 
-/// The connections of clients.
+/// The open connections of clients.
 struct Clients {
     driver: Driver,
-    /// Once the process ends connections are closed as soon as nothing is asked on them.
+    /// Once a shutdown has begun, connections are closed as soon as no request is open on them.
     shutdown: ShutdownDeadline,
     open: Vec<Client>,
     /// More are open than half of what clients may hold for requests.
@@ -267,9 +280,9 @@
 }
 
 impl Clients {
-    /// Whether one more connection may be open. At the limit one is closed for it: first those that never asked,
-    /// then the one that has been idle the longest. Clients that keep connections and say nothing must not keep
-    /// others out.
+    /// Whether one more connection may be opened. At the limit one is evicted for it: first one that never sent a
+    /// request, then the one that has been idle the longest. Clients that keep silent connections must not lock out
+    /// others.
     fn make_room(&mut self) -> bool {
         let config = self.driver.config();
         let open = || config.quota.open(Side::Clients);
@@ -293,7 +306,7 @@
         true
     }
 
-    /// Closes what is due, and notes whose next request has begun to come.
+    /// Closes expired connections, and marks those on which the next request has begun to arrive.
     fn sweep(&mut self) {
         let now = Instant::now();
         let idle = if self.under_pressure.get() { MIN_IDLE } else { MAX_IDLE };
@@ -315,7 +328,7 @@
         self.open.shrink_to(2 * self.open.len());
     }
 
-    /// Whether all have ended; closes those that may.
+    /// Closes the connections that can be closed, and returns whether none is left.
     fn all_closed(&mut self) -> bool {
         self.sweep();
         self.open.is_empty()
@@ -323,7 +336,7 @@
 
     fn serve(&mut self, stream: Stream) {
         if let Err(error) = stream.set_nodelay() {
-            self.driver.log(&format!("nodelay: {error}"));
+            self.driver.log(&format!("setting TCP_NODELAY failed: {error}"));
         }
         let socket = Socket::new(stream);
         let phase = Rc::new(Cell::new(Phase::New(Instant::now())));
@@ -340,18 +353,19 @@
                 state.set(Phase::Open);
                 let socket = source.socket.clone();
                 let mut response = respond(driver, request, source, &shutdown).await;
-                // Many who ask once and keep their connections leave none for those who ask again. An answer that
-                // says so closes without crossing a request, and at once.
+                // Clients that send one request each and keep their connections leave none for clients that reuse
+                // theirs. A response with `Connection: close` closes at once, and without crossing a further request.
                 if first && under_pressure.get() || shutdown.get().is_some() {
                     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
-                // What was read meanwhile may be half of the next request.
+                // Input that was read meanwhile may be the beginning of the next request.
                 let now = Instant::now();
                 state.set(if socket.reads() == reads { Phase::Idle(now) } else { Phase::Receiving(now) });
                 Ok::<_, Infallible>(response)
             }
         });
-        // The sweeps see to all times, so that none can be had twice by being slow in another way.
+        // All timeouts are enforced by the sweeps, so that a client cannot get one of them twice by being slow in two
+        // ways.
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
@@ -361,7 +375,7 @@
         let closing = close.clone();
         let task = spawn_local(async move {
             let mut connection = pin!(connection);
-            // A connection that breaks ends its request's waiting, which tells the module.
+            // If the connection breaks, its pending request is dropped, by which the decision module learns of it.
             tokio::select! {
                 biased;
                 _ = &mut connection => return,
@@ -369,7 +383,8 @@
             }
             let _ = connection.await;
         });
-        // It is here: there may be one too many for a moment where others accept too.
+        // Already accepted, so it is counted without a limit: where other shards accept too, there may be one too many
+        // for a moment.
         let permit = self.driver.config().quota.place(Side::Clients, usize::MAX);
         self.open.push(Client { task, close, socket, phase, _permit: permit });
     }
--- a/proxy/src/shutdown.rs
+++ b/proxy/src/shutdown.rs
@@ -1,9 +1,9 @@
-//! The times of a stop, and what open calls are told of them.
+//! The schedule of a shutdown, and the deadline that it sets for open calls.
 //!
-//! By the platform's protocol page new connections come for 0.2 to 0.4 s after SIGTERM, clients use those that they have
-//! for as long as these stay open, and SIGKILL comes no sooner than the longest deadline (3 s at the most) and 0.7 s more.
-//! What was taken and not answered by then is lost: the schedule bounds the time that calls have, and what has no
-//! answer at its end gets its last one there.
+//! By the platform's protocol new connections still arrive for 0.2 to 0.4 s after SIGTERM, clients use the connections
+//! that they have for as long as these stay open, and SIGKILL comes no sooner than the longest deadline (3 s at the
+//! most) plus 0.7 s. A request that has been read but not answered by then is lost. The schedule therefore bounds the
+//! time of open calls, and a call without a reply at its end gets a final response.
 
 use nettleworks_policy::Settings;
 use std::cell::Cell;
@@ -12,29 +12,30 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// How long new connections are still taken after the order to stop; they come for up to 0.4 s.
+/// How long new connections are still accepted after the order to stop; they arrive for up to 0.4 s.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// The most of the longest deadline that is waited for.
+/// Upper bound on the longest deadline for the purpose of the schedule.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// What is given beyond the longest deadline.
+/// Time between the longest deadline and SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// Kept of it for the last answers' way, and for what the process has to do until it has ended.
+/// Part of that margin that is reserved for sending the final responses.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(120);
+/// Part of that margin that is reserved for the process's own work until it exits.
 const EXIT_MARGIN: Duration = Duration::from_millis(50);
 
-/// When a stop does what.
+/// The points in time of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// No new connection is taken from here on.
+    /// No new connection is accepted from this moment on.
     pub accept_until: Instant,
-    /// Each call has its answer by now.
+    /// Each call has a response by this moment.
     pub respond_by: Instant,
-    /// The process has ended by now.
+    /// The process has exited by this moment.
     pub exit_by: Instant,
 }
 
 impl ShutdownSchedule {
-    /// Of a stop that was told at `told`, under a site's deadlines.
+    /// The schedule of a shutdown that was ordered at `ordered`, with the deadlines of these settings.
     pub fn from(ordered: Instant, settings: &Settings) -> ShutdownSchedule {
         let longest = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         let killed = ordered + Duration::from_micros(longest).min(MAX_DEADLINE) + KILL_MARGIN;
@@ -46,7 +47,7 @@
     }
 }
 
-/// Whether the process ends, and by when its calls must be answered; clones are told together.
+/// Whether the process shuts down, and by when its calls must have a response. All clones share one state.
 #[derive(Clone, Debug, Default)]
 pub struct ShutdownDeadline(Rc<State>);
 
@@ -57,18 +58,18 @@
 }
 
 impl ShutdownDeadline {
-    /// The process ends: all calls must be answered at this moment.
+    /// Begins the shutdown: all calls must have a response by `respond_by`.
     pub fn set(&self, respond_by: Instant) {
         self.0.respond_by.set(Some(respond_by));
         self.0.changed.notify_waiters();
     }
 
-    /// The moment at which all calls must be answered; `None` while none is set.
+    /// The moment by which all calls must have a response; `None` unless a shutdown has begun.
     pub fn get(&self) -> Option<Instant> {
         self.0.respond_by.get()
     }
 
-    /// Waits for that moment; for good where none is ever set.
+    /// Waits until that moment; forever if no shutdown begins.
     pub async fn reached(&self) {
         let changed = self.0.changed.notified();
         if self.get().is_none() {
@@ -94,8 +95,9 @@
         [accept_until, respond_by, exit_by].map(|at| at.duration_since(ordered).as_millis())
     }
 
-    /// Whatever the deadlines, all is over before SIGKILL may come, and no call that came with its full time while
-    /// new connections come (0.4 s) is cut short where the longest deadline is no longer than what is given.
+    /// Whatever the deadlines, the process exits before the earliest possible SIGKILL. A call that arrives with its
+    /// full time while new connections still come (0.4 s) is not cut short unless the longest deadline exceeds the
+    /// bound.
     #[test]
     fn a_shutdown_ends_before_sigkill() {
         for (deadlines, killed) in
--- a/proxy/tests/cores.rs
+++ b/proxy/tests/cores.rs
@@ -1,4 +1,4 @@
-//! Several engines that serve as one, when one of them stalls, ends, is behind, or has all the load.
+//! Several engines (shards) of one process, when one of them stalls, panics, is late, or gets all the load.
 
 use http::{HeaderMap, HeaderValue, Method, Uri};
 use nettleworks::config::Config;
@@ -29,12 +29,13 @@
 #[path = "cores/watch.rs"]
 mod watch;
 
-/// Hosts get the keys of charges, so that their ledger counts runs by key.
+/// The keys of charges (unsafe requests) are forwarded to hosts, so that their ledger counts runs by key.
 const KEYS_SETTINGS: &str = r#"{"classes": {"unsafe": {"forward": true}}}"#;
 const SHARDS: usize = 4;
+/// Two runs of one key within this time count as a duplicate.
 const DUPLICATE_WINDOW: Duration = Duration::from_secs(9);
 
-/// A process of several engines, each on a thread of this one.
+/// Several shards that serve together, each on a thread of the test's process.
 struct Process {
     address: SocketAddr,
     peers: Shards,
@@ -43,7 +44,7 @@
     backups: BackupListeners,
     threads: Vec<JoinHandle<ShardExit>>,
     log: Arc<Mutex<Vec<(usize, String)>>>,
-    /// The shard whose log panics at the next line that says this.
+    /// A shard, and a text: the shard's log function panics at the next line that contains it.
     panics: Arc<Mutex<Option<(usize, &'static str)>>>,
 }
 
@@ -58,10 +59,10 @@
 
     fn start_configured(config: &str, sizes: Sizes) -> Process {
         let config = Config::parse(config).and_then(|config| config.with_keys(KEYS_SETTINGS));
-        let config = config.expect("a good configuration");
-        let listeners = server::bind_all(config.listen, sizes.shards).expect("it listens");
+        let config = config.expect("a valid configuration");
+        let listeners = server::bind_all(config.listen, sizes.shards).expect("listening");
         let address = listeners[0].local_addr().expect("an address");
-        let backups = BackupListeners::duplicate(&listeners).expect("descriptors");
+        let backups = BackupListeners::duplicate(&listeners).expect("file descriptors");
         let (stop, stopped) = channel(false);
         let (reload, reloads) = channel(None);
         let (log, panics) = (Arc::<Mutex<Vec<_>>>::default(), Arc::<Mutex<Option<_>>>::default());
@@ -75,11 +76,11 @@
             std::thread::spawn(move || {
                 let ran = cores::run_thread(prepared, async |prepared| {
                     let line = move |line: &str| {
-                        log.lock().expect("whole").push((shard, line.to_owned()));
-                        let mut panics = panics.lock().expect("whole");
+                        log.lock().expect("not poisoned").push((shard, line.to_owned()));
+                        let mut panics = panics.lock().expect("not poisoned");
                         if panics.take_if(|(at, text)| *at == shard && line.contains(*text)).is_some() {
                             drop(panics);
-                            panic!("as the test has it");
+                            panic!("panic injected by the test");
                         }
                     };
                     cores::serve_shard(prepared, config, Rc::new(line), listener, backups, signals).await
@@ -92,7 +93,7 @@
     }
 
     async fn client(&self) -> Client {
-        Reader::new(TcpStream::connect(self.address).await.expect("it accepts"))
+        Reader::new(TcpStream::connect(self.address).await.expect("connected"))
     }
 
     async fn ready(&self) {
@@ -104,32 +105,33 @@
     }
 
     fn log_count(&self, text: &str) -> usize {
-        self.log.lock().expect("whole").iter().filter(|(_, line)| line.contains(text)).count()
+        self.log.lock().expect("not poisoned").iter().filter(|(_, line)| line.contains(text)).count()
     }
 
-    /// The shard's thread does nothing else for so long.
+    /// Blocks the shard's thread for this time.
     fn block(&self, shard: usize, time: Duration) {
         self.peers.tell(shard, move |_| std::thread::sleep(time));
     }
 
-    /// A panic half way through a change of the shard's engine.
+    /// Makes the shard panic in the middle of a change of its engine's state.
     fn poison(&self, shard: usize) {
-        *self.panics.lock().expect("whole") = Some((shard, "is ghost"));
+        *self.panics.lock().expect("not poisoned") = Some((shard, "is ghost"));
         let ghost = r#"{"seq": 900, "whole": false, "hosts": [{"host": "ghost", "dial": "127.0.0.1:9", "health": "Terminating"}]}"#;
         let ghost: List = serde_json::from_str(ghost).expect("a list");
         self.peers.tell(shard, move |driver| driver.told(ghost));
     }
 
-    /// Stops it as SIGTERM does; how each shard has ended.
+    /// Shuts down as on SIGTERM, and returns how each shard ended.
     async fn stop(mut self) -> Vec<ShardExit> {
         self.backups.close();
         self.stop.send_replace(true);
         let threads = std::mem::take(&mut self.threads);
-        let join = move || threads.into_iter().map(|thread| thread.join().expect("it is caught")).collect();
+        let join =
+            move || threads.into_iter().map(|thread| thread.join().expect("the panic is caught")).collect();
         tokio::task::spawn_blocking(join).await.expect("no panic")
     }
 
-    /// A key of a shard: the first that is its own of those that begin so.
+    /// The first key with this prefix that the shard owns.
     fn key_owned_by(&self, shard: usize, class: usize, prefix: &str) -> String {
         let is_owned = |key: &String| {
             let ask = Ask {
@@ -142,7 +144,7 @@
             };
             self.peers.owner(&ask) == Some(shard)
         };
-        (0..).map(|n| format!("{prefix}-{n}")).find(is_owned).expect("each shard has keys")
+        (0..).map(|n| format!("{prefix}-{n}")).find(is_owned).expect("each shard owns keys")
     }
 }
 
@@ -153,7 +155,7 @@
     }
 }
 
-/// A client whose connection is a shard's.
+/// A client whose connection was accepted by this shard.
 async fn client_of(process: &Process, shard: usize) -> Client {
     let count = async || process.peers.at(shard, |driver| driver.state().requests).await;
     loop {
@@ -183,15 +185,16 @@
     body["key_state"].as_str().unwrap_or_default().to_owned()
 }
 
-/// Repeats of one key come over connections of all shards in the same moment, and the first fails: as it never ran, or
-/// as nobody knows. Each key runs once at the most, and all who get an answer get the same.
+/// Requests with one key arrive at all shards at the same time, and the first attempt fails: either it never ran, or
+/// that is unknown. Each key must run at most once, and all clients that get a response must get the same one.
 #[test]
 fn concurrent_repeats_at_all_shards_run_once() {
     let faults = vec![(Fault::ResetBefore, 0.08), (Fault::TurnAway, 0.08), (Fault::ResetAfter, 0.08)];
     let site = Site::start(vec![echo_plan(2, faults); 4]);
     run(async {
-        // A host that is set aside is tried again after a quarter of the aim, and twice as late each time: at the usual
-        // five seconds a few faults in a row at both of a shard's hosts take longer than the test may.
+        // An ejected host is tried again after a quarter of the latency target, and the pause doubles each time: with
+        // the usual target of five seconds a few consecutive faults at both of a shard's hosts would exceed the test's
+        // time.
         let process = Process::start_with(&site, Sizes::of(SHARDS), |config| {
             for class in config["settings"]["classes"].as_array_mut().expect("classes") {
                 class["objective_us"] = 200_000.into();
@@ -209,7 +212,7 @@
                 let (mut client, text) = (client.take().expect("idle"), charge(&format!("round-{round}")));
                 asks.spawn_local(async move {
                     let mut answer = client.ask(&text).await;
-                    // What was refused never ran, and comes again.
+                    // A refused request never ran and is sent again.
                     while answer.status() == 503 {
                         sleep(Duration::from_millis(5)).await;
                         answer = client.ask(&text).await;
@@ -230,16 +233,17 @@
                 }
             }
             answered += bodies.len();
-            assert!(bodies.iter().all(|body| *body == bodies[0]), "two answers of round {round}");
+            assert!(bodies.iter().all(|body| *body == bodies[0]), "two different responses in round {round}");
         }
         let mut requests = Vec::new();
         for shard in 0..SHARDS {
-            requests
-                .push(process.peers.at(shard, |driver| driver.state().requests).await.expect("it answers"));
+            requests.push(
+                process.peers.at(shard, |driver| driver.state().requests).await.expect("the shard responds"),
+            );
         }
         assert!(
             requests.iter().filter(|count| **count > 0).count() > 1,
-            "all came to one shard: {requests:?}"
+            "all arrived at one shard: {requests:?}"
         );
         assert!(answered > 400 && unsure >= 16, "{answered} {unsure}");
         assert!(process.stop().await.iter().all(|exit| *exit == ShardExit::Clean));
@@ -248,8 +252,8 @@
     assert_eq!(site.ledger.twice(DUPLICATE_WINDOW), []);
 }
 
-/// A shard ends by a panic while keys run on it: whoever waits there is told at once that it may have run, its keys stay
-/// unsure and go to no host again, and the others' go on.
+/// A shard panics while its keys run. Clients that wait for them must be told at once that the request may have run;
+/// these keys stay unsure and are not sent to a host again; keys of the other shards are not affected.
 #[test]
 fn a_panicked_shard_leaves_its_keys_unsure() {
     let site = Site::start(vec![stalling_plan()]);
@@ -264,14 +268,14 @@
             let text = charge(key);
             asks.push(spawn_local(async move { client.ask(&text).await }));
         }
-        eventually("both run", || site.counts() == [2]).await;
-        // All are taken in: what comes to a shard that has ended is refused.
+        eventually("both keys run", || site.counts() == [2]).await;
+        // Waits until all requests have been accepted: a shard that has ended refuses further ones.
         let mut accepted = 0;
         while accepted < 14 {
             accepted = 0;
             for shard in 0..SHARDS {
                 let count = process.peers.at(shard, |driver| driver.state().requests).await;
-                accepted += count.expect("it answers");
+                accepted += count.expect("the shard responds");
             }
         }
         let started = Instant::now();
@@ -280,8 +284,9 @@
             let answer = ask.await.expect("no panic");
             assert_eq!(answer.status(), 502, "{answer:?}");
         }
-        assert!(started.elapsed() < Duration::from_secs(3), "told at once: {:?}", started.elapsed());
-        eventually("it is missed", || process.log_count("shard 1 has ended") == SHARDS - 1).await;
+        assert!(started.elapsed() < Duration::from_secs(3), "answered at once: {:?}", started.elapsed());
+        eventually("the other shards notice it", || process.log_count("shard 1 has ended") == SHARDS - 1)
+            .await;
         for _ in 0..8 {
             let answer = process.client().await.ask(&charge(&lost)).await;
             assert_eq!((answer.status(), &key_state(&answer)[..]), (502, "unsure"));
@@ -289,13 +294,13 @@
         site.with(|inside| inside.hosts[0].release.notify_waiters());
         let mut served = 0;
         for ask in asks {
-            // Those whose connection was the dead shard's are told as much.
+            // Clients whose connection belonged to the dead shard get an error.
             match ask.await.expect("no panic").status() {
                 200 => served += 1,
                 status => assert_eq!(status, 502),
             }
         }
-        assert!(served > 0, "its key goes on");
+        assert!(served > 0, "the other shard's key still runs");
         let repeated = process.client().await.ask(&charge(&kept)).await;
         assert_eq!((repeated.status(), repeated.header("idempotency-replayed")), (200, Some("true")));
         let exits = process.stop().await;
@@ -304,18 +309,19 @@
     assert_eq!(site.counts(), [2]);
 }
 
-/// A shard's thread is blocked: new clients are served by others, its keys are refused and not run elsewhere, what it
-/// had of room is the others', and when it comes back all is as before.
+/// A shard's thread is blocked. Other shards must accept its new clients, its keys are refused and not run elsewhere,
+/// and once it responds again everything is as before.
 #[test]
 fn other_shards_accept_the_clients_of_a_stalled_shard() {
     let site = Site::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
-        let stalled_key = process.key_owned_by(1, 2, "its");
+        let stalled_key = process.key_owned_by(1, 2, "stalled");
         assert_eq!(process.client().await.ask(&charge(&stalled_key)).await.status(), 200);
         process.block(1, Duration::from_secs(4));
-        eventually("it is noticed", || process.log_count("shard 1 does not answer") == SHARDS - 1).await;
+        eventually("the stall is noticed", || process.log_count("shard 1 does not answer") == SHARDS - 1)
+            .await;
         for _ in 0..24 {
             let started = Instant::now();
             let answer = process.client().await.ask(&request("free", "", "")).await;
@@ -323,9 +329,10 @@
             assert!(started.elapsed() < Duration::from_millis(1_500), "{:?}", started.elapsed());
         }
         let refused = process.client().await.ask(&charge(&stalled_key)).await;
-        assert_eq!(refused.status(), 503, "nobody else knows of it");
+        assert_eq!(refused.status(), 503, "no other shard has its key");
         assert!(refused.header("retry-after").is_some());
-        eventually("it is back", || process.log_count("shard 1 answers again") >= SHARDS - 1).await;
+        eventually("the shard responds again", || process.log_count("shard 1 answers again") >= SHARDS - 1)
+            .await;
         let replayed = process.client().await.ask(&charge(&stalled_key)).await;
         assert_eq!((replayed.status(), replayed.header("idempotency-replayed")), (200, Some("true")));
         assert!(process.stop().await.iter().all(|exit| *exit == ShardExit::Clean));
@@ -341,15 +348,15 @@
     (ask, Forward { method: Method::GET, target, headers: HeaderMap::new(), body: Default::default() })
 }
 
-/// A shard has decided where a call goes and not written it when the process is told that the host drains; its thread
-/// sleeps over that, and must not write when it wakes.
+/// Shards have picked a host for a call but not written the request when another shard receives the news that the host
+/// drains. Their threads are blocked at that moment, and must not write the request when they continue.
 #[test]
 fn an_attempt_picked_before_a_drain_is_not_written_after_it() {
     let site = Site::start(vec![echo_plan(1, vec![])]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
-        // Each shard but the one that watches. It has a connection that can be written to at once.
+        // Every shard but the one that watches the list gets a connection that can be written to at once.
         for shard in 1..SHARDS {
             process.peers.tell(shard, move |driver| {
                 let (ask, forward) = free_request(format!("first-{shard}"));
@@ -357,7 +364,7 @@
                 spawn_local(async move { drop(waiting.reply().await) });
             });
         }
-        eventually("they are answered", || site.counts() == [SHARDS - 1]).await;
+        eventually("all are answered", || site.counts() == [SHARDS - 1]).await;
         sleep(Duration::from_millis(50)).await;
         for shard in 1..SHARDS {
             process.peers.tell(shard, move |driver| {
@@ -365,7 +372,7 @@
                 spawn_local(async move {
                     let (ask, forward) = free_request(format!("decided-{shard}"));
                     let waiting = driver.request(ask, forward);
-                    // Its attempt's task has not run yet, and comes before the news do.
+                    // The attempt's task has not run yet, and will run before the notification of the drain is read.
                     std::thread::sleep(Duration::from_millis(700));
                     drop(waiting.reply().await);
                 });
@@ -375,7 +382,7 @@
         site.with(|inside| inside.list(0, "Terminating"));
         for shard in 1..SHARDS {
             let attempts = process.peers.at(shard, |driver| driver.state().attempts).await;
-            assert_eq!(attempts, Some(2), "shard {shard} had decided");
+            assert_eq!(attempts, Some(2), "shard {shard} had picked a host");
         }
         sleep(Duration::from_millis(300)).await;
         process.stop().await;
@@ -383,15 +390,15 @@
     assert_eq!(site.counts(), [SHARDS - 1]);
 }
 
-/// All calls come to one shard. It gets all the room of the process, and the one trial, at once, though the others had
-/// some on their leases; never more than one module would have had.
+/// All calls arrive at one shard. It must get the whole concurrency limit of the process, and the one probe beyond it,
+/// at once, although the other shards held leases on a part; and never more than a single engine would have.
 #[test]
 fn concurrency_moves_to_the_shard_with_the_load() {
     let site = Site::start(vec![stalling_plan()]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
-        // A call or two of each, so that all have some.
+        // A call at each shard, so that each holds a part of the limit.
         for shard in 0..SHARDS {
             process.peers.tell(shard, move |driver| {
                 let (ask, forward) = free_request(format!("first-{shard}"));
@@ -399,9 +406,9 @@
                 spawn_local(async move { drop(waiting.reply().await) });
             });
         }
-        eventually("all have some", || site.counts() == [SHARDS]).await;
+        eventually("each shard has a call at the host", || site.counts() == [SHARDS]).await;
         site.with(|inside| inside.hosts[0].release.notify_waiters());
-        eventually("they are answered", || site.with(|inside| inside.hosts[0].open.get()) > 0).await;
+        eventually("all are answered", || site.with(|inside| inside.hosts[0].open.get()) > 0).await;
         let before = site.counts()[0];
         process.peers.tell(0, |driver| {
             for call in 0..40 {
@@ -411,16 +418,16 @@
             }
         });
         let in_flight = || site.counts()[0] - before;
-        // One balancer that is alone begins with 7 at a host, and a trial.
-        eventually("it has all room", || in_flight() >= 7).await;
+        // A single balancer starts with a limit of 7 per host, and one probe.
+        eventually("it has the whole limit", || in_flight() >= 7).await;
         sleep(Duration::from_millis(300)).await;
-        assert!(in_flight() <= 8, "room is one for the process: {}", in_flight());
+        assert!(in_flight() <= 8, "the limit holds for the whole process: {}", in_flight());
         process.stop().await;
     });
 }
 
-/// Guards against a plain failure where a key may have run: the shard that has a request is late at its deadline, and the
-/// one that handed it over answers in its place.
+/// Guards against a plain failure where a key may have run: the shard that owns the key is stalled past the request's
+/// deadline, and the shard that forwarded the request to it responds instead.
 #[test]
 fn a_shard_stalled_past_a_deadline_leaves_its_key_unsure() {
     let site = Site::start(vec![echo_plan(3_000, vec![])]);
@@ -435,18 +442,18 @@
             let started = Instant::now();
             (client.ask(&text).await, started.elapsed())
         });
-        eventually("its host has it", || site.counts() == [before + 1]).await;
+        eventually("the host has the request", || site.counts() == [before + 1]).await;
         process.block(1, Duration::from_secs(5));
         let (answer, took) = ask.await.expect("no panic");
         assert_eq!((answer.status(), &key_state(&answer)[..]), (502, "unsure"), "{answer:?}");
-        assert!(took < Duration::from_secs(4), "in its time: {took:?}");
+        assert!(took < Duration::from_secs(4), "within its deadline: {took:?}");
         process.stop().await;
     });
     assert!(site.ledger.runs().values().all(|runs| *runs == 1), "{:?}", site.ledger.runs());
 }
 
-/// A shard that is slow, and not yet taken for stalled: as many requests wait for it as its queue holds, one more is
-/// refused at once, and those that waited are answered when it goes on.
+/// A shard is slow but does not count as stalled yet. As many requests wait for it as its queue holds; further ones
+/// must be refused at once, and those that wait are answered when it continues.
 #[test]
 fn a_full_queue_refuses_at_once() {
     let site = Site::start(vec![echo_plan(1, vec![])]);
@@ -456,7 +463,7 @@
         process.ready().await;
         let mut clients = Vec::new();
         for _ in 0..6 {
-            // Of the shard that is not blocked.
+            // Clients of the shard that is not blocked.
             clients.push(client_of(&process, 0).await);
         }
         process.block(1, Duration::from_secs(2));
@@ -474,7 +481,7 @@
             let (status, retry_after, took) = ended.expect("no panic");
             *seen.entry(status).or_default() += 1;
             assert_eq!(retry_after, status == 503);
-            assert!(status == 200 || took < Duration::from_secs(1), "at once: {took:?}");
+            assert!(status == 200 || took < Duration::from_secs(1), "refused at once: {took:?}");
         }
         assert_eq!(seen, BTreeMap::from([(200, 2), (503, 4)]));
         process.stop().await;
@@ -482,8 +489,8 @@
     assert_eq!(site.ledger.len(), 2 + site.ledger.effects().iter().filter(|e| !e.unsafe_method).count());
 }
 
-/// Keys cross while the configuration is read again and again, and when all are told to stop: each request has its
-/// answer, and none runs twice.
+/// Keyed requests are forwarded between shards during many reloads of the configuration and during the shutdown: each
+/// request must get its response, and none may run twice.
 #[test]
 fn keys_are_forwarded_between_shards_during_reloads_and_a_shutdown() {
     let site = Site::start(vec![echo_plan(3, vec![]); 3]);
@@ -496,14 +503,14 @@
             asks.spawn_local(async move {
                 let mut statuses = Vec::new();
                 for call in 0..40 {
-                    // Two clients a key, at the same time.
+                    // Two clients use each key at the same time.
                     connection.send(&charge(&format!("{}-{call}", client / 2))).await;
                     match connection.message().await {
                         Some(answer) => {
                             statuses.push(answer.status());
                             answered.set(answered.get() + 1);
                         }
-                        // It closes between requests once it is told to stop.
+                        // The proxy closes connections between requests once it shuts down.
                         None => break,
                     }
                 }
@@ -512,16 +519,17 @@
         }
         let reloaded =
             Config::parse(&site.configuration(|_| ())).and_then(|config| config.with_keys(KEYS_SETTINGS));
-        let reloaded = Arc::new(reloaded.expect("a good configuration"));
+        let reloaded = Arc::new(reloaded.expect("a valid configuration"));
         let last = process.key_owned_by(3, 2, "last");
         for round in 1..=8 {
             process.reload.send_replace(Some(reloaded.clone()));
-            eventually("keys cross after a reload", || answered.get() > 50 * round).await;
+            eventually("requests are answered after a reload", || answered.get() > 50 * round).await;
         }
         let mut late = process.client().await;
-        eventually("all have read it", || process.log_count("configuration read again") >= SHARDS).await;
+        eventually("all shards have reloaded", || process.log_count("configuration read again") >= SHARDS)
+            .await;
         let stopping = spawn_local(process.stop());
-        // It is taken while the stop is under way, and its key is another shard's.
+        // Accepted during the shutdown, with a key that another shard owns.
         assert_eq!(late.ask(&charge(&last)).await.status(), 200);
         assert!(stopping.await.expect("no panic").iter().all(|exit| *exit == ShardExit::Clean));
         let mut served = 0;
@@ -530,13 +538,16 @@
             assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
             served += statuses.len();
         }
-        assert!(served > 400 && served < 24 * 40, "both the reloads and the stop met them: {served}");
+        assert!(
+            served > 400 && served < 24 * 40,
+            "requests must overlap the reloads and the shutdown: {served}"
+        );
     });
     assert_eq!(site.ledger.runs().values().max(), Some(&1));
 }
 
-/// Charges and entries in a storm over connections of all shards, with stalls, resets, a host that is killed and a shard
-/// that is blocked for a while: nothing runs twice, and no key has two answers.
+/// A storm of retried charges and entries over all shards, with stalls, resets, a host that is killed and a shard that
+/// is blocked for a while: nothing may run twice, and no key may get two different responses.
 #[test]
 fn a_retry_storm_over_all_shards_runs_nothing_twice() {
     let storm = Storm { keys: 300, ..Storm::default() };
@@ -554,9 +565,9 @@
         let mut forwarded = 0;
         for shard in 0..SHARDS {
             let counts = process.peers.at(shard, |driver| driver.state().of::<Crossed>().copied()).await;
-            forwarded += counts.flatten().expect("it answers").handed;
+            forwarded += counts.flatten().expect("the shard responds").handed;
         }
-        assert!(forwarded > 300, "keys cross: {forwarded}");
+        assert!(forwarded > 300, "keyed requests are forwarded: {forwarded}");
         let Aftermath { charges_twice, entries_twice, two_answers, .. } = aftermath;
         assert_eq!((charges_twice, entries_twice, two_answers), (0, 0, 0), "{aftermath:?}");
         assert!(aftermath.replayed * 100 >= aftermath.answerable * 95, "{aftermath:?}");
@@ -564,7 +575,8 @@
     });
 }
 
-/// What is asked of a shard that has ended is not waited for, and an id is open once in the whole process.
+/// A call id can be open only once in the whole process, whichever shard it arrives at. A job for a shard that has
+/// ended returns without waiting.
 #[test]
 fn an_id_is_open_once_in_the_process() {
     let site = Site::start(vec![stalling_plan()]);
@@ -576,16 +588,16 @@
             let waiting = driver.request(ask, forward);
             spawn_local(async move { drop(waiting.reply().await) });
         });
-        eventually("it is out", || site.counts() == [1]).await;
+        eventually("the host has the request", || site.counts() == [1]).await;
         let (sender, rejected) = tokio::sync::oneshot::channel();
         process.peers.tell(1, |driver| {
             let (ask, forward) = free_request("same".to_owned());
             let waiting = driver.request(ask, forward);
             spawn_local(async move { sender.send(matches!(waiting.reply().await, Reply::IdOpen)) });
         });
-        assert!(rejected.await.expect("it answers"), "it is open at another shard");
+        assert!(rejected.await.expect("the shard responds"), "the id is open at another shard");
         process.poison(1);
-        eventually("it has ended", || process.log_count("shard 1 has ended") > 0).await;
+        eventually("the shard has ended", || process.log_count("shard 1 has ended") > 0).await;
         assert_eq!(process.peers.at(1, |_| ()).await, None);
         process.stop().await;
     });
--- a/proxy/tests/cores/watch.rs
+++ b/proxy/tests/cores/watch.rs
@@ -1,5 +1,5 @@
-//! One engine of a process watches the list for all. It stalls, another takes over, and it comes back: what each engine
-//! may send by, and who watches then.
+//! One engine of a process watches the list for all. It stalls, another takes over the watch, and the first continues:
+//! by which list each engine may send, and which engine watches.
 
 use super::{echo_plan, free_request, Process, SHARDS};
 use nettleworks_cores::Sizes;
@@ -12,16 +12,17 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// Without a beat for a second an engine is taken for stalled. In this time it also misses a heartbeat of its watch, which
-/// it reads as soon as it goes on.
+/// How long an engine is stalled. Without a heartbeat for a second it counts as stalled; in this time it also misses a
+/// heartbeat of its watch, which it reads as soon as it continues.
 const STALL: Duration = Duration::from_millis(2_500);
-/// What a lost watch hides counts as notified after this, and is heeded within the grace.
+/// A change that a lost watch hides counts as notified after 6 s and must be honored within the grace of a second.
 const HONORED_WITHIN: Duration = Duration::from_secs(7);
 
-/// What is not read may be sent past for so long: the grace of a second, less what an engine may be held up.
+/// How long requests may still be sent contrary to a list that has not been read: the grace of a second, less the time
+/// for which an engine may be delayed.
 const MAX_UNREAD: Duration = Duration::from_millis(850);
 
-/// A process of a fleet of forty, whose calls for the list are spread over seconds, and a relay before its discovery.
+/// A process of a fleet of forty, whose calls to discovery are spread over seconds, with a relay in front of discovery.
 async fn start_behind_relay(site: &Site) -> (Process, Relay) {
     let relay = Relay::start(site.discovery).await;
     let process = Process::start_with(site, Sizes::of(SHARDS), |config| {
@@ -33,14 +34,14 @@
     (process, relay)
 }
 
-/// What comes of a request that is taken at this engine.
+/// How a request that arrives at this engine ends.
 async fn reply_at(process: &Process, shard: usize) -> &'static str {
     let (sender, reply) = oneshot::channel();
     process.peers.tell(shard, move |driver| {
         let (ask, forward) = free_request(format!("at-{shard}-{:?}", Instant::now()).replace(' ', ""));
         let waiting = driver.request(ask, forward);
         spawn_local(async move {
-            // The test may have ended.
+            // The test may have ended by now.
             let _ = sender.send(match waiting.reply().await {
                 Reply::Served(_) => "served",
                 Reply::Refused(_) => "refused",
@@ -51,21 +52,22 @@
     reply.await.unwrap_or("lost")
 }
 
-/// Whether an engine knows that the second host drains.
+/// Whether an engine has been notified that a host drains.
 async fn has_drain(process: &Process, shard: usize) -> bool {
     let hosts = process.peers.at(shard, |driver| driver.state().hosts).await.unwrap_or_default();
     hosts.iter().any(|host| host.health == Health::Terminating)
 }
 
-/// Waits until the first engine is stalled, does something, and waits until it is back.
+/// Stalls the first engine, runs `meanwhile` once the others have noticed, and waits until it responds again.
 async fn while_first_engine_stalls(process: &Process, time: Duration, meanwhile: impl AsyncFnOnce()) {
     process.block(0, time);
-    eventually("it is noticed", || process.log_count("shard 0 does not answer") == SHARDS - 1).await;
+    eventually("the stall is noticed", || process.log_count("shard 0 does not answer") == SHARDS - 1).await;
     meanwhile().await;
-    eventually("it is back", || process.log_count("shard 0 answers again") >= SHARDS - 1).await;
+    eventually("the engine responds again", || process.log_count("shard 0 answers again") >= SHARDS - 1)
+        .await;
 }
 
-/// The watch is one, and when the shard that has it stalls another goes on with it.
+/// A process has one watch, and when the shard that holds it stalls another shard opens a new one.
 #[test]
 fn the_single_watch_moves_from_a_stalled_shard() {
     let site = Site::start(vec![echo_plan(1, vec![]); 2]);
@@ -75,7 +77,7 @@
         let watches = || site.with(|inside| inside.registry.watches.get());
         assert_eq!(watches(), 1);
         process.block(0, Duration::from_secs(3));
-        eventually("another watches", || watches() == 2).await;
+        eventually("another shard watches", || watches() == 2).await;
         site.with(|inside| inside.list(1, "Terminating"));
         let is_notified = async |shard| {
             let hosts = process.peers.at(shard, |driver| driver.state().hosts).await.unwrap_or_default();
@@ -86,7 +88,8 @@
                 sleep(Duration::from_millis(5)).await;
             }
         }
-        eventually("it is back", || process.log_count("shard 0 answers again") >= SHARDS - 1).await;
+        eventually("the engine responds again", || process.log_count("shard 0 answers again") >= SHARDS - 1)
+            .await;
         while !is_notified(0).await {
             sleep(Duration::from_millis(5)).await;
         }
@@ -94,13 +97,13 @@
         for _ in 0..20 {
             assert_eq!(process.client().await.ask(&request("free", "", "")).await.status(), 200);
         }
-        assert_eq!(site.counts()[1], before, "it drains");
+        assert_eq!(site.counts()[1], before, "the host drains");
         process.stop().await;
     });
 }
 
-/// Another engine leads for a moment, and its call for the list is not answered. The first goes on with its own watch,
-/// which has told all: no engine keeps the end that the list had meanwhile.
+/// Another engine takes over the watch for a moment, and its call to discovery is not answered. The first continues
+/// with its own watch, which was intact all the time: no engine may keep the list's expiry that was set meanwhile.
 #[test]
 fn a_short_takeover_of_the_watch_does_not_expire_the_list() {
     let site = Site::start(vec![echo_plan(1, vec![]); 2]);
@@ -116,8 +119,8 @@
     });
 }
 
-/// The first engine's watch is lost, and another brings the list while the first is stalled. That list proves nothing of
-/// the first one's watch, which goes on to open one.
+/// The first engine's watch is lost, and another engine gets the list while the first is stalled. That list does not
+/// mean that the first engine has a watch: it must go on trying to open one.
 #[test]
 fn a_list_from_another_engine_does_not_stop_the_reconnect_of_the_watch() {
     let site = Site::start(vec![echo_plan(1, vec![]); 2]);
@@ -132,7 +135,7 @@
         site.with(|inside| inside.list(1, "Terminating"));
         for shard in 0..SHARDS {
             while !has_drain(&process, shard).await {
-                assert!(drained.elapsed() < HONORED_WITHIN, "engine {shard} never hears of it");
+                assert!(drained.elapsed() < HONORED_WITHIN, "engine {shard} is not notified of the drain");
                 sleep(Duration::from_millis(10)).await;
             }
         }
@@ -140,8 +143,8 @@
     });
 }
 
-/// All watches break while the first engine is stalled, and no call is answered. When it goes on it has not read that its
-/// watch is lost: it claims nothing that it has not proven, and no engine sends by the list again.
+/// All watches break while the first engine is stalled, and no further call is answered. When it continues it has not
+/// read yet that its watch is lost: it must not report the list as verified, and no engine may send by that list again.
 #[test]
 fn an_engine_does_not_use_an_unverified_list_after_a_stall() {
     let site = Site::start(vec![echo_plan(1, vec![]); 2]);
@@ -169,8 +172,8 @@
     });
 }
 
-/// The first engine stalls, and word of a drain lies unread in its socket. Until it is missed the others begin nothing that
-/// would be over the grace.
+/// The first engine stalls, and the notification of a drain stays unread in its socket. Until the stall is noticed the
+/// other engines must not begin a request that would exceed the grace.
 #[test]
 fn a_drain_unread_by_the_stalled_engine_is_honored_by_the_others() {
     let site = Site::start(vec![echo_plan(1, vec![]); 2]);
@@ -199,8 +202,8 @@
                 sleep(Duration::from_millis(5)).await;
             }
         }
-        assert!(drained.elapsed() < STALL, "another engine reads the list");
-        assert_eq!(site.counts()[1], within_grace, "sent by a list that was not read");
+        assert!(drained.elapsed() < STALL, "another engine reads the list in time");
+        assert_eq!(site.counts()[1], within_grace, "sent to the drained host after the grace");
         sleep(STALL).await;
         Rc::into_inner(process).expect("all have ended").stop().await;
     });
--- a/proxy/tests/crew.rs
+++ b/proxy/tests/crew.rs
@@ -1,4 +1,4 @@
-//! Several processes that know each other, and faults between them.
+//! A cluster of proxy processes, and faults of the processes and of the network between them.
 
 use nettleworks_crew::{Crew, Event, Link, Plan};
 use nettleworks_standins::{Load, Plan as Host, Site, Tally};
@@ -19,7 +19,7 @@
     crew
 }
 
-/// Who was taken for failed and is none of these.
+/// Members that were declared failed since `since`, other than those in `expected`.
 fn wrongly_failed(crew: &Crew, since: Duration, expected: &[usize]) -> Vec<(usize, String)> {
     let expected: Vec<String> = expected.iter().map(|number| Crew::name(*number)).collect();
     crew.failed_since(since).into_iter().filter(|(_, member)| !expected.contains(member)).collect()
@@ -65,14 +65,15 @@
     assert!(crew.history.said(at, "left").len() >= 6, "{}", crew.history.text());
 }
 
-/// Stopped for longer than it takes to be taken for failed; when it goes on it accuses nobody, and is back.
+/// A process is suspended until the others have declared it failed. When it continues it must rejoin, and must not
+/// suspect the others.
 #[test]
 fn a_suspended_member_rejoins_and_suspects_nobody() {
     let site = start_hosts(1);
     let crew = start_crew("stop", 6, &site);
     let at = crew.history.now();
     crew.process(2).stop();
-    crew.until("it is taken for failed", |_| {
+    crew.until("it is declared failed", |_| {
         let failed = crew.failed_since(at);
         (0..6)
             .filter(|by| *by != 2)
@@ -97,12 +98,18 @@
     for number in majority {
         crew.taken_for(number, "failed", &majority);
     }
-    let standing = |number: usize| crew.process(number).view().expect("it answers")["standing"].clone();
+    let standing =
+        |number: usize| crew.process(number).view().expect("the process responds")["standing"].clone();
     assert_eq!((standing(0), standing(7)), ("reduced".into(), "minority".into()));
     crew.heal();
     let healed = crew.history.now();
     crew.whole();
-    assert_eq!(crew.failed_since(healed), [], "nobody fails by the meeting itself: {}", crew.history.text());
+    assert_eq!(
+        crew.failed_since(healed),
+        [],
+        "the merge itself declares no member failed: {}",
+        crew.history.text()
+    );
 }
 
 #[test]
@@ -111,16 +118,17 @@
     let crew = start_crew("oneway", 5, &site);
     let at = crew.history.now();
     let cut = Link { cut: true, ..Link::default() };
-    // 0 does not reach 1, and 2 and 3 do not reach each other.
+    // One direction only between 0 and 1, both directions between 2 and 3.
     crew.relays.set(0, 1, cut.clone());
     crew.relays.set(2, 3, cut.clone());
     crew.relays.set(3, 2, cut);
-    // Each of them is asked some times in so long, and a suspicion would be over.
+    // Long enough for several pings of each member, and for a suspicion to end in failure.
     std::thread::sleep(Duration::from_secs(6));
     assert_eq!(crew.failed_since(at), [], "{}", crew.history.text());
 }
 
-/// A seeded course of faults under load: the four rules hold by the hosts' ledger, and in the end all know all.
+/// A seeded sequence of faults under load: the proxy's guarantees must hold by the hosts' ledger, and in the end all
+/// members must know each other.
 #[test]
 fn a_sequence_of_faults_under_load_breaks_no_guarantee() {
     let site = start_hosts(4);
@@ -140,7 +148,7 @@
             let tally = tally.clone();
             loads.push(tokio::task::spawn_local(async move { load.run(&tally).await }));
         }
-        // Kinds in turn, on whom and for how long by the seed.
+        // Each kind of fault once; the seed chooses its targets and duration.
         for round in 0..6 {
             let span = Duration::from_millis(700 + random_below(600) as u64);
             match round % 6 {
@@ -177,7 +185,7 @@
             tokio::time::sleep(Duration::from_millis(400)).await;
         }
         for load in loads {
-            load.await.expect("clients go on to their end");
+            load.await.expect("the client ends without a panic");
         }
     });
     let mut crew = crew.into_inner();
@@ -186,7 +194,7 @@
     }
     crew.whole();
     assert!(!has_panicked(&crew));
-    assert_eq!(ledger.twice(Duration::from_secs(9)), [], "an effect was had twice");
+    assert_eq!(ledger.twice(Duration::from_secs(9)), [], "a request ran twice");
     for (number, tally) in tallies.iter().enumerate().filter(|(number, _)| !killed.contains(number)) {
         let tally = tally.borrow();
         assert_eq!((tally.lost, tally.failed), (0, 0), "at process {number}: {tally:?}");
--- a/proxy/tests/discovery_faults.rs
+++ b/proxy/tests/discovery_faults.rs
@@ -1,5 +1,5 @@
-//! Faults between one process and a discovery that is up, with real processes: none of them is an outage of discovery, and
-//! none makes a list last longer than it may.
+//! Faults between a process and a discovery that is up, with real processes: none of them may be taken for an outage of
+//! discovery, or make a list valid for longer than it should be.
 
 mod faults;
 mod fleet;
@@ -10,18 +10,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Incident 5521: discovery is up and crowded. It lets a call wait and refuses it, and refuses at once what the process
-/// calls meanwhile.
+/// Incident 5521: discovery is up but overloaded. It lets one call wait before it refuses it, and refuses at once the
+/// calls that the process makes meanwhile.
 #[test]
 fn a_refused_hedged_call_is_not_taken_for_an_outage() {
     run(async {
-        // The second call comes after 3.1 s.
+        // The second call is made after 3.1 s.
         let mut fleet = Fleet::start("crowd", 1, Duration::from_secs(14), |_| ()).await;
         overload_discovery(&mut fleet, Duration::from_millis(3_300)).await;
     });
 }
 
-/// The same with four processes: one of them waits and is refused, the others are refused at once, in turns.
+/// The same with four processes: the call of one of them, in turns, waits and is refused, those of the others are
+/// refused at once.
 #[test]
 fn a_call_that_waits_at_an_overloaded_discovery_is_not_taken_for_an_outage() {
     run(async {
@@ -30,18 +31,19 @@
     });
 }
 
-/// Discovery lets one call wait for a time, and refuses it and all others. Nothing is sent past the grace.
+/// Discovery lets one call at a time wait for `delay` and refuses it, and refuses all others at once. Nothing may be
+/// sent to the drained server after the grace.
 async fn overload_discovery(fleet: &mut Fleet, delay: Duration) {
     fleet.relay.arrivals(Arrival::Crowded(delay));
     fleet.relay.reset_after(0);
     let lost = fleet.drain();
     fleet.wait_for_clients().await;
     let (late, tally) = (fleet.begun_after(lost + NOTIFIED_AFTER + GRACE), fleet.tally.borrow());
-    assert_eq!(late, 0, "sent to a drained server over {GRACE:?} after it counts as told");
+    assert_eq!(late, 0, "sent to a drained server more than {GRACE:?} after the drain counts as notified");
     assert!(tally.refused > 0 && tally.served > 50, "{} refused, {} served", tally.refused, tally.served);
 }
 
-/// Connects of this process alone fail, and discovery serves all others.
+/// Connecting to discovery fails with local errors at this process alone; discovery itself is up.
 #[test]
 fn local_connect_errors_are_not_taken_for_an_outage() {
     run(async {
@@ -57,8 +59,11 @@
             let lost = fleet.drain();
             fleet.wait_for_clients().await;
             let (late, tally) = (fleet.begun_after(lost + NOTIFIED_AFTER + GRACE), fleet.tally.borrow());
-            assert_eq!(late, 0, "{percent}: sent to a drained server over {GRACE:?} after it counts as told");
-            // Where some connects come up, a list comes in time.
+            assert_eq!(
+                late, 0,
+                "{percent}: sent to a drained server more than {GRACE:?} after the drain counts as notified"
+            );
+            // If some connects succeed, a list must arrive in time.
             let all = tally.refused + tally.served;
             assert!(percent == 100 || tally.refused * 20 <= all, "{} refused of {all}", tally.refused);
         }
--- a/proxy/tests/faults/faults.c
+++ b/proxy/tests/faults/faults.c
@@ -1,12 +1,12 @@
-/* Faults of system calls, for a process that a test starts: loaded with LD_PRELOAD.
+/* Injects faults into the system calls of a process that a test starts: loaded with LD_PRELOAD.
  *
- * FAULTS_FILE names a file of "name value" lines, which is read again every 20 ms, so that a test can begin and end faults:
- *   connect_port N       connects to this port fail ...
- *   connect_percent N    ... with this chance, with one of the errors below
+ * FAULTS_FILE names a file of "name value" lines, which is read again every 20 ms, so that a test can change the faults:
+ *   connect_port N       connect() to this port fails ...
+ *   connect_percent N    ... with this probability, with one of the errors below
  *   socket_error N       socket() fails with this errno
- *   open_error N         so does opening a file for reading whose name ends with "config.json"
- *   short_per_mille N    recv() and send() move only a part of what they could, with this chance
- * FAULTS_SEED seeds the draws.
+ *   open_error N         open() of a file whose name ends with "config.json" fails with this errno
+ *   short_per_mille N    recv() and send() transfer only a part of the data, with this probability
+ * FAULTS_SEED seeds the random numbers.
  */
 #define _GNU_SOURCE
 #include <arpa/inet.h>
@@ -54,8 +54,8 @@
     fclose(file);
 }
 
-/* A number below `most`. The lock is held. */
-static uint64_t draw(uint64_t most) {
+/* A random number below `bound`. The caller holds the lock. */
+static uint64_t random_below(uint64_t bound) {
     if (state == 0) {
         const char *seed = getenv("FAULTS_SEED");
         state = (seed ? strtoull(seed, NULL, 10) : 0) * 2862933555777941757u + 3037000493u;
@@ -63,7 +63,7 @@
     state ^= state << 13;
     state ^= state >> 7;
     state ^= state << 17;
-    return (state >> 11) % most;
+    return (state >> 11) % bound;
 }
 
 int socket(int domain, int type, int protocol) {
@@ -111,8 +111,8 @@
         unsigned port = ntohs(((const struct sockaddr_in *)address)->sin_port);
         pthread_mutex_lock(&lock);
         reread();
-        if (port == faults.connect_port && draw(100) < faults.connect_percent)
-            error = CONNECT_ERRORS[draw(sizeof CONNECT_ERRORS / sizeof CONNECT_ERRORS[0])];
+        if (port == faults.connect_port && random_below(100) < faults.connect_percent)
+            error = CONNECT_ERRORS[random_below(sizeof CONNECT_ERRORS / sizeof CONNECT_ERRORS[0])];
         pthread_mutex_unlock(&lock);
     }
     if (error != 0) {
@@ -122,11 +122,11 @@
     return next(fd, address, length);
 }
 
-/* How much of `length` bytes is moved. */
-static size_t part(size_t length) {
+/* How many of `length` bytes are transferred. */
+static size_t transfer_length(size_t length) {
     pthread_mutex_lock(&lock);
     reread();
-    if (length > 1 && draw(1000) < faults.short_per_mille) length = 1 + draw(length > 64 ? 64 : length - 1);
+    if (length > 1 && random_below(1000) < faults.short_per_mille) length = 1 + random_below(length > 64 ? 64 : length - 1);
     pthread_mutex_unlock(&lock);
     return length;
 }
@@ -134,11 +134,11 @@
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
     static ssize_t (*next)(int, void *, size_t, int);
     if (!next) next = (ssize_t(*)(int, void *, size_t, int))dlsym(RTLD_NEXT, "recv");
-    return next(fd, buffer, part(length), flags);
+    return next(fd, buffer, transfer_length(length), flags);
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags) {
     static ssize_t (*next)(int, const void *, size_t, int);
     if (!next) next = (ssize_t(*)(int, const void *, size_t, int))dlsym(RTLD_NEXT, "send");
-    return next(fd, buffer, part(length), flags);
+    return next(fd, buffer, transfer_length(length), flags);
 }
--- a/proxy/tests/faults/mod.rs
+++ b/proxy/tests/faults/mod.rs
@@ -1,9 +1,9 @@
-//! Faults of system calls in the processes that a test starts.
+//! Injected faults of system calls in the processes that a test starts.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Faults of one process; none until [`Faults::set`].
+/// The injected faults of a test's processes; none until [`Faults::set`].
 #[derive(Clone, Debug)]
 pub struct Faults {
     library: PathBuf,
@@ -12,30 +12,30 @@
 }
 
 impl Faults {
-    /// Builds the library in a folder of the test's own. Needs a C compiler.
+    /// Builds the preloaded library in the test's own folder. Needs a C compiler.
     pub fn new(folder: &Path, seed: u64) -> Faults {
-        std::fs::create_dir_all(folder).expect("a folder");
+        std::fs::create_dir_all(folder).expect("the folder is created");
         let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/faults/faults.c");
         let library = folder.join("faults.so");
         let mut compiler = Command::new("cc");
         compiler.args(["-shared", "-fPIC", "-O1", "-Wall", "-Werror", "-o"]).arg(&library).arg(source);
         let built = compiler.args(["-ldl", "-lpthread"]).status().expect("a C compiler");
-        assert!(built.success(), "the library of faults is built");
+        assert!(built.success(), "the preloaded library is built");
         let faults = Faults { library, file: folder.join("faults"), seed };
         faults.set(&[]);
         faults
     }
 
-    /// From now on there are these faults, and no others; `faults.c` names them.
+    /// Replaces the injected faults by these, from now on; `faults.c` lists their names.
     pub fn set(&self, faults: &[(&str, u32)]) {
         let text: String = faults.iter().map(|(name, value)| format!("{name} {value}\n")).collect();
-        // Whole at any moment, however the process reads it.
+        // Replaced atomically, so that the process never reads a part of it.
         let next = self.file.with_extension("next");
         std::fs::write(&next, text).expect("written");
-        std::fs::rename(next, &self.file).expect("put in place");
+        std::fs::rename(next, &self.file).expect("renamed");
     }
 
-    /// What a process needs in its environment.
+    /// The environment variables that load the library into a process.
     pub fn environment(&self) -> Vec<(String, String)> {
         let text = |path: &Path| path.to_str().expect("a path in UTF-8").to_owned();
         let pairs = [
--- a/proxy/tests/fleet/mod.rs
+++ b/proxy/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Some processes of a large fleet, their servers, and discovery behind a relay, for the tests of how old a list they may
-//! send by. What the servers have run is their ledger's word.
+//! Some proxy processes of a large fleet, their servers, and discovery behind a relay, for tests of how long a list may
+//! be used. The servers' ledger shows what they have run.
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
 use nettleworks_crew::{History, Process};
@@ -12,25 +12,25 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, Instant};
 
-/// What a broken or silent watch hides counts as told after this.
+/// Time after which a change that a broken or silent watch hides counts as notified.
 pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// The same where the watch was ended in order.
+/// The same for a watch that discovery has closed in order.
 pub const NOTIFIED_AFTER_CLOSE: Duration = Duration::from_secs(2);
-/// What may still be sent after that is begun within this.
+/// Time after the notification within which requests may still be begun.
 pub const GRACE: Duration = Duration::from_secs(1);
-/// What a request needs from its sender to the ledger, on a busy machine.
+/// Longest time from the moment a request is sent until it is in the ledger, on a busy machine.
 const TRANSIT_TIME: Duration = Duration::from_millis(250);
-/// Processes that the settings tell of: the pauses of the program grow with them.
+/// Number of balancers in the settings: the program spreads its calls to discovery by it.
 const BALANCERS: usize = 300;
 
-/// Some processes of a large fleet, their servers, and discovery behind a relay.
+/// Some proxy processes of a large fleet, their servers, and discovery behind a relay.
 pub struct Fleet {
     pub registry: Registry,
     pub relay: Relay,
     pub servers: Vec<Host>,
     ledger: Ledger,
     folder: PathBuf,
-    /// Of each process.
+    /// Number of engines of each process.
     engines: usize,
     environment: Vec<(String, String)>,
     pub processes: Vec<Process>,
@@ -39,7 +39,7 @@
 }
 
 impl Fleet {
-    /// Starts so many processes, with clients that send for this long. `change` sees each configuration.
+    /// Starts this number of processes, with clients that send for `duration`. `change` may modify each configuration.
     pub async fn start(
         name: &str,
         count: usize,
@@ -49,7 +49,7 @@
         Fleet::start_with(name, count, 1, duration, change).await
     }
 
-    /// The same with so many engines in each.
+    /// The same with this number of engines in each process.
     pub async fn start_with(
         name: &str,
         count: usize,
@@ -62,7 +62,7 @@
         fleet
     }
 
-    /// Servers and discovery, and no process yet.
+    /// Starts the servers and discovery, but no process.
     pub async fn prepare(name: &str, engines: usize) -> Fleet {
         let (registry, ledger) = (Registry::start().await, Ledger::default());
         let relay = Relay::start(registry.address).await;
@@ -79,7 +79,7 @@
         Fleet { registry, relay, servers, ledger, folder, engines, environment, processes, tally, clients }
     }
 
-    /// Starts so many processes, with clients that send for this long. `change` sees each configuration.
+    /// Starts this number of processes, with clients that send for `duration`. `change` may modify each configuration.
     pub async fn start_processes(
         &mut self,
         count: usize,
@@ -92,21 +92,21 @@
         self.start_clients(duration);
     }
 
-    /// Processes that are started from now on have these variables.
+    /// Sets the environment variables of processes that are started from now on.
     pub fn set_environment(&mut self, environment: Vec<(String, String)>) {
         self.environment = environment;
     }
 
-    /// Where the processes' configurations are.
+    /// The folder of the processes' configurations.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Writes the configurations of so many processes.
+    /// Writes the configurations of this number of processes.
     pub fn configure(&self, discovery: SocketAddr, count: usize, change: impl Fn(&mut serde_json::Value)) {
         for number in 0..count {
             let folder = self.folder.join(number.to_string());
-            std::fs::create_dir_all(&folder).expect("a folder");
+            std::fs::create_dir_all(&folder).expect("the folder is created");
             let config = configuration(discovery, &self.servers, |config| {
                 config["seed"] = format!("{:x}", 0x9e37_79b9 * (number as u64 + 1)).into();
                 config["settings"]["balancers"] = BALANCERS.into();
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Starts so many processes. Those that run are killed.
+    /// Starts this number of processes, after the running ones have been killed.
     pub fn spawn_processes(&mut self, count: usize) {
         self.processes.clear();
         let program = Path::new(env!("CARGO_BIN_EXE_nettleworks"));
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A client of each process sends for this long.
+    /// Starts clients of each process that send for `duration`.
     pub fn start_clients(&mut self, duration: Duration) {
         for process in &self.processes {
             let load = Load {
@@ -152,42 +152,42 @@
         }
     }
 
-    /// Waits until so many watches were opened, and all processes have had what they bring.
+    /// Waits until this number of watches has been opened, and their first list has been read.
     pub async fn wait_for_watches(&self, count: usize) {
         eventually("all processes watch", || self.registry.watches.get() >= count).await;
         sleep(Duration::from_millis(200)).await;
     }
 
-    /// Drains the first server. When that was done.
+    /// Drains the first server, and returns when that was published.
     pub fn drain(&self) -> Instant {
         self.registry.set(entry("s-0", self.servers[0].address, "Terminating"));
         Instant::now()
     }
 
-    /// How many requests the first server has run that were begun after this moment.
+    /// How many requests that were begun after this moment the first server has run.
     pub fn begun_after(&self, moment: Instant) -> usize {
         let after = (moment + TRANSIT_TIME).into_std();
         self.ledger.effects().iter().filter(|effect| effect.host == "s-0" && effect.at > after).count()
     }
 
-    /// Waits until all clients have ended.
+    /// Waits until all clients have ended, and checks that each request had a response and few failed.
     pub async fn wait_for_clients(&mut self) {
         for client in self.clients.drain(..) {
-            client.await.expect("it ended well");
+            client.await.expect("the client ends without a panic");
         }
         let (tally, ledger) = (self.tally.clone(), self.ledger.clone());
         let executed = move || {
             let tally = tally.borrow();
             usize::try_from(tally.served + tally.failed).expect("a count")
         };
-        // One that fails has gone to a server, whose answer a busy machine held up past the class's aim: what is not sent
-        // by the list is refused, and never failed.
-        eventually("each that was served or failed has run, and no other", || {
+        // A failed request was sent to a server whose response a busy machine delayed past the class's latency target:
+        // a request that may not be sent by the list is refused, not failed.
+        eventually("the ledger has the served and failed requests, and no other", || {
             ledger.effects().len() == executed()
         })
         .await;
         let tally = self.tally.borrow();
-        assert_eq!(tally.lost, 0, "requests without an answer, {} served", tally.served);
+        assert_eq!(tally.lost, 0, "requests without a response, {} served", tally.served);
         assert!(tally.failed * 100 <= tally.served, "{:?} failed, {} served", tally.failures, tally.served);
     }
 }
--- a/proxy/tests/freshness.rs
+++ b/proxy/tests/freshness.rs
@@ -1,5 +1,5 @@
-//! How old a list a process may send by, with real processes: their watches break, fall silent or are not answered, and
-//! servers drain meanwhile. What the servers have run is their ledger's word.
+//! How long a process may use its list, with real processes: their watches break, fall silent or are not answered, and
+//! a server drains meanwhile. The servers' ledger shows what was sent to it.
 
 mod fleet;
 
@@ -10,8 +10,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// The incident: watches of a large fleet are reset while a list is on its way that tells of a drain. Discovery answers
-/// the next call at once.
+/// The watches of a large fleet are reset while the list with a drain is being transferred. Discovery answers the next
+/// call at once. This has happened in production.
 #[test]
 fn a_drain_hidden_by_a_watch_reset_within_its_list_is_honored_in_time() {
     run(async {
@@ -21,12 +21,15 @@
         fleet.wait_for_clients().await;
         let (late, served) =
             (fleet.begun_after(drained + NOTIFIED_AFTER + GRACE), fleet.tally.borrow().served);
-        assert_eq!(late, 0, "sent to a drained server over {GRACE:?} after it counts as told, of {served}");
+        assert_eq!(
+            late, 0,
+            "sent to a drained server more than {GRACE:?} after the drain counts as notified, of {served}"
+        );
         assert!(served > 500, "{served} served");
     });
 }
 
-/// The same where the watches are reset just before the list would be written to them.
+/// The same where the watches are reset just before the list is written to them.
 #[test]
 fn a_drain_hidden_by_a_watch_reset_before_its_list_is_honored_in_time() {
     run(async {
@@ -40,8 +43,8 @@
     });
 }
 
-/// Incident 5521: discovery ends its watches in order instead of telling of a drain, and answers no further call. What it
-/// was to tell then counts two seconds later, as where a long poll is over.
+/// Incident 5521: discovery closes its watches in order instead of sending a drain, and answers no further call. The
+/// drain then counts as notified two seconds later, as at the end of a long poll.
 #[test]
 fn a_drain_hidden_by_a_closed_watch_is_honored_in_time() {
     run(async {
@@ -55,7 +58,7 @@
     });
 }
 
-/// The same where discovery answers the next calls: nobody is refused for it.
+/// The same where discovery answers the next calls: at most one request in a hundred may be refused.
 #[test]
 fn a_closed_watch_refuses_no_requests() {
     run(async {
@@ -69,8 +72,8 @@
     });
 }
 
-/// The same while discovery is crowded: it refuses each further call at once. A process that can't have a list in time
-/// sends nothing by the one it has, and answers its clients.
+/// The same while discovery is overloaded and refuses each further call at once. A process that cannot get a list in
+/// time must stop sending by the one it has, and refuse its clients' requests.
 #[test]
 fn a_drain_hidden_by_an_overloaded_discovery_is_honored_in_time() {
     run(async {
@@ -81,7 +84,10 @@
         fleet.wait_for_clients().await;
         let (late, served) =
             (fleet.begun_after(drained + NOTIFIED_AFTER + GRACE), fleet.tally.borrow().served);
-        assert_eq!(late, 0, "sent to a drained server over {GRACE:?} after it counts as told, of {served}");
+        assert_eq!(
+            late, 0,
+            "sent to a drained server more than {GRACE:?} after the drain counts as notified, of {served}"
+        );
         let tally = fleet.tally.borrow();
         assert!(tally.refused > 0, "none refused");
         drop(tally);
@@ -89,7 +95,7 @@
     });
 }
 
-/// The same where discovery accepts calls and answers none: a process's connection to it may be half open.
+/// The same where discovery accepts calls and does not answer them, as over a half-open connection.
 #[test]
 fn a_drain_hidden_by_unanswered_calls_is_honored_in_time() {
     run(async {
@@ -103,7 +109,8 @@
     });
 }
 
-/// Of several engines of a process one watches the list. The others send by it too, and stop when it says so.
+/// One of the engines of a process watches the list. The other engines use the same list, and must stop when it
+/// expires.
 #[test]
 fn no_engine_of_a_process_uses_an_expired_list() {
     run(async {
@@ -115,16 +122,17 @@
         assert_eq!(fleet.begun_after(drained + NOTIFIED_AFTER + GRACE), 0);
         let before = fleet.tally.borrow().served;
         assert!(fleet.tally.borrow().refused > 0);
-        // All of them go on with the next list.
+        // All engines serve again with the next list.
         fleet.relay.arrivals(Arrival::Passes);
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(drained + NOTIFIED_AFTER + GRACE), 0);
         let tally = fleet.tally.borrow();
-        assert!(tally.served > before, "{before}, then {}", tally.served);
+        assert!(tally.served > before, "{before} served before, {} in all", tally.served);
     });
 }
 
-/// One call hangs on a dead connection and the next would be answered: it is made beside the first, in time.
+/// One call hangs on a dead connection while a further one would be answered: it must be made beside the first, before
+/// the list expires.
 #[test]
 fn a_hanging_discovery_call_is_hedged_before_the_list_expires() {
     run(async {
@@ -133,7 +141,7 @@
         let before = fleet.relay.accepted.get();
         fleet.relay.reset_after(0);
         let drained = fleet.drain();
-        eventually("each has called", || fleet.relay.accepted.get() >= before + 4).await;
+        eventually("each process has called", || fleet.relay.accepted.get() >= before + 4).await;
         fleet.relay.arrivals(Arrival::Passes);
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(drained + NOTIFIED_AFTER + GRACE), 0);
@@ -142,7 +150,8 @@
     });
 }
 
-/// All watches fall silent, and servers drain in that time. The next are opened while what is hidden is not yet notified.
+/// All watches fall silent, and a server drains meanwhile. New watches must be opened before the hidden drain counts as
+/// notified.
 #[test]
 fn a_drain_hidden_by_a_silent_watch_is_honored_in_time() {
     run(async {
@@ -156,13 +165,13 @@
     });
 }
 
-/// Processes are stopped and go on. What their watches brought meanwhile is read late, and proves nothing of the time since:
-/// the watches fall silent before the processes go on, and hide a drain.
+/// Processes are suspended and continue. A heartbeat that arrived meanwhile is read late and does not show that the
+/// watch is still alive: the watches fall silent before the processes continue, and hide a drain.
 #[test]
 fn a_heartbeat_that_is_read_late_does_not_hide_a_drain() {
     run(async {
         let mut fleet = Fleet::start("stopped", 8, Duration::from_secs(12), |_| ()).await;
-        // All hear of a list now, and of a heartbeat two seconds later.
+        // All processes get a list now, and a heartbeat two seconds later.
         fleet.registry.set(entry("s-0", fleet.servers[0].address, "Ready"));
         sleep(Duration::from_millis(100)).await;
         fleet.processes.iter().for_each(Process::stop);
@@ -178,8 +187,8 @@
     });
 }
 
-/// Processes are stopped while their watches bring word of a drain, and clients ask meanwhile. When they go on both lie in
-/// their sockets, and whichever they read first, nothing goes to that server.
+/// Processes are suspended while their watches bring a drain and clients send requests. When they continue, both are
+/// unread in their sockets: whichever is read first, nothing may be sent to the draining server after the grace.
 #[test]
 fn a_resumed_process_reads_its_list_before_it_sends() {
     run(async {
@@ -195,8 +204,8 @@
     });
 }
 
-/// Discovery is down for longer than a list holds: nothing that it has counts as notified, and clients go on being
-/// served. A server drains meanwhile; once discovery is back that is heeded in time.
+/// Discovery is down for longer than a list is valid: during an outage no change counts as notified, and clients must
+/// still be served. A server drains meanwhile, which must be honored in time once discovery is back.
 #[test]
 fn clients_are_served_during_an_outage_of_discovery_and_a_drain_is_honored_after_it() {
     run(async {
@@ -214,8 +223,8 @@
     });
 }
 
-/// A process is killed and starts again with the list that it had, and discovery refuses its calls: that list is no better
-/// than one whose watch broke when the process went down.
+/// A process is killed and starts again with its cached list, and discovery refuses its calls: that list must expire
+/// like one whose watch broke when the process was killed.
 #[test]
 fn a_cached_list_expires_after_a_restart() {
     run(async {
@@ -231,7 +240,7 @@
     });
 }
 
-/// What another discovery has counts as notified four seconds after the signal that named it.
+/// After a reload that names another discovery, its changes count as notified four seconds after the signal.
 #[test]
 fn a_list_expires_sooner_when_a_new_discovery_does_not_answer() {
     run(async {
@@ -247,7 +256,8 @@
     });
 }
 
-/// Where lists are pushed the agent is silent while discovery is down, and what it has at the return counts at once.
+/// With pushed lists the agent is silent while discovery is down; a change counts as notified as soon as the agent is
+/// back.
 #[test]
 fn a_drain_at_the_return_of_a_silent_agent_is_honored_within_the_grace() {
     run(async {
@@ -261,24 +271,24 @@
         let recovered = Instant::now();
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(recovered + GRACE), 0);
-        assert_eq!(fleet.tally.borrow().refused, 0, "an agent that is down hides nothing that counts");
+        assert_eq!(fleet.tally.borrow().refused, 0, "nothing counts as notified while the agent is down");
     });
 }
 
-/// Discovery is back after an outage, and the first answer is cut off behind its head: a list that was written counts as
-/// notified at once, whether it arrives or not. Found by a play of the bench (herd of the panel `brink`).
+/// Discovery is back after an outage, and its first response is truncated after the head: a list that was written
+/// counts as notified at once, whether it arrives or not. Found by the benchmark scenario `herd` of the panel `brink`.
 #[test]
 fn a_response_truncated_before_its_list_is_requested_again_within_the_grace() {
     run(async {
         let fleets: Vec<_> = (0..6).map(|number| spawn_local(late_after_truncation(number))).collect();
         for fleet in fleets {
-            let late = fleet.await.expect("it ended well");
-            assert_eq!(late, 0, "sent to a drained server over the grace after its list was written");
+            let late = fleet.await.expect("no panic");
+            assert_eq!(late, 0, "sent to a drained server later than the grace after the list was written");
         }
     });
 }
 
-/// What one process sent too late.
+/// The number of requests that one process sent to the drained server too late, after a truncated response.
 async fn late_after_truncation(number: usize) -> usize {
     let mut fleet = Fleet::start(&format!("cut-{number}"), 1, Duration::from_secs(10), |_| ()).await;
     fleet.relay.arrivals(Arrival::Refused(Duration::from_millis(1_500)));
@@ -286,9 +296,9 @@
     sleep(Duration::from_secs(4)).await;
     fleet.drain();
     let before = fleet.registry.watches.get();
-    // The head, and nothing of the list.
+    // The head, and no byte of the list.
     fleet.relay.arrivals(Arrival::ResetAfter(WATCH.len()));
-    eventually("an answer is cut off", || fleet.registry.watches.get() > before).await;
+    eventually("a response is truncated", || fleet.registry.watches.get() > before).await;
     let written = Instant::now();
     fleet.relay.arrivals(Arrival::Passes);
     fleet.wait_for_clients().await;
@@ -297,7 +307,8 @@
     fleet.begun_after(written + GRACE)
 }
 
-/// Half of a list comes and the watch stays open: it is heeded as if it had come, until it has.
+/// Half of a list arrives and the watch stays open: from then on the previous list must not be used, as if the new one
+/// had arrived.
 #[test]
 fn a_half_received_list_expires_the_previous_one() {
     run(async {
@@ -310,19 +321,20 @@
     });
 }
 
-/// An answer begins and does not go on, its connection stays open: a part of the head. What it was to bring counts as written.
+/// A part of the head of a response arrives, then nothing more, and the connection stays open. The list of that
+/// response counts as written.
 #[test]
 fn a_response_that_stops_within_its_head_counts_as_a_list() {
     run(async {
         assert_eq!(
             late_after_stalled_response(10).await,
             0,
-            "sent to a drained server over the grace after its list was written"
+            "sent to a drained server later than the grace after the list was written"
         );
     });
 }
 
-/// The same with the head alone, or with the size of the first list's chunk.
+/// The same with the whole head, or with the size line of the first chunk as well.
 #[test]
 fn a_response_that_stops_after_its_head_counts_as_a_list() {
     run(async {
@@ -330,23 +342,23 @@
         let fleets: Vec<_> =
             parts.into_iter().map(|bytes| spawn_local(late_after_stalled_response(bytes))).collect();
         for (fleet, bytes) in fleets.into_iter().zip(parts) {
-            let late = fleet.await.expect("it ended well");
+            let late = fleet.await.expect("no panic");
             assert_eq!(
                 late, 0,
-                "{bytes} bytes: sent to a drained server over the grace after its list was written"
+                "{bytes} bytes: sent to a drained server later than the grace after the list was written"
             );
         }
     });
 }
 
-/// What one process sent too late that had so many bytes of an answer.
+/// The number of requests that one process sent to the drained server too late, after this many bytes of a response.
 async fn late_after_stalled_response(bytes: usize) -> usize {
     let mut fleet = Fleet::start(&format!("begun-{bytes}"), 1, Duration::from_secs(7), |_| ()).await;
     let before = fleet.registry.watches.get();
     fleet.relay.arrivals(Arrival::SilentAfter(bytes));
     fleet.relay.reset_after(0);
     fleet.drain();
-    eventually("an answer begins", || fleet.registry.watches.get() > before).await;
+    eventually("a response begins", || fleet.registry.watches.get() > before).await;
     let written = Instant::now();
     fleet.wait_for_clients().await;
     assert!(fleet.tally.borrow().refused > 0);
--- a/proxy/tests/inside.rs
+++ b/proxy/tests/inside.rs
@@ -1,8 +1,8 @@
-//! The suite against the daemon's front and driver on the test's own thread.
+//! The suite against the library's HTTP front and engine, on the test's own thread.
 
 mod harness {
     pub use nettleworks_standins::*;
-    /// Engines that serve as one.
+    /// Number of engines of the proxy under test.
     pub const ENGINES: usize = 1;
 
     pub type Proxy = nettleworks_standins::Proxy<Inside>;
--- a/proxy/tests/operators.rs
+++ b/proxy/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' socket, by the program's own commands: what is listed, what is settled by hand, and who may.
+//! The operators' socket, by the program's own commands: listing keys, settling them by hand, and access to the socket.
 
 use nettleworks_standins::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,7 +13,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nettleworks");
 
-/// A running program with a store of keys and a socket, and its log so far.
+/// A running program with a store of keys and an operators' socket, and its log so far.
 struct RunningProxy {
     child: Child,
     socket: PathBuf,
@@ -24,7 +24,7 @@
 
 impl Drop for RunningProxy {
     fn drop(&mut self) {
-        // It may have ended already.
+        // It may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -40,7 +40,7 @@
         RunningProxy::start_with(&[], name, hosts, classes, change).await
     }
 
-    /// The same with further words on the command line.
+    /// The same with further arguments on the command line.
     async fn start_with(
         arguments: &[&str],
         name: &str,
@@ -49,7 +49,7 @@
         change: impl FnOnce(&mut serde_json::Value),
     ) -> RunningProxy {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-        // The path of a socket must be short.
+        // The path of a Unix socket must be short.
         let socket = std::env::temp_dir().join(format!("nw-{}-{name}", std::process::id()));
         let keys = folder.join(format!("operators-{name}-keys.json"));
         let text = format!(r#"{{"socket": {:?}, "classes": {classes}}}"#, socket.to_str().expect("a path"));
@@ -62,44 +62,44 @@
             .args(arguments)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
+            .expect("the program starts");
         let mut lines = BufReader::new(child.stderr.take().expect("piped"));
         let (log, mut address) = (Arc::new(Mutex::new(String::new())), None);
         let mut line = String::new();
-        while address.is_none() || !log.lock().expect("whole").contains("operators at") {
+        while address.is_none() || !log.lock().expect("not poisoned").contains("operators at") {
             line.clear();
-            assert!(lines.read_line(&mut line).expect("a line") > 0, "{}", log.lock().expect("whole"));
+            assert!(lines.read_line(&mut line).expect("a line") > 0, "{}", log.lock().expect("not poisoned"));
             let listening_at = line
                 .split_once("serving at ")
                 .map(|(_, address)| address.trim().parse().expect("an address"));
             address = address.or(listening_at);
-            log.lock().expect("whole").push_str(&line);
+            log.lock().expect("not poisoned").push_str(&line);
         }
         let collected = log.clone();
         std::thread::spawn(move || {
             for line in lines.lines().map_while(Result::ok) {
-                collected.lock().expect("whole").push_str(&format!("{line}\n"));
+                collected.lock().expect("not poisoned").push_str(&format!("{line}\n"));
             }
         });
         RunningProxy { child, socket, keys, address: address.expect("an address"), log }
     }
 
-    /// Fails unless its log has had this so many times. What the program has written reaches the log by a thread that
-    /// reads it, so it may be there a little later than an answer that was sent after it.
+    /// Waits until the log contains this text, and fails unless it does so exactly this number of times. The log is
+    /// collected by a thread, so a line may appear a little later than a response that was sent after it.
     async fn assert_logged(&self, text: &str, times: usize) {
-        let logged = || self.log.lock().expect("whole").matches(text).count();
+        let logged = || self.log.lock().expect("not poisoned").matches(text).count();
         eventually(text, || logged() >= times).await;
         assert_eq!(logged(), times, "{text}");
     }
 
     async fn client(&self) -> Client {
-        Reader::new(TcpStream::connect(self.address).await.expect("it accepts"))
+        Reader::new(TcpStream::connect(self.address).await.expect("connected"))
     }
 
-    /// A charge whose host breaks off: nobody knows.
+    /// Sends charges with this key until the host resets the connection, which leaves the key unsure.
     async fn make_unsure(&self, key: &str) {
         let text = request("unsafe", &format!("Idempotency-Key: {key}\r\n"), "pays");
-        // A host that broke off before is set aside for a while.
+        // A host that reset a connection before is ejected for a while.
         while self.client().await.ask(&text).await.status() != 502 {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -112,14 +112,15 @@
         command
     }
 
-    /// What a command says, and whether it went well. The hosts go on meanwhile.
+    /// Runs a command: whether it succeeded, and its output. The hosts are polled meanwhile.
     async fn run_keys_command(&self, arguments: &[&str]) -> (bool, String) {
-        let child = self.keys_command(arguments).spawn().expect("it starts");
-        let output = tokio::task::spawn_blocking(|| child.wait_with_output().expect("it ends")).await;
+        let child = self.keys_command(arguments).spawn().expect("the program starts");
+        let output =
+            tokio::task::spawn_blocking(|| child.wait_with_output().expect("the program ends")).await;
         outcome(&output.expect("no panic"))
     }
 
-    /// The id of the one key at this state.
+    /// The id of the only key in this state.
     async fn id_of_only_key(&self, state: &str) -> String {
         let (good, text) = self.run_keys_command(&["list", "--state", state]).await;
         assert!(good && text.contains("1 of 1 keys"), "{text}");
@@ -138,16 +139,16 @@
         let host = Host::start([Act::Reset]).await;
         let proxy = RunningProxy::start("settled", from_ref(&host), "{}", |_| ()).await;
         let mode = std::fs::metadata(&proxy.socket).expect("it is there").permissions().mode();
-        assert_eq!(mode & 0o777, 0o600, "its owner's alone");
+        assert_eq!(mode & 0o777, 0o600, "only its owner has access");
         let secret = "pan-4000123412341234-x";
         proxy.make_unsure(secret).await;
         let (good, text) = proxy.run_keys_command(&["list"]).await;
         assert!(good && text.contains("unsure") && text.contains("pan-..-x(22)"), "{text}");
-        assert!(!text.contains(secret) && !proxy.log.lock().expect("whole").contains(secret));
+        assert!(!text.contains(secret) && !proxy.log.lock().expect("not poisoned").contains(secret));
         let id = proxy.id_of_only_key("unsure").await;
         let (good, shown) = proxy.run_keys_command(&["show", &id]).await;
         assert!(good && shown.contains("unsafe") && !shown.contains(secret), "{shown}");
-        // By its whole key, which is not on the command line.
+        // Found by its whole key, which is not on the command line.
         let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join("operators-key");
         std::fs::write(&file, format!("{secret}\n")).expect("written");
         let (_, found) =
@@ -177,14 +178,14 @@
         let response = proxy.client().await.ask(&text).await;
         let body: serde_json::Value = serde_json::from_slice(&response.body).expect("an object");
         assert_eq!((response.status(), &body["key_state"]), (502, &"ran".into()));
-        // The socket that the file names is found by it.
+        // The command finds the socket by the settings file.
         let list = Command::new(PROGRAM).arg("--keys").arg(&proxy.keys).args(["keys", "list"]).output();
-        assert!(outcome(&list.expect("it runs")).0);
+        assert!(outcome(&list.expect("the program runs")).0);
         assert_eq!(host.count(), 1);
     });
 }
 
-/// With several engines the socket is one: keys of all are listed, and each is settled at its own.
+/// Several engines share one socket: the keys of all are listed, and each is settled at the engine that owns it.
 #[test]
 fn keys_of_all_engines_are_listed_and_settled() {
     run(async {
@@ -220,7 +221,8 @@
     });
 }
 
-/// Two settle one key at once, one as run, one as never run: one of them is told that it was late, and one word holds.
+/// Two operators settle one key at the same time, one as ran, one as never-ran: exactly one must succeed, and the other
+/// gets an error.
 #[test]
 fn of_two_concurrent_settlements_one_succeeds() {
     run(async {
@@ -236,10 +238,10 @@
                 proxy
                     .keys_command(&["settle", &id, "--as", verdict, "--why", "x"])
                     .spawn()
-                    .expect("it starts")
+                    .expect("the program starts")
             });
             let outputs = tokio::task::spawn_blocking(|| {
-                children.map(|child| outcome(&child.wait_with_output().expect("it ends")))
+                children.map(|child| outcome(&child.wait_with_output().expect("the program ends")))
             });
             let outputs = outputs.await.expect("no panic");
             let good = outputs.iter().filter(|(good, _)| *good).count();
@@ -252,13 +254,13 @@
     });
 }
 
-/// A key that is settled by hand as never run is a first again; one whose attempt is still out cannot be; and an answer
-/// that comes all the same holds against what was said.
+/// After a key was settled as never-ran the next request with it counts as the first; a key whose attempt is in flight
+/// cannot be settled so; and a response that still arrives overrides a settlement.
 #[test]
 fn a_late_response_overrides_a_settlement() {
     run(async {
         let host = Host::start([Act::Stall, Act::Reset, ok("again")]).await;
-        // A site where nothing may be called off: an attempt goes on when its call has been given up.
+        // A site where attempts must not be cancelled: an attempt continues after its call has ended.
         let proxy =
             RunningProxy::start("late", from_ref(&host), r#"{"unsafe": {"linger_ms": 1}}"#, |config| {
                 config["settings"]["limits"]["cancel"] = false.into();
@@ -267,7 +269,7 @@
         let text = request("unsafe", "Idempotency-Key: late\r\n", "pays");
         let mut client = proxy.client().await;
         client.send(&text).await;
-        eventually("the host has it", || host.count() == 1).await;
+        eventually("the host has the request", || host.count() == 1).await;
         drop(client);
         let id = loop {
             let (_, text) = proxy.run_keys_command(&["list", "--state", "unsure"]).await;
@@ -307,8 +309,8 @@
     });
 }
 
-/// Whatever comes over the socket is answered or closed, and clients do not notice; a process that was killed leaves a
-/// file that does not keep the next from starting, and one that runs keeps its own.
+/// Invalid input on the socket must be answered with an error or closed, and must not affect clients. The socket file
+/// of a killed process must not keep the next one from serving there, and a running process must keep its own.
 #[test]
 fn the_socket_survives_invalid_input_and_a_kill() {
     run(async {
@@ -324,55 +326,55 @@
             "{\"op\":\"list\",\"x\":1}\n",
             &too_long,
         ] {
-            let mut stream = UnixStream::connect(&proxy.socket).expect("it accepts");
-            stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a time");
-            // It may close before all is written.
+            let mut stream = UnixStream::connect(&proxy.socket).expect("connected");
+            stream.set_read_timeout(Some(Duration::from_secs(10))).expect("the timeout is set");
+            // The proxy may close the connection before all is written.
             let _ = stream.write_all(input.as_bytes());
             let _ = stream.shutdown(std::net::Shutdown::Write);
             let mut answer = String::new();
-            // What it did not read resets the connection behind its answer.
+            // Unread input resets the connection after the response.
             let _ = stream.read_to_string(&mut answer);
             assert!(answer.is_empty() || answer.contains("error"), "{input:.20}: {answer}");
         }
-        // More who say nothing than may be served at a time keep no client waiting.
+        // More silent connections than are served at a time must not delay a client.
         let silent: Vec<_> =
-            (0..10).map(|_| UnixStream::connect(&proxy.socket).expect("it accepts")).collect();
+            (0..10).map(|_| UnixStream::connect(&proxy.socket).expect("connected")).collect();
         let started = Instant::now();
         assert_eq!(proxy.client().await.ask(&request("free", "", "")).await.status(), 200);
         assert!(started.elapsed() < Duration::from_secs(2));
         drop(silent);
         let error = RunningProxy::start_beside(&proxy);
         assert!(error.contains("in use"), "{error}");
-        assert!(proxy.run_keys_command(&["list"]).await.0, "it keeps its file");
+        assert!(proxy.run_keys_command(&["list"]).await.0, "the first process keeps its socket");
         proxy.child.kill().expect("killed");
-        proxy.child.wait().expect("it ends");
-        assert!(proxy.socket.exists(), "it is left behind");
+        proxy.child.wait().expect("the program ends");
+        assert!(proxy.socket.exists(), "the file is left behind");
         let next = RunningProxy::start("nonsense", from_ref(&host), "{}", |_| ()).await;
         assert!(next.run_keys_command(&["list"]).await.0);
         let killed = Command::new("kill").arg(next.child.id().to_string()).status().expect("kill runs");
         assert!(killed.success());
-        eventually("it takes its file with it", || !next.socket.exists()).await;
+        eventually("the file is removed at exit", || !next.socket.exists()).await;
     });
 }
 
 impl RunningProxy {
-    /// What a second program says of a socket that this one has.
+    /// Starts a second program with the socket of a running one, and returns the line that it logs about the socket.
     fn start_beside(other: &RunningProxy) -> String {
         let config = Path::new(env!("CARGO_TARGET_TMPDIR")).join("operators-nonsense.json");
         let mut child = Command::new(PROGRAM)
             .args([&config, Path::new("--keys"), &other.keys])
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
+            .expect("the program starts");
         let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let line = lines.find_map(|line| line.ok().filter(|line| line.contains("no operators at")));
         child.kill().expect("killed");
-        child.wait().expect("it ends");
-        line.expect("it says so")
+        child.wait().expect("the program ends");
+        line.expect("the line is logged")
     }
 }
 
-/// SIGTERM waits for calls that nobody waits for, but no longer than it may take in all.
+/// On SIGTERM the process waits for detached calls, but no longer than the shutdown may take.
 #[test]
 fn a_shutdown_waits_for_detached_calls_within_its_time() {
     run(async {
@@ -381,7 +383,7 @@
             let mut proxy = RunningProxy::start("stop", from_ref(&host), "{}", |_| ()).await;
             let mut client = proxy.client().await;
             client.send(&request("unsafe", "Idempotency-Key: k\r\n", "pays")).await;
-            eventually("the host has it", || host.count() == 1).await;
+            eventually("the host has the request", || host.count() == 1).await;
             drop(client);
             let mut other = proxy.client().await;
             other.ask(HEALTH).await;
@@ -391,17 +393,17 @@
             assert!(Command::new("kill")
                 .arg(proxy.child.id().to_string())
                 .status()
-                .expect("it runs")
+                .expect("the program runs")
                 .success());
-            // Past the time in which new connections are taken.
+            // After the period in which new connections are accepted.
             tokio::time::sleep(Duration::from_millis(900)).await;
-            assert!(proxy.child.try_wait().expect("it can be waited for").is_none(), "it waits");
-            assert_eq!(host.open.get(), 1, "it is not called off");
+            assert!(proxy.child.try_wait().expect("the status can be read").is_none(), "the process waits");
+            assert_eq!(host.open.get(), 1, "the call is not cancelled");
             if answered {
                 host.release.notify_one();
             }
             let status = loop {
-                match proxy.child.try_wait().expect("it can be waited for") {
+                match proxy.child.try_wait().expect("the status can be read") {
                     Some(status) => break status,
                     None => tokio::time::sleep(Duration::from_millis(5)).await,
                 }
--- a/proxy/tests/process.rs
+++ b/proxy/tests/process.rs
@@ -1,4 +1,4 @@
-//! The program's start and stop.
+//! The program as a process: start, reload, shutdown, and its command line.
 
 use nettleworks_standins::*;
 use std::io::{BufRead, BufReader, Read};
@@ -21,14 +21,14 @@
     run(async {
         let host = Host::start([ok("served"), Act::Stall]).await;
         let discovery = Discovery::quiet().await;
-        // A port that was free a moment ago; the program is not told which it got otherwise.
+        // A port that was free a moment ago, as the test would not learn which port the system chooses.
         let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = free.local_addr().expect("an address");
         drop(free);
         let config = configuration(discovery.address, from_ref(&host), |config| {
             config["listen"] = address.to_string().into();
         });
-        let mut child = program(&config, "good.json").0.spawn().expect("it starts");
+        let mut child = program(&config, "good.json").0.spawn().expect("the program starts");
         let mut client = loop {
             match TcpStream::connect(address).await {
                 Ok(stream) => break Reader::new(stream),
@@ -36,14 +36,14 @@
             }
         };
         assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"served");
-        // Its time is longer than a stop may take: it is dropped, in order.
-        let mut stuck = Reader::new(TcpStream::connect(address).await.expect("the program accepts"));
+        // Its deadline is later than the end of the shutdown, which therefore ends the call.
+        let mut stuck = Reader::new(TcpStream::connect(address).await.expect("connected"));
         stuck.send(&request("unsafe", "", "")).await;
-        eventually("the host has it", || host.count() == 2).await;
+        eventually("the host has the request", || host.count() == 2).await;
         let killed = Command::new("kill").arg(child.id().to_string()).status().expect("kill runs");
         assert!(killed.success());
         let code = loop {
-            match child.try_wait().expect("it can be waited for") {
+            match child.try_wait().expect("the status can be read") {
                 Some(status) => break status.code(),
                 None => sleep(Duration::from_millis(5)).await,
             }
@@ -56,8 +56,8 @@
     });
 }
 
-/// SIGHUP must not end the program. It reads its file again and goes on with the hosts that it has; it watches
-/// the new discovery at once, from the version in hand, and what the old one still says no longer counts.
+/// SIGHUP must not end the program. It reloads the file and keeps its hosts; it watches the new discovery at once, from
+/// the version of its current list, and ignores what the old discovery still sends.
 #[test]
 fn a_reload_moves_the_watch_and_keeps_the_hosts() {
     run(async {
@@ -72,18 +72,18 @@
             })
         };
         let (mut command, path) = program(&config(&old), "reload.json");
-        let mut child = command.spawn().expect("it starts");
+        let mut child = command.spawn().expect("the program starts");
         let id = child.id().to_string();
         let hangup = || {
             let sent = Command::new("kill").args(["-HUP", &id]).status();
             assert!(sent.expect("kill runs").success());
         };
         eventually("the old watch is open", || old.asked.borrow().len() == 1).await;
-        let mut client = Reader::new(TcpStream::connect(address).await.expect("the program accepts"));
+        let mut client = Reader::new(TcpStream::connect(address).await.expect("connected"));
         assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"first");
         std::fs::write(&path, "{ broken").expect("written");
         hangup();
-        // Read in order: the line about the broken file comes before that of the good one.
+        // Reads the log in order: the line about the invalid file comes before that of the valid one.
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
         while !log.next().expect("a line").expect("text").contains("configuration kept") {}
         std::fs::write(&path, config(&new)).expect("written");
@@ -94,8 +94,8 @@
         eventually("the old watch is closed", || old.is_left()).await;
         new.push(&chunk(&list(42, true, &[entry("s-9", other.address, "Ready")]))).await;
         while client.ask(&request("unsafe", "", "")).await.body != b"second" {}
-        child.kill().expect("it still runs");
-        child.wait().expect("it can be waited for");
+        child.kill().expect("the program still runs");
+        child.wait().expect("the status can be read");
     });
 }
 
@@ -110,7 +110,7 @@
         (&good.replace("\"cold_us\"", "\"cold_hs\""), "cold_us"),
     ];
     for (number, (config, reason)) in cases.iter().enumerate() {
-        let output = program(config, &format!("broken-{number}.json")).0.output().expect("it runs");
+        let output = program(config, &format!("broken-{number}.json")).0.output().expect("the program runs");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{config}");
         assert_eq!(text.lines().count(), 1, "{text}");
@@ -121,23 +121,24 @@
 fn run_program(arguments: &[&str]) -> (bool, String, String) {
     let output =
         Command::new(env!("CARGO_BIN_EXE_nettleworks")).args(arguments).env_remove("ROUTER_CONFIG").output();
-    let output = output.expect("it runs");
+    let output = output.expect("the program runs");
     let text = |bytes| String::from_utf8(bytes).expect("text");
     (output.status.success(), text(output.stdout), text(output.stderr))
 }
 
-/// The example is a good configuration without a key that is not known or not used, and every key of it is explained.
+/// The example is a valid configuration without unknown or unused keys, and the documentation explains each of its
+/// keys.
 #[test]
 fn the_example_is_valid_and_documented() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let path = root.join("deploy/example.json");
     let (good, out, error) = run_program(&["check", path.to_str().expect("a path")]);
     assert!(good && error.is_empty() && out.lines().count() == 1 && out.contains("good"), "{out}{error}");
-    let pages = std::fs::read_to_string(root.join("docs/configuration.md")).expect("the page");
+    let pages = std::fs::read_to_string(root.join("docs/configuration.md")).expect("the documentation");
     let example = std::fs::read_to_string(path).expect("the example");
     let keys = example.split('"').skip(1).step_by(2).zip(example.split('"').skip(2).step_by(2));
     for (key, _) in keys.filter(|(_, after)| after.trim_start().starts_with(':')) {
-        assert!(pages.contains(&format!("`{key}`")), "{key} is not explained");
+        assert!(pages.contains(&format!("`{key}`")), "{key} is not documented");
     }
 }
 
@@ -184,13 +185,13 @@
     }
 }
 
-/// The store of keys has a file of its own, checked with the rest.
+/// The store of keys has a settings file of its own, which is checked with the configuration.
 #[test]
 fn the_keys_file_is_checked_too() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let path = |name: &str| root.join(name).to_str().expect("a path").to_owned();
     let (config, keys) = (path("deploy/example.json"), path("deploy/keys.json"));
-    // In any order of words.
+    // In any order of the arguments.
     for arguments in [
         ["check", &config, "--keys", &keys],
         ["check", "--keys", &keys, &config],
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -1,9 +1,9 @@
-//! The suite against the program, a process of its own.
+//! The suite against the program in a process of its own.
 
 mod harness {
     pub use nettleworks_standins::*;
 
-    /// Engines that serve as one.
+    /// Number of engines of the proxy under test.
     pub const ENGINES: usize = 1;
 
     pub struct Daemon;
--- a/proxy/tests/program_2.rs
+++ b/proxy/tests/program_2.rs
@@ -1,9 +1,9 @@
-//! The suite against the program with two engines that serve as one.
+//! The suite against the program with two engines.
 
 mod harness {
     pub use nettleworks_standins::*;
 
-    /// Engines that serve as one.
+    /// Number of engines of the proxy under test.
     pub const ENGINES: usize = 2;
 
     pub struct Daemon;
--- a/proxy/tests/roll.rs
+++ b/proxy/tests/roll.rs
@@ -1,5 +1,5 @@
-//! Signals while the fleet changes, with real processes: SIGTERM and SIGHUP in turn, at once, and during a drain. What
-//! the hosts have run is their ledger's word.
+//! Signals while the fleet changes, with real processes: SIGTERM and SIGHUP one after the other, at the same time, and
+//! during a drain. The hosts' ledger shows what they have run.
 
 use nettleworks_standins::*;
 use std::cell::{Cell, RefCell};
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A process of the daemon. It is killed when this is dropped.
+/// A daemon process, which is killed when this is dropped.
 struct Daemon {
     address: String,
     config: PathBuf,
@@ -22,7 +22,7 @@
 }
 
 impl Daemon {
-    /// Starts one at an address of its own: no other test, nor the system for a client, takes its port.
+    /// Starts a process at an address of its own, which no other test uses, nor the system for a client's connection.
     async fn start(address: &str, config: &str) -> Daemon {
         let name = address.replace([':', '.'], "-");
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
@@ -31,14 +31,14 @@
         let log_file = File::options().create(true).append(true).open(&log).expect("a log");
         let mut command = Command::new(env!("CARGO_BIN_EXE_nettleworks"));
         command.env("ROUTER_CONFIG", &path).stdout(Stdio::null()).stderr(Stdio::from(log_file));
-        let child = command.spawn().expect("it starts");
+        let child = command.spawn().expect("the daemon starts");
         let daemon = Daemon { address: address.to_owned(), config: path, log, child };
         let serving = async {
             while TcpStream::connect(&daemon.address).await.is_err() {
                 sleep(Duration::from_millis(2)).await;
             }
         };
-        timeout(PATIENCE / 2, serving).await.expect("it serves");
+        timeout(PATIENCE / 2, serving).await.expect("it serves in time");
         daemon
     }
 
@@ -47,29 +47,29 @@
         assert!(sent.expect("kill runs").success(), "{name}");
     }
 
-    /// Gives it another configuration.
+    /// Replaces its configuration and sends SIGHUP.
     fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).expect("written");
         self.signal("-HUP");
     }
 
-    /// Waits until it has ended: well, and without a panic.
+    /// Waits until it has exited, and checks that it did so with status 0 and without a panic.
     async fn wait_for_exit(&mut self) {
         let exit = async {
             loop {
-                if let Some(status) = self.child.try_wait().expect("it can be waited for") {
+                if let Some(status) = self.child.try_wait().expect("the status can be read") {
                     break status.code();
                 }
                 sleep(Duration::from_millis(2)).await;
             }
         };
-        assert_eq!(timeout(PATIENCE / 2, exit).await.expect("it ends"), Some(0));
+        assert_eq!(timeout(PATIENCE / 2, exit).await.expect("it exits in time"), Some(0));
         let log = std::fs::read_to_string(&self.log).expect("text");
         assert!(!log.contains("panicked"), "{log}");
     }
 
     async fn client(&self) -> Client {
-        Reader::new(TcpStream::connect(&self.address).await.expect("it accepts"))
+        Reader::new(TcpStream::connect(&self.address).await.expect("connected"))
     }
 }
 
@@ -85,18 +85,19 @@
     configuration(discovery.address, known, |config| config["listen"] = address.into())
 }
 
-/// What a customer has met.
+/// How the requests of the customers ended.
 #[derive(Default)]
 struct Outcomes {
     served: usize,
     other: usize,
-    /// New connections that were closed without an answer.
+    /// New connections that were closed without a response.
     closed: usize,
+    /// Requests without a response within 9 s.
     silent: usize,
 }
 
-/// Sends charge after charge on connections that it keeps, as the platform's clients do: what crosses a close between
-/// requests goes once more on a new connection, and what finds nobody waits.
+/// Sends one charge after the other on a persistent connection, as the platform's clients do: a request that crosses a
+/// close of the connection is sent again on a new one, and while nobody listens the client retries to connect.
 async fn customer(address: String, stop: Rc<Cell<bool>>, outcomes: Rc<RefCell<Outcomes>>) {
     let mut kept: Option<Client> = None;
     while !stop.get() {
@@ -113,7 +114,7 @@
                     }
                 },
             };
-            // One that is closed already says so to the reader.
+            // The reader notices a connection that is closed already.
             let _ = client.stream.write_all(text.as_bytes()).await;
             match timeout(Duration::from_secs(9), client.message()).await {
                 Ok(Some(answer)) => {
@@ -133,8 +134,8 @@
     }
 }
 
-/// Three processes are restarted in turn, each just after a SIGHUP has moved it to another discovery, whose list takes
-/// half of the hosts out and brings others. Charges go on throughout.
+/// Three processes are restarted one after the other, each just after a SIGHUP has moved it to another discovery whose
+/// list drains half of the hosts and adds others. Charges are sent throughout.
 #[test]
 fn a_rolling_restart_while_hosts_are_replaced_and_discovery_changes() {
     run(async {
@@ -153,7 +154,7 @@
                 customers.push(spawn_local(customer(address.clone(), stop.clone(), outcomes.clone())));
             }
         }
-        // The first two hosts go; `s-0` and `s-1` are the known ones' names.
+        // The first two hosts drain; `s-0` and `s-1` are their names in the cached list.
         let change: Vec<_> = (0..4)
             .map(|n| {
                 let health = if n < 2 { "Terminating" } else { "Ready" };
@@ -172,9 +173,9 @@
             daemon.signal("-TERM");
             daemon.wait_for_exit().await;
             let address = daemon.address.clone();
-            // It begins with the old list, and is told at once what has become of it.
+            // The new process starts with the old list and is notified of the change at once.
             *daemon = Daemon::start(&address, &config_at(&address, &next, &hosts[..2])).await;
-            eventually("it watches", || !next.asked.borrow().is_empty()).await;
+            eventually("the watch is open", || !next.asked.borrow().is_empty()).await;
             next.push(&line).await;
             notified = notified.max(Instant::now());
         }
@@ -185,7 +186,7 @@
         sleep(Duration::from_millis(300)).await;
         stop.set(true);
         for customer in customers {
-            customer.await.expect("it ended well");
+            customer.await.expect("no panic");
         }
         assert_eq!(hosts[..2].iter().map(Host::count).sum::<usize>(), before, "a drained host got more");
         assert_eq!(ledger.twice(Duration::from_secs(9)), [], "a charge ran twice");
@@ -194,7 +195,7 @@
         assert_eq!(outcomes.silent, 0, "of {all}");
         assert!(
             outcomes.closed * 200 <= all,
-            "{} of {all} new connections closed without an answer",
+            "{} of {all} new connections closed without a response",
             outcomes.closed
         );
         assert!(outcomes.served * 100 >= all * 97 && all > 300, "{} of {all} served", outcomes.served);
@@ -202,8 +203,8 @@
     });
 }
 
-/// The file still lists the host that drains: reading it again does not bring it back, and the call that is out there
-/// ends.
+/// The configuration file still lists a host that drains: a reload must not make it ready again, and its open call must
+/// still be answered.
 #[test]
 fn a_reload_does_not_undo_a_drain() {
     run(async {
@@ -212,13 +213,13 @@
         let address = "127.77.2.1:7001";
         let known = [host.clone()];
         let daemon = Daemon::start(address, &config_at(address, &old, &known)).await;
-        eventually("it watches", || !old.asked.borrow().is_empty()).await;
+        eventually("the watch is open", || !old.asked.borrow().is_empty()).await;
         let mut open = daemon.client().await;
         open.send(&request("unsafe", "", "")).await;
-        eventually("the host has it", || host.count() == 1).await;
+        eventually("the host has the request", || host.count() == 1).await;
         let hosts = [entry("s-0", host.address, "Terminating"), entry("s-1", other.address, "Ready")];
         old.push(&chunk(&list(50, true, &hosts))).await;
-        // One engine: it has heard of it once a request goes to the other.
+        // With a single engine, the drain has been read once a request is sent to the other host.
         while daemon.client().await.ask(&request("free", "", "")).await.body != b"other" {}
         let before = host.count();
         daemon.reload(&config_at(address, &new, &known));
@@ -227,14 +228,14 @@
         for _ in 0..20 {
             assert_eq!(daemon.client().await.ask(&request("free", "", "")).await.body, b"other");
         }
-        assert_eq!(host.count(), before, "the file's list is older than what was told");
+        assert_eq!(host.count(), before, "the list of the file is older than the watch's");
         host.release.notify_one();
         assert_eq!(open.message().await.expect("an answer").body, b"released");
     });
 }
 
-/// In either order, with nothing between: what was taken is answered, new connections find a server for as long as they
-/// may come, and the process ends well.
+/// SIGTERM and SIGHUP in either order with nothing between: open requests must be answered, new connections accepted
+/// for as long as they arrive, and the process must exit with status 0.
 #[test]
 fn sigterm_and_sighup_together_answer_all_requests() {
     run(async {
@@ -246,13 +247,13 @@
             let mut daemon = Daemon::start(&address, &config_at(&address, &old, &known)).await;
             let mut open = daemon.client().await;
             open.send(&request("unsafe", "", "")).await;
-            eventually("the host has it", || host.count() == 1).await;
+            eventually("the host has the request", || host.count() == 1).await;
             std::fs::write(&daemon.config, config_at(&address, &new, &known)).expect("written");
             for signal in signals {
                 daemon.signal(signal);
             }
             let answer = daemon.client().await.ask(&request("unsafe", "", "")).await;
-            assert_eq!(answer.body, b"served", "{signals:?}: a connection that comes after the signals");
+            assert_eq!(answer.body, b"served", "{signals:?}: a connection opened after the signals");
             host.release.notify_one();
             assert_eq!(open.message().await.expect("an answer").body, b"released", "{signals:?}");
             daemon.wait_for_exit().await;
