--- a/proxy/tests/suite/detached_calls.rs
+++ b/proxy/tests/suite/detached_calls.rs
@@ -1,4 +1,5 @@
-//! Keys whose first client has gone: what is written of the call goes on, and who asks again gets its answer.
+//! Detached calls: the first client of a key disconnects, its written request continues, and a repeat gets its
+//! response.
 
 use crate::harness::*;
 use serde_json::Value;
@@ -9,7 +10,7 @@
 const KEYS_SETTINGS: &str = r#"{"classes": {"unsafe": {"forward": true}}}"#;
 const CLASSES_WITH_KEYS: [&str; 2] = ["unsafe", "keyed"];
 
-/// A charge or an entry under a key, by a client that waits so long.
+/// A charge (class `unsafe`) or an entry (class `keyed`) with a key, from a client that waits for this long.
 fn keyed_request(class: &str, key: &str, wait: Duration) -> String {
     let text = request(class, &format!("Idempotency-Key: {key}\r\n"), "pays");
     text.replace("X-Budget-Ms: 8000", &format!("X-Budget-Ms: {}", wait.as_millis()))
@@ -19,36 +20,41 @@
     keyed_request(class, key, Duration::from_secs(8))
 }
 
-/// A client goes, and whichever engine its key belongs to has heard of it. That engine reads who has gone ahead of what
-/// is asked, but the two may come between its looks at the one and the other: the second round comes after both.
+/// Disconnects a client and waits until the engine that owns its key has been notified. That engine handles
+/// cancellations before requests, but both may arrive between its checks of the two queues: the second round comes
+/// after both.
 async fn disconnect(proxy: &Proxy, client: Client, class: &str, key: &str) {
     client.go().await;
     for _ in 0..2 {
-        // The key is taken by another request, or it is free and this one's time runs out: neither changes it.
+        // Either the key is used by another request, or it is unused and this request times out: neither changes it.
         let other =
             keyed_request(class, key, Duration::from_millis(50)).replace("\r\n\r\npays", "\r\n\r\nnone");
-        assert_ne!(proxy.client().await.ask(&other).await.status(), 200, "it gets nobody's answer");
+        assert_ne!(
+            proxy.client().await.ask(&other).await.status(),
+            200,
+            "it gets no other request's response"
+        );
     }
 }
 
-/// A client asks, the host has it, and the client goes.
+/// A client sends a request and disconnects once the host has it.
 async fn send_and_disconnect(proxy: &Proxy, host: &Host, class: &str, key: &str) {
     send_with_budget_and_disconnect(proxy, host, class, key, Duration::from_secs(8)).await;
 }
 
-/// The same by a client that would have waited so long.
+/// The same for a client that would have waited for this long.
 async fn send_with_budget_and_disconnect(proxy: &Proxy, host: &Host, class: &str, key: &str, wait: Duration) {
     let before = host.count();
     let mut client = proxy.client().await;
     client.send(&keyed_request(class, key, wait)).await;
     tokio::select! {
-        () = eventually("the host has it", || host.count() > before) => {}
-        answer = client.message() => panic!("answered before the host has it: {answer:?}"),
+        () = eventually("the host has the request", || host.count() > before) => {}
+        answer = client.message() => panic!("answered before the host has the request: {answer:?}"),
     }
     disconnect(proxy, client, class, key).await;
 }
 
-/// 502 with problem details that say what the key is at.
+/// Checks for a 502 with problem details of this type and key state.
 fn assert_problem(answer: &Message, name: &str, state: &str) {
     assert_eq!(answer.status(), 502);
     assert_eq!(answer.header("content-type"), Some("application/problem+json"));
@@ -58,10 +64,11 @@
     assert!(body["key_age_ms"].is_u64() && body["title"].is_string(), "{body}");
 }
 
-/// Asks with a short wait until it is told that the call runs. On a busy machine that time may be too short for it to be
-/// sent, and it is refused: then no host has seen it. Of several engines the one that hands a request over knows less than
-/// the one that has it, and says no more than that where that one is late. Each request has an id of its own, as the
-/// platform's clients send them: an id whose call is still with its host is turned away.
+/// Sends requests with a short time budget until the response says that the call is running. On a busy machine the
+/// budget may be too short for sending the request, which is then refused and has reached no host. With several
+/// engines, the one that forwards a request knows less than the one that owns the key, and reports the key as unsure if
+/// that one is late. Each request has an id of its own, as the platform's clients send them: the id of a call in flight
+/// would be rejected.
 async fn ask_until_running(client: &mut Client, host: &Host, class: &str, key: &str, wait: Duration) {
     let until = Instant::now() + Duration::from_secs(10);
     let mut answer = client.ask(&keyed_request(class, key, wait)).await;
@@ -69,7 +76,7 @@
         assert!(Instant::now() < until, "{answer:?}");
         if answer.status() == 503 {
             assert!(answer.header("retry-after").is_some(), "{answer:?}");
-            assert_eq!(host.count(), 0, "refused, and it ran");
+            assert_eq!(host.count(), 0, "refused although it ran");
         } else if ENGINES > 1 && answer.body.windows(10).any(|part| part == b"key-unsure") {
             assert_problem(&answer, "key-unsure", "unsure");
         } else {
@@ -83,15 +90,15 @@
     answer.status() == 200 && answer.header("idempotency-replayed") == Some("true")
 }
 
-/// The first has gone when its call is written: the call goes on, and its answer is there for whoever asks again, while
-/// it runs or later.
+/// The first client disconnects after its request was written: the call must continue, and a repeat gets its response,
+/// whether it arrives while the call runs or later.
 #[test]
 fn a_repeat_gets_the_response_of_a_detached_call() {
     run(async {
         for class in CLASSES_WITH_KEYS {
             let host = Host::start([Act::Stall, Act::Stall, ok("never asked")]).await;
             let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
-            // It comes again while the call runs.
+            // A repeat while the call runs.
             send_and_disconnect(&proxy, &host, class, "k1").await;
             let mut again = proxy.client().await;
             again.send(&long_request(class, "k1")).await;
@@ -99,7 +106,7 @@
             host.release.notify_one();
             let answer = again.message().await.expect("an answer");
             assert!(is_replayed(&answer) && answer.body == b"released", "{class}: {answer:?}");
-            // It comes again when the call has been answered.
+            // A repeat after the call has been answered.
             send_and_disconnect(&proxy, &host, class, "k2").await;
             host.release.notify_one();
             let answer = proxy.client().await.ask(&long_request(class, "k2")).await;
@@ -109,7 +116,7 @@
     });
 }
 
-/// Without lingering the call is called off, and nobody will ever know: the difference that it makes.
+/// With `linger_ms` 0 the call is cancelled when its client disconnects, and whether it ran stays unknown.
 #[test]
 fn without_detached_calls_the_key_is_unsure() {
     run(async {
@@ -117,13 +124,14 @@
         let off = r#"{"classes": {"unsafe": {"linger_ms": 0}}}"#;
         let proxy = Proxy::with_keys(from_ref(&host), off, |_| ()).await;
         send_and_disconnect(&proxy, &host, "unsafe", "k").await;
-        eventually("it is called off", || host.open.get() == 0).await;
+        eventually("the call is cancelled", || host.open.get() == 0).await;
         assert_problem(&proxy.client().await.ask(&long_request("unsafe", "k")).await, "key-unsure", "unsure");
         assert_eq!(host.count(), 1);
     });
 }
 
-/// The first has gone before anything is written: nothing is, and a repeat is a first.
+/// The first client disconnects before its request is written: it must never be written, and a repeat counts as the
+/// first.
 #[test]
 fn a_request_unwritten_at_its_clients_disconnect_is_dropped() {
     run(async {
@@ -131,7 +139,7 @@
         let discovery = Discovery::quiet().await;
         let config = configuration(discovery.address, &[], |_| ());
         let proxy = Proxy::configured(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
-        eventually("it is watched", || !discovery.asked.borrow().is_empty()).await;
+        eventually("the watch is open", || !discovery.asked.borrow().is_empty()).await;
         let mut client = proxy.client().await;
         client.send(&long_request("unsafe", "k")).await;
         disconnect(&proxy, client, "unsafe", "k").await;
@@ -139,12 +147,12 @@
         discovery.push(&chunk(&line)).await;
         let answer = proxy.client().await.ask(&long_request("unsafe", "k")).await;
         assert_eq!((answer.status(), is_replayed(&answer)), (200, false));
-        assert_eq!(host.count(), 1, "it went once, for the client that waits");
+        assert_eq!(host.count(), 1, "sent once, for the client that waits");
     });
 }
 
-/// Each deadline is its own: a repeat that waits for less than the call takes is told that it runs, and one that waits
-/// longer gets the answer. Neither makes it run again.
+/// Each repeat has its own deadline: one that is shorter than the call gets a response that it is running, a longer one
+/// gets the call's response. Neither must run it again.
 #[test]
 fn repeats_of_a_detached_call_have_their_own_deadlines() {
     run(async {
@@ -156,7 +164,7 @@
             let short = keyed_request(class, "k", Duration::from_millis(120));
             assert_problem(&proxy.client().await.ask(&short).await, "key-running", "running");
             assert!(started.elapsed() < Duration::from_millis(1_000), "{:?}", started.elapsed());
-            // It lingers again, and is joined by one that waits for longer than the first would have.
+            // The call is detached again, and a repeat joins that waits for longer than the first client would have.
             let mut again = proxy.client().await;
             again.send(&long_request(class, "k")).await;
             proxy.has_noticed().await;
@@ -167,7 +175,7 @@
     });
 }
 
-/// A client whose time runs out is told so in its time, and the call goes on as if it had gone.
+/// A client whose time budget ends gets a response within it, and the call continues detached.
 #[test]
 fn a_call_continues_after_its_clients_budget() {
     run(async {
@@ -182,8 +190,8 @@
     });
 }
 
-/// The module's own time for an unsafe call is its class's aim, where a late answer is worth nothing. Its clients are
-/// told then, and the answer still settles the key.
+/// If a late response has no value, the decision module ends an unsafe call at its class's latency target. Its clients
+/// get a response then, and the host's response must still settle the key.
 #[test]
 fn a_response_after_the_latency_target_still_settles_its_key() {
     run(async {
@@ -202,7 +210,7 @@
     });
 }
 
-/// The first goes while its answer is read, and the repeat gets the whole of it.
+/// The first client disconnects while the host's response is being read: a repeat must get the whole response.
 #[test]
 fn a_response_half_read_at_a_disconnect_is_completed_for_the_repeat() {
     run(async {
@@ -222,7 +230,7 @@
     });
 }
 
-/// The host of a call that nobody waits for drains: it lets the call end, and its answer is kept.
+/// The host of a detached call drains: the call must be able to complete, and its response is kept.
 #[test]
 fn a_drain_lets_a_detached_call_complete() {
     run(async {
@@ -230,28 +238,32 @@
         let discovery = Discovery::quiet().await;
         let config = configuration(discovery.address, from_ref(&host), |_| ());
         let proxy = Proxy::configured(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
-        eventually("it is watched", || !discovery.asked.borrow().is_empty()).await;
+        eventually("the watch is open", || !discovery.asked.borrow().is_empty()).await;
         send_and_disconnect(&proxy, &host, "unsafe", "k").await;
         let hosts = [entry("s-0", host.address, "Terminating"), entry("s-1", other.address, "Ready")];
         discovery.push(&chunk(&list(50, true, &hosts))).await;
-        // It has heard of it once a request goes to the other one.
+        // The drain has been read once a request is sent to the other host.
         let mut early = 0;
         while proxy.client().await.ask(&request("free", "", "")).await.body != b"other" {
             early += 1;
             sleep(Duration::from_millis(5)).await;
         }
-        // Of several engines, another may close what it kept a moment later.
-        eventually("its connection alone is kept", || host.open.get() == 1).await;
+        // With several engines, another one may close its idle connection a moment later.
+        eventually("only the connection of the call is kept", || host.open.get() == 1).await;
         host.release.notify_one();
         let answer = proxy.client().await.ask(&long_request("unsafe", "k")).await;
         assert!(is_replayed(&answer) && answer.body == b"released", "{answer:?}");
-        eventually("it is closed then", || host.open.get() == 0).await;
-        assert_eq!(host.count() - early, 1, "{early} others went there before the drain was heard of");
+        eventually("it is closed afterwards", || host.open.get() == 0).await;
+        assert_eq!(
+            host.count() - early,
+            1,
+            "{early} other requests were sent there before the drain was read"
+        );
     });
 }
 
-/// The host dies, or its answer is spoilt, while nobody waits: whoever asks again hears that nobody knows, and nothing
-/// goes again, for entries neither.
+/// The host of a detached call dies, or its response is invalid: a repeat must be told that it is unknown whether the
+/// request ran, and nothing may be sent again, not even an entry.
 #[test]
 fn a_detached_call_that_fails_leaves_its_key_unsure() {
     run(async {
@@ -265,7 +277,7 @@
                     Act::Stall => hosts[0].kill(),
                     _ => hosts[0].release.notify_one(),
                 }
-                eventually("its connection has gone", || hosts[0].open.get() == 0).await;
+                eventually("its connection is closed", || hosts[0].open.get() == 0).await;
                 proxy.has_noticed().await;
                 assert_problem(
                     &proxy.client().await.ask(&long_request(class, "k")).await,
@@ -274,12 +286,12 @@
                 );
                 assert_eq!(hosts[0].count(), 1);
             }
-            // Cut short.
+            // A truncated response.
             let host = Host::start([Act::SayInTwo(head.clone(), String::new())]).await;
             let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
             send_and_disconnect(&proxy, &host, class, "k").await;
             host.kill();
-            eventually("its connection has gone", || host.open.get() == 0).await;
+            eventually("its connection is closed", || host.open.get() == 0).await;
             proxy.has_noticed().await;
             assert_problem(
                 &proxy.client().await.ask(&long_request(class, "k")).await,
@@ -290,7 +302,7 @@
     });
 }
 
-/// The host answers twice while nobody waits: the first answer is the key's, and the second nobody's.
+/// The host of a detached call sends two responses: the first belongs to the key, and the second must be discarded.
 #[test]
 fn a_second_response_to_a_detached_call_is_discarded() {
     run(async {
@@ -307,13 +319,13 @@
     });
 }
 
-/// The host never answers: the call lingers no longer than its time, its connection is closed and its key is unsure.
+/// The host never responds: a detached call must end at its time limit, its connection is closed and its key is unsure.
 #[test]
 fn a_detached_call_ends_at_its_time_limit() {
     run(async {
         for (keys, deadline) in [
             (r#"{"classes": {"unsafe": {"linger_ms": 200}}}"#, 9_000_000),
-            // Within its class's time, without more.
+            // By default the deadline of its class is the limit.
             ("{}", 600_000),
         ] {
             let host = Host::start([Act::Stall]).await;
@@ -322,9 +334,9 @@
             })
             .await;
             send_and_disconnect(&proxy, &host, "unsafe", "k").await;
-            assert_eq!(host.open.get(), 1, "it lingers");
+            assert_eq!(host.open.get(), 1, "the call is detached");
             let started = Instant::now();
-            eventually("it is closed", || host.open.get() == 0).await;
+            eventually("its connection is closed", || host.open.get() == 0).await;
             assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
             proxy.has_noticed().await;
             assert_problem(
@@ -336,7 +348,7 @@
     });
 }
 
-/// At a bound the oldest call that nobody waits for is called off, and becomes unsure; the others go on.
+/// At each limit on detached calls the oldest one must be cancelled, and its key becomes unsure; the others continue.
 #[test]
 fn at_a_limit_the_oldest_detached_call_is_cancelled() {
     run(async {
@@ -347,7 +359,7 @@
             for key in ["k1", "k2", "k3"] {
                 send_and_disconnect(&proxy, &host, "unsafe", key).await;
             }
-            eventually("one is closed", || host.open.get() == 2).await;
+            eventually("one connection is closed", || host.open.get() == 2).await;
             assert_problem(
                 &proxy.client().await.ask(&long_request("unsafe", "k1")).await,
                 "key-unsure",
@@ -360,7 +372,8 @@
     });
 }
 
-/// Half of a request is written when its client goes: nothing more of it is sent, and as some of it was, nobody knows.
+/// The client disconnects when half of its request has been written: nothing more of it may be sent, and as a part was
+/// sent, its key is unsure.
 #[test]
 fn a_half_written_request_is_cancelled() {
     run(async {
@@ -377,10 +390,10 @@
         let mut client = proxy.client().await;
         client.send(&text).await;
         let (stream, _) = listener.accept().await.expect("accepted");
-        // Not readable(): that may say so of a stream of which nothing has come yet.
-        assert!(stream.peek(&mut [0]).await.expect("it is written to") > 0);
+        // Not readable(): it may return although nothing has arrived yet.
+        assert!(stream.peek(&mut [0]).await.expect("bytes have arrived") > 0);
         disconnect(&proxy, client, "unsafe", "k").await;
-        // Only now the host reads: it finds less than the request, and its end.
+        // Only now the host reads: it gets less than the whole request, and then the end of the stream.
         let mut read = 0;
         loop {
             stream.readable().await.expect("readable");
@@ -397,7 +410,8 @@
     });
 }
 
-/// A client's machine dies without a word: its connection stays open and nobody reads. The repeat comes from elsewhere.
+/// A client's machine dies without closing its connection, which stays open without a reader. A repeat from another
+/// client must get the response.
 #[test]
 fn a_client_that_dies_silently_does_not_block_a_repeat() {
     run(async {
@@ -405,9 +419,9 @@
         let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
         let mut dead = proxy.client().await;
         dead.send(&keyed_request("unsafe", "k", Duration::from_millis(200))).await;
-        eventually("the host has it", || host.count() == 1).await;
-        // Past its time the proxy has answered, into nowhere.
-        dead.stream.readable().await.expect("its answer");
+        eventually("the host has the request", || host.count() == 1).await;
+        // After its time budget the proxy has responded, with no reader.
+        dead.stream.readable().await.expect("its response");
         let mut again = proxy.client().await;
         again.send(&long_request("unsafe", "k")).await;
         proxy.has_noticed().await;
@@ -417,7 +431,8 @@
     });
 }
 
-/// A keyed repeat outside its window: while the store remembers the key, nothing goes to a host, however late it comes.
+/// A repeat of a keyed request outside its repeat window: while the store remembers the key, nothing may be sent to a
+/// host, however late the repeat arrives.
 #[test]
 fn a_keyed_repeat_outside_its_window_is_not_sent() {
     run(async {
@@ -429,7 +444,7 @@
         assert_eq!(proxy.client().await.ask(&long_request("keyed", "k1")).await.body, b"one");
         sleep(Duration::from_millis(60)).await;
         assert!(is_replayed(&proxy.client().await.ask(&long_request("keyed", "k1")).await));
-        // One that broke may go again within the window, and not after it.
+        // A request that failed may be sent again within the window, but not after it.
         let broken = proxy.client().await.ask(&long_request("keyed", "k2")).await;
         let count = host.count();
         sleep(Duration::from_millis(60)).await;
@@ -438,12 +453,12 @@
             200 => assert!(is_replayed(&again)),
             _ => assert_problem(&again, "key-unsure", "unsure"),
         }
-        assert_eq!(host.count(), count, "nothing went again");
+        assert_eq!(host.count(), count, "nothing was sent again");
     });
 }
 
-/// Hundreds of clients send a charge and hang up, on a new key each, again and again: connections to hosts stay within
-/// bounds, and those who wait for their answers get them.
+/// Hundreds of clients send a charge with a new key each and disconnect at once: connections to hosts must stay within
+/// the limits, and clients that wait must be served.
 #[test]
 fn disconnecting_clients_do_not_starve_waiting_ones() {
     const DISCONNECTS: usize = 400;
@@ -460,7 +475,7 @@
         let disconnecting = tokio::task::spawn_local(async move {
             for number in 0..DISCONNECTS {
                 let mut client: Client =
-                    Reader::new(tokio::net::TcpStream::connect(address).await.expect("it accepts"));
+                    Reader::new(tokio::net::TcpStream::connect(address).await.expect("connected"));
                 client.send(&long_request("unsafe", &format!("gone-{number}"))).await;
                 sleep(Duration::from_millis(1)).await;
             }
@@ -473,9 +488,9 @@
             most = most.max(hosts.iter().map(|host| host.open.get()).sum());
         }
         assert!(served * 100 >= REQUESTS * 95, "{served} of {REQUESTS}");
-        // What lingers, what is being asked for, and connections that wait to be closed.
+        // Detached calls, calls in flight, and connections that are about to be closed.
         assert!(most <= 16 + 48, "{most} connections to hosts");
-        disconnecting.await.expect("they hang up");
+        disconnecting.await.expect("no panic");
         assert_eq!(ledger.twice(Duration::from_secs(9)), []);
     });
 }
--- a/proxy/tests/suite/discovery.rs
+++ b/proxy/tests/suite/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of hosts as it comes over a watch.
+//! Receiving the list of hosts over a watch.
 
 use crate::harness::*;
 use std::slice::from_ref;
@@ -9,7 +9,7 @@
     config["settings"]["discovery"] = "push".into();
 };
 
-/// Waits until it has a list, and asks for something.
+/// Waits until the proxy has a list, and checks that a request is served.
 async fn assert_serves(proxy: &Proxy) {
     let mut client = proxy.client().await;
     while client.ask(HEALTH).await.status() != 200 {}
@@ -25,7 +25,7 @@
         let mut client = proxy.client().await;
         assert_eq!(client.ask(HEALTH).await.status(), 503);
         eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
-        // In two pieces and with an empty line before it, as a watch may bring it.
+        // In two chunks and with an empty line before it, as a watch may send it.
         let line = list(42, true, &[entry("s-9", host.address, "Ready")]);
         let (first, second) = line.split_at(20);
         discovery.push(&chunk("")).await;
@@ -36,8 +36,8 @@
     });
 }
 
-/// A watch that ends, is refused, or brings what cannot be read has failed; the next one begins where the
-/// list in hand ends.
+/// A watch fails by ending, by being refused, or by a list that is not valid; the next one must start from the version
+/// of the current list.
 #[test]
 fn a_failed_watch_is_reopened_from_the_current_version() {
     run(async {
@@ -57,7 +57,7 @@
             .filter_map(|rest| rest.strip_suffix(" HTTP/1.1"))
             .collect();
         assert_eq!(versions, ["41", "41", "50", "50", "50", "50"], "{asked:?}");
-        // Half a list had come, so nothing was sent until a whole one has: the sixth watch brings it.
+        // After the half list nothing may be sent until a whole one has arrived, which the sixth watch brings.
         let mut client = proxy.client().await;
         let mut answer = client.ask(&request("unsafe", "", "")).await;
         let started = tokio::time::Instant::now();
@@ -70,7 +70,7 @@
     });
 }
 
-/// A watch whose machine has vanished says nothing for good: without heartbeats it has failed.
+/// A watch whose peer has vanished stays silent forever: without heartbeats it must count as failed.
 #[test]
 fn a_silent_watch_is_reopened() {
     run(async {
@@ -80,8 +80,8 @@
     });
 }
 
-/// What a silent watch hides counts as told six seconds after it fell silent, however many proxies there are that must
-/// not ask at one moment.
+/// What a silent watch hides counts as notified after six seconds. A large fleet spreads its calls to discovery over
+/// time, which must not delay the reopening for longer than that.
 #[test]
 fn a_silent_watch_is_reopened_in_time_in_a_large_fleet() {
     run(async {
@@ -100,8 +100,8 @@
     });
 }
 
-/// A host that is gone gets nothing more, and idle connections to it are closed; one at its address under
-/// another name is another host.
+/// A removed host must get no further request, and idle connections to it are closed; the same address under another
+/// name is another host.
 #[test]
 fn a_removed_host_gets_no_request() {
     run(async {
@@ -117,12 +117,12 @@
             assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"new");
         }
         discovery.push(&chunk(&list(43, true, &[entry("s-2", old.address, "Ready")]))).await;
-        eventually("a whole list replaces", || new.open.get() == 0).await;
+        eventually("a whole list replaces the hosts", || new.open.get() == 0).await;
         assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"old");
     });
 }
 
-/// Where lists are pushed the module never asks: the proxy watches its agent all the same.
+/// With pushed lists the decision module never requests one: the proxy must watch its agent nevertheless.
 #[test]
 fn the_agent_is_watched_for_pushed_lists() {
     run(async {
@@ -135,7 +135,7 @@
     });
 }
 
-/// Lists may come indented, over many lines and pieces.
+/// A list may be indented, and spread over many lines and chunks.
 #[test]
 fn an_indented_list_is_accepted() {
     run(async {
@@ -154,7 +154,7 @@
     });
 }
 
-/// A watch that goes on sending and never brings a whole list has fallen silent all the same.
+/// A watch that keeps sending bytes without completing a list must count as silent.
 #[test]
 fn a_watch_that_never_completes_a_list_is_reopened() {
     run(async {
@@ -170,8 +170,8 @@
     });
 }
 
-/// What an agent has counts as told whether or not a watch is open, with a second's grace: where its watches break the
-/// next are opened well within that.
+/// With pushed lists a change counts as notified whether or not a watch is open, with a grace of a second: a broken
+/// watch must be reopened well within that.
 #[test]
 fn a_broken_watch_of_pushed_lists_is_reopened_at_once() {
     run(async {
@@ -183,7 +183,7 @@
         eventually("a watch", || !discovery.asked.borrow().is_empty()).await;
         let start = tokio::time::Instant::now();
         assert_serves(&proxy).await;
-        // Each of the two pauses was a second.
+        // Guards against a pause of a second before each of the two further watches.
         assert!(start.elapsed() < std::time::Duration::from_millis(1_500), "{:?}", start.elapsed());
     });
 }
--- a/proxy/tests/suite/hosts.rs
+++ b/proxy/tests/suite/hosts.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts: kept, given up, withdrawn.
+//! Connections to hosts: reuse, closing, and requests that are not sent after all.
 
 use crate::harness::*;
 use std::slice::from_ref;
@@ -6,8 +6,8 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// A connection costs a host many times a request's overhead. It must be back before the outcome is told:
-/// else the request that the outcome lets go opens another.
+/// Opening a connection costs a host many times the overhead of a request. A connection must be returned for reuse
+/// before the outcome is reported: otherwise the next request, which the outcome releases, opens another one.
 #[test]
 fn sequential_requests_share_one_connection() {
     run(async {
@@ -21,7 +21,7 @@
     });
 }
 
-/// A connection that the host has closed while it was idle is no failure of the request: nothing is written.
+/// A host has closed a connection while it was idle: the proxy must not write a request to it, which would then fail.
 #[test]
 fn a_connection_closed_by_its_host_is_not_reused() {
     run(async {
@@ -37,8 +37,8 @@
     });
 }
 
-/// A host may close a kept connection just as a request is written to it. What may be repeated goes again at once,
-/// to the same host, which is not to blame.
+/// A host may close a persistent connection just as a request is written to it. A request that may be retried must be
+/// sent again at once, to the same host, which is not ejected for it.
 #[test]
 fn a_broken_reused_connection_ejects_no_host() {
     run(async {
@@ -51,7 +51,7 @@
     });
 }
 
-/// More than belongs to an answer makes its connection useless; a later request must not get it.
+/// Bytes after the end of a response make its connection unusable; a later request must not get them as its response.
 #[test]
 fn bytes_after_a_response_are_discarded_with_the_connection() {
     run(async {
@@ -65,7 +65,7 @@
     });
 }
 
-/// Answers that announce themselves are passed on as if they had not.
+/// Informational (1xx) responses before the final one are skipped.
 #[test]
 fn informational_responses_are_skipped() {
     run(async {
@@ -81,7 +81,7 @@
     });
 }
 
-/// Idle connections are closed before the host does it: a request that crosses the host's close is lost.
+/// Idle connections must be closed before the host closes them: a request that crosses the host's close is lost.
 #[test]
 fn an_idle_connection_is_closed_before_its_host_closes_it() {
     run(async {
@@ -91,11 +91,12 @@
         })
         .await;
         assert_eq!(proxy.client().await.ask(&request("free", "", "")).await.status(), 200);
-        eventually("it is retired", || host.open.get() == 0).await;
+        eventually("the idle connection is closed", || host.open.get() == 0).await;
     });
 }
 
-/// Nor is one used that is due and not yet retired: looking through them now and then would leave a gap.
+/// A connection past its idle limit must not be reused even if it has not been closed yet: closing them periodically
+/// would leave a gap.
 #[test]
 fn an_expired_connection_is_not_reused() {
     run(async {
@@ -112,11 +113,12 @@
     });
 }
 
-/// An address where connections do not come up: the listener's queue of new ones is full.
+/// A host whose connections are never established, as its listener's queue is queued; the queued connections and the
+/// listener.
 async fn unreachable_host() -> (Host, Vec<TcpStream>, TcpListener) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    let listener = socket.listen(0).expect("it listens");
+    let listener = socket.listen(0).expect("listening");
     let address = listener.local_addr().expect("an address");
     let (mut queued, wait) = (Vec::new(), Duration::from_millis(200));
     while let Ok(Ok(stream)) = timeout(wait, TcpStream::connect(address)).await {
@@ -125,8 +127,8 @@
     (Host { address, ..Host::start([ok("")]).await }, queued, listener)
 }
 
-/// A send counts when it is written. One that still waits for its connection when its host is told draining
-/// must not be written there later; it goes elsewhere at once.
+/// A request counts as sent once it is written. One that still waits for its connection when its host begins to drain
+/// must not be written there later, but be sent to another host at once.
 #[test]
 fn a_request_not_yet_written_to_a_draining_host_goes_elsewhere() {
     run(async {
@@ -140,7 +142,7 @@
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
         eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
-        // Sent later and answered: the proxy has read the request before.
+        // A later request has been answered, so the proxy has read the first one.
         assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
         let hosts = [entry("s-0", unreachable.address, "Terminating"), entry("s-1", other.address, "Ready")];
         discovery.push(&chunk(&list(42, false, &hosts))).await;
@@ -150,8 +152,8 @@
     });
 }
 
-/// Nothing is sent for a call that is over, also where the site does not let attempts be called off: one that
-/// still waits for its connection must not be written once that comes up.
+/// Nothing may be sent for a call that has ended, even on a site where attempts must not be cancelled: an attempt that
+/// still waits for its connection must not be written once that is established.
 #[test]
 fn a_request_not_yet_written_is_dropped_when_its_call_ends() {
     run(async {
@@ -168,7 +170,7 @@
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "the second")).await;
         assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
-        // From here on connections come up, the first one's before the second's.
+        // From here on connections are established, that of the first request before that of the second.
         let host = Host::on(listener, [ok("served")]);
         drop(queued);
         assert_eq!(client.message().await.expect("an answer").status(), 200);
@@ -177,7 +179,7 @@
     });
 }
 
-/// A host that has moved gets nothing at its old address, where another may listen by now.
+/// A host whose address has changed must get no request at the old one, where another server may listen by now.
 #[test]
 fn a_host_with_a_new_address_is_reached_there() {
     run(async {
@@ -186,19 +188,19 @@
         let proxy = Proxy::with(&discovery, from_ref(&old), |_| ()).await;
         let (mut client, mut busy) = (proxy.client().await, proxy.client().await);
         busy.send(&request("unsafe", "", "")).await;
-        eventually("the host has it", || old.count() == 1).await;
+        eventually("the host has the request", || old.count() == 1).await;
         assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"old");
         discovery.push(&chunk(&list(42, false, &[entry("s-0", new.address, "Ready")]))).await;
-        eventually("its idle connection closes", || old.open.get() == 1).await;
+        eventually("its idle connection is closed", || old.open.get() == 1).await;
         assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"new");
         old.release.notify_one();
         assert_eq!(busy.message().await.expect("an answer").body, b"released");
-        eventually("its last connection closes", || old.open.get() == 0).await;
+        eventually("its last connection is closed", || old.open.get() == 0).await;
         assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"new");
     });
 }
 
-/// A connection that does not come up in time proves that the request never ran: it may go elsewhere.
+/// If a connection is not established in time, the request surely never ran and must be sent to another host.
 #[test]
 fn a_connect_timeout_sends_the_request_elsewhere() {
     run(async {
@@ -216,7 +218,7 @@
     });
 }
 
-/// The limit on sockets holds for hosts too: a call beyond it ends, and no descriptor is opened for it.
+/// The limit on sockets includes connections to hosts: a call beyond it ends without opening a file descriptor.
 #[test]
 fn connections_to_hosts_stay_within_the_limit() {
     run(async {
@@ -232,7 +234,7 @@
         for _ in 0..200 {
             assert_eq!(client.ask(&request("free", "", "")).await.status(), 200);
             let open: usize = hosts.iter().map(|host| host.open.get()).sum();
-            assert!(open <= 13, "{open}: 12, and one whose close has not arrived");
+            assert!(open <= 13, "{open} open; 12, and one whose close has not arrived, are allowed");
         }
     });
 }
--- a/proxy/tests/suite/listening.rs
+++ b/proxy/tests/suite/listening.rs
@@ -1,12 +1,13 @@
-//! What belongs to the listening side: slow, silent and idle connections, and the stop. It runs on the forms that
-//! listen by themselves, the program and `fleet.serve`; in an application these are its own server's.
+//! The listening side: slow, silent and idle connections, and the shutdown. It runs on the deployments that listen
+//! themselves, the program and `fleet.serve`; in an application its own server is responsible for this.
 
 use crate::harness::*;
 use std::slice::from_ref;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Whoever says nothing, too little or too slowly holds a place: it is closed within the 3 s that it is owed.
+/// A client that sends nothing, only a part of a request, or sends too slowly occupies a connection: it must get a
+/// response or a close within 3 s.
 #[test]
 fn silent_and_slow_clients_are_closed() {
     run(async {
@@ -17,7 +18,7 @@
             (proxy.client().await, proxy.client().await, proxy.client().await);
         half.send(&head[..30]).await;
         body.send(&head[..head.len() - 2]).await;
-        // One whose second request trickles: each byte must not begin its time anew.
+        // Its second request arrives byte by byte: a byte must not restart the timeout.
         let mut slow = proxy.client().await;
         assert_eq!(slow.ask(&request("unsafe", "", "")).await.status(), 200);
         let trickle = async {
@@ -38,8 +39,8 @@
     });
 }
 
-/// Clients that ask once and keep their connections for good must not fill the places: while many are open, one
-/// that has asked for the first time is closed with its answer.
+/// Clients that send one request each and keep their connections must not use up the limit: while many connections are
+/// open, the response to the first request on a connection closes it.
 #[test]
 fn idle_connections_are_closed_while_many_are_open() {
     run(async {
@@ -50,7 +51,7 @@
         .await;
         let mut clients = Vec::new();
         let mut closed = 0;
-        // A sixth of 64 descriptors are kept.
+        // A sixth of the 64 descriptors are for clients' connections.
         for _ in 0..15 {
             let mut client = proxy.client().await;
             let answer = client.ask(&request("free", "", "")).await;
@@ -60,13 +61,16 @@
         }
         assert!((1..=6).contains(&closed), "{closed}");
         let is_closed = |client: &Client| client.stream.try_read(&mut [0]).is_ok_and(|count| count == 0);
-        eventually("they are closed", || clients.iter().filter(|client| is_closed(client)).count() == closed)
-            .await;
+        eventually("the connections are closed", || {
+            clients.iter().filter(|client| is_closed(client)).count() == closed
+        })
+        .await;
         assert_eq!(clients[0].ask(&request("free", "", "")).await.status(), 200, "the others are kept");
     });
 }
 
-/// At the limit those that never asked make room first, and one that has just been answered keeps its connection.
+/// At the limit connections without a request must be evicted first, and a client that has just been answered keeps its
+/// connection.
 #[test]
 fn active_clients_keep_their_connections() {
     run(async {
@@ -85,7 +89,7 @@
     });
 }
 
-/// Clients that connect and say nothing must not keep others out, nor cost more descriptors than there are.
+/// Clients that connect and send nothing must not lock out others, nor use more file descriptors than there are.
 #[test]
 fn silent_connections_do_not_lock_out_others() {
     run(async {
@@ -102,7 +106,8 @@
     });
 }
 
-/// A stop must answer all that was taken, take new connections for as long as they come, and close the rest.
+/// A shutdown must answer all accepted requests, accept new connections for as long as they arrive, and close the
+/// others.
 #[test]
 fn a_shutdown_answers_all_accepted_requests() {
     run(async {
@@ -113,13 +118,13 @@
         assert_eq!(idle.ask(&request("unsafe", "", "")).await.body, b"before");
         busy.send(&request("unsafe", "", "").replace("8000", "1500")).await;
         half.send("POST /api HTTP/1.1\r\nX-Call").await;
-        eventually("the host has it", || host.count() == 2).await;
+        eventually("the host has the request", || host.count() == 2).await;
         drop(proxy.stop.take());
         let mut late = proxy.client().await;
         assert_eq!(late.ask(&request("unsafe", "", "")).await.body, b"after");
         assert_eq!(busy.message().await.expect("an answer").status(), 502);
-        (&mut proxy.task).await.expect("it ends without a panic");
+        (&mut proxy.task).await.expect("no panic");
         assert!(idle.message().await.is_none(), "closed between requests");
-        assert!(TcpStream::connect(proxy.address).await.is_err(), "it no longer listens");
+        assert!(TcpStream::connect(proxy.address).await.is_err(), "the proxy no longer listens");
     });
 }
--- a/proxy/tests/suite/mod.rs
+++ b/proxy/tests/suite/mod.rs
@@ -1,5 +1,5 @@
-//! The daemon's tests, for every form in which it comes. A form is the crate's module `form`: it holds the stand-ins
-//! and a type `Proxy` that starts it.
+//! Tests that run against every deployment of the proxy: in the test's process, as a program, and as a library. Each
+//! test binary has a module `harness` with the stand-ins and a type `Proxy` that starts the deployment under test.
 
 mod detached_calls;
 mod discovery;
--- a/proxy/tests/suite/repeats.rs
+++ b/proxy/tests/suite/repeats.rs
@@ -1,5 +1,5 @@
-//! Repeats, and what crosses them: a connection that comes up late. The test makes it late itself: a host's queue of new
-//! connections is full until the proxy's first try to connect was dropped.
+//! Retries whose connection is established late. The test causes the delay itself: a host's queue of new connections is
+//! full until the proxy's first SYN has been dropped.
 
 use crate::harness::*;
 use serde_json::json;
@@ -8,9 +8,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::spawn_local;
 
-/// A keyed request may go again for 0.9 s. Its first attempt is read and reset at once, and the second is decided at once;
-/// that one's connection comes up when the system asks for it again, a second later. Nothing is written to it then, and
-/// the client is told at the end of the 0.9 s.
+/// A keyed request may be retried for 0.9 s. Its first attempt is read and reset at once, and the retry is picked at
+/// once, but its connection is established only when the system repeats the SYN a second later. Nothing may be written
+/// to it then, and the client must get its response at the end of the 0.9 s.
 #[test]
 fn a_retry_connected_after_its_window_is_not_written() {
     run(async {
@@ -23,7 +23,7 @@
             config["settings"]["limits"]["connect_timeout_us"] = json!(4_000_000);
         })
         .await;
-        // One of the two has a call that stalls: the next one goes to the other.
+        // One of the two hosts has a call that stalls: the next call is sent to the other.
         let mut stalling = proxy.client().await;
         stalling.send(&request("free", "", "")).await;
         let (late, stalled) = tokio::select! {
@@ -32,28 +32,30 @@
         };
         let mut stalled = Reader::new(stalled.expect("accepted").0);
         stalled.message().await.expect("the call that stalls");
-        // Its queue takes two, which fill it.
+        // Two connections fill its queue.
         let mut queued = Vec::new();
         for _ in 0..2 {
-            queued.push(TcpStream::connect(at(late)).await.expect("there is room"));
+            queued.push(TcpStream::connect(at(late)).await.expect("the queue has room"));
         }
         let mut client = proxy.client().await;
         client.send(&request("keyed", "", "enters")).await;
         let mut first = Reader::new(hosts[1 - late].accept().await.expect("accepted").0);
         first.message().await.expect("the first attempt");
         let first = first.stream.into_std().expect("a stream");
-        socket2::SockRef::from(&first).set_linger(Some(std::time::Duration::ZERO)).expect("it can be set");
+        socket2::SockRef::from(&first)
+            .set_linger(Some(std::time::Duration::ZERO))
+            .expect("the option is set");
         drop(first);
-        eventually("the repeat's connection waits", || is_connecting_to(at(late))).await;
+        eventually("the retry's connection is pending", || is_connecting_to(at(late))).await;
         for _ in 0..queued.len() {
-            hosts[late].accept().await.expect("one that filled the queue");
+            hosts[late].accept().await.expect("a connection that filled the queue");
         }
         let [one, other] = hosts;
         let host = if late == 0 { one } else { other };
         let read = spawn_local(async move {
             let mut retry = Reader::new(host.accept().await.expect("accepted").0);
             let read = retry.message().await;
-            let Act::Say(answer) = ok("ran twice") else { unreachable!("it says so") };
+            let Act::Say(answer) = ok("ran twice") else { unreachable!("ok() is a Say") };
             let _ = retry.stream.write_all(answer.as_bytes()).await;
             read.is_some()
         });
@@ -63,18 +65,18 @@
     });
 }
 
-/// A listener whose queue of new connections takes two.
+/// A listener whose queue holds two new connections.
 fn short_queue_listener() -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    socket.listen(1).expect("it listens")
+    socket.listen(1).expect("listening")
 }
 
-/// Whether a connection to an address is asked for and not up, by the system's table.
+/// Whether a connection to an address is being opened (state SYN_SENT), by the system's table.
 fn is_connecting_to(address: SocketAddr) -> bool {
     let SocketAddr::V4(address) = address else { return false };
     let remote = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table of connections");
     let mut lines = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
     lines.any(|fields| fields.get(2) == Some(&&*remote) && fields.get(3) == Some(&"02"))
 }
--- a/proxy/tests/suite/requests.rs
+++ b/proxy/tests/suite/requests.rs
@@ -1,4 +1,4 @@
-//! What the application meets: requests that are served, refused, failed or unusable.
+//! Requests as the application sees them: served, refused, failed or invalid.
 
 use crate::harness::*;
 use std::slice::from_ref;
@@ -22,13 +22,13 @@
             text.split("\r\n").find_map(|line| line.strip_prefix("X-Call-Id: "))
         );
         assert_eq!(seen.header("idempotency-key"), Some("k1"));
-        assert_eq!(seen.header("x-hop"), None, "a header of the client's connection ends with it");
+        assert_eq!(seen.header("x-hop"), None, "a hop-by-hop header is not forwarded");
         let budget: u64 = seen.header("x-budget-ms").and_then(|v| v.parse().ok()).expect("a budget");
         assert!(budget > 0 && budget < 8_000, "{budget}");
     });
 }
 
-/// What cannot be used must end at once and reach neither the module nor a host.
+/// Invalid requests must be rejected at once and reach neither the decision module nor a host.
 #[test]
 fn invalid_requests_are_rejected_at_once() {
     run(async {
@@ -37,7 +37,7 @@
         let good = request("free", "", "");
         let (post, keyed) = (request("unsafe", "", "body"), request("keyed", "", "body"));
         let id = good.split("\r\n").find(|line| line.starts_with("X-Call-Id")).expect("an id").to_owned();
-        // Whatever its framing says, the second request must not be read, nor passed on in the first's body.
+        // Whatever the framing says, the second request must not be read, nor be forwarded in the body of the first.
         let hidden = format!("0\r\n\r\n{}", request("unsafe", "", ""));
         let chunked = "Transfer-Encoding: chunked\r\n";
         let length = format!("Content-Length: {}\r\n", hidden.len());
@@ -74,19 +74,19 @@
         for (text, status) in cases {
             let mut client = proxy.client().await;
             let text = text + &request("unsafe", "", "");
-            // Past what is read on for a while, the rest of a large one may find the connection closed.
+            // The rest of a large body, beyond the part that is drained, may find the connection closed.
             let _ = client.stream.write_all(text.as_bytes()).await;
             let answer = client.message().await.expect("an answer");
             assert_eq!(answer.status(), status, "{}", &text[..text.len().min(300)]);
             assert_eq!(answer.header("connection"), Some("close"), "{}", &text[..text.len().min(300)]);
-            assert!(client.message().await.is_none(), "what follows is not read");
+            assert!(client.message().await.is_none(), "the following request is not read");
         }
         assert_eq!(host.count(), 0);
         assert_eq!(proxy.client().await.ask(&good).await.status(), 200);
     });
 }
 
-/// Hosts take two requests with one id for one: the second is turned away while the first is open.
+/// Hosts treat two requests with the same id as one: the second must be rejected while the first is open.
 #[test]
 fn a_duplicate_of_an_open_id_is_rejected() {
     run(async {
@@ -95,7 +95,7 @@
         let text = request("unsafe", "", "");
         let mut first = proxy.client().await;
         first.send(&text).await;
-        eventually("the host has it", || host.count() == 1).await;
+        eventually("the host has the request", || host.count() == 1).await;
         assert_eq!(proxy.client().await.ask(&text).await.status(), 409);
         host.release.notify_one();
         assert_eq!(first.message().await.expect("an answer").body, b"released");
@@ -104,7 +104,7 @@
     });
 }
 
-/// An unsafe request that may have run must not be sent again, nor refused as if it had not.
+/// An unsafe request that may have run must not be retried, nor be refused as if it had not run.
 #[test]
 fn an_unsafe_request_that_may_have_run_fails() {
     let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
@@ -115,7 +115,7 @@
         Act::Say(error.to_owned()),
         Act::Say(odd.to_owned()),
         Act::Say("noise\r\n\r\n".to_owned()),
-        // Answers that may be whole or not, or are none.
+        // Responses that are incomplete, ambiguous or invalid.
         Act::SayAndClose("HTTP/1.1 200 OK\r\n\r\nwhole?".to_owned()),
         Act::Say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nwhole".to_owned()),
         Act::Say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nwhole".to_owned()),
@@ -148,11 +148,11 @@
         for _ in 0..8 {
             assert_eq!(client.ask(&request("unsafe", "", "")).await.status(), 200);
         }
-        assert!(hosts[0].count() > 0, "the picks are random, but never all the same");
+        assert!(hosts[0].count() > 0, "hosts are picked at random, but not always the same one");
     });
 }
 
-/// Given up, a request is answered at once, and told when to come back.
+/// A request that cannot be sent must be refused at once, with a Retry-After.
 #[test]
 fn a_refusal_comes_at_once_with_a_retry_after() {
     run(async {
@@ -164,13 +164,14 @@
         let started = std::time::Instant::now();
         let answer = proxy.client().await.ask(&request("unsafe", "", "")).await;
         assert_eq!(answer.status(), 503);
-        assert!(started.elapsed().as_millis() < 7_000, "not sat on until its deadline");
+        assert!(started.elapsed().as_millis() < 7_000, "refused before its deadline");
         let retry_after = answer.header("retry-after").and_then(|v| v.parse::<f64>().ok());
         assert!(retry_after.is_some_and(|seconds| seconds > 0.0 && seconds <= 0.75), "{answer:?}");
     });
 }
 
-/// Guards against an advice of zero, which brings a client back at once, where the settings allow none.
+/// Guards against a Retry-After of zero, after which a client retries at once, where the settings do not allow the
+/// header.
 #[test]
 fn a_refusal_without_advice_has_no_retry_after() {
     run(async {
@@ -183,26 +184,26 @@
     });
 }
 
-/// A client that goes away must not leave its attempt behind.
+/// The attempt of a client that disconnects must be cancelled.
 #[test]
 fn a_client_that_disconnects_cancels_its_attempt() {
     run(async {
         let host = Host::start([Act::Stall]).await;
         let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&host), |config| {
-            // Else the attempt would time out while the test waits.
+            // Otherwise the attempt would time out while the test waits.
             config["settings"]["classes"][2]["objective_us"] = 60_000_000.into();
             config["settings"]["classes"][2]["deadline_us"] = 60_000_000.into();
         })
         .await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "").replace("8000", "60000")).await;
-        eventually("the host has it", || host.count() == 1).await;
+        eventually("the host has the request", || host.count() == 1).await;
         drop(client);
         eventually("the attempt's connection closes", || host.open.get() == 0).await;
     });
 }
 
-/// A time-out closes the attempt's connection and fails the request within the client's time.
+/// A timeout must close the attempt's connection and fail the request within the client's time budget.
 #[test]
 fn a_silent_host_times_out_within_the_clients_budget() {
     run(async {
@@ -211,7 +212,7 @@
         let started = std::time::Instant::now();
         let text = request("unsafe", "", "").replace("8000", "300");
         assert_eq!(proxy.client().await.ask(&text).await.status(), 502);
-        assert!(started.elapsed().as_millis() >= 200, "not before its time");
+        assert!(started.elapsed().as_millis() >= 200, "not before the timeout");
         eventually("the attempt's connection closes", || host.open.get() == 0).await;
     });
 }
--- a/proxy/tests/suite/shutdown.rs
+++ b/proxy/tests/suite/shutdown.rs
@@ -1,5 +1,5 @@
-//! The stop, and what crosses it; and clients that leave. Each test makes the two events meet itself: what a client or a
-//! host does, it does when the test says so.
+//! Races of the shutdown with requests, and clients that disconnect. Each test controls the order of the events itself:
+//! its clients and hosts act only when the test lets them.
 
 use crate::harness::*;
 use std::slice::from_ref;
@@ -10,8 +10,8 @@
 
 const NO_HOSTS: fn(&mut serde_json::Value) = |config| config["known"]["hosts"] = serde_json::json!([]);
 
-/// SIGKILL comes 3.7 s after SIGTERM where deadlines are longer than 3 s (here 9 s). What has no answer by then has one
-/// before the process ends: failed where it may have run, refused where it surely never did.
+/// SIGKILL comes 3.7 s after SIGTERM where deadlines are longer than 3 s (here 9 s). A request without a response by
+/// then must get one before the process exits: failed if it may have run, refused if it surely never did.
 #[test]
 fn open_requests_are_answered_at_the_end_of_a_shutdown() {
     run(async {
@@ -22,23 +22,23 @@
         ran.send(&request("unsafe", "", "pays")).await;
         held.send(&request("unsafe", "", "pays")).await;
         eventually("the charge is at the host", || host.count() == 1).await;
-        // It has been read: an answer comes to what came after it.
+        // Returns once a later request has been answered, so this one has been read.
         hostless.has_noticed().await;
         for proxy in [&mut hanging, &mut hostless] {
-            proxy.stop.take().expect("it runs").send(()).expect("it stops");
+            proxy.stop.take().expect("not stopped yet").send(()).expect("the proxy runs");
         }
         let (ran, held) = tokio::join!(ran.message(), held.message());
-        let (ran, held) = (ran.expect("a whole answer"), held.expect("a whole answer"));
+        let (ran, held) = (ran.expect("a complete response"), held.expect("a complete response"));
         assert_eq!((ran.status(), held.status()), (502, 503));
         for proxy in [hanging, hostless] {
-            proxy.task.await.expect("it ends well");
+            proxy.task.await.expect("no panic");
         }
         assert_eq!(host.count(), 1);
     });
 }
 
-/// A connection on which nothing is asked is closed while new ones are still taken, so that a request that crosses its
-/// close has where to come again; the answer to what is open says that its connection closes.
+/// A shutdown must close idle connections while new ones are still accepted, so that a request that crosses the close
+/// can be sent again; the response to an open request must close its connection.
 #[test]
 fn a_shutdown_closes_idle_connections_while_new_ones_are_accepted() {
     run(async {
@@ -50,21 +50,21 @@
         assert_eq!(busy.ask(&request("free", "", "")).await.status(), 200);
         busy.send(&request("unsafe", "", "pays")).await;
         eventually("the charge is at the host", || host.count() == 3).await;
-        proxy.stop.take().expect("it runs").send(()).expect("it stops");
+        proxy.stop.take().expect("not stopped yet").send(()).expect("the proxy runs");
         assert!(idle.message().await.is_none());
-        // It came to an end, and what it would have asked goes on a new one.
+        // The idle connection was closed; its next request is sent on a new one.
         let mut again = proxy.client().await;
         let answer = again.ask(&request("free", "", "")).await;
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
         host.release.notify_one();
         let answer = busy.message().await.expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-        proxy.task.await.expect("it ends well");
+        proxy.task.await.expect("no panic");
     });
 }
 
-/// Half of a request is there when the stop is told, and the other half comes after it; a connection that has said
-/// nothing yet asks after it, too. Both are answered.
+/// Half of a request has arrived when the shutdown begins, and the other half arrives later; a new connection without a
+/// request sends its first one later, too. Both must be answered.
 #[test]
 fn requests_that_cross_the_start_of_a_shutdown_are_answered() {
     run(async {
@@ -76,19 +76,19 @@
         let (first, second) = text.split_at(text.len() / 2);
         half.send(first).await;
         proxy.has_noticed().await;
-        proxy.stop.take().expect("it runs").send(()).expect("it stops");
-        // An answer that says that its connection closes shows that the stop has begun.
+        proxy.stop.take().expect("not stopped yet").send(()).expect("the proxy runs");
+        // A response with `Connection: close` shows that the shutdown has begun.
         let ask = async || proxy.client().await.ask(&request("free", "", "")).await;
         while ask().await.header("connection") != Some("close") {}
         half.send(second).await;
         assert_eq!(half.message().await.expect("an answer").status(), 200);
         assert_eq!(new.ask(&request("unsafe", "", "pays")).await.status(), 200);
-        proxy.task.await.expect("it ends well");
+        proxy.task.await.expect("no panic");
     });
 }
 
-/// A whole request lies unread on an idle connection when the stop is told, and nothing is polled in between where the
-/// proxy is on this thread: it is answered, and its connection not closed on it.
+/// A whole request is unread on an idle connection when the shutdown begins; if the proxy runs on this thread, nothing
+/// is polled in between. The request must be answered rather than its connection closed.
 #[test]
 fn a_request_unread_at_the_start_of_a_shutdown_is_answered() {
     run(async {
@@ -98,13 +98,14 @@
         assert_eq!(client.ask(&request("free", "", "")).await.status(), 200);
         let text = request("unsafe", "", "pays");
         assert_eq!(client.stream.try_write(text.as_bytes()).expect("written"), text.len());
-        proxy.stop.take().expect("it runs").send(()).expect("it stops");
+        proxy.stop.take().expect("not stopped yet").send(()).expect("the proxy runs");
         assert_eq!(client.message().await.expect("an answer").status(), 200);
-        proxy.task.await.expect("it ends well");
+        proxy.task.await.expect("no panic");
     });
 }
 
-/// A client that has sent more than its request and then left has left: its call ends, and no answer is made for it.
+/// A client that disconnects must be noticed even if it has sent more bytes after its request: its call ends without a
+/// response.
 #[test]
 fn a_disconnect_is_noticed_behind_unread_input() {
     run(async {
@@ -113,15 +114,16 @@
             let mut client = proxy.client().await;
             client.send(&(request("unsafe", "", "pays") + more)).await;
             client.stream.shutdown().await.expect("it ends its sending");
-            // The proxy closes, or says at once that it is of no use; else an answer would come when its time is up.
+            // The proxy closes or rejects it at once; otherwise a response would come at the request's deadline.
             let answer = client.message().await;
             assert!(answer.is_none_or(|answer| answer.status() == 400), "{more}");
         }
     });
 }
 
-/// The operators' term, over many cases: requests that wait for a host, whose clients leave by closing or by a reset,
-/// some with more behind the request. 0.3 s later a host comes: none of theirs is sent to it.
+/// Many requests wait for a host, and their clients disconnect by closing or by a reset, some with more bytes after the
+/// request. 0.3 s later, the limit that the operators set, a host becomes available: none of these requests may be
+/// sent.
 #[test]
 fn requests_of_disconnected_clients_are_not_sent() {
     run(async {
@@ -147,7 +149,7 @@
         sleep(Duration::from_millis(300)).await;
         discovery.push(&chunk(&list(42, true, &[entry("s-9", host.address, "Ready")]))).await;
         assert_eq!(connected.message().await.expect("an answer").status(), 200);
-        // What was held with it goes before its answer is read, or never.
+        // Requests that waited together with it would have been sent before its response was read.
         assert_eq!(proxy.client().await.ask(&request("unsafe", "", "after")).await.status(), 200);
         let bodies: Vec<_> = host.seen.borrow().iter().map(|seen| seen.body.clone()).collect();
         assert_eq!(bodies, [b"stays".to_vec(), b"after".to_vec()]);
--- a/proxy/tests/syscall_faults.rs
+++ b/proxy/tests/syscall_faults.rs
@@ -1,5 +1,5 @@
-//! System calls that move a part of what they could, or fail for a time, in real processes: no request goes without its
-//! answer, and the program starts.
+//! System calls that transfer only a part of the data, or fail for a time, in real processes: each request must still
+//! get its response, and the program must start.
 
 mod faults;
 mod fleet;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// A read or write that moves a part leaves the rest to a further one; no new event tells of it.
+/// A short read or write leaves the rest to a further call, and no new readiness event announces it.
 #[test]
 fn requests_are_answered_despite_short_reads_and_writes() {
     run(async {
@@ -25,7 +25,7 @@
     });
 }
 
-/// The machine is short of descriptors and memory for sockets in the first second of a process.
+/// In the first second of a process the machine is short of file descriptors or of memory for sockets.
 #[test]
 fn a_process_starts_after_a_shortage_of_resources() {
     run(async {
@@ -40,15 +40,15 @@
                 faults.set(&[]);
             });
             fleet.start_processes(1, Duration::from_secs(1), |_| ()).await;
-            recovery.join().expect("it ended well");
+            recovery.join().expect("no panic");
             fleet.wait_for_clients().await;
             assert!(fleet.tally.borrow().served > 0, "{error}");
         }
     });
 }
 
-/// No descriptor can be had for a second, and each request needs a connection of its own. That says nothing of the servers:
-/// when it is over none of them is rested or passed over.
+/// For more than a second no file descriptor is available, and each request needs a new connection. Such local errors
+/// say nothing about the servers: afterwards none of them may be ejected or avoided.
 #[test]
 fn a_local_shortage_ejects_no_server() {
     run(async {
