--- a/proxy/src/member.rs
+++ b/proxy/src/member.rs
@@ -106,23 +106,23 @@
     let members: Vec<Value> = view
         .members
         .iter()
-        .map(|of| {
+        .map(|member| {
             json!({
-                "name": of.name.as_str(),
-                "condition": of.condition.name(),
-                "since_ms": of.since / MICROS_PER_MILLI,
-                "heard_ms": of.heard.map(|at| at / MICROS_PER_MILLI),
-                "agrees": of.agrees,
-                "unsettled": of.unsettled,
-                "suspected_by": of.suspected_by.iter().map(|by| by.as_str()).collect::<Vec<_>>(),
-                "address": of.card.address.to_string(),
-                "zone": of.card.zone,
-                "region": of.card.region,
-                "role": of.card.role,
-                "version": of.card.version,
-                "capacity": of.card.capacity,
-                "start": of.incarnation.start,
-                "round": of.incarnation.round,
+                "name": member.name.as_str(),
+                "condition": member.condition.name(),
+                "since_ms": member.since / MICROS_PER_MILLI,
+                "heard_ms": member.heard.map(|age| age / MICROS_PER_MILLI),
+                "agrees": member.agrees,
+                "unsettled": member.unsettled,
+                "suspected_by": member.suspected_by.iter().map(|by| by.as_str()).collect::<Vec<_>>(),
+                "address": member.card.address.to_string(),
+                "zone": member.card.zone,
+                "region": member.card.region,
+                "role": member.card.role,
+                "version": member.card.version,
+                "capacity": member.card.capacity,
+                "start": member.incarnation.start,
+                "round": member.incarnation.round,
             })
         })
         .collect();
--- a/proxy/src/requests.rs
+++ b/proxy/src/requests.rs
@@ -54,15 +54,15 @@
         "/api" => {
             let RequestSource { socket, body_deadline } = source;
             match read_request(&driver.config(), request, body_deadline, || socket.read_at()).await {
-                Ok((mut ask, forward)) => {
+                Ok((mut info, forward)) => {
                     // The response has no reader once the client has closed the connection, also where this request
                     // waited behind another.
                     if socket.is_left() {
                         return closing_response(StatusCode::BAD_REQUEST);
                     }
-                    ask.deadline =
-                        shutdown.get().map_or(ask.deadline, |respond_by| ask.deadline.min(respond_by));
-                    let mut pending = driver.request(ask, forward);
+                    info.deadline =
+                        shutdown.get().map_or(info.deadline, |respond_by| info.deadline.min(respond_by));
+                    let mut pending = driver.request(info, forward);
                     let reply = tokio::select! {
                         biased;
                         reply = pending.hear() => reply,
@@ -119,15 +119,15 @@
 {
     let (head, body) = request.into_parts();
     let too_large = body.size_hint().lower() > BODY_MOST as u64;
-    let (mut ask, budget) = match parse_head(config, &head.method, &head.headers, body.is_end_stream()) {
+    let (mut info, budget) = match parse_head(config, &head.method, &head.headers, body.is_end_stream()) {
         Ok(_) if too_large => return Err(RejectedRequest::unread(StatusCode::PAYLOAD_TOO_LARGE, body)),
         Ok(parsed) => parsed,
         Err(status) => return Err(RejectedRequest::unread(status, body)),
     };
     let status = match timeout_at(body_deadline, Limited::new(body, BODY_MOST).collect()).await {
         Ok(Ok(body)) => {
-            ask.deadline = read_at() + budget.saturating_sub(RESPONSE_MARGIN);
-            return Ok((ask.clone(), forwarded_request(config, &ask, head, body.to_bytes())));
+            info.deadline = read_at() + budget.saturating_sub(RESPONSE_MARGIN);
+            return Ok((info.clone(), forwarded_request(config, &info, head, body.to_bytes())));
         }
         Ok(Err(error)) if error.is::<LengthLimitError>() => StatusCode::PAYLOAD_TOO_LARGE,
         Ok(Err(_)) => StatusCode::BAD_REQUEST,
@@ -138,13 +138,13 @@
 
 /// The request as it is sent to hosts. A key of a single-shot class, which only the store of keys uses, is forwarded
 /// only if the class is configured for it.
-pub fn forwarded_request(config: &Config, ask: &Ask<HeaderValue>, head: Parts, body: Bytes) -> Forward {
+pub fn forwarded_request(config: &Config, info: &Ask<HeaderValue>, head: Parts, body: Bytes) -> Forward {
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let mut headers = end_to_end(head.headers);
-    let forwards_key = |keys: &Keys| keys.forward.get(ask.class.0).copied().unwrap_or_default();
-    let class = config.settings.classes.get(ask.class.0);
+    let forwards_key = |keys: &Keys| keys.forward.get(info.class.0).copied().unwrap_or_default();
+    let class = config.settings.classes.get(info.class.0);
     let key_of_single_shot =
-        ask.key.is_some() && class.is_some_and(|class| class.repeat == Repeat::SingleShot);
+        info.key.is_some() && class.is_some_and(|class| class.repeat == Repeat::SingleShot);
     if key_of_single_shot && !config.keys().is_some_and(forwards_key) {
         headers.remove("idempotency-key");
     }
@@ -221,8 +221,8 @@
     let resent = single(headers, "x-again").is_some_and(|value| value == "1");
     let key = headers.get("idempotency-key").filter(|_| config.keys().is_some());
     let key = key.map(|key| Bytes::copy_from_slice(key.as_bytes()));
-    let ask = Ask { id, class: ClassId(class), tenant, deadline: Instant::now(), resent, key };
-    fits.then_some((ask, budget))
+    let info = Ask { id, class: ClassId(class), tenant, deadline: Instant::now(), resent, key };
+    fits.then_some((info, budget))
 }
 
 fn index_of(names: &[String], name: &str) -> Option<usize> {
--- a/proxy/tests/cores.rs
+++ b/proxy/tests/cores.rs
@@ -134,7 +134,7 @@
     /// The first key with this prefix that the shard owns.
     fn key_owned_by(&self, shard: usize, class: usize, prefix: &str) -> String {
         let is_owned = |key: &String| {
-            let ask = Ask {
+            let info = Ask {
                 id: "x".parse().expect("a value"),
                 class: ClassId(class),
                 tenant: None,
@@ -142,7 +142,7 @@
                 resent: false,
                 key: Some(key.clone().into()),
             };
-            self.peers.owner(&ask) == Some(shard)
+            self.peers.owner(&info) == Some(shard)
         };
         (0..).map(|n| format!("{prefix}-{n}")).find(is_owned).expect("each shard owns keys")
     }
@@ -343,9 +343,9 @@
 fn free_request(id: String) -> (Ask<HeaderValue>, Forward) {
     let deadline = Instant::now() + Duration::from_secs(8);
     let id: HeaderValue = id.parse().expect("a value");
-    let ask = Ask { id, class: ClassId(0), tenant: None, deadline, resent: false, key: None };
+    let info = Ask { id, class: ClassId(0), tenant: None, deadline, resent: false, key: None };
     let target = Uri::from_static("/api");
-    (ask, Forward { method: Method::GET, target, headers: HeaderMap::new(), body: Default::default() })
+    (info, Forward { method: Method::GET, target, headers: HeaderMap::new(), body: Default::default() })
 }
 
 /// Shards have picked a host for a call but not written the request when another shard receives the news that the host
@@ -359,8 +359,8 @@
         // Every shard but the one that watches the list gets a connection that can be written to at once.
         for shard in 1..SHARDS {
             process.peers.tell(shard, move |driver| {
-                let (ask, forward) = free_request(format!("first-{shard}"));
-                let waiting = driver.request(ask, forward);
+                let (info, forward) = free_request(format!("first-{shard}"));
+                let waiting = driver.request(info, forward);
                 spawn_local(async move { drop(waiting.reply().await) });
             });
         }
@@ -370,8 +370,8 @@
             process.peers.tell(shard, move |driver| {
                 let driver = driver.clone();
                 spawn_local(async move {
-                    let (ask, forward) = free_request(format!("decided-{shard}"));
-                    let waiting = driver.request(ask, forward);
+                    let (info, forward) = free_request(format!("decided-{shard}"));
+                    let waiting = driver.request(info, forward);
                     // The attempt's task has not run yet, and will run before the notification of the drain is read.
                     std::thread::sleep(Duration::from_millis(700));
                     drop(waiting.reply().await);
@@ -401,8 +401,8 @@
         // A call at each shard, so that each holds a part of the limit.
         for shard in 0..SHARDS {
             process.peers.tell(shard, move |driver| {
-                let (ask, forward) = free_request(format!("first-{shard}"));
-                let waiting = driver.request(ask, forward);
+                let (info, forward) = free_request(format!("first-{shard}"));
+                let waiting = driver.request(info, forward);
                 spawn_local(async move { drop(waiting.reply().await) });
             });
         }
@@ -412,8 +412,8 @@
         let before = site.counts()[0];
         process.peers.tell(0, |driver| {
             for call in 0..40 {
-                let (ask, forward) = free_request(format!("load-{call}"));
-                let waiting = driver.request(ask, forward);
+                let (info, forward) = free_request(format!("load-{call}"));
+                let waiting = driver.request(info, forward);
                 spawn_local(async move { drop(waiting.reply().await) });
             }
         });
@@ -584,15 +584,15 @@
         let process = Process::start(&site);
         process.ready().await;
         process.peers.tell(0, |driver| {
-            let (ask, forward) = free_request("same".to_owned());
-            let waiting = driver.request(ask, forward);
+            let (info, forward) = free_request("same".to_owned());
+            let waiting = driver.request(info, forward);
             spawn_local(async move { drop(waiting.reply().await) });
         });
         eventually("the host has the request", || site.counts() == [1]).await;
         let (sender, rejected) = tokio::sync::oneshot::channel();
         process.peers.tell(1, |driver| {
-            let (ask, forward) = free_request("same".to_owned());
-            let waiting = driver.request(ask, forward);
+            let (info, forward) = free_request("same".to_owned());
+            let waiting = driver.request(info, forward);
             spawn_local(async move { sender.send(matches!(waiting.reply().await, Reply::IdOpen)) });
         });
         assert!(rejected.await.expect("the shard responds"), "the id is open at another shard");
--- a/proxy/tests/cores/watch.rs
+++ b/proxy/tests/cores/watch.rs
@@ -38,8 +38,8 @@
 async fn reply_at(process: &Process, shard: usize) -> &'static str {
     let (sender, reply) = oneshot::channel();
     process.peers.tell(shard, move |driver| {
-        let (ask, forward) = free_request(format!("at-{shard}-{:?}", Instant::now()).replace(' ', ""));
-        let waiting = driver.request(ask, forward);
+        let (info, forward) = free_request(format!("at-{shard}-{:?}", Instant::now()).replace(' ', ""));
+        let waiting = driver.request(info, forward);
         spawn_local(async move {
             // The test may have ended by now.
             let _ = sender.send(match waiting.reply().await {
