--- a/proxy/src/arguments.rs
+++ b/proxy/src/arguments.rs
@@ -110,7 +110,7 @@
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum SettledAs {
-    /// It ran: further requests with the key are told so, and none is sent to a host
+    /// It ran: the responses to further requests with the key say so, and none is sent to a host
     Ran,
     /// It never ran: the next request with the key counts as the first
     NeverRan,
--- a/proxy/tests/cores.rs
+++ b/proxy/tests/cores.rs
@@ -348,7 +348,7 @@
     (info, Forward { method: Method::GET, target, headers: HeaderMap::new(), body: Default::default() })
 }
 
-/// Shards have picked a host for a call but not written the request when another shard receives the news that the host
+/// Shards have picked a host for a call but not written the request when another shard is notified that the host
 /// drains. Their threads are blocked at that moment, and must not write the request when they continue.
 #[test]
 fn an_attempt_picked_before_a_drain_is_not_written_after_it() {
@@ -370,7 +370,7 @@
             process.peers.tell(shard, move |driver| {
                 let driver = driver.clone();
                 spawn_local(async move {
-                    let (info, forward) = free_request(format!("decided-{shard}"));
+                    let (info, forward) = free_request(format!("picked-{shard}"));
                     let waiting = driver.request(info, forward);
                     // The attempt's task has not run yet, and will run before the notification of the drain is read.
                     std::thread::sleep(Duration::from_millis(700));
