--- a/proxy/tests/roll.rs
+++ b/proxy/tests/roll.rs
@@ -85,7 +85,7 @@
     configuration(discovery.address, known, |config| config["listen"] = address.into())
 }
 
-/// How the requests of the customers ended.
+/// How the requests of the clients ended.
 #[derive(Default)]
 struct Outcomes {
     served: usize,
@@ -98,7 +98,7 @@
 
 /// Sends one charge after the other on a persistent connection, as the platform's clients do: a request that crosses a
 /// close of the connection is sent again on a new one, and while nobody listens the client retries to connect.
-async fn customer(address: String, stop: Rc<Cell<bool>>, outcomes: Rc<RefCell<Outcomes>>) {
+async fn run_client(address: String, stop: Rc<Cell<bool>>, outcomes: Rc<RefCell<Outcomes>>) {
     let mut kept: Option<Client> = None;
     while !stop.get() {
         let text = request("unsafe", "", "pays");
@@ -146,12 +146,12 @@
             hosts.push(Host::planned(&format!("s-{number}"), number, plan, &ledger).await);
         }
         let (stop, outcomes) = (Rc::new(Cell::new(false)), Rc::new(RefCell::new(Outcomes::default())));
-        let (old, mut fleet, mut customers) = (Discovery::quiet().await, Vec::new(), Vec::new());
+        let (old, mut fleet, mut clients) = (Discovery::quiet().await, Vec::new(), Vec::new());
         for number in 1..=3 {
             let address = format!("127.77.1.{number}:7001");
             fleet.push(Daemon::start(&address, &config_at(&address, &old, &hosts[..2])).await);
             for _ in 0..4 {
-                customers.push(spawn_local(customer(address.clone(), stop.clone(), outcomes.clone())));
+                clients.push(spawn_local(run_client(address.clone(), stop.clone(), outcomes.clone())));
             }
         }
         // The first two hosts drain; `s-0` and `s-1` are their names in the cached list.
@@ -185,8 +185,8 @@
         let before: usize = hosts[..2].iter().map(Host::count).sum();
         sleep(Duration::from_millis(300)).await;
         stop.set(true);
-        for customer in customers {
-            customer.await.expect("no panic");
+        for client in clients {
+            client.await.expect("no panic");
         }
         assert_eq!(hosts[..2].iter().map(Host::count).sum::<usize>(), before, "a drained host got more");
         assert_eq!(ledger.twice(Duration::from_secs(9)), [], "a charge ran twice");
