--- a/proxy/src/cores.rs
+++ b/proxy/src/cores.rs
@@ -1,4 +1,5 @@
-//! Several engines of one process, a thread each, behind one address: how they are started, told and stopped as one.
+//! Several engines (shards) of one process, each on a thread of its own, behind one address: they are started, reloaded
+//! and stopped together.
 
 use crate::server;
 use nettleworks_cores::shard::{self, Peers, ShardGuard, StandIns};
@@ -20,102 +21,108 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout_at};
 
-/// Connections that were accepted for a shard that does not answer, and not yet taken in.
-const ACCEPTED_MOST: usize = 16;
-/// Pause after a failure to accept for another.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Capacity of the queue of connections that were accepted in place of a stalled shard and are not served yet.
+const ACCEPT_QUEUE_CAPACITY: usize = 16;
+/// Pause after a failed accept in place of a stalled shard.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// An engine of a process, as the daemon's fronts drive it.
-pub type Shared = nettleworks_cores::shard::RunningShard<Http1>;
+/// A started shard that speaks HTTP/1.
+pub type RunningShard = nettleworks_cores::shard::RunningShard<Http1>;
 
-/// Places for so many shards of a process with this configuration.
-/// Each comes with its part of the configuration.
-pub fn seats(config: &Config, shards: usize) -> Vec<(PreparedShard<Http1>, Config)> {
-    seats_of(config, ShardOptions::new(shards))
+/// Prepares this number of shards of a process, each with its own configuration.
+pub fn prepare_shards(config: &Config, shards: usize) -> Vec<(PreparedShard<Http1>, Config)> {
+    prepare_shards_sized(config, ShardOptions::new(shards))
 }
 
-/// The same with sizes of one's own; keys are remembered for as long as the configuration says.
-pub fn seats_of(config: &Config, sizes: ShardOptions) -> Vec<(PreparedShard<Http1>, Config)> {
+/// The same with these sizes; how long keys are remembered is taken from the configuration, if it says so.
+pub fn prepare_shards_sized(config: &Config, sizes: ShardOptions) -> Vec<(PreparedShard<Http1>, Config)> {
     let shards = sizes.shards;
     let remembered = config.keys().map_or(sizes.key_retention, KeyStoreConfig::longest_retention);
     let sizes = ShardOptions { key_retention: remembered, ..sizes };
-    let seats = PreparedShard::prepare_all(sizes, config.seed);
-    let Some(peers) = seats.first().map(PreparedShard::peers) else { return Vec::new() };
-    let common = SharedKeyState::new(move |shard, told| {
+    let prepared_shards = PreparedShard::prepare_all(sizes, config.seed);
+    let Some(peers) = prepared_shards.first().map(PreparedShard::peers) else { return Vec::new() };
+    let common = SharedKeyState::new(move |shard, request| {
         peers.submit(shard, move |driver| {
-            driver
-                .with_interceptor(|keys: &mut KeyInterceptor<Http1>, desk| keys.on_peer_request(desk, told));
+            driver.with_interceptor(|keys: &mut KeyInterceptor<Http1>, context| {
+                keys.on_peer_request(context, request)
+            });
         });
     });
-    let with_part = |seat: PreparedShard<Http1>| {
-        let me = seat.shard();
-        let mut config = part(config, shards, me);
+    let with_config = |prepared: PreparedShard<Http1>| {
+        let me = prepared.shard();
+        let mut config = shard_config(config, shards, me);
         config.extensions.set(ShardContext { shard: me, shared: common.clone() });
-        (seat, config)
+        (prepared, config)
     };
-    seats.into_iter().map(with_part).collect()
+    prepared_shards.into_iter().map(with_config).collect()
 }
 
-/// What one of so many shards is told.
-pub fn part(config: &Config, shards: usize, me: usize) -> Config {
-    shard::shard_config(config, shards, me)
+/// The configuration of one shard out of this number of shards.
+pub fn shard_config(config: &Config, shards: usize, shard: usize) -> Config {
+    shard::shard_config(config, shards, shard)
 }
 
-/// Starts a shard's engine on the thread that this is called on.
-pub fn start(seat: PreparedShard<Http1>, config: Config, log: Log) -> Shared {
+/// Starts a shard's engine on the current thread.
+pub fn start_shard(prepared: PreparedShard<Http1>, config: Config, log: Log) -> RunningShard {
     let config = Rc::new(config);
-    let stations = crate::stations(&config);
-    seat.start(config.clone(), Http1::new(&config), stations, log)
+    let interceptors = crate::interceptors(&config);
+    prepared.start(config.clone(), Http1::new(&config), interceptors, log)
 }
 
-/// How a shard's thread has ended.
+/// How a shard's thread ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// It was stopped, and all that it had taken was answered.
-    Well,
-    /// By a panic: the process goes on without it.
+pub enum ShardExit {
+    /// It was stopped, and all requests that it had accepted were answered.
+    Clean,
+    /// It panicked; the process continues without it.
     Panicked,
 }
 
-/// Runs a shard on the thread that this is called on, as `run` says. A panic ends the shard and no other: what it had
-/// is the others', and they are told when its connections are closed.
+/// Runs `run` as a shard on the current thread and returns its result. A panic ends this shard alone: the other shards
+/// take over what it held, and are notified after its connections have been closed.
+///
+/// # Errors
+///
+/// The thread's runtime could not be created.
 pub fn run_thread<T>(
-    seat: PreparedShard<Http1>,
+    prepared: PreparedShard<Http1>,
     run: impl AsyncFnOnce(PreparedShard<Http1>) -> Option<T>,
-) -> io::Result<(End, Option<T>)> {
-    let ending: ShardGuard<Http1> = seat.guard();
+) -> io::Result<(ShardExit, Option<T>)> {
+    let guard: ShardGuard<Http1> = prepared.guard();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let ended = catch_unwind(AssertUnwindSafe(|| {
         let local = LocalSet::new();
-        let said = local.block_on(&runtime, run(seat));
-        // Connections and calls go before anybody hears that it has ended.
+        let result = local.block_on(&runtime, run(prepared));
+        // Connections and calls are dropped before the other shards are notified that this one has ended.
         drop(local);
         drop(runtime);
-        said
+        result
     }));
-    drop(ending);
+    drop(guard);
     Ok(match ended {
-        Ok(Some(said)) => (End::Well, Some(said)),
-        Ok(None) | Err(_) => (End::Panicked, None),
+        Ok(Some(result)) => (ShardExit::Clean, Some(result)),
+        Ok(None) | Err(_) => (ShardExit::Panicked, None),
     })
 }
 
-/// The listeners of all shards once more, for those that stand in for one that does not answer. They are closed when
-/// the process is told to stop: each shard then takes what has come to its own.
+/// Duplicates of the listeners of all shards, so that another shard can accept in place of a stalled one. They are
+/// closed when the process is ordered to stop: from then on each shard accepts only what has arrived at its own
+/// listener.
 #[derive(Clone, Debug)]
-pub struct Spare(Arc<Mutex<Vec<TcpListener>>>);
+pub struct BackupListeners(Arc<Mutex<Vec<TcpListener>>>);
 
-impl Spare {
-    /// Of these listeners.
+impl BackupListeners {
+    /// Duplicates these listeners, which are in the order of the shards.
     ///
     /// # Errors
-    /// Too few descriptors.
-    pub fn of(listeners: &[TcpListener]) -> io::Result<Spare> {
-        let again = listeners.iter().map(TcpListener::try_clone).collect::<io::Result<_>>()?;
-        Ok(Spare(Arc::new(Mutex::new(again))))
+    ///
+    /// Too few file descriptors.
+    pub fn duplicate(listeners: &[TcpListener]) -> io::Result<BackupListeners> {
+        let duplicates = listeners.iter().map(TcpListener::try_clone).collect::<io::Result<_>>()?;
+        Ok(BackupListeners(Arc::new(Mutex::new(duplicates))))
     }
 
-    /// Closes them.
+    /// Closes all duplicates, those of all clones included.
     pub fn close(&self) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
@@ -126,27 +133,33 @@
     }
 }
 
-/// Accepts for those that this shard stands in for, as long as it does. `stand_ins` says who does for whom.
-pub async fn stand_in(me: usize, spare: Spare, mut stand_ins: StandIns, to: mpsc::Sender<Stream>) {
+/// Accepts connections in place of stalled shards and sends them to `to`. `acceptors` holds, by shard, which shard
+/// accepts its new connections; those that name `this_shard` are accepted here, for as long as they do.
+pub async fn accept_for_stalled_shards(
+    this_shard: usize,
+    backups: BackupListeners,
+    mut acceptors: StandIns,
+    to: mpsc::Sender<Stream>,
+) {
     let mut accepting: HashMap<usize, Task> = HashMap::new();
     loop {
-        let for_whom: Vec<usize> = {
-            let all = stand_ins.borrow_and_update();
+        let stalled: Vec<usize> = {
+            let all = acceptors.borrow_and_update();
             all.iter()
                 .enumerate()
-                .filter(|&(shard, &by)| by == me && shard != me)
+                .filter(|&(shard, &by)| by == this_shard && shard != this_shard)
                 .map(|(shard, _)| shard)
                 .collect()
         };
-        accepting.retain(|shard, _| for_whom.contains(shard));
-        for shard in for_whom {
-            let Some(listener) = spare.get(shard) else { continue };
+        accepting.retain(|shard, _| stalled.contains(shard));
+        for shard in stalled {
+            let Some(listener) = backups.get(shard) else { continue };
             accepting.entry(shard).or_insert_with(|| {
                 let to = to.clone();
                 task::spawn(async move { accept(listener, to).await })
             });
         }
-        if stand_ins.changed().await.is_err() {
+        if acceptors.changed().await.is_err() {
             return;
         }
     }
@@ -161,69 +174,71 @@
                     return;
                 }
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// What all shards of the daemon are told at once.
+/// The channels over which all shards of a process are ordered to stop or to reload.
 #[derive(Clone)]
-pub struct Told {
-    /// Whether to stop.
+pub struct ShardSignals {
+    /// Turns true when the shards are to stop.
     pub stop: watch::Receiver<bool>,
-    /// The newest configuration, of the whole process.
+    /// The newest configuration of the whole process; `None` before the first reload.
     pub reload: watch::Receiver<Option<Arc<Config>>>,
 }
 
-/// Serves as one shard of the daemon until it is told to stop and all that it took is answered. `None`: its engine was
-/// torn by a panic.
-pub async fn serve(
-    seat: PreparedShard<Http1>,
+/// Serves as one shard of the daemon until it is ordered to stop and all requests that it accepted are answered. `None`
+/// if it has no listener, or if a panic has left its engine in an inconsistent state.
+pub async fn serve_shard(
+    prepared: PreparedShard<Http1>,
     config: Config,
     log: Log,
     listener: TcpListener,
-    spare: Spare,
-    told: Told,
+    backups: BackupListeners,
+    signals: ShardSignals,
 ) -> Option<()> {
-    let me = seat.shard();
-    let shared = start(seat, config, log);
-    let (driver, peers, stand_ins) = (shared.driver.clone(), shared.peers.clone(), shared.stand_ins.clone());
+    let this_shard = prepared.shard();
+    let running = start_shard(prepared, config, log);
+    let (driver, peers, acceptors) =
+        (running.driver.clone(), running.peers.clone(), running.stand_ins.clone());
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(error) => {
-            driver.log(&format!("no listener: {error}"));
+            driver.log(&format!("the listener cannot be used: {error}"));
             return None;
         }
     };
-    // One socket for all.
-    let _operators = (me == 0).then(|| crate::operators::start_for(&driver, Some(peers.clone())));
-    let Told { mut stop, mut reload } = told;
-    let (to, more) = mpsc::channel(ACCEPTED_MOST);
-    let standing_in = task::spawn(stand_in(me, spare, stand_ins, to));
+    // One operators' socket for all shards.
+    let _operators =
+        (this_shard == 0).then(|| crate::operators::start_for_shards(&driver, Some(peers.clone())));
+    let ShardSignals { mut stop, mut reload } = signals;
+    let (to, accepted) = mpsc::channel(ACCEPT_QUEUE_CAPACITY);
+    let backup_accepts = task::spawn(accept_for_stalled_shards(this_shard, backups, acceptors, to));
     let reloads = async {
         while reload.changed().await.is_ok() {
             let config = reload.borrow_and_update().clone();
-            config.iter().for_each(|config| driver.reload(part(config, peers.count(), me)));
+            config.iter().for_each(|config| driver.reload(shard_config(config, peers.count(), this_shard)));
         }
         std::future::pending::<()>().await
     };
     let stopped = async move {
-        // Whoever could say so has gone: that is a stop too.
+        // A closed channel is an order to stop, too.
         let _ = stop.wait_for(|stop| *stop).await;
-        drop(standing_in);
+        drop(backup_accepts);
     };
     let front = async {
-        let over = server::serve_also(listener, Some(more), driver.clone(), stopped).await;
+        let exit_by = server::serve_with_accepted(listener, Some(accepted), driver.clone(), stopped).await;
         driver.log_counts();
-        // One that does not answer must not keep the others.
-        let _ = timeout_at(over, peers.wait_until_all_drained(me)).await;
+        // A stalled shard must not keep the others from exiting.
+        let _ = timeout_at(exit_by, peers.wait_until_all_drained(this_shard)).await;
     };
     tokio::select! {
         () = front => Some(()),
         () = reloads => None,
-        () = shared.serve() => None,
+        () = running.serve() => None,
     }
 }
 
-/// All shards, for the operators' socket.
+/// Handles of all shards of a process, by which jobs are run at any of them.
 pub type Shards = Peers<Http1>;
--- a/proxy/tests/cores/watch.rs
+++ b/proxy/tests/cores/watch.rs
@@ -1,7 +1,7 @@
-//! One engine of a process watches the list for all. It stalls, another takes over, and it comes back: what each engine
-//! may send by, and who watches then.
+//! One engine of a process watches the list for all. It stalls, another takes over the watch, and the first continues:
+//! by which list each engine may send, and which engine watches.
 
-use super::{echo, free, Process, SHARDS};
+use super::{echo_plan, free_request, Process, SHARDS};
 use nettleworks_cores::ShardOptions;
 use nettleworks_engine::calls::Reply;
 use nettleworks_engine::list::Health;
@@ -12,19 +12,20 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// Without a beat for a second an engine is taken for stalled. In this time it also misses a heartbeat of its watch, which
-/// it reads as soon as it goes on.
+/// How long an engine is stalled. Without a heartbeat for a second it counts as stalled; in this time it also misses a
+/// heartbeat of its watch, which it reads as soon as it continues.
 const STALL: Duration = Duration::from_millis(2_500);
-/// What a lost watch hides counts as notified after this, and is heeded within the grace.
-const HEEDED: Duration = Duration::from_secs(7);
+/// A change that a lost watch hides counts as notified after 6 s and must be honored within the grace of a second.
+const HONORED_WITHIN: Duration = Duration::from_secs(7);
 
-/// What is not read may be sent past for so long: the grace of a second, less what an engine may be held up.
-const UNREAD_MOST: Duration = Duration::from_millis(850);
+/// How long requests may still be sent contrary to a list that has not been read: the grace of a second, less the time
+/// for which an engine may be delayed.
+const MAX_UNREAD: Duration = Duration::from_millis(850);
 
-/// A process of a fleet of forty, whose calls for the list are spread over seconds, and a relay before its discovery.
-async fn watched_through_a_relay(site: &Site) -> (Process, Relay) {
+/// A process of a fleet of forty, whose calls to discovery are spread over seconds, with a relay in front of discovery.
+async fn start_behind_relay(site: &Site) -> (Process, Relay) {
     let relay = Relay::start(site.discovery).await;
-    let process = Process::with(site, ShardOptions::new(SHARDS), |config| {
+    let process = Process::start_with(site, ShardOptions::new(SHARDS), |config| {
         config["discovery"] = relay.address.to_string().into();
         config["settings"]["balancers"] = 40.into();
         config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
@@ -33,14 +34,14 @@
     (process, relay)
 }
 
-/// What comes of a request that is taken at this engine.
+/// How a request that arrives at this engine ends.
 async fn reply_at(process: &Process, shard: usize) -> &'static str {
     let (sender, reply) = oneshot::channel();
     process.peers.submit(shard, move |driver| {
-        let (ask, forward) = free(format!("at-{shard}-{:?}", Instant::now()).replace(' ', ""));
-        let waiting = driver.request(ask, forward);
+        let (info, forward) = free_request(format!("at-{shard}-{:?}", Instant::now()).replace(' ', ""));
+        let waiting = driver.request(info, forward);
         spawn_local(async move {
-            // The test may have ended.
+            // The test may have ended by now.
             let _ = sender.send(match waiting.reply().await {
                 Reply::Served(_) => "served",
                 Reply::Refused(_) => "refused",
@@ -51,64 +52,66 @@
     reply.await.unwrap_or("lost")
 }
 
-/// Whether an engine knows that the second host drains.
-async fn knows_of_the_drain(process: &Process, shard: usize) -> bool {
+/// Whether an engine has been notified that a host drains.
+async fn has_drain(process: &Process, shard: usize) -> bool {
     let hosts = process.peers.run_on(shard, |driver| driver.state().hosts).await.unwrap_or_default();
     hosts.iter().any(|host| host.health == Health::Terminating)
 }
 
-/// Waits until the first engine is stalled, does something, and waits until it is back.
-async fn while_the_first_is_stalled(process: &Process, time: Duration, meanwhile: impl AsyncFnOnce()) {
+/// Stalls the first engine, runs `meanwhile` once the others have noticed, and waits until it responds again.
+async fn while_first_engine_stalls(process: &Process, time: Duration, meanwhile: impl AsyncFnOnce()) {
     process.block(0, time);
-    eventually("it is noticed", || process.said("shard 0 does not answer") == SHARDS - 1).await;
+    eventually("the stall is noticed", || process.log_count("shard 0 does not answer") == SHARDS - 1).await;
     meanwhile().await;
-    eventually("it is back", || process.said("shard 0 answers again") >= SHARDS - 1).await;
+    eventually("the engine responds again", || process.log_count("shard 0 answers again") >= SHARDS - 1)
+        .await;
 }
 
-/// The watch is one, and when the shard that has it stalls another goes on with it.
+/// A process has one watch, and when the shard that holds it stalls another shard opens a new one.
 #[test]
-fn the_watch_is_one_and_moves_on() {
-    let site = Site::start(vec![echo(1, vec![]); 2]);
+fn the_single_watch_moves_from_a_stalled_shard() {
+    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
         let watches = || site.with(|inside| inside.registry.watches.get());
         assert_eq!(watches(), 1);
         process.block(0, Duration::from_secs(3));
-        eventually("another watches", || watches() == 2).await;
+        eventually("another shard watches", || watches() == 2).await;
         site.with(|inside| inside.list(1, "Terminating"));
-        let told = async |shard| {
+        let is_notified = async |shard| {
             let hosts = process.peers.run_on(shard, |driver| driver.state().hosts).await.unwrap_or_default();
             hosts.iter().any(|host| host.health == nettleworks_engine::list::Health::Terminating)
         };
         for shard in 1..SHARDS {
-            while !told(shard).await {
+            while !is_notified(shard).await {
                 sleep(Duration::from_millis(5)).await;
             }
         }
-        eventually("it is back", || process.said("shard 0 answers again") >= SHARDS - 1).await;
-        while !told(0).await {
+        eventually("the engine responds again", || process.log_count("shard 0 answers again") >= SHARDS - 1)
+            .await;
+        while !is_notified(0).await {
             sleep(Duration::from_millis(5)).await;
         }
         let before = site.counts()[1];
         for _ in 0..20 {
             assert_eq!(process.client().await.ask(&request("free", "", "")).await.status(), 200);
         }
-        assert_eq!(site.counts()[1], before, "it drains");
+        assert_eq!(site.counts()[1], before, "the host drains");
         process.stop().await;
     });
 }
 
-/// Another engine leads for a moment, and its call for the list is not answered. The first goes on with its own watch,
-/// which has told all: no engine keeps the end that the list had meanwhile.
+/// Another engine takes over the watch for a moment, and its call to discovery is not answered. The first continues
+/// with its own watch, which was intact all the time: no engine may keep the list's expiry that was set meanwhile.
 #[test]
-fn an_engine_that_led_for_a_moment_goes_on_by_the_list_of_the_first() {
-    let site = Site::start(vec![echo(1, vec![]); 2]);
+fn a_short_takeover_of_the_watch_does_not_expire_the_list() {
+    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
-        let (process, relay) = watched_through_a_relay(&site).await;
+        let (process, relay) = start_behind_relay(&site).await;
         relay.arrivals(Arrival::Hangs);
-        while_the_first_is_stalled(&process, STALL, async || ()).await;
-        sleep(HEEDED).await;
+        while_first_engine_stalls(&process, STALL, async || ()).await;
+        sleep(HONORED_WITHIN).await;
         for shard in 0..SHARDS {
             assert_eq!(reply_at(&process, shard).await, "served", "at engine {shard}");
         }
@@ -116,23 +119,23 @@
     });
 }
 
-/// The first engine's watch is lost, and another brings the list while the first is stalled. That list proves nothing of
-/// the first one's watch, which goes on to open one.
+/// The first engine's watch is lost, and another engine gets the list while the first is stalled. That list does not
+/// mean that the first engine has a watch: it must go on trying to open one.
 #[test]
-fn a_list_that_another_engine_brought_does_not_end_the_search_for_a_watch() {
-    let site = Site::start(vec![echo(1, vec![]); 2]);
+fn a_list_from_another_engine_does_not_stop_the_reconnect_of_the_watch() {
+    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
-        let (process, relay) = watched_through_a_relay(&site).await;
+        let (process, relay) = start_behind_relay(&site).await;
         relay.arrivals(Arrival::Refused(Duration::ZERO));
         relay.reset_after(0);
-        eventually("its watch is lost", || process.said("watch 1: ") >= 3).await;
+        eventually("its watch is lost", || process.log_count("watch 1: ") >= 3).await;
         relay.arrivals(Arrival::Passes);
-        while_the_first_is_stalled(&process, STALL, async || ()).await;
+        while_first_engine_stalls(&process, STALL, async || ()).await;
         let drained = Instant::now();
         site.with(|inside| inside.list(1, "Terminating"));
         for shard in 0..SHARDS {
-            while !knows_of_the_drain(&process, shard).await {
-                assert!(drained.elapsed() < HEEDED, "engine {shard} never hears of it");
+            while !has_drain(&process, shard).await {
+                assert!(drained.elapsed() < HONORED_WITHIN, "engine {shard} is not notified of the drain");
                 sleep(Duration::from_millis(10)).await;
             }
         }
@@ -140,18 +143,18 @@
     });
 }
 
-/// All watches break while the first engine is stalled, and no call is answered. When it goes on it has not read that its
-/// watch is lost: it claims nothing that it has not proven, and no engine sends by the list again.
+/// All watches break while the first engine is stalled, and no further call is answered. When it continues it has not
+/// read yet that its watch is lost: it must not report the list as verified, and no engine may send by that list again.
 #[test]
-fn an_engine_that_was_stalled_claims_no_list_that_it_has_not_proven() {
-    let site = Site::start(vec![echo(1, vec![]); 2]);
+fn an_engine_does_not_use_an_unverified_list_after_a_stall() {
+    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
-        let (process, relay) = watched_through_a_relay(&site).await;
+        let (process, relay) = start_behind_relay(&site).await;
         relay.arrivals(Arrival::Hangs);
-        while_the_first_is_stalled(&process, HEEDED + STALL, async || {
+        while_first_engine_stalls(&process, HONORED_WITHIN + STALL, async || {
             relay.reset_after(0);
             site.with(|inside| inside.list(1, "Terminating"));
-            sleep(HEEDED).await;
+            sleep(HONORED_WITHIN).await;
             for shard in 1..SHARDS {
                 assert_eq!(reply_at(&process, shard).await, "refused", "at engine {shard}");
             }
@@ -169,11 +172,11 @@
     });
 }
 
-/// The first engine stalls, and word of a drain lies unread in its socket. Until it is missed the others begin nothing that
-/// would be over the grace.
+/// The first engine stalls, and the notification of a drain stays unread in its socket. Until the stall is noticed the
+/// other engines must not begin a request that would exceed the grace.
 #[test]
-fn no_engine_sends_by_a_list_that_the_stalled_one_has_not_read() {
-    let site = Site::start(vec![echo(1, vec![]); 2]);
+fn a_drain_unread_by_the_stalled_engine_is_honored_by_the_others() {
+    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
         let process = Rc::new(Process::start(&site));
         process.ready().await;
@@ -191,16 +194,16 @@
         sleep(Duration::from_millis(20)).await;
         site.with(|inside| inside.list(1, "Terminating"));
         let (drained, before) = (Instant::now(), site.counts()[1]);
-        sleep(UNREAD_MOST).await;
-        let in_time = site.counts()[1];
-        assert!(in_time > before, "none was sent at all");
+        sleep(MAX_UNREAD).await;
+        let within_grace = site.counts()[1];
+        assert!(within_grace > before, "none was sent at all");
         for shard in 1..SHARDS {
-            while !knows_of_the_drain(&process, shard).await {
+            while !has_drain(&process, shard).await {
                 sleep(Duration::from_millis(5)).await;
             }
         }
-        assert!(drained.elapsed() < STALL, "another engine reads the list");
-        assert_eq!(site.counts()[1], in_time, "sent by a list that was not read");
+        assert!(drained.elapsed() < STALL, "another engine reads the list in time");
+        assert_eq!(site.counts()[1], within_grace, "sent to the drained host after the grace");
         sleep(STALL).await;
         Rc::into_inner(process).expect("all have ended").stop().await;
     });
--- a/proxy/tests/fleet/mod.rs
+++ b/proxy/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Some processes of a large fleet, their servers, and discovery behind a relay, for the tests of how old a list they may
-//! send by. What the servers have run is their ledger's word.
+//! Some proxy processes of a large fleet, their servers, and discovery behind a relay, for tests of how long a list may
+//! be used. The servers' ledger shows what they have run.
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
 use nettleworks_crew::{History, Process};
@@ -12,25 +12,25 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, Instant};
 
-/// What a broken or silent watch hides counts as told after this.
-pub const TOLD: Duration = Duration::from_secs(6);
-/// The same where the watch was ended in order.
-pub const TOLD_AT_END: Duration = Duration::from_secs(2);
-/// What may still be sent after that is begun within this.
+/// Time after which a change that a broken or silent watch hides counts as notified.
+pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+/// The same for a watch that discovery has closed in order.
+pub const NOTIFIED_AFTER_CLOSE: Duration = Duration::from_secs(2);
+/// Time after the notification within which requests may still be begun.
 pub const GRACE: Duration = Duration::from_secs(1);
-/// What a request needs from its sender to the ledger, on a busy machine.
-const ON_ITS_WAY: Duration = Duration::from_millis(250);
-/// Processes that the settings tell of: the pauses of the program grow with them.
-const FLEET: usize = 300;
+/// Longest time from the moment a request is sent until it is in the ledger, on a busy machine.
+const TRANSIT_TIME: Duration = Duration::from_millis(250);
+/// Number of balancers in the settings: the program spreads its calls to discovery by it.
+const BALANCERS: usize = 300;
 
-/// Some processes of a large fleet, their servers, and discovery behind a relay.
+/// Some proxy processes of a large fleet, their servers, and discovery behind a relay.
 pub struct Fleet {
     pub registry: Registry,
     pub relay: Relay,
     pub servers: Vec<Host>,
     ledger: Ledger,
     folder: PathBuf,
-    /// Of each process.
+    /// Number of engines of each process.
     engines: usize,
     environment: Vec<(String, String)>,
     pub processes: Vec<Process>,
@@ -39,30 +39,30 @@
 }
 
 impl Fleet {
-    /// Starts so many processes, with clients that send for this long. `change` sees each configuration.
+    /// Starts this number of processes, with clients that send for `duration`. `change` may modify each configuration.
     pub async fn start(
         name: &str,
         count: usize,
-        lasts: Duration,
+        duration: Duration,
         change: impl Fn(&mut serde_json::Value),
     ) -> Fleet {
-        Fleet::start_with(name, count, 1, lasts, change).await
+        Fleet::start_with(name, count, 1, duration, change).await
     }
 
-    /// The same with so many engines in each.
+    /// The same with this number of engines in each process.
     pub async fn start_with(
         name: &str,
         count: usize,
         engines: usize,
-        lasts: Duration,
+        duration: Duration,
         change: impl Fn(&mut serde_json::Value),
     ) -> Fleet {
         let mut fleet = Fleet::prepare(name, engines).await;
-        fleet.serve(count, lasts, change).await;
+        fleet.start_processes(count, duration, change).await;
         fleet
     }
 
-    /// Servers and discovery, and no process yet.
+    /// Starts the servers and discovery, but no process.
     pub async fn prepare(name: &str, engines: usize) -> Fleet {
         let (registry, ledger) = (Registry::start().await, Ledger::default());
         let relay = Relay::start(registry.address).await;
@@ -79,32 +79,37 @@
         Fleet { registry, relay, servers, ledger, folder, engines, environment, processes, tally, clients }
     }
 
-    /// Starts so many processes, with clients that send for this long. `change` sees each configuration.
-    pub async fn serve(&mut self, count: usize, lasts: Duration, change: impl Fn(&mut serde_json::Value)) {
+    /// Starts this number of processes, with clients that send for `duration`. `change` may modify each configuration.
+    pub async fn start_processes(
+        &mut self,
+        count: usize,
+        duration: Duration,
+        change: impl Fn(&mut serde_json::Value),
+    ) {
         self.configure(self.relay.address, count, change);
-        self.begin(count);
-        self.watched(count).await;
-        self.send_for(lasts);
+        self.spawn_processes(count);
+        self.wait_for_watches(count).await;
+        self.start_clients(duration);
     }
 
-    /// Processes that are started from now on have these variables.
-    pub fn in_environment(&mut self, environment: Vec<(String, String)>) {
+    /// Sets the environment variables of processes that are started from now on.
+    pub fn set_environment(&mut self, environment: Vec<(String, String)>) {
         self.environment = environment;
     }
 
-    /// Where the processes' configurations are.
+    /// The folder of the processes' configurations.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Writes the configurations of so many processes.
+    /// Writes the configurations of this number of processes.
     pub fn configure(&self, discovery: SocketAddr, count: usize, change: impl Fn(&mut serde_json::Value)) {
         for number in 0..count {
             let folder = self.folder.join(number.to_string());
-            std::fs::create_dir_all(&folder).expect("a folder");
+            std::fs::create_dir_all(&folder).expect("the folder is created");
             let config = configuration(discovery, &self.servers, |config| {
                 config["seed"] = format!("{:x}", 0x9e37_79b9 * (number as u64 + 1)).into();
-                config["settings"]["balancers"] = FLEET.into();
+                config["settings"]["balancers"] = BALANCERS.into();
                 config["settings"]["me"] = number.into();
                 config["settings"]["invariants"]["ask_every_us"] = 10_000_000.into();
                 for class in config["settings"]["classes"].as_array_mut().expect("classes") {
@@ -117,8 +122,8 @@
         }
     }
 
-    /// Starts so many processes. Those that run are killed.
-    pub fn begin(&mut self, count: usize) {
+    /// Starts this number of processes, after the running ones have been killed.
+    pub fn spawn_processes(&mut self, count: usize) {
         self.processes.clear();
         let program = Path::new(env!("CARGO_BIN_EXE_nettleworks"));
         for number in 0..count {
@@ -130,12 +135,12 @@
         }
     }
 
-    /// A client of each process sends for this long.
-    pub fn send_for(&mut self, lasts: Duration) {
+    /// Starts clients of each process that send for `duration`.
+    pub fn start_clients(&mut self, duration: Duration) {
         for process in &self.processes {
             let load = Load {
                 clients: self.engines,
-                until: Some(Instant::now() + lasts),
+                until: Some(Instant::now() + duration),
                 pause: Duration::from_millis(80),
                 classes: vec![("unsafe", 1.0)],
                 budget: Duration::from_millis(1_200),
@@ -147,42 +152,42 @@
         }
     }
 
-    /// Waits until so many watches were opened, and all processes have had what they bring.
-    pub async fn watched(&self, count: usize) {
+    /// Waits until this number of watches has been opened, and their first list has been read.
+    pub async fn wait_for_watches(&self, count: usize) {
         eventually("all processes watch", || self.registry.watches.get() >= count).await;
         sleep(Duration::from_millis(200)).await;
     }
 
-    /// Drains the first server. When that was done.
+    /// Drains the first server, and returns when that was published.
     pub fn drain(&self) -> Instant {
         self.registry.set(entry("s-0", self.servers[0].address, "Terminating"));
         Instant::now()
     }
 
-    /// How many requests the first server has run that were begun after this moment.
-    pub fn sent_after(&self, moment: Instant) -> usize {
-        let after = (moment + ON_ITS_WAY).into_std();
+    /// How many requests that were begun after this moment the first server has run.
+    pub fn begun_after(&self, moment: Instant) -> usize {
+        let after = (moment + TRANSIT_TIME).into_std();
         self.ledger.effects().iter().filter(|effect| effect.host == "s-0" && effect.at > after).count()
     }
 
-    /// Waits until all clients have ended.
-    pub async fn ended(&mut self) {
+    /// Waits until all clients have ended, and checks that each request had a response and few failed.
+    pub async fn wait_for_clients(&mut self) {
         for client in self.clients.drain(..) {
-            client.await.expect("it ended well");
+            client.await.expect("the client ends without a panic");
         }
         let (tally, ledger) = (self.tally.clone(), self.ledger.clone());
-        let answered = move || {
+        let executed = move || {
             let tally = tally.borrow();
             usize::try_from(tally.served + tally.failed).expect("a count")
         };
-        // One that fails has gone to a server, whose answer a busy machine held up past the class's aim: what is not sent
-        // by the list is refused, and never failed.
-        eventually("each that was served or failed has run, and no other", || {
-            ledger.effects().len() == answered()
+        // A failed request was sent to a server whose response a busy machine delayed past the class's latency target:
+        // a request that may not be sent by the list is refused, not failed.
+        eventually("the ledger has the served and failed requests, and no other", || {
+            ledger.effects().len() == executed()
         })
         .await;
         let tally = self.tally.borrow();
-        assert_eq!(tally.lost, 0, "requests without an answer, {} served", tally.served);
+        assert_eq!(tally.lost, 0, "requests without a response, {} served", tally.served);
         assert!(tally.failed * 100 <= tally.served, "{:?} failed, {} served", tally.failures, tally.served);
     }
 }
--- a/proxy/tests/program.rs
+++ b/proxy/tests/program.rs
@@ -1,9 +1,9 @@
-//! The suite against the program, a process of its own.
+//! The suite against the program in a process of its own.
 
-mod form {
+mod harness {
     pub use nettleworks_standins::*;
 
-    /// Engines that serve as one.
+    /// Number of engines of the proxy under test.
     pub const ENGINES: usize = 1;
 
     pub struct Daemon;
@@ -20,6 +20,6 @@
 mod listening;
 #[path = "suite/repeats.rs"]
 mod repeats;
-#[path = "suite/stopping.rs"]
-mod stopping;
+#[path = "suite/shutdown.rs"]
+mod shutdown;
 mod suite;
--- a/proxy/tests/suite/hosts.rs
+++ b/proxy/tests/suite/hosts.rs
@@ -1,15 +1,15 @@
-//! Connections to hosts: kept, given up, withdrawn.
+//! Connections to hosts: reuse, closing, and requests that are not sent after all.
 
-use crate::form::*;
+use crate::harness::*;
 use std::slice::from_ref;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// A connection costs a host many times a request's overhead. It must be back before the outcome is told:
-/// else the request that the outcome lets go opens another.
+/// Opening a connection costs a host many times the overhead of a request. A connection must be returned for reuse
+/// before the outcome is reported: otherwise the next request, which the outcome releases, opens another one.
 #[test]
-fn one_request_after_the_other_shares_one_connection() {
+fn sequential_requests_share_one_connection() {
     run(async {
         let host = Host::start([ok("served"), turn_away(), ok("served")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
@@ -21,12 +21,12 @@
     });
 }
 
-/// A connection that the host has closed while it was idle is no failure of the request: nothing is written.
+/// A host has closed a connection while it was idle: the proxy must not write a request to it, which would then fail.
 #[test]
-fn a_connection_closed_by_its_host_is_not_used_again() {
+fn a_connection_closed_by_its_host_is_not_reused() {
     run(async {
-        let bye = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-        let host = Host::start([Act::SayAndClose(bye.to_owned())]).await;
+        let response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+        let host = Host::start([Act::SayAndClose(response.to_owned())]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
         let mut client = proxy.client().await;
         for count in 1..=5 {
@@ -37,10 +37,10 @@
     });
 }
 
-/// A host may close a kept connection just as a request is written to it. What may be repeated goes again at once,
-/// to the same host, which is not to blame.
+/// A host may close a persistent connection just as a request is written to it. A request that may be retried must be
+/// sent again at once, to the same host, which is not ejected for it.
 #[test]
-fn a_kept_connection_that_breaks_sets_no_host_aside() {
+fn a_broken_reused_connection_ejects_no_host() {
     run(async {
         let host = Host::start([ok("one"), Act::SayAndClose(String::new()), ok("three")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
@@ -51,9 +51,9 @@
     });
 }
 
-/// More than belongs to an answer makes its connection useless; a later request must not get it.
+/// Bytes after the end of a response make its connection unusable; a later request must not get them as its response.
 #[test]
-fn what_follows_an_answer_is_nobodys() {
+fn bytes_after_a_response_are_discarded_with_the_connection() {
     run(async {
         let double = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
         let host = Host::start([Act::Say(double.to_owned()), ok("right")]).await;
@@ -65,9 +65,9 @@
     });
 }
 
-/// Answers that announce themselves are passed on as if they had not.
+/// Informational (1xx) responses before the final one are skipped.
 #[test]
-fn informational_answers_are_passed_over() {
+fn informational_responses_are_skipped() {
     run(async {
         let early = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
         let Act::Say(good) = ok("served") else { return };
@@ -81,9 +81,9 @@
     });
 }
 
-/// Idle connections are closed before the host does it: a request that crosses the host's close is lost.
+/// Idle connections must be closed before the host closes them: a request that crosses the host's close is lost.
 #[test]
-fn an_idle_connection_is_retired_before_its_host_closes_it() {
+fn an_idle_connection_is_closed_before_its_host_closes_it() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&host), |config| {
@@ -91,13 +91,14 @@
         })
         .await;
         assert_eq!(proxy.client().await.ask(&request("free", "", "")).await.status(), 200);
-        eventually("it is retired", || host.open.get() == 0).await;
+        eventually("the idle connection is closed", || host.open.get() == 0).await;
     });
 }
 
-/// Nor is one used that is due and not yet retired: looking through them now and then would leave a gap.
+/// A connection past its idle limit must not be reused even if it has not been closed yet: closing them periodically
+/// would leave a gap.
 #[test]
-fn a_connection_that_is_due_is_not_used_again() {
+fn an_expired_connection_is_not_reused() {
     run(async {
         let host = Host::start([ok("served")]).await;
         let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&host), |config| {
@@ -112,37 +113,38 @@
     });
 }
 
-/// An address where connections do not come up: the listener's queue of new ones is full.
-async fn never_up() -> (Host, Vec<TcpStream>, TcpListener) {
+/// A host whose connections are never established, as its listener's queue is queued; the queued connections and the
+/// listener.
+async fn unreachable_host() -> (Host, Vec<TcpStream>, TcpListener) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-    let listener = socket.listen(0).expect("it listens");
+    let listener = socket.listen(0).expect("listening");
     let address = listener.local_addr().expect("an address");
-    let (mut full, wait) = (Vec::new(), Duration::from_millis(200));
+    let (mut queued, wait) = (Vec::new(), Duration::from_millis(200));
     while let Ok(Ok(stream)) = timeout(wait, TcpStream::connect(address)).await {
-        full.push(stream);
+        queued.push(stream);
     }
-    (Host { address, ..Host::start([ok("")]).await }, full, listener)
+    (Host { address, ..Host::start([ok("")]).await }, queued, listener)
 }
 
-/// A send counts when it is written. One that still waits for its connection when its host is told draining
-/// must not be written there later; it goes elsewhere at once.
+/// A request counts as sent once it is written. One that still waits for its connection when its host begins to drain
+/// must not be written there later, but be sent to another host at once.
 #[test]
-fn what_is_not_yet_written_to_a_draining_host_is_withdrawn() {
+fn a_request_not_yet_written_to_a_draining_host_goes_elsewhere() {
     run(async {
-        let (stuck, _full, listener) = never_up().await;
+        let (unreachable, _queued, listener) = unreachable_host().await;
         let other = Host::start([ok("served")]).await;
         let discovery = Discovery::quiet().await;
-        let proxy = Proxy::with(&discovery, from_ref(&stuck), |config| {
+        let proxy = Proxy::with(&discovery, from_ref(&unreachable), |config| {
             config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
         })
         .await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
         eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
-        // Sent later and answered: the proxy has read the request before.
+        // A later request has been answered, so the proxy has read the first one.
         assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
-        let hosts = [entry("s-0", stuck.address, "Terminating"), entry("s-1", other.address, "Ready")];
+        let hosts = [entry("s-0", unreachable.address, "Terminating"), entry("s-1", other.address, "Ready")];
         discovery.push(&chunk(&list(42, false, &hosts))).await;
         assert_eq!(client.message().await.expect("an answer").status(), 200);
         assert_eq!(other.count(), 1);
@@ -150,13 +152,13 @@
     });
 }
 
-/// Nothing is sent for a call that is over, also where the site does not let attempts be called off: one that
-/// still waits for its connection must not be written once that comes up.
+/// Nothing may be sent for a call that has ended, even on a site where attempts must not be cancelled: an attempt that
+/// still waits for its connection must not be written once that is established.
 #[test]
-fn what_is_not_yet_written_is_withdrawn_when_its_call_ends() {
+fn a_request_not_yet_written_is_dropped_when_its_call_ends() {
     run(async {
-        let (stuck, full, listener) = never_up().await;
-        let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&stuck), |config| {
+        let (unreachable, queued, listener) = unreachable_host().await;
+        let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&unreachable), |config| {
             config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
             config["settings"]["limits"]["cancel"] = false.into();
         })
@@ -168,43 +170,43 @@
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "the second")).await;
         assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
-        // From here on connections come up, the first one's before the second's.
+        // From here on connections are established, that of the first request before that of the second.
         let host = Host::on(listener, [ok("served")]);
-        drop(full);
+        drop(queued);
         assert_eq!(client.message().await.expect("an answer").status(), 200);
         let bodies: Vec<_> = host.seen.borrow().iter().map(|message| message.body.clone()).collect();
         assert_eq!(bodies, [b"the second"]);
     });
 }
 
-/// A host that has moved gets nothing at its old address, where another may listen by now.
+/// A host whose address has changed must get no request at the old one, where another server may listen by now.
 #[test]
-fn a_host_that_has_moved_is_met_at_its_new_address() {
+fn a_host_with_a_new_address_is_reached_there() {
     run(async {
         let (old, new) = (Host::start([Act::Stall, ok("old")]).await, Host::start([ok("new")]).await);
         let discovery = Discovery::quiet().await;
         let proxy = Proxy::with(&discovery, from_ref(&old), |_| ()).await;
         let (mut client, mut busy) = (proxy.client().await, proxy.client().await);
         busy.send(&request("unsafe", "", "")).await;
-        eventually("the host has it", || old.count() == 1).await;
+        eventually("the host has the request", || old.count() == 1).await;
         assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"old");
         discovery.push(&chunk(&list(42, false, &[entry("s-0", new.address, "Ready")]))).await;
-        eventually("its idle connection closes", || old.open.get() == 1).await;
+        eventually("its idle connection is closed", || old.open.get() == 1).await;
         assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"new");
         old.release.notify_one();
         assert_eq!(busy.message().await.expect("an answer").body, b"released");
-        eventually("its last connection closes", || old.open.get() == 0).await;
+        eventually("its last connection is closed", || old.open.get() == 0).await;
         assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"new");
     });
 }
 
-/// A connection that does not come up in time proves that the request never ran: it may go elsewhere.
+/// If a connection is not established in time, the request surely never ran and must be sent to another host.
 #[test]
-fn a_connection_that_never_comes_up_is_bounded() {
+fn a_connect_timeout_sends_the_request_elsewhere() {
     run(async {
-        let (stuck, _full, _listener) = never_up().await;
+        let (unreachable, _queued, _listener) = unreachable_host().await;
         let other = Host::start([ok("served")]).await;
-        let proxy = Proxy::with(&Discovery::quiet().await, &[stuck, other.clone()], |config| {
+        let proxy = Proxy::with(&Discovery::quiet().await, &[unreachable, other.clone()], |config| {
             config["settings"]["limits"]["connect_timeout_us"] = 50_000.into();
         })
         .await;
@@ -216,9 +218,9 @@
     });
 }
 
-/// The limit on sockets holds for hosts too: a call beyond it ends, and no descriptor is opened for it.
+/// The limit on sockets includes connections to hosts: a call beyond it ends without opening a file descriptor.
 #[test]
-fn connections_to_hosts_stay_under_the_limit() {
+fn connections_to_hosts_stay_within_the_limit() {
     run(async {
         let mut hosts = Vec::new();
         for _ in 0..24 {
@@ -232,7 +234,7 @@
         for _ in 0..200 {
             assert_eq!(client.ask(&request("free", "", "")).await.status(), 200);
             let open: usize = hosts.iter().map(|host| host.open.get()).sum();
-            assert!(open <= 13, "{open}: 12, and one whose close has not arrived");
+            assert!(open <= 13, "{open} open; 12, and one whose close has not arrived, are allowed");
         }
     });
 }
