--- a/council/log/src/lib.rs
+++ b/council/log/src/lib.rs
@@ -7,12 +7,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod letter;
-mod saved;
-mod seat;
-mod seating;
+mod message;
+mod replica;
+mod storage;
+mod voter_planner;
 
-pub use letter::{Entry, Letter, LetterKind, Reseat, What};
-pub use saved::{Base, Hard, Persist, Saved, Seats};
-pub use seat::{Applied, NotNow, Pace, Seat, Work};
-pub use seating::{Candidate, Seating};
+pub use message::{ConfigurationChange, Entry, EntryPayload, Message, MessageKind};
+pub use replica::{Applied, CompactionPolicy, Output, ProposalDropped, Replica};
+pub use storage::{Configuration, DiskState, DiskWrite, HardState, Snapshot};
+pub use voter_planner::{ReplicaStatus, VoterPlanner};
--- a/council/log/src/letter.rs
+++ b/council/log/src/message.rs
@@ -1,30 +1,35 @@
 //! What passes between voters, and what the log holds.
 
-use crate::saved::{Base, Seats};
+use crate::storage::{Configuration, Snapshot};
 use protobuf::Message as _;
 use raft::eraftpb::{self, ConfChange, ConfChangeType, EntryType, MessageType};
 use serde::{Deserialize, Serialize};
 
 /// Another set of voters, by one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reseat {
+pub enum ConfigurationChange {
     /// This one hears the log, and does not vote.
-    Learn(u64),
+    #[serde(rename = "Learn")]
+    AddLearner(u64),
     /// This one votes.
-    Vote(u64),
+    #[serde(rename = "Vote")]
+    AddVoter(u64),
     /// This one does neither.
-    Leave(u64),
+    #[serde(rename = "Leave")]
+    Remove(u64),
 }
 
 /// What an entry says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum EntryPayload {
     /// A leader begins.
-    Nothing,
+    #[serde(rename = "Nothing")]
+    Empty,
     /// A command to the machine, by `postcard`.
     Command(Vec<u8>),
     /// Another set of voters.
-    Seats(Reseat),
+    #[serde(rename = "Seats")]
+    ConfigurationChange(ConfigurationChange),
 }
 
 /// An entry of the log.
@@ -35,29 +40,30 @@
     /// The term in which it was proposed.
     pub term: u64,
     /// What it says.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub payload: EntryPayload,
 }
 
 macro_rules! kinds {
     ($($(#[$doc:meta])* $kind:ident = $raft:ident,)*) => {
         /// What a letter is for, by raft's names.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-        pub enum LetterKind {
+        pub enum MessageKind {
             $($(#[$doc])* $kind,)*
         }
 
-        impl LetterKind {
-            fn of(kind: MessageType) -> Option<LetterKind> {
+        impl MessageKind {
+            fn from_raft(kind: MessageType) -> Option<MessageKind> {
                 match kind {
-                    $(MessageType::$raft => Some(LetterKind::$kind),)*
+                    $(MessageType::$raft => Some(MessageKind::$kind),)*
                     // What a voter says to itself.
                     _ => None,
                 }
             }
 
-            fn raft(self) -> MessageType {
+            fn to_raft(self) -> MessageType {
                 match self {
-                    $(LetterKind::$kind => MessageType::$raft,)*
+                    $(MessageKind::$kind => MessageType::$raft,)*
                 }
             }
         }
@@ -94,9 +100,10 @@
 /// A letter from one voter or learner to another of the same council. The other fields are raft's.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs)]
-pub struct Letter {
-    pub council: u64,
-    pub kind: LetterKind,
+pub struct Message {
+    #[serde(rename = "council")]
+    pub group_id: u64,
+    pub kind: MessageKind,
     pub from: u64,
     pub to: u64,
     pub term: u64,
@@ -110,51 +117,52 @@
     pub priority: i64,
     pub context: Vec<u8>,
     pub entries: Vec<Entry>,
-    pub base: Option<Base>,
+    #[serde(rename = "base")]
+    pub snapshot: Option<Snapshot>,
 }
 
 impl Entry {
     /// `None`: it is no entry that this code has written.
-    pub(crate) fn of(entry: &eraftpb::Entry) -> Option<Entry> {
-        let what = match entry.get_entry_type() {
-            EntryType::EntryNormal if entry.data.is_empty() => What::Nothing,
-            EntryType::EntryNormal => What::Command(entry.data.to_vec()),
+    pub(crate) fn from_raft(entry: &eraftpb::Entry) -> Option<Entry> {
+        let payload = match entry.get_entry_type() {
+            EntryType::EntryNormal if entry.data.is_empty() => EntryPayload::Empty,
+            EntryType::EntryNormal => EntryPayload::Command(entry.data.to_vec()),
             EntryType::EntryConfChange => {
                 // Our own bytes: whatever came from elsewhere was written anew here.
                 let mut change = ConfChange::default();
                 change.merge_from_bytes(&entry.data).ok()?;
-                What::Seats(match change.get_change_type() {
-                    ConfChangeType::AddNode => Reseat::Vote(change.node_id),
-                    ConfChangeType::AddLearnerNode => Reseat::Learn(change.node_id),
-                    ConfChangeType::RemoveNode => Reseat::Leave(change.node_id),
+                EntryPayload::ConfigurationChange(match change.get_change_type() {
+                    ConfChangeType::AddNode => ConfigurationChange::AddVoter(change.node_id),
+                    ConfChangeType::AddLearnerNode => ConfigurationChange::AddLearner(change.node_id),
+                    ConfChangeType::RemoveNode => ConfigurationChange::Remove(change.node_id),
                 })
             }
             EntryType::EntryConfChangeV2 => return None,
         };
-        Some(Entry { index: entry.index, term: entry.term, what })
+        Some(Entry { index: entry.index, term: entry.term, payload })
     }
 
-    pub(crate) fn raft(&self) -> eraftpb::Entry {
+    pub(crate) fn to_raft(&self) -> eraftpb::Entry {
         let mut entry = eraftpb::Entry { index: self.index, term: self.term, ..Default::default() };
-        match &self.what {
-            What::Nothing => {}
-            What::Command(data) => entry.data = data.clone().into(),
-            What::Seats(reseat) => {
+        match &self.payload {
+            EntryPayload::Empty => {}
+            EntryPayload::Command(data) => entry.data = data.clone().into(),
+            EntryPayload::ConfigurationChange(change) => {
                 entry.set_entry_type(EntryType::EntryConfChange);
                 // It is written to memory.
-                entry.data = reseat.raft().write_to_bytes().unwrap_or_default().into();
+                entry.data = change.to_raft().write_to_bytes().unwrap_or_default().into();
             }
         }
         entry
     }
 }
 
-impl Reseat {
-    pub(crate) fn raft(self) -> ConfChange {
+impl ConfigurationChange {
+    pub(crate) fn to_raft(self) -> ConfChange {
         let (kind, node) = match self {
-            Reseat::Vote(node) => (ConfChangeType::AddNode, node),
-            Reseat::Learn(node) => (ConfChangeType::AddLearnerNode, node),
-            Reseat::Leave(node) => (ConfChangeType::RemoveNode, node),
+            ConfigurationChange::AddVoter(node) => (ConfChangeType::AddNode, node),
+            ConfigurationChange::AddLearner(node) => (ConfChangeType::AddLearnerNode, node),
+            ConfigurationChange::Remove(node) => (ConfChangeType::RemoveNode, node),
         };
         let mut change = ConfChange { node_id: node, ..Default::default() };
         change.set_change_type(kind);
@@ -162,29 +170,29 @@
     }
 }
 
-impl Base {
-    pub(crate) fn of(snapshot: &eraftpb::Snapshot) -> Base {
+impl Snapshot {
+    pub(crate) fn from_raft(snapshot: &eraftpb::Snapshot) -> Snapshot {
         let meta = snapshot.get_metadata();
-        let seats = Seats::of(meta.get_conf_state());
-        Base { index: meta.index, term: meta.term, seats, state: snapshot.data.to_vec() }
+        let configuration = Configuration::from_raft(meta.get_conf_state());
+        Snapshot { index: meta.index, term: meta.term, configuration, state: snapshot.data.to_vec() }
     }
 
-    pub(crate) fn raft(&self) -> eraftpb::Snapshot {
+    pub(crate) fn to_raft(&self) -> eraftpb::Snapshot {
         let mut snapshot = eraftpb::Snapshot { data: self.state.clone().into(), ..Default::default() };
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (self.index, self.term);
-        meta.set_conf_state(self.seats.raft());
+        meta.set_conf_state(self.configuration.to_raft());
         snapshot
     }
 }
 
-impl Letter {
+impl Message {
     /// `None`: it is for this voter alone.
-    pub(crate) fn of(message: &eraftpb::Message, council: u64) -> Option<Letter> {
-        let base = message.has_snapshot().then(|| Base::of(message.get_snapshot()));
-        Some(Letter {
-            council,
-            kind: LetterKind::of(message.get_msg_type())?,
+    pub(crate) fn from_raft(message: &eraftpb::Message, group_id: u64) -> Option<Message> {
+        let snapshot = message.has_snapshot().then(|| Snapshot::from_raft(message.get_snapshot()));
+        Some(Message {
+            group_id,
+            kind: MessageKind::from_raft(message.get_msg_type())?,
             from: message.from,
             to: message.to,
             term: message.term,
@@ -197,12 +205,12 @@
             request_snapshot: message.request_snapshot,
             priority: message.priority,
             context: message.context.to_vec(),
-            entries: message.entries.iter().map(Entry::of).collect::<Option<_>>()?,
-            base: base.filter(|base| base.index > 0),
+            entries: message.entries.iter().map(Entry::from_raft).collect::<Option<_>>()?,
+            snapshot: snapshot.filter(|snapshot| snapshot.index > 0),
         })
     }
 
-    pub(crate) fn raft(&self) -> eraftpb::Message {
+    pub(crate) fn to_raft(&self) -> eraftpb::Message {
         let mut message = eraftpb::Message {
             from: self.from,
             to: self.to,
@@ -218,10 +226,10 @@
             context: self.context.clone().into(),
             ..Default::default()
         };
-        message.set_msg_type(self.kind.raft());
-        message.set_entries(self.entries.iter().map(Entry::raft).collect::<Vec<_>>().into());
-        if let Some(base) = &self.base {
-            message.set_snapshot(base.raft());
+        message.set_msg_type(self.kind.to_raft());
+        message.set_entries(self.entries.iter().map(Entry::to_raft).collect::<Vec<_>>().into());
+        if let Some(snapshot) = &self.snapshot {
+            message.set_snapshot(snapshot.to_raft());
         }
         message
     }
--- a/council/src/terms.rs
+++ b/council/src/lease_timing.rs
@@ -5,32 +5,34 @@
 
 /// A lease's length, and by how much a clock may be off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Terms {
+pub struct LeaseTiming {
     /// By true time.
-    pub length: Micros,
+    #[serde(rename = "length")]
+    pub duration: Micros,
     /// By how many millionths a process's monotonic clock may run too fast or too slow.
-    pub drift: u32,
+    #[serde(rename = "drift")]
+    pub max_drift_ppm: u32,
 }
 
 /// A million: the whole.
-const WHOLE: u64 = 1_000_000;
+const MILLION: u64 = 1_000_000;
 /// Most drift that is borne: a clock that is off by a half is no clock.
-const DRIFT_MOST: u32 = 500_000;
+const MAX_DRIFT_PPM: u32 = 500_000;
 
-impl Default for Terms {
+impl Default for LeaseTiming {
     /// Ten seconds, and clocks that are off by 5%. Clocks of machines are off by 0.05% at the worst, those of virtual
     /// machines that are held up by more.
     fn default() -> Self {
-        Terms { length: 10_000_000, drift: 50_000 }
+        LeaseTiming { duration: 10_000_000, max_drift_ppm: 50_000 }
     }
 }
 
-impl Terms {
+impl LeaseTiming {
     /// # Errors
     ///
     /// The length is none that a lease can have (10 ms to an hour), or the drift is over a half.
-    pub fn check(self) -> Result<(), String> {
-        match ((10_000..=3_600_000_000).contains(&self.length), self.drift <= DRIFT_MOST) {
+    pub fn validate(self) -> Result<(), String> {
+        match ((10_000..=3_600_000_000).contains(&self.duration), self.max_drift_ppm <= MAX_DRIFT_PPM) {
             (false, _) => Err("a lease lasts 10 ms to an hour".to_owned()),
             (_, false) => Err("a clock is off by a half at the most".to_owned()),
             _ => Ok(()),
@@ -39,13 +41,14 @@
 
     /// For how long its holder has it, by its own clock, from when it asked. A slow clock shows less than has passed: what
     /// it shows after the length by true time is the length less the drift.
-    pub fn held_for(self) -> Micros {
-        (u128::from(self.length) * u128::from(WHOLE - u64::from(self.drift)) / u128::from(WHOLE)) as Micros
+    pub fn holder_duration(self) -> Micros {
+        (u128::from(self.duration) * u128::from(MILLION - u64::from(self.max_drift_ppm))
+            / u128::from(MILLION)) as Micros
     }
 
     /// When it is taken back, by the keeper's clock, from when it saw it. A fast clock shows more than has passed.
-    pub fn kept_for(self) -> Micros {
-        let whole = u128::from(WHOLE);
-        (u128::from(self.length) * (whole + u128::from(self.drift))).div_ceil(whole) as Micros
+    pub fn expiry_delay(self) -> Micros {
+        let million = u128::from(MILLION);
+        (u128::from(self.duration) * (million + u128::from(self.max_drift_ppm))).div_ceil(million) as Micros
     }
 }
--- a/council/src/lib.rs
+++ b/council/src/lib.rs
@@ -4,8 +4,8 @@
 //! standing, by *epochs*, and who holds which role, by *leases*. A role is a right that one process has at a time. Its
 //! holder gives it up by its own monotonic clock before anybody else may have it, whatever it can hear by then:
 //!
-//! - A holder counts from when it *sent* what the log then took ([`Holder`]), and stops at its length less the drift.
-//! - Whoever leads the log counts from when it *saw* that in the log ([`Keeper`]), or from when it began to lead, and takes
+//! - A holder counts from when it *sent* what the log then took ([`LeaseClient`]), and stops at its length less the drift.
+//! - Whoever leads the log counts from when it *saw* that in the log ([`ExpiryTracker`]), or from when it began to lead, and takes
 //!   the role back at its length and the drift.
 //! - Sent is not after seen. So with clocks that run at most that drift too fast or too slow, no moment has two holders.
 //!
@@ -16,14 +16,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod holder;
-mod keeper;
-mod machine;
-mod terms;
+mod expiry_tracker;
+mod lease_client;
+mod lease_timing;
+mod state_machine;
 
-pub use holder::Holder;
-pub use keeper::Keeper;
-pub use machine::{Bounds, Change, Command, Held, Life, Member, Refusal, Role, State};
-pub use terms::Terms;
+pub use expiry_tracker::ExpiryTracker;
+pub use lease_client::LeaseClient;
+pub use lease_timing::LeaseTiming;
+pub use state_machine::{Bounds, Change, Command, Lease, Member, ProcessInstance, Refusal, Role, State};
 
 pub use nettleworks_members::{Micros, Name};
--- a/council/src/machine.rs
+++ b/council/src/state_machine.rs
@@ -1,17 +1,17 @@
 //! The machine: what the log's commands come to. Each process that applies the same log has the same state.
 
-use crate::terms::Terms;
+use crate::lease_timing::LeaseTiming;
 use crate::Name;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// Longest name of a role and of a zone, in bytes.
-const TEXT_MOST: usize = 48;
+const MAX_NAME_BYTES: usize = 48;
 
 /// A process in one of its lives.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct ProcessInstance {
     /// Its name.
     pub name: Name,
     /// Its start; a later life has a greater one.
@@ -32,52 +32,64 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
     /// A process is a member in good standing; its earlier life is no more.
-    Admit {
+    #[serde(rename = "Admit")]
+    AddMember {
         /// Which.
-        who: Life,
+        #[serde(rename = "who")]
+        process: ProcessInstance,
         /// Its zone.
         zone: String,
     },
     /// A process is none any more.
-    Dismiss {
+    #[serde(rename = "Dismiss")]
+    RemoveMember {
         /// Which.
-        who: Life,
+        #[serde(rename = "who")]
+        process: ProcessInstance,
     },
     /// Somebody asks for a role that is free.
     Grant {
         /// Which.
         role: Role,
         /// Who.
-        to: Life,
+        #[serde(rename = "to")]
+        holder: ProcessInstance,
         /// The asker's number for this; each of its later ones is greater.
-        ask: u64,
+        #[serde(rename = "ask")]
+        request_id: u64,
         /// For how long.
-        terms: Terms,
+        #[serde(rename = "terms")]
+        timing: LeaseTiming,
     },
     /// Its holder asks to have it for as long again.
     Renew {
         /// Which.
         role: Role,
         /// Under which lease.
-        fence: u64,
+        #[serde(rename = "fence")]
+        fencing_token: u64,
         /// The asker's number for this.
-        ask: u64,
+        #[serde(rename = "ask")]
+        request_id: u64,
     },
     /// Its holder gives it up: it does nothing under it any more.
     Release {
         /// Which.
         role: Role,
         /// Under which lease.
-        fence: u64,
+        #[serde(rename = "fence")]
+        fencing_token: u64,
     },
     /// Whoever leads the log has waited for its holder's time to be over.
     Expire {
         /// Which.
         role: Role,
         /// Under which lease.
-        fence: u64,
+        #[serde(rename = "fence")]
+        fencing_token: u64,
         /// The last that was seen of it: one that came later keeps it.
-        ask: u64,
+        #[serde(rename = "ask")]
+        request_id: u64,
     },
 }
 
@@ -85,44 +97,44 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
     /// A later life is known, or this one is a member already.
-    Known,
+    NotNewer,
     /// The process is no member in good standing.
-    NoMember,
+    NotMember,
     /// Somebody has the role.
-    Taken,
+    RoleTaken,
     /// Nobody has it under that lease.
     NoLease,
     /// Something later has come already.
-    Late,
+    Stale,
     /// There are as many members or roles as there may be, or a text is no good.
-    Bounds,
+    OutOfBounds,
 }
 
 /// What a command changed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
     /// Members are others now: this is the new epoch.
-    Epoch(u64),
+    NewEpoch(u64),
     /// A role is somebody's.
     Granted {
         /// Which.
         role: Role,
         /// Under which lease.
-        fence: u64,
+        fencing_token: u64,
     },
     /// It is for as long again.
     Renewed {
         /// Which.
         role: Role,
         /// Under which lease.
-        fence: u64,
+        fencing_token: u64,
     },
     /// It is free.
     Freed {
         /// Which.
         role: Role,
         /// Under which lease it was somebody's.
-        fence: u64,
+        fencing_token: u64,
     },
     /// Nothing.
     Refused(Refusal),
@@ -136,34 +148,41 @@
     /// Its zone.
     pub zone: String,
     /// Since which epoch.
-    pub since: u64,
+    #[serde(rename = "since")]
+    pub since_epoch: u64,
 }
 
 /// A role that is somebody's.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Held {
+pub struct Lease {
     /// Whose.
-    pub by: Life,
+    #[serde(rename = "by")]
+    pub holder: ProcessInstance,
     /// The lease's number: greater than that of each before it, of any role.
-    pub fence: u64,
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
     /// The last of its holder's asks that counts.
-    pub ask: u64,
+    #[serde(rename = "ask")]
+    pub request_id: u64,
     /// For how long.
-    pub terms: Terms,
+    #[serde(rename = "terms")]
+    pub timing: LeaseTiming,
 }
 
 /// Bounds of the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Bounds {
     /// Most members in good standing.
-    pub members: usize,
+    #[serde(rename = "members")]
+    pub max_members: usize,
     /// Most roles that are somebody's.
-    pub roles: usize,
+    #[serde(rename = "roles")]
+    pub max_leases: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
-        Bounds { members: 4_096, roles: 1_024 }
+        Bounds { max_members: 4_096, max_leases: 1_024 }
     }
 }
 
@@ -172,9 +191,11 @@
 pub struct State {
     bounds: Bounds,
     epoch: u64,
-    fence: u64,
+    #[serde(rename = "fence")]
+    last_fencing_token: u64,
     members: BTreeMap<Name, Member>,
-    roles: BTreeMap<Role, Held>,
+    #[serde(rename = "roles")]
+    leases: BTreeMap<Role, Lease>,
 }
 
 impl State {
@@ -194,13 +215,13 @@
     }
 
     /// The roles that are somebody's.
-    pub fn roles(&self) -> &BTreeMap<Role, Held> {
-        &self.roles
+    pub fn leases(&self) -> &BTreeMap<Role, Lease> {
+        &self.leases
     }
 
     /// Whether this life is a member in good standing.
-    pub fn is_member(&self, who: &Life) -> bool {
-        self.members.get(&who.name).is_some_and(|member| member.start == who.start)
+    pub fn is_member(&self, process: &ProcessInstance) -> bool {
+        self.members.get(&process.name).is_some_and(|member| member.start == process.start)
     }
 
     /// Takes the log's next command.
@@ -214,83 +235,94 @@
     /// The same for a council that begins anew from what one voter knew of the last one: numbers that the last may have
     /// given beyond that are passed over.
     #[must_use]
-    pub fn refounded(&self) -> State {
-        State { epoch: self.epoch + (1 << 20), fence: self.fence + (1 << 32), ..self.clone() }
+    pub fn recovered(&self) -> State {
+        State {
+            epoch: self.epoch + (1 << 20),
+            last_fencing_token: self.last_fencing_token + (1 << 32),
+            ..self.clone()
+        }
     }
 
     fn next_epoch(&mut self) -> Change {
         self.epoch += 1;
-        Change::Epoch(self.epoch)
+        Change::NewEpoch(self.epoch)
     }
 
     fn change(&mut self, command: &Command) -> Result<Change, Refusal> {
         match command {
-            Command::Admit { who, zone } => {
-                let known = self.members.get(&who.name);
-                if known.is_some_and(|known| known.start >= who.start) {
-                    return Err(Refusal::Known);
+            Command::AddMember { process, zone } => {
+                let existing = self.members.get(&process.name);
+                if existing.is_some_and(|existing| existing.start >= process.start) {
+                    return Err(Refusal::NotNewer);
                 }
-                if zone.len() > TEXT_MOST || known.is_none() && self.members.len() >= self.bounds.members {
-                    return Err(Refusal::Bounds);
+                if zone.len() > MAX_NAME_BYTES
+                    || existing.is_none() && self.members.len() >= self.bounds.max_members
+                {
+                    return Err(Refusal::OutOfBounds);
                 }
                 let change = self.next_epoch();
-                let member = Member { start: who.start, zone: zone.clone(), since: self.epoch };
-                self.members.insert(who.name.clone(), member);
+                let member = Member { start: process.start, zone: zone.clone(), since_epoch: self.epoch };
+                self.members.insert(process.name.clone(), member);
                 Ok(change)
             }
             // What it holds stays its own until its time is over: it may only be cut off, and act under it.
-            Command::Dismiss { who } if self.is_member(who) => {
-                self.members.remove(&who.name);
+            Command::RemoveMember { process } if self.is_member(process) => {
+                self.members.remove(&process.name);
                 Ok(self.next_epoch())
             }
-            Command::Dismiss { .. } => Err(Refusal::NoMember),
-            Command::Grant { role, to, ask, terms } => {
-                if !self.is_member(to) {
-                    return Err(Refusal::NoMember);
+            Command::RemoveMember { .. } => Err(Refusal::NotMember),
+            Command::Grant { role, holder, request_id, timing } => {
+                if !self.is_member(holder) {
+                    return Err(Refusal::NotMember);
                 }
-                if self.roles.contains_key(role) {
-                    return Err(Refusal::Taken);
+                if self.leases.contains_key(role) {
+                    return Err(Refusal::RoleTaken);
                 }
-                let good = (1..=TEXT_MOST).contains(&role.0.len()) && terms.check().is_ok();
-                if !good || self.roles.len() >= self.bounds.roles {
-                    return Err(Refusal::Bounds);
+                let valid = (1..=MAX_NAME_BYTES).contains(&role.0.len()) && timing.validate().is_ok();
+                if !valid || self.leases.len() >= self.bounds.max_leases {
+                    return Err(Refusal::OutOfBounds);
                 }
-                self.fence += 1;
-                let held = Held { by: to.clone(), fence: self.fence, ask: *ask, terms: *terms };
-                self.roles.insert(role.clone(), held);
-                Ok(Change::Granted { role: role.clone(), fence: self.fence })
+                self.last_fencing_token += 1;
+                let lease = Lease {
+                    holder: holder.clone(),
+                    fencing_token: self.last_fencing_token,
+                    request_id: *request_id,
+                    timing: *timing,
+                };
+                self.leases.insert(role.clone(), lease);
+                Ok(Change::Granted { role: role.clone(), fencing_token: self.last_fencing_token })
             }
-            Command::Renew { role, fence, ask } => {
-                let by = self.held(role, *fence)?.by.clone();
-                if !self.is_member(&by) {
-                    return Err(Refusal::NoMember);
+            Command::Renew { role, fencing_token, request_id } => {
+                let holder = self.lease(role, *fencing_token)?.holder.clone();
+                if !self.is_member(&holder) {
+                    return Err(Refusal::NotMember);
                 }
-                let held = self.held(role, *fence)?;
-                if *ask <= held.ask {
-                    return Err(Refusal::Late);
+                let lease = self.lease(role, *fencing_token)?;
+                if *request_id <= lease.request_id {
+                    return Err(Refusal::Stale);
                 }
-                held.ask = *ask;
-                Ok(Change::Renewed { role: role.clone(), fence: *fence })
+                lease.request_id = *request_id;
+                Ok(Change::Renewed { role: role.clone(), fencing_token: *fencing_token })
             }
-            Command::Release { role, fence } => {
-                self.held(role, *fence)?;
-                Ok(self.free(role, *fence))
+            Command::Release { role, fencing_token } => {
+                self.lease(role, *fencing_token)?;
+                Ok(self.free(role, *fencing_token))
             }
-            Command::Expire { role, fence, ask } => {
-                if self.held(role, *fence)?.ask != *ask {
-                    return Err(Refusal::Late);
+            Command::Expire { role, fencing_token, request_id } => {
+                if self.lease(role, *fencing_token)?.request_id != *request_id {
+                    return Err(Refusal::Stale);
                 }
-                Ok(self.free(role, *fence))
+                Ok(self.free(role, *fencing_token))
             }
         }
     }
 
-    fn held(&mut self, role: &Role, fence: u64) -> Result<&mut Held, Refusal> {
-        self.roles.get_mut(role).filter(|held| held.fence == fence).ok_or(Refusal::NoLease)
+    fn lease(&mut self, role: &Role, fencing_token: u64) -> Result<&mut Lease, Refusal> {
+        self.leases.get_mut(role).filter(|lease| lease.fencing_token == fencing_token).ok_or(Refusal::NoLease)
     }
 
-    fn free(&mut self, role: &Role, fence: u64) -> Change {
-        self.roles.remove(role);
-        Change::Freed { role: role.clone(), fence }
+    fn free(&mut self, role: &Role, fencing_token: u64) -> Change {
+        self.leases.remove(role);
+        Change::Freed { role: role.clone(), fencing_token }
     }
 }
--- a/council/tests/model.rs
+++ b/council/tests/model.rs
@@ -14,245 +14,273 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    holder: Holder,
-    life: u64,
+    lease_client: LeaseClient,
+    start: u64,
     /// How much of the log it has heard.
-    heard: usize,
+    applied: usize,
     state: State,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct System {
     time: u64,
     log: Vec<Command>,
-    flying: Vec<Command>,
-    two: [Process; 2],
-    keeper: Keeper,
+    in_flight: Vec<Command>,
+    processes: [Process; 2],
+    tracker: ExpiryTracker,
     /// The leader's own reading of the log; it leads from here on.
-    led: State,
-    asks: usize,
-    deaths: usize,
-    leads: usize,
-    doubles: usize,
+    leader_state: State,
+    requests: usize,
+    restarts: usize,
+    leader_changes: usize,
+    duplicates: usize,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
-    Pass,
-    Ask(usize),
-    GiveUp(usize),
-    Take(usize),
-    TakeAndKeep(usize),
+enum SystemAction {
+    PassTime,
+    RequestLease(usize),
+    Release(usize),
+    Deliver(usize),
+    DeliverAndKeep(usize),
     Lose(usize),
-    Hear(usize),
-    Die(usize),
-    NextLeader,
-    TakeBack,
+    ApplyNext(usize),
+    Restart(usize),
+    ChangeLeader,
+    Expire,
 }
 
-struct Use {
+struct LeaseModel {
     rates: Rates,
-    terms: Terms,
+    timing: LeaseTiming,
     time: u64,
-    asks: usize,
+    requests: usize,
     /// How often a holder dies, the lead passes on, something comes twice; whether holders give the role up.
-    deaths: usize,
-    leads: usize,
-    doubles: usize,
-    gives_up: bool,
+    restarts: usize,
+    leader_changes: usize,
+    duplicates: usize,
+    releases: bool,
 }
 
 fn role() -> Role {
     Role("charges".to_owned())
 }
 
-fn own(which: usize, life: u64) -> Life {
-    Life { name: Name::new(["a", "b"][which]).expect("a name"), start: life }
+fn member(which: usize, start: u64) -> ProcessInstance {
+    ProcessInstance { name: Name::new(["a", "b"][which]).expect("a name"), start }
 }
 
-impl Use {
-    fn now(&self, world: &World, which: usize) -> Micros {
+impl LeaseModel {
+    fn now(&self, system: &System, which: usize) -> Micros {
         // No clock begins at the same moment.
-        1_000_000 * (which as u64 + 1) + world.time * self.rates[which]
+        1_000_000 * (which as u64 + 1) + system.time * self.rates[which]
     }
 
-    fn take(&self, world: &mut World, command: Command) {
+    fn deliver(&self, system: &mut System, command: Command) {
         // What changes nothing need not be heard of.
-        if matches!(world.led.apply(&command), Change::Refused(_)) {
+        if matches!(system.leader_state.apply(&command), Change::Refused(_)) {
             return;
         }
-        world.log.push(command);
-        let now = self.now(world, 2);
-        world.keeper.heed(now, &world.led, true);
+        system.log.push(command);
+        let now = self.now(system, 2);
+        system.tracker.observe(now, &system.leader_state, true);
     }
 
-    fn holding(&self, world: &World) -> usize {
-        (0..2).filter(|which| world.two[*which].holder.holds(self.now(world, *which)).is_some()).count()
+    fn holder_count(&self, system: &System) -> usize {
+        (0..2)
+            .filter(|which| {
+                system.processes[*which].lease_client.fencing_token(self.now(system, *which)).is_some()
+            })
+            .count()
     }
 }
 
-impl Model for Use {
-    type State = World;
-    type Action = Act;
+impl Model for LeaseModel {
+    type State = System;
+    type Action = SystemAction;
 
-    fn init_states(&self) -> Vec<World> {
-        let mut led = State::new(Bounds::default());
-        let log: Vec<Command> =
-            (0..2).map(|which| Command::Admit { who: own(which, 1), zone: String::new() }).collect();
-        log.iter().for_each(|command| drop(led.apply(command)));
+    fn init_states(&self) -> Vec<System> {
+        let mut leader_state = State::new(Bounds::default());
+        let log: Vec<Command> = (0..2)
+            .map(|which| Command::AddMember { process: member(which, 1), zone: String::new() })
+            .collect();
+        log.iter().for_each(|command| drop(leader_state.apply(command)));
         let process = |which| Process {
-            holder: Holder::new(role(), own(which, 1), self.terms),
-            life: 1,
-            heard: log.len(),
-            state: led.clone(),
+            lease_client: LeaseClient::new(role(), member(which, 1), self.timing),
+            start: 1,
+            applied: log.len(),
+            state: leader_state.clone(),
         };
-        let mut world = World {
+        let mut system = System {
             time: 0,
-            two: [process(0), process(1)],
+            processes: [process(0), process(1)],
             log,
-            flying: Vec::new(),
-            keeper: Keeper::default(),
-            led,
-            asks: 0,
-            deaths: 0,
-            leads: 0,
-            doubles: 0,
+            in_flight: Vec::new(),
+            tracker: ExpiryTracker::default(),
+            leader_state,
+            requests: 0,
+            restarts: 0,
+            leader_changes: 0,
+            duplicates: 0,
         };
-        let now = self.now(&world, 2);
-        world.keeper.heed(now, &world.led, true);
-        vec![world]
+        let now = self.now(&system, 2);
+        system.tracker.observe(now, &system.leader_state, true);
+        vec![system]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        if world.time < self.time {
-            acts.push(Act::Pass);
+    fn actions(&self, system: &System, actions: &mut Vec<SystemAction>) {
+        if system.time < self.time {
+            actions.push(SystemAction::PassTime);
         }
         for which in 0..2 {
-            if world.asks < self.asks && world.flying.len() < 2 {
-                acts.push(Act::Ask(which));
+            if system.requests < self.requests && system.in_flight.len() < 2 {
+                actions.push(SystemAction::RequestLease(which));
             }
-            if self.gives_up && world.two[which].holder.until().is_some() && world.flying.len() < 2 {
-                acts.push(Act::GiveUp(which));
+            if self.releases
+                && system.processes[which].lease_client.valid_until().is_some()
+                && system.in_flight.len() < 2
+            {
+                actions.push(SystemAction::Release(which));
             }
-            if world.two[which].heard < world.log.len() {
-                acts.push(Act::Hear(which));
+            if system.processes[which].applied < system.log.len() {
+                actions.push(SystemAction::ApplyNext(which));
             }
-            if which == 0 && world.deaths < self.deaths {
-                acts.push(Act::Die(which));
+            if which == 0 && system.restarts < self.restarts {
+                actions.push(SystemAction::Restart(which));
             }
         }
-        for place in 0..world.flying.len() {
-            acts.push(Act::Take(place));
-            acts.push(Act::Lose(place));
-            if world.doubles < self.doubles {
-                acts.push(Act::TakeAndKeep(place));
+        for position in 0..system.in_flight.len() {
+            actions.push(SystemAction::Deliver(position));
+            actions.push(SystemAction::Lose(position));
+            if system.duplicates < self.duplicates {
+                actions.push(SystemAction::DeliverAndKeep(position));
             }
         }
-        if world.leads < self.leads {
-            acts.push(Act::NextLeader);
+        if system.leader_changes < self.leader_changes {
+            actions.push(SystemAction::ChangeLeader);
         }
-        if !world.keeper.due(self.now(world, 2), &world.led).is_empty() {
-            acts.push(Act::TakeBack);
+        if !system.tracker.expire_commands(self.now(system, 2), &system.leader_state).is_empty() {
+            actions.push(SystemAction::Expire);
         }
     }
 
-    fn next_state(&self, before: &World, act: Act) -> Option<World> {
-        let mut world = before.clone();
-        match act {
-            Act::Pass => world.time += 1,
-            Act::Ask(which) => {
-                let now = self.now(&world, which);
-                let process = &mut world.two[which];
-                let command = process.holder.ask(now, &process.state)?;
-                world.flying.push(command);
-                world.asks += 1;
+    fn next_state(&self, previous: &System, action: SystemAction) -> Option<System> {
+        let mut system = previous.clone();
+        match action {
+            SystemAction::PassTime => system.time += 1,
+            SystemAction::RequestLease(which) => {
+                let now = self.now(&system, which);
+                let process = &mut system.processes[which];
+                let command = process.lease_client.request_lease(now, &process.state)?;
+                system.in_flight.push(command);
+                system.requests += 1;
             }
-            Act::GiveUp(which) => {
-                let command = world.two[which].holder.give_up()?;
-                world.flying.push(command);
+            SystemAction::Release(which) => {
+                let command = system.processes[which].lease_client.release()?;
+                system.in_flight.push(command);
             }
-            Act::Take(place) => {
-                let command = world.flying.remove(place);
-                self.take(&mut world, command);
+            SystemAction::Deliver(position) => {
+                let command = system.in_flight.remove(position);
+                self.deliver(&mut system, command);
             }
-            Act::TakeAndKeep(place) => {
-                world.doubles += 1;
-                let command = world.flying[place].clone();
-                self.take(&mut world, command);
+            SystemAction::DeliverAndKeep(position) => {
+                system.duplicates += 1;
+                let command = system.in_flight[position].clone();
+                self.deliver(&mut system, command);
             }
-            Act::Lose(place) => drop(world.flying.remove(place)),
-            Act::Hear(which) => {
-                let command = world.log[world.two[which].heard].clone();
-                let process = &mut world.two[which];
-                process.heard += 1;
+            SystemAction::Lose(position) => drop(system.in_flight.remove(position)),
+            SystemAction::ApplyNext(which) => {
+                let command = system.log[system.processes[which].applied].clone();
+                let process = &mut system.processes[which];
+                process.applied += 1;
                 process.state.apply(&command);
-                process.holder.heed(&process.state);
+                process.lease_client.observe(&process.state);
             }
-            Act::Die(which) => {
-                world.deaths += 1;
-                let process = &mut world.two[which];
-                process.life += 1;
-                process.holder = Holder::new(role(), own(which, process.life), self.terms);
-                let admit = Command::Admit { who: own(which, process.life), zone: String::new() };
-                self.take(&mut world, admit);
+            SystemAction::Restart(which) => {
+                system.restarts += 1;
+                let process = &mut system.processes[which];
+                process.start += 1;
+                process.lease_client = LeaseClient::new(role(), member(which, process.start), self.timing);
+                let admit = Command::AddMember { process: member(which, process.start), zone: String::new() };
+                self.deliver(&mut system, admit);
             }
-            Act::NextLeader => {
+            SystemAction::ChangeLeader => {
                 // Another process: it has seen nothing, and its clock runs as the one before's.
-                world.leads += 1;
-                world.keeper = Keeper::default();
-                let now = self.now(&world, 2);
-                world.keeper.heed(now, &world.led, true);
+                system.leader_changes += 1;
+                system.tracker = ExpiryTracker::default();
+                let now = self.now(&system, 2);
+                system.tracker.observe(now, &system.leader_state, true);
             }
-            Act::TakeBack => {
-                let due = world.keeper.due(self.now(&world, 2), &world.led);
-                due.into_iter().for_each(|command| self.take(&mut world, command));
+            SystemAction::Expire => {
+                let commands = system.tracker.expire_commands(self.now(&system, 2), &system.leader_state);
+                commands.into_iter().for_each(|command| self.deliver(&mut system, command));
             }
         }
-        Some(world)
+        Some(system)
     }
 
-    fn properties(&self) -> Vec<Property<Use>> {
+    fn properties(&self) -> Vec<Property<LeaseModel>> {
         vec![
-            Property::always("one holder at a time", |model: &Use, world: &World| model.holding(world) <= 1),
-            Property::always("a later holder has a greater fence", |model: &Use, world: &World| {
-                let fence = |which: usize| world.two[which].holder.holds(model.now(world, which));
-                let granted = world.led.roles().get(&role()).map_or(u64::MAX, |held| held.fence);
-                (0..2).filter_map(fence).all(|fence| fence <= granted)
+            Property::always("one holder at a time", |model: &LeaseModel, system: &System| {
+                model.holder_count(system) <= 1
             }),
-            Property::always("an epoch has one set of members", |_, world: &World| {
+            Property::always("a later holder has a greater fence", |model: &LeaseModel, system: &System| {
+                let fencing_token = |which: usize| {
+                    system.processes[which].lease_client.fencing_token(model.now(system, which))
+                };
+                let granted =
+                    system.leader_state.leases().get(&role()).map_or(u64::MAX, |lease| lease.fencing_token);
+                (0..2).filter_map(fencing_token).all(|fencing_token| fencing_token <= granted)
+            }),
+            Property::always("an epoch has one set of members", |_, system: &System| {
                 let mut state = State::new(Bounds::default());
                 let mut last = 0;
-                world.log.iter().all(|command| match state.apply(command) {
-                    Change::Epoch(epoch) => std::mem::replace(&mut last, epoch) + 1 == epoch,
+                system.log.iter().all(|command| match state.apply(command) {
+                    Change::NewEpoch(epoch) => std::mem::replace(&mut last, epoch) + 1 == epoch,
                     _ => state.epoch() == last,
                 })
             }),
-            Property::sometimes("somebody holds it", |model: &Use, world: &World| model.holding(world) == 1),
-            Property::sometimes("it passes from one to the other", |model: &Use, world: &World| {
-                let holds = |which: usize| world.two[which].holder.holds(model.now(world, which));
-                world
+            Property::sometimes("somebody holds it", |model: &LeaseModel, system: &System| {
+                model.holder_count(system) == 1
+            }),
+            Property::sometimes("it passes from one to the other", |model: &LeaseModel, system: &System| {
+                let token = |which: usize| {
+                    system.processes[which].lease_client.fencing_token(model.now(system, which))
+                };
+                system
                     .log
                     .iter()
-                    .any(|command| matches!(command, Command::Grant { to, .. } if to.name == own(0, 1).name))
-                    && holds(1).is_some_and(|fence| fence > 1)
+                    .any(|entry| {
+ matches!(entry, Command::Grant { holder, .. } if holder.name == member(0, 1).name)
+ })
+                    && token(1).is_some_and(|fencing_token| fencing_token > 1)
             }),
-            Property::sometimes("it is taken back", |_, world: &World| {
-                world.log.iter().any(|command| matches!(command, Command::Expire { .. }))
+            Property::sometimes("it is taken back", |_, system: &System| {
+                system.log.iter().any(|command| matches!(command, Command::Expire { .. }))
             }),
         ]
     }
 }
 
 /// A lease of two units, and clocks that may be off by a quarter.
-fn terms() -> Terms {
-    Terms { length: 2 * UNIT, drift: 250_000 }
+fn timing() -> LeaseTiming {
+    LeaseTiming { duration: 2 * UNIT, max_drift_ppm: 250_000 }
 }
 
-fn all(rates: Rates) -> Use {
-    Use { rates, terms: terms(), time: 4, asks: 2, deaths: 1, leads: 1, doubles: 1, gives_up: true }
+fn all_faults(rates: Rates) -> LeaseModel {
+    LeaseModel {
+        rates,
+        timing: timing(),
+        time: 4,
+        requests: 2,
+        restarts: 1,
+        leader_changes: 1,
+        duplicates: 1,
+        releases: true,
+    }
 }
 
-fn checked(model: Use) -> impl Checker<Use> {
+fn check_exhaustively(model: LeaseModel) -> impl Checker<LeaseModel> {
     model.checker().threads(2).spawn_dfs().join()
 }
 
@@ -263,17 +291,23 @@
 /// that thinks that much has.
 #[test]
 fn no_moment_has_two_holders_whatever_is_lost_late_or_doubled() {
-    let none = || Use { deaths: 0, leads: 0, doubles: 0, gives_up: false, ..all([SLOW, SLOW, FAST]) };
+    let none = || LeaseModel {
+        restarts: 0,
+        leader_changes: 0,
+        duplicates: 0,
+        releases: false,
+        ..all_faults([SLOW, SLOW, FAST])
+    };
     let kinds = [
-        ("losses", Use { asks: 3, ..none() }),
-        ("doubles", Use { doubles: 1, ..none() }),
-        ("deaths", Use { deaths: 1, ..none() }),
-        ("leads", Use { leads: 1, ..none() }),
-        ("given up", Use { gives_up: true, doubles: 1, ..none() }),
-        ("other clocks", Use { rates: [SLOW, FAST, FAST], leads: 1, ..none() }),
+        ("losses", LeaseModel { requests: 3, ..none() }),
+        ("doubles", LeaseModel { duplicates: 1, ..none() }),
+        ("deaths", LeaseModel { restarts: 1, ..none() }),
+        ("leads", LeaseModel { leader_changes: 1, ..none() }),
+        ("given up", LeaseModel { releases: true, duplicates: 1, ..none() }),
+        ("other clocks", LeaseModel { rates: [SLOW, FAST, FAST], leader_changes: 1, ..none() }),
     ];
     for (kind, model) in kinds {
-        let checker = checked(model);
+        let checker = check_exhaustively(model);
         checker.assert_properties();
         println!("{kind}: {} states", checker.unique_state_count());
         assert!(checker.unique_state_count() > 1_000, "{kind}");
@@ -285,7 +319,7 @@
 #[ignore = "three million states each"]
 fn no_moment_has_two_holders_at_length() {
     for rates in [[UNIT; 3], [SLOW, SLOW, FAST], [SLOW, FAST, FAST], [FAST, SLOW, SLOW]] {
-        let checker = checked(all(rates));
+        let checker = check_exhaustively(all_faults(rates));
         checker.assert_properties();
         println!("{rates:?}: {} states", checker.unique_state_count());
     }
@@ -295,8 +329,14 @@
 #[test]
 fn clocks_beyond_their_bound_give_two_holders_and_a_trace() {
     let rates = [UNIT / 3, UNIT / 3, UNIT * 5 / 3];
-    let checker = checked(Use { deaths: 0, leads: 0, doubles: 0, gives_up: false, ..all(rates) });
+    let checker = check_exhaustively(LeaseModel {
+        restarts: 0,
+        leader_changes: 0,
+        duplicates: 0,
+        releases: false,
+        ..all_faults(rates)
+    });
     let trace = checker.discovery("one holder at a time").expect("two holders");
-    let acts = trace.into_actions();
-    assert!(acts.contains(&Act::TakeBack), "{acts:?}");
+    let actions = trace.into_actions();
+    assert!(actions.contains(&SystemAction::Expire), "{actions:?}");
 }
