--- a/council/log/src/lib.rs
+++ b/council/log/src/lib.rs
@@ -1,9 +1,13 @@
-//! The council's log: `raft`'s core with the council's machine on it. Ticks and letters in; letters, and what a disk must
-//! hold before they go, out.
+//! The replicated log of the council: the `raft` crate with the state machine of `nettleworks-council`. Its
+//! inputs are ticks and messages; its outputs are messages, and what must be written to disk before they are
+//! sent.
 //!
-//! It does no I/O and reads no clock. What raft draws is drawn from a seed here, so a course can be played again. Letters and
-//! what a disk holds are types of our own, for any serde codec: raft's old protobuf parser sees only what this process
-//! has written itself.
+//! It does no I/O and reads no clock. Raft's random election timeouts are derived from a seed, so that a run
+//! can be reproduced. Messages and the state on disk are types of this crate that any serde codec can encode;
+//! the old protobuf parser of the `raft` crate reads only bytes that this process has written itself.
+//!
+//! Several fields and variants have a `serde(rename)`: their serialized names are those of the first stored
+//! format.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/council/log/src/message.rs
+++ b/council/log/src/message.rs
@@ -1,33 +1,33 @@
-//! What passes between voters, and what the log holds.
+//! The messages between replicas, and the entries of the log.
 
 use crate::storage::{Configuration, Snapshot};
 use protobuf::Message as _;
 use raft::eraftpb::{self, ConfChange, ConfChangeType, EntryType, MessageType};
 use serde::{Deserialize, Serialize};
 
-/// Another set of voters, by one.
+/// A change of the configuration by one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationChange {
-    /// This one hears the log, and does not vote.
+    /// Adds a learner: it receives the log and does not vote.
     #[serde(rename = "Learn")]
     AddLearner(u64),
-    /// This one votes.
+    /// Adds a voter, or promotes a learner to one.
     #[serde(rename = "Vote")]
     AddVoter(u64),
-    /// This one does neither.
+    /// Removes a voter or learner.
     #[serde(rename = "Leave")]
     Remove(u64),
 }
 
-/// What an entry says.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// A leader begins.
+    /// The entry that a new leader appends at the start of its term.
     #[serde(rename = "Nothing")]
     Empty,
-    /// A command to the machine, by `postcard`.
+    /// A command to the state machine, encoded by `postcard`.
     Command(Vec<u8>),
-    /// Another set of voters.
+    /// A change of the configuration.
     #[serde(rename = "Seats")]
     ConfigurationChange(ConfigurationChange),
 }
@@ -35,18 +35,18 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place.
+    /// Its index in the log.
     pub index: u64,
     /// The term in which it was proposed.
     pub term: u64,
-    /// What it says.
+    /// Its content.
     #[serde(rename = "what")]
     pub payload: EntryPayload,
 }
 
 macro_rules! kinds {
     ($($(#[$doc:meta])* $kind:ident = $raft:ident,)*) => {
-        /// What a letter is for, by raft's names.
+        /// The kind of a message, after raft's message types.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
         pub enum MessageKind {
             $($(#[$doc])* $kind,)*
@@ -56,7 +56,7 @@
             fn from_raft(kind: MessageType) -> Option<MessageKind> {
                 match kind {
                     $(MessageType::$raft => Some(MessageKind::$kind),)*
-                    // What a voter says to itself.
+                    // Messages that a replica sends only to itself.
                     _ => None,
                 }
             }
@@ -71,33 +71,34 @@
 }
 
 kinds! {
-    /// A command for the leader.
+    /// Forwards a proposal to the leader.
     Propose = MsgPropose,
-    /// Entries.
+    /// Entries to append.
     Append = MsgAppend,
-    /// Whether they were taken.
+    /// Whether the entries were appended.
     AppendResponse = MsgAppendResponse,
-    /// May I lead?
+    /// A candidate asks for a vote.
     RequestVote = MsgRequestVote,
-    /// The vote.
+    /// Grants or refuses the vote.
     RequestVoteResponse = MsgRequestVoteResponse,
-    /// May I ask to?
+    /// Asks whether the replica would get votes, before it starts an election.
     RequestPreVote = MsgRequestPreVote,
-    /// The answer.
+    /// The answer to that.
     RequestPreVoteResponse = MsgRequestPreVoteResponse,
-    /// The log's base, for one that is too far behind.
+    /// A snapshot, for a replica that lacks entries which the leader has compacted.
     Snapshot = MsgSnapshot,
-    /// I lead.
+    /// The leader's heartbeat.
     Heartbeat = MsgHeartbeat,
-    /// I hear.
+    /// The answer to a heartbeat.
     HeartbeatResponse = MsgHeartbeatResponse,
-    /// Let that one lead.
+    /// Asks the leader to transfer leadership.
     TransferLeader = MsgTransferLeader,
-    /// Lead now.
+    /// Tells a replica to start an election at once.
     TimeoutNow = MsgTimeoutNow,
 }
 
-/// A letter from one voter or learner to another of the same council. The other fields are raft's.
+/// A message from one voter or learner to another of the same group. The other fields are those of raft's
+/// message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub struct Message {
@@ -122,13 +123,14 @@
 }
 
 impl Entry {
-    /// `None`: it is no entry that this code has written.
+    /// `None` if it is not an entry that this crate has written.
     pub(crate) fn from_raft(entry: &eraftpb::Entry) -> Option<Entry> {
         let payload = match entry.get_entry_type() {
             EntryType::EntryNormal if entry.data.is_empty() => EntryPayload::Empty,
             EntryType::EntryNormal => EntryPayload::Command(entry.data.to_vec()),
             EntryType::EntryConfChange => {
-                // Our own bytes: whatever came from elsewhere was written anew here.
+                // These bytes were encoded in this process: entries from other replicas are encoded anew on
+                // arrival.
                 let mut change = ConfChange::default();
                 change.merge_from_bytes(&entry.data).ok()?;
                 EntryPayload::ConfigurationChange(match change.get_change_type() {
@@ -149,7 +151,7 @@
             EntryPayload::Command(data) => entry.data = data.clone().into(),
             EntryPayload::ConfigurationChange(change) => {
                 entry.set_entry_type(EntryType::EntryConfChange);
-                // It is written to memory.
+                // Encoding into memory does not fail.
                 entry.data = change.to_raft().write_to_bytes().unwrap_or_default().into();
             }
         }
@@ -187,7 +189,7 @@
 }
 
 impl Message {
-    /// `None`: it is for this voter alone.
+    /// `None` for a message that a replica sends only to itself.
     pub(crate) fn from_raft(message: &eraftpb::Message, group_id: u64) -> Option<Message> {
         let snapshot = message.has_snapshot().then(|| Snapshot::from_raft(message.get_snapshot()));
         Some(Message {
--- a/council/log/src/replica.rs
+++ b/council/log/src/replica.rs
@@ -1,4 +1,4 @@
-//! A voter or learner: its log, and the machine that it applies it to.
+//! A voter or learner: a raft node, and the state machine that applies its log.
 
 use crate::message::{ConfigurationChange, Entry, EntryPayload, Message, MessageKind};
 use crate::storage::{Configuration, DiskState, DiskWrite, ReplicaStorage, Snapshot};
@@ -11,21 +11,21 @@
 use std::hash::Hasher;
 use twox_hash::XxHash64;
 
-/// Ticks without a leader's word before somebody asks to lead: from so many to twice as many.
+/// Ticks without a heartbeat of the leader before an election: from this many to twice as many.
 const ELECTION_TICKS: usize = 10;
-/// Ticks between two of a leader's words.
+/// Ticks between two heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Most bytes of entries in a letter.
+/// Most bytes of entries in a message.
 const MAX_MESSAGE_BYTES: u64 = 256 << 10;
-/// Most letters that are out to one voter without an answer.
+/// Most append messages to one replica that are not yet answered.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// Most bytes of commands that are proposed and not decided; a further one is refused.
+/// Most bytes of commands that are proposed and not yet committed; a proposal beyond them is dropped.
 const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
 
-/// How a seat paces what is not raft's to pace.
+/// When a replica compacts its log.
 #[derive(Clone, Copy, Debug)]
 pub struct CompactionPolicy {
-    /// Entries that are applied before the log's base moves up to them.
+    /// Entries that must have been applied since the last snapshot before a new one replaces them.
     pub min_entries: u64,
 }
 
@@ -35,50 +35,51 @@
     }
 }
 
-/// A command was not taken: nobody leads, or too much is undecided. It may be tried again.
+/// A proposal was dropped: there is no leader, or too many bytes are uncommitted. It may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProposalDropped;
 
 impl fmt::Display for ProposalDropped {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("nobody leads the council, or too much is undecided")
+        f.write_str("proposal dropped: there is no leader, or too many bytes are uncommitted")
     }
 }
 
 impl std::error::Error for ProposalDropped {}
 
-/// What is to be done, in this order: letters that may go at once; then the disk; then [`Replica::on_persisted`].
+/// What the caller has to do, in this order: send the messages, write to the disk, call
+/// [`Replica::on_persisted`].
 #[derive(Clone, Debug, Default)]
 pub struct Output {
-    /// They may go before the disk is written.
+    /// Messages that may be sent before the disk write.
     pub messages: Vec<Message>,
-    /// What must be on the disk before [`Replica::on_persisted`].
+    /// What must be on the disk before [`Replica::on_persisted`] is called.
     pub disk_write: DiskWrite,
 }
 
-/// What is done then.
+/// What follows once the disk write is done.
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
-    /// They may go now.
+    /// Messages that may be sent now.
     pub messages: Vec<Message>,
-    /// What the log's decided commands changed, by their places.
+    /// The committed commands that were applied: index, command, and what it changed.
     pub changes: Vec<(u64, Command, Change)>,
-    /// Whether the state was replaced as a whole: this seat was too far behind.
+    /// Whether the state was replaced by a snapshot, because this replica was too far behind.
     pub snapshot_installed: bool,
 }
 
-/// A voter or learner of a council.
+/// A voter or learner of a group.
 pub struct Replica {
     node: RawNode<ReplicaStorage>,
     state: State,
     seed: u64,
     compaction: CompactionPolicy,
-    /// The last entry that the state holds, and its term.
+    /// Index and term of the last entry that is applied to the state.
     applied: (u64, u64),
     configuration: Configuration,
     ready: Option<Ready>,
     snapshot_installed: bool,
-    /// Those that were sent the log's base and have said nothing since, and for how many ticks.
+    /// For each replica that was sent a snapshot and has not answered: the ticks since then.
     snapshot_ticks: BTreeMap<u64, usize>,
 }
 
@@ -87,21 +88,21 @@
 }
 
 impl Replica {
-    /// The machine's state at a council's beginning, as [`DiskState::bootstrap`] wants it.
+    /// The encoded initial state of a group, for [`DiskState::bootstrap`].
     ///
     /// # Errors
     ///
-    /// It can't be written.
+    /// The state can't be encoded.
     pub fn initial_state(bounds: Bounds) -> Result<Vec<u8>, String> {
         postcard::to_stdvec(&State::new(bounds)).map_err(|error| error.to_string())
     }
 
-    /// Goes on from what a disk holds. An `id` is one voter's for good: whoever has lost its disk takes another, as it can't
-    /// know what it has promised under this one. 0 is nobody's.
+    /// Starts from the state on disk. A replica that has lost its disk needs a new `id`, since it can't know
+    /// which votes it has given under the old one. The id 0 is reserved.
     ///
     /// # Errors
     ///
-    /// What is saved can't be read, or contradicts itself.
+    /// The state on disk can't be decoded, or is inconsistent.
     pub fn new(
         id: u64,
         disk_state: DiskState,
@@ -109,13 +110,12 @@
         compaction: CompactionPolicy,
     ) -> Result<Replica, String> {
         if id == 0 {
-            return Err("0 is nobody's number".to_owned());
+            return Err("replica id 0 is reserved".to_owned());
         }
         let state = match disk_state.snapshot.index {
             0 => State::new(Bounds::default()),
-            _ => {
-                postcard::from_bytes(&disk_state.snapshot.state).map_err(|error| format!("base: {error}"))?
-            }
+            _ => postcard::from_bytes(&disk_state.snapshot.state)
+                .map_err(|error| format!("snapshot: {error}"))?,
         };
         let contiguous = (disk_state.snapshot.index + 1..)
             .zip(&disk_state.entries)
@@ -124,7 +124,7 @@
             || disk_state.hard_state.commit > disk_state.last_index()
             || disk_state.hard_state.commit < disk_state.snapshot.index
         {
-            return Err("the saved log has gaps, or is not as long as what was decided".to_owned());
+            return Err("the log on disk has gaps, or does not contain its commit index".to_owned());
         }
         let config = raft::Config {
             id,
@@ -159,8 +159,8 @@
         Ok(replica)
     }
 
-    /// Raft draws its time-outs from the thread's own source: they are set from the seed after each step, by term, so that
-    /// voters differ and a course can be played again.
+    /// Raft draws its election timeouts from the thread's random generator. After each step they are replaced
+    /// by one derived from seed, id and term, so that replicas differ and a run can be reproduced.
     fn set_election_timeout(&mut self) {
         let mut hasher = XxHash64::with_seed(self.seed);
         hasher.write_u64(self.node.raft.id);
@@ -169,15 +169,15 @@
         self.node.raft.set_randomized_election_timeout(timeout);
     }
 
-    /// One tick has passed. All voters tick at about the same pace.
+    /// To be called once per tick. All replicas must tick at about the same rate.
     pub fn tick(&mut self) {
         self.node.tick();
         self.retry_snapshots();
         self.set_election_timeout();
     }
 
-    /// Raft sends a base once and waits for word of it; a letter may be lost. One without an answer for as long as an election
-    /// takes is as good as lost.
+    /// Raft sends a snapshot once and waits for the answer, but the message may be lost. Without an answer
+    /// for an election timeout it counts as lost.
     fn retry_snapshots(&mut self) {
         let awaits_snapshot = |(id, progress): (&u64, &raft::Progress)| {
             (progress.state == raft::ProgressState::Snapshot).then_some(*id)
@@ -194,7 +194,8 @@
         }
     }
 
-    /// A letter has come. One that is for another, that a voter says only to itself, or that makes no sense is not heard.
+    /// Handles a message from another replica. Drops a message to another replica or group, one that a
+    /// replica sends only to itself, and an inconsistent one.
     pub fn receive(&mut self, message: &Message) {
         let snapshot = message.snapshot.as_ref();
         let decodable =
@@ -213,21 +214,23 @@
         {
             return;
         }
-        // A leader may not say that more is decided than this voter can have by its letter.
+        // A leader can't have more committed than this replica could have received before the heartbeat. Raft
+        // panics on such a commit index.
         let last = self.node.raft.raft_log.last_index();
         if message.kind == MessageKind::Heartbeat && message.commit > last {
             return;
         }
-        // What raft refuses is of an old term, or of somebody it does not know.
+        // Raft returns an error for messages of an old term or from an unknown replica; they are dropped.
         let _ = self.node.step(message.to_raft());
         self.set_election_timeout();
     }
 
-    /// Proposes a command to whoever leads. It may be decided, or lost on the way: whoever asked looks at the state.
+    /// Proposes a command to the leader. It may still be lost on the way: the caller learns from the state
+    /// whether it was committed.
     ///
     /// # Errors
     ///
-    /// It was not taken.
+    /// The proposal was dropped.
     pub fn propose(&mut self, command: &Command) -> Result<(), ProposalDropped> {
         let data = postcard::to_stdvec(command).map_err(|_| ProposalDropped)?;
         let proposed = self.node.propose(Vec::new(), data);
@@ -235,11 +238,11 @@
         proposed.map_err(|_| ProposalDropped)
     }
 
-    /// Proposes another set of voters. One at a time: while one is undecided, a further one comes to nothing.
+    /// Proposes a change of the configuration. While one is uncommitted, a further one has no effect.
     ///
     /// # Errors
     ///
-    /// It was not taken.
+    /// The proposal was dropped.
     pub fn propose_configuration_change(
         &mut self,
         change: ConfigurationChange,
@@ -252,7 +255,8 @@
         proposed.map_err(|_| ProposalDropped)
     }
 
-    /// What there is to do; `None`: nothing until the next tick or letter. [`Replica::on_persisted`] comes before it is asked again.
+    /// What the caller has to do next; `None` if there is nothing until the next tick or message.
+    /// [`Replica::on_persisted`] must be called before the next call of this.
     pub fn next_output(&mut self) -> Option<Output> {
         if self.ready.is_some() || !self.node.has_ready() {
             return None;
@@ -279,7 +283,7 @@
         Some(Output { messages, disk_write })
     }
 
-    /// The disk holds what the last [`Output`] said. Nothing where there was none.
+    /// To be called when the disk holds the write of the last [`Output`]. Without one it does nothing.
     pub fn on_persisted(&mut self) -> Applied {
         let Some(mut ready) = self.ready.take() else { return Applied::default() };
         let group_id = self.node.store().disk_state.group_id;
@@ -291,7 +295,7 @@
         self.apply(&committed, &mut changes);
         let mut light = self.node.advance(ready);
         if let Some(commit) = light.commit_index() {
-            // It need not be on the disk: it is found again.
+            // This commit index need not be on the disk: it is learned again after a restart.
             self.node.mut_store().disk_state.hard_state.commit = commit;
         }
         messages.extend(light.take_messages().iter().filter_map(to_message));
@@ -309,7 +313,7 @@
             match entry.payload {
                 EntryPayload::Empty => {}
                 EntryPayload::Command(data) => {
-                    // Another version's command changes nothing, at any voter.
+                    // A command of another version can't be decoded, and changes nothing on any replica.
                     if let Ok(command) = postcard::from_bytes::<Command>(&data) {
                         let change = self.state.apply(&command);
                         changes.push((entry.index, command, change));
@@ -324,8 +328,8 @@
         }
     }
 
-    /// Moves the log's base up to what is applied, if it is long enough, or one that is new wants it. To be asked after each
-    /// [`Replica::on_persisted`]. What comes back must be on the disk some time.
+    /// Replaces the applied entries by a snapshot if there are enough of them, or if a new replica needs one.
+    /// To be called after each [`Replica::on_persisted`]. The returned write must reach the disk eventually.
     pub fn compact(&mut self) -> Option<DiskWrite> {
         let snapshot_index = self.node.store().disk_state.snapshot.index;
         if self.ready.is_some() || self.applied.0 <= snapshot_index {
@@ -344,55 +348,56 @@
         Some(disk_write)
     }
 
-    /// What a new council begins with that takes this seat's state over, when most voters of the old one are lost for good:
-    /// by an operator's word, at one seat, once every lease's time is over. `group_id` is another number than that of any
-    /// before; letters of an old voter that comes back late are not heard. What the old log had beyond this seat is lost;
-    /// its epochs and fences are passed over.
+    /// The initial disk state of a new group that takes over this replica's state, for when most voters of
+    /// the old group are lost for good. Only an operator may decide this, at one replica, once every lease
+    /// has expired. `group_id` must differ from that of every earlier group, so that messages from old voters
+    /// that return are dropped. Entries of the old log that this replica lacks are lost; epochs and fencing
+    /// tokens skip those that they may have used.
     ///
     /// # Errors
     ///
-    /// The state can't be written.
+    /// The state can't be encoded.
     pub fn recover_group(&self, group_id: u64, voters: &[u64]) -> Result<DiskState, String> {
         let state = postcard::to_stdvec(&self.state.recovered()).map_err(|error| error.to_string())?;
         Ok(DiskState::bootstrap(group_id, voters, state))
     }
 
-    /// What the log comes to, as far as this seat knows. It may be behind.
+    /// The state after the entries that this replica has applied. It may lag behind the leader's.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Who votes and who hears, as far as this seat knows.
+    /// The voters and learners, as of the entries that this replica has applied.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// How far it has applied the log.
+    /// The index of the last entry that is applied.
     pub fn applied_index(&self) -> u64 {
         self.applied.0
     }
 
-    /// The term that it is in.
+    /// The current term.
     pub fn term(&self) -> u64 {
         self.node.raft.term
     }
 
-    /// Its own number.
+    /// The id of this replica.
     pub fn id(&self) -> u64 {
         self.node.raft.id
     }
 
-    /// Who leads, by what it knows; `None`: nobody.
+    /// The current leader, if this replica knows one.
     pub fn leader(&self) -> Option<u64> {
         Some(self.node.raft.leader_id).filter(|leader| *leader != raft::INVALID_ID)
     }
 
-    /// Whether it leads, and has applied all that was in the log when it began to.
+    /// Whether this replica leads and has applied every entry that was in the log when it was elected.
     pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader && self.applied.1 == self.node.raft.term
     }
 
-    /// Whether a seat has nearly all of the log, by what this leader knows.
+    /// Whether a replica has nearly the whole log, as far as this leader knows.
     pub fn has_caught_up(&self, id: u64) -> bool {
         let last = self.node.raft.raft_log.last_index();
         self.is_leader()
--- a/council/log/src/storage.rs
+++ b/council/log/src/storage.rs
@@ -1,4 +1,4 @@
-//! What a voter must find again after its end: what its disk holds.
+//! The state that a replica keeps on disk, and raft's view of it.
 
 use crate::message::Entry;
 use raft::eraftpb::ConfState;
@@ -6,23 +6,23 @@
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 
-/// A voter's word, which it may not go back on.
+/// Raft's hard state: what a replica must not forget when it restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The last term that it knows.
     pub term: u64,
-    /// Whom it voted for in it; 0: nobody.
+    /// The replica that it voted for in this term; 0 if none.
     pub vote: u64,
-    /// How far the log is decided, as it knows.
+    /// The highest index that it knows to be committed.
     pub commit: u64,
 }
 
-/// Who votes, and who only hears.
+/// The configuration of a group: who votes, and who only receives the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Voters, in rising order.
+    /// Ids of the voters, in ascending order.
     pub voters: Vec<u64>,
-    /// Learners, in rising order.
+    /// Ids of the learners, in ascending order.
     pub learners: Vec<u64>,
 }
 
@@ -39,29 +39,29 @@
     }
 }
 
-/// Where the kept log begins: what all before comes to.
+/// A snapshot, which replaces all entries up to its index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that is in it; 0: none, this voter is new.
+    /// The last entry that it includes; 0 if there is none, as in a new replica.
     pub index: u64,
-    /// That one's term.
+    /// The term of that entry.
     pub term: u64,
-    /// Who voted then.
+    /// The configuration as of that entry.
     #[serde(rename = "seats")]
     pub configuration: Configuration,
-    /// The machine's state, by `postcard`.
+    /// The state of the state machine, encoded by `postcard`.
     pub state: Vec<u8>,
 }
 
-/// What is to be on the disk before anything else is said.
+/// What must be written to disk before the replica goes on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiskWrite {
-    /// The log begins here now: what it has of before goes.
+    /// A new snapshot: the entries up to its index are deleted.
     #[serde(rename = "base")]
     pub snapshot: Option<Snapshot>,
-    /// Entries that take the place of all from the first one's index on.
+    /// Entries that replace those on disk from the first one's index on.
     pub entries: Vec<Entry>,
-    /// The voter's word.
+    /// The new hard state.
     #[serde(rename = "hard")]
     pub hard_state: Option<HardState>,
 }
@@ -73,24 +73,24 @@
     }
 }
 
-/// All of it.
+/// All that a replica keeps on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiskState {
-    /// Which council it is of.
+    /// The group that it belongs to.
     #[serde(rename = "council")]
     pub group_id: u64,
-    /// The voter's word.
+    /// The hard state.
     #[serde(rename = "hard")]
     pub hard_state: HardState,
-    /// Where the log begins.
+    /// The snapshot before the first entry.
     #[serde(rename = "base")]
     pub snapshot: Snapshot,
-    /// What follows.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
 impl DiskState {
-    /// Of the first voters of a council: all begin with the same.
+    /// The initial disk state of the first voters of a group, the same for all of them.
     pub fn bootstrap(group_id: u64, voters: &[u64], state: Vec<u8>) -> DiskState {
         let mut voters = voters.to_vec();
         voters.sort_unstable();
@@ -104,17 +104,17 @@
         }
     }
 
-    /// Of one that comes to a council that is there: whoever leads sends it what it needs.
+    /// The initial disk state of a replica that joins an existing group; the leader sends it a snapshot.
     pub fn join(group_id: u64) -> DiskState {
         DiskState { group_id, ..DiskState::default() }
     }
 
-    /// Takes in what was written.
+    /// Applies a write to this copy of the state on disk.
     pub fn apply(&mut self, disk_write: &DiskWrite) {
         if let Some(snapshot) = &disk_write.snapshot {
             let extends_snapshot =
                 self.entries.iter().any(|entry| (entry.index, entry.term) == (snapshot.index, snapshot.term));
-            // A base that was sent takes the place of a log that is not on its way.
+            // A snapshot from the leader replaces a log that does not contain the snapshot's last entry.
             self.entries.retain(|entry| extends_snapshot && entry.index > snapshot.index);
             self.snapshot = snapshot.clone();
             self.hard_state.commit = self.hard_state.commit.max(snapshot.index);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The last entry's index.
+    /// The index of the last entry.
     pub fn last_index(&self) -> u64 {
         self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
     }
@@ -144,11 +144,11 @@
     }
 }
 
-/// What raft reads: the same as is on the disk.
+/// Raft's view of the log: the same as the state on disk.
 #[derive(Debug)]
 pub(crate) struct ReplicaStorage {
     pub disk_state: DiskState,
-    /// Somebody wants a base that names it; this one does not.
+    /// A replica needs a snapshot whose configuration contains it, and the present one does not.
     pub snapshot_requested: Cell<bool>,
 }
 
@@ -156,7 +156,7 @@
     fn initial_state(&self) -> Result<RaftState> {
         let HardState { term, vote, commit } = self.disk_state.hard_state;
         let hard_state = eraftpb::HardState { term, vote, commit, ..Default::default() };
-        // Raft reads it when it begins, with all that is in the base applied.
+        // Raft reads this when it starts, with the snapshot applied.
         Ok(RaftState { hard_state, conf_state: self.disk_state.snapshot.configuration.to_raft() })
     }
 
@@ -200,7 +200,7 @@
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> Result<eraftpb::Snapshot> {
-        // Raft refuses one by whose set of voters and learners it is neither.
+        // A replica rejects a snapshot whose configuration does not contain it.
         let Configuration { voters, learners } = &self.disk_state.snapshot.configuration;
         if self.disk_state.snapshot.index >= request_index && (voters.contains(&to) || learners.contains(&to))
         {
--- a/council/log/src/voter_planner.rs
+++ b/council/log/src/voter_planner.rs
@@ -1,40 +1,42 @@
-//! Who is to vote: five that are there, spread over zones; one that has failed for long makes way, one at a time.
+//! Decides who votes: a fixed number of live replicas, spread over the zones. A voter that has failed for
+//! long is replaced; the configuration changes by one replica at a time.
 
 use crate::message::ConfigurationChange;
 use crate::storage::Configuration;
 use nettleworks_council::Micros;
 use std::collections::BTreeMap;
 
-/// One that may vote.
+/// A replica that may become a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// Its number.
+    /// Its id.
     pub id: u64,
     /// Its zone.
     pub zone: String,
-    /// Whether it is there, in the opinion of whoever leads.
+    /// Whether the leader considers it alive.
     pub alive: bool,
 }
 
-/// What the leader has seen of voters that fail.
+/// Plans configuration changes on the leader, from the failures of replicas that it has seen.
 #[derive(Clone, Debug)]
 pub struct VoterPlanner {
-    /// How many are to vote: an odd number.
+    /// How many voters there should be: an odd number.
     target_voters: usize,
-    /// For how long one must have failed, without a break, before it makes way.
+    /// How long a replica must have failed without interruption before it is removed.
     failure_timeout: Micros,
     failed_since: BTreeMap<u64, Micros>,
 }
 
 impl VoterPlanner {
-    /// So many voters, of whom one makes way when it has failed for so long.
+    /// A planner for `target_voters` voters that removes a replica after `failure_timeout` of failure.
     pub fn new(target_voters: usize, failure_timeout: Micros) -> VoterPlanner {
         VoterPlanner { target_voters: target_voters.max(1), failure_timeout, failed_since: BTreeMap::new() }
     }
 
-    /// The next change, if there is to be one. `caught_up` tells whether a learner has the log. One that is no candidate has
-    /// failed. Nothing is ever changed that would leave fewer voters there than a majority of the new set, so that a
-    /// wrong opinion costs a seat and never the council.
+    /// The next change of the configuration, if any. `caught_up` tells whether a learner has nearly the whole
+    /// log. A replica that is not among `replicas` counts as failed. No change is made that would leave fewer
+    /// live voters than a majority of the new configuration, so that a wrong failure report can cost a
+    /// replica its vote, but never the group its majority.
     pub fn next_change(
         &mut self,
         now: Micros,
@@ -53,17 +55,18 @@
         let has_timed_out = |id: u64| {
             self.failed_since.get(&id).is_some_and(|since| now.saturating_sub(*since) >= failure_timeout)
         };
-        // A learner that is out is of no use.
+        // A failed learner is of no use.
         if let Some(id) = configuration.learners.iter().find(|id| has_timed_out(**id)) {
             return Some(ConfigurationChange::Remove(*id));
         }
         let alive_voters = configuration.voters.iter().filter(|id| alive(**id)).count();
         let majority = |voters: usize| voters / 2 + 1;
         let failed_voters = configuration.voters.iter().filter(|id| has_timed_out(**id));
-        // The one that is out for longest; of equals the lowest.
+        // The voter that has failed for longest; of equals the one with the lowest id.
         let failed_voter = failed_voters.min_by_key(|id| (self.failed_since.get(id), **id)).copied();
         if configuration.voters.len() > self.target_voters {
-            // One more than there are to be: one that is out, or, if all are there, one of the fullest zone.
+            // There is one voter too many: a failed one, or, if all are alive, one of the zone with the most
+            // voters.
             let surplus = failed_voter.or_else(|| {
                 (alive_voters == configuration.voters.len())
                     .then(|| surplus_voter(configuration, replicas))
@@ -77,7 +80,7 @@
         if configuration.voters.len() == self.target_voters && failed_voter.is_none() {
             return None;
         }
-        // Somebody is missing, or is to be replaced.
+        // A voter is missing, or has to be replaced.
         if let Some(id) = configuration.learners.iter().find(|id| alive(**id)) {
             let keeps_majority = alive_voters + 1 >= majority(configuration.voters.len() + 1);
             return (caught_up(*id) && keeps_majority).then_some(ConfigurationChange::AddVoter(*id));
@@ -92,7 +95,7 @@
     }
 }
 
-/// A voter of the zone that has the most of them; the highest number.
+/// A voter of the zone with the most voters; of equals the one with the highest id.
 fn surplus_voter(configuration: &Configuration, replicas: &[ReplicaStatus]) -> Option<u64> {
     let zone = |id: u64| replicas.iter().find(|replica| replica.id == id).map(|replica| &replica.zone);
     let count = |id: u64| configuration.voters.iter().filter(|other| zone(**other) == zone(id)).count();
--- a/council/src/expiry_tracker.rs
+++ b/council/src/expiry_tracker.rs
@@ -1,10 +1,11 @@
-//! The side of whoever leads the log: takes roles back whose holders' time is surely over.
+//! The leader's side of leases: decides when a lease that was not renewed has expired for certain.
 
 use crate::state_machine::{Command, Role, State};
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// What the leader has seen of leases, and since when.
+/// The leases that the leader of the log has observed, and since when. Every replica has one; it is active
+/// only while the replica leads.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ExpiryTracker {
     observed: BTreeMap<Role, ObservedLease>,
@@ -19,11 +20,13 @@
 }
 
 impl ExpiryTracker {
-    /// The log has gone on, or this process has begun or ceased to lead. A leader says so only once it has applied all that
-    /// was in the log when it began: what it has not seen it would count too short.
+    /// To be called after each change of the state and of leadership. A replica may pass `is_leader` as true
+    /// only once it has applied every entry that was in the log when it was elected: a lease in an entry that
+    /// it had not applied would be timed from too early a moment.
     pub fn observe(&mut self, now: Micros, state: &State, is_leader: bool) {
         if !is_leader || !self.is_leader {
-            // What was seen before, by another or by itself, may have gone on meanwhile.
+            // Leases observed earlier, under another leader or this one, may have been renewed in the
+            // meantime.
             self.observed.clear();
         }
         self.is_leader = is_leader;
@@ -47,7 +50,8 @@
         }
     }
 
-    /// What is to be taken back at this moment. It may be asked again for as long as the log has not taken it.
+    /// The commands that expire, at `now`, the leases that were not renewed in time. They are returned again
+    /// at each call until the log has applied them.
     pub fn expire_commands(&self, now: Micros, state: &State) -> Vec<Command> {
         let expired = self.observed.iter().filter(|(role, observed)| {
             let expiry_delay = state.leases().get(role).map(|lease| lease.timing.expiry_delay());
@@ -61,7 +65,7 @@
         expired.map(expire).collect()
     }
 
-    /// When something is due next; `None`: nothing is held, or this process does not lead.
+    /// When the next lease expires; `None` if there is no lease or this replica does not lead.
     pub fn next_expiry(&self, state: &State) -> Option<Micros> {
         let expiry = |(role, observed): (&Role, &ObservedLease)| {
             state.leases().get(role).map(|lease| observed.since.saturating_add(lease.timing.expiry_delay()))
--- a/council/src/lease_client.rs
+++ b/council/src/lease_client.rs
@@ -1,31 +1,33 @@
-//! The side of whoever wants a role, and has it.
+//! The holder's side of leases: requests the lease of a role, renews it, and tells whether it is still valid.
 
 use crate::lease_timing::LeaseTiming;
 use crate::state_machine::{Command, ProcessInstance, Role, State};
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Most asks that are remembered with when they were sent. One that comes to count after so many more gives nothing.
+/// Requests whose time of sending is remembered. If the log applies a request older than these, it does not
+/// extend the lease.
 const MAX_REMEMBERED_REQUESTS: usize = 16;
 
-/// A process's part in one role: asks for it, has it for as long as it surely may, asks again in time.
+/// One process's client for the lease of one role. It counts the lease as valid only while that is certain by
+/// its own clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseClient {
     role: Role,
     process: ProcessInstance,
     timing: LeaseTiming,
     next_request_id: u64,
-    /// Numbers of what was asked, and when each was sent.
+    /// Numbers of the requests that were sent, and when each was sent.
     requests: VecDeque<(u64, Micros)>,
-    /// The lease that the log gave, and until when it holds.
+    /// The fencing token of the lease that the log granted, and until when the lease is valid.
     lease: Option<(u64, Micros)>,
-    /// It gives the role up: it does nothing under this lease any more.
+    /// The fencing token of a lease that was released: nothing more may be done under it.
     released: Option<u64>,
 }
 
 impl LeaseClient {
-    /// Of this life of a process, which has no part in the role yet and has never had: asks are numbered from one on, so a
-    /// process that starts again must be another life, or an old ask would be taken for a new one.
+    /// A client without a lease. Requests are numbered from 1, so a restarted process needs a new
+    /// [`ProcessInstance`]: otherwise a request from before the restart could be mistaken for a new one.
     pub fn new(role: Role, process: ProcessInstance, timing: LeaseTiming) -> LeaseClient {
         LeaseClient {
             role,
@@ -38,21 +40,22 @@
         }
     }
 
-    /// Its fence, if this process has the role at this moment. To be asked again each time before something is done
-    /// under it.
+    /// The fencing token if the lease is valid at `now`. To be called each time before something is done
+    /// under the lease.
     pub fn fencing_token(&self, now: Micros) -> Option<u64> {
         self.lease
             .filter(|(fencing_token, until)| now < *until && self.released != Some(*fencing_token))
             .map(|(fencing_token, _)| fencing_token)
     }
 
-    /// Until when it has the role for sure, if nothing more comes.
+    /// Until when the lease is valid if it is not renewed; `None` without a lease.
     pub fn valid_until(&self) -> Option<Micros> {
         self.lease.filter(|(fencing_token, _)| self.released != Some(*fencing_token)).map(|(_, until)| until)
     }
 
-    /// What to ask the log for, by what is known of it: the role where it is free, or more time. It is sent at this moment or
-    /// never: time is counted from here.
+    /// The command to propose: a grant if the role is free in `state`, or a renewal if this process holds it;
+    /// `None` if another process holds it or this one is not a member. The command must be sent at `now` or
+    /// not at all, since the lease is timed from that moment.
     pub fn request_lease(&mut self, now: Micros, state: &State) -> Option<Command> {
         if !state.is_member(&self.process) {
             return None;
@@ -79,22 +82,24 @@
         })
     }
 
-    /// What to tell the log so that somebody else may have it. From here on it is not held.
+    /// The command that releases the lease, so that another process may acquire the role. The lease counts as
+    /// invalid from this call on.
     pub fn release(&mut self) -> Option<Command> {
         let (fencing_token, _) = self.lease?;
         self.released = Some(fencing_token);
         Some(Command::Release { role: self.role.clone(), fencing_token })
     }
 
-    /// The log has gone on.
+    /// To be called after each change of the state.
     pub fn observe(&mut self, state: &State) {
         let Some(granted) = state.leases().get(&self.role).filter(|granted| granted.holder == self.process)
         else {
-            // It was taken back, or given up. By its own clock it was over before, or is not held.
+            // The lease was expired or released. By this process's clock it was over before that, or had been
+            // released.
             self.lease = None;
             return;
         };
-        // An ask that is not known any more gives no time: it is asked for again.
+        // A request that is no longer remembered does not extend the lease; the lease is requested again.
         let sent_at = self
             .requests
             .iter()
@@ -102,8 +107,8 @@
             .map(|(_, sent_at)| *sent_at);
         let until = sent_at.map_or(0, |sent_at| sent_at.saturating_add(granted.timing.holder_duration()));
         match &mut self.lease {
-            Some((fencing_token, known)) if *fencing_token == granted.fencing_token => {
-                *known = until.max(*known)
+            Some((fencing_token, previous)) if *fencing_token == granted.fencing_token => {
+                *previous = until.max(*previous)
             }
             lease => *lease = Some((granted.fencing_token, until)),
         }
--- a/council/src/lib.rs
+++ b/council/src/lib.rs
@@ -1,18 +1,26 @@
-//! What client proxies decide in common.
+//! The replicated state machine on which client proxies agree.
 //!
-//! A log that all agree on (its order is somebody else's business, [`State`] only reads it) holds who is a member in good
-//! standing, by *epochs*, and who holds which role, by *leases*. A role is a right that one process has at a time. Its
-//! holder gives it up by its own monotonic clock before anybody else may have it, whatever it can hear by then:
+//! It applies a log that all replicas agree on (ordering the log is the job of another package, [`State`]
+//! only applies it). The state holds the members, whose set is numbered by *epochs*, and the *leases* of
+//! roles. A role is a right that one process has at a time. The holder of a lease stops using it, by its own
+//! monotonic clock, before any other process can acquire the role, even if the holder is disconnected:
 //!
-//! - A holder counts from when it *sent* what the log then took ([`LeaseClient`]), and stops at its length less the drift.
-//! - Whoever leads the log counts from when it *saw* that in the log ([`ExpiryTracker`]), or from when it began to lead, and takes
-//!   the role back at its length and the drift.
-//! - Sent is not after seen. So with clocks that run at most that drift too fast or too slow, no moment has two holders.
+//! - The holder times the lease from when it *sent* the request that the log then applied ([`LeaseClient`]),
+//!   and stops at the duration less the drift.
+//! - The leader of the log times it from when it *observed* the grant or renewal in the log, or from when it
+//!   became leader ([`ExpiryTracker`]), and expires it at the duration plus the drift.
+//! - A request is sent no later than it is observed. So if all clocks run within the drift, no role has two
+//!   holders at any moment.
 //!
-//! What a holder does under its role it does under the lease's *fence*, a number that only grows: whoever was stopped
-//! between looking and doing is told apart by it.
+//! Everything that a holder does in its role carries the *fencing token* of its lease, a number that only
+//! increases: a holder that was paused between the check of its lease and the action is recognised by its old
+//! token.
 //!
-//! It does no I/O and reads no clock: every call is given the present moment of this process's monotonic clock.
+//! The crate does no I/O and reads no clock: each call gets the current time of this process's monotonic
+//! clock.
+//!
+//! Many fields and variants have a `serde(rename)`: their serialized names are those of the first stored
+//! format.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/council/src/state_machine.rs
+++ b/council/src/state_machine.rs
@@ -1,4 +1,5 @@
-//! The machine: what the log's commands come to. Each process that applies the same log has the same state.
+//! The state machine: commands of the log, and the state after them. All processes that apply the same log
+//! have the same state.
 
 use crate::lease_timing::LeaseTiming;
 use crate::Name;
@@ -6,19 +7,19 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Longest name of a role and of a zone, in bytes.
+/// Longest name of a role or of a zone, in bytes.
 const MAX_NAME_BYTES: usize = 48;
 
-/// A process in one of its lives.
+/// One run of a process: a restarted process is another instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessInstance {
-    /// Its name.
+    /// The name of the process, which stays the same when it restarts.
     pub name: Name,
-    /// Its start; a later life has a greater one.
+    /// The start number; a later instance of the same process has a greater one.
     pub start: u64,
 }
 
-/// What a right is called: 1 to 48 bytes.
+/// The name of a role: 1 to 48 bytes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Role(pub String);
 
@@ -28,154 +29,154 @@
     }
 }
 
-/// What the log holds. Any of them may come twice, late, or never.
+/// A command in the log. Commands may be duplicated, delayed or lost on the way to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A process is a member in good standing; its earlier life is no more.
+    /// Adds a process to the members. Replaces an earlier instance of it.
     #[serde(rename = "Admit")]
     AddMember {
-        /// Which.
+        /// The process to add.
         #[serde(rename = "who")]
         process: ProcessInstance,
-        /// Its zone.
+        /// The zone of the process.
         zone: String,
     },
-    /// A process is none any more.
+    /// Removes a process from the members.
     #[serde(rename = "Dismiss")]
     RemoveMember {
-        /// Which.
+        /// The process to remove.
         #[serde(rename = "who")]
         process: ProcessInstance,
     },
-    /// Somebody asks for a role that is free.
+    /// Grants the lease of a role that is free.
     Grant {
-        /// Which.
+        /// The role.
         role: Role,
-        /// Who.
+        /// The process that requests the lease.
         #[serde(rename = "to")]
         holder: ProcessInstance,
-        /// The asker's number for this; each of its later ones is greater.
+        /// The holder's number for this request; each later request has a greater one.
         #[serde(rename = "ask")]
         request_id: u64,
-        /// For how long.
+        /// The duration of the lease and the clock drift.
         #[serde(rename = "terms")]
         timing: LeaseTiming,
     },
-    /// Its holder asks to have it for as long again.
+    /// Extends a lease by its whole duration, at its holder's request.
     Renew {
-        /// Which.
+        /// The role.
         role: Role,
-        /// Under which lease.
+        /// The token of the lease.
         #[serde(rename = "fence")]
         fencing_token: u64,
-        /// The asker's number for this.
+        /// The holder's number for this request.
         #[serde(rename = "ask")]
         request_id: u64,
     },
-    /// Its holder gives it up: it does nothing under it any more.
+    /// Ends a lease at its holder's request: the holder does nothing more under it.
     Release {
-        /// Which.
+        /// The role.
         role: Role,
-        /// Under which lease.
+        /// The token of the lease.
         #[serde(rename = "fence")]
         fencing_token: u64,
     },
-    /// Whoever leads the log has waited for its holder's time to be over.
+    /// Ends a lease whose expiry the leader of the log has waited for.
     Expire {
-        /// Which.
+        /// The role.
         role: Role,
-        /// Under which lease.
+        /// The token of the lease.
         #[serde(rename = "fence")]
         fencing_token: u64,
-        /// The last that was seen of it: one that came later keeps it.
+        /// The last request that the leader has observed; a later renewal prevents the expiry.
         #[serde(rename = "ask")]
         request_id: u64,
     },
 }
 
-/// Why a command changed nothing.
+/// Why a command did not change the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// A later life is known, or this one is a member already.
+    /// The same or a later instance of the process is already a member.
     NotNewer,
-    /// The process is no member in good standing.
+    /// The process is not a member.
     NotMember,
-    /// Somebody has the role.
+    /// The role is already leased.
     RoleTaken,
-    /// Nobody has it under that lease.
+    /// There is no lease of the role with that token.
     NoLease,
-    /// Something later has come already.
+    /// A later request of the holder was applied before.
     Stale,
-    /// There are as many members or roles as there may be, or a text is no good.
+    /// The limit on members or roles is reached, a name is too long or empty, or the lease timing is invalid.
     OutOfBounds,
 }
 
 /// What a command changed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
-    /// Members are others now: this is the new epoch.
+    /// The members changed; this is the new epoch.
     NewEpoch(u64),
-    /// A role is somebody's.
+    /// The lease of a role was granted.
     Granted {
-        /// Which.
+        /// The role.
         role: Role,
-        /// Under which lease.
+        /// The token of the new lease.
         fencing_token: u64,
     },
-    /// It is for as long again.
+    /// The lease was extended.
     Renewed {
-        /// Which.
+        /// The role.
         role: Role,
-        /// Under which lease.
+        /// The token of the lease.
         fencing_token: u64,
     },
-    /// It is free.
+    /// The lease was released or has expired; the role is free.
     Freed {
-        /// Which.
+        /// The role.
         role: Role,
-        /// Under which lease it was somebody's.
+        /// The token of the lease that ended.
         fencing_token: u64,
     },
     /// Nothing.
     Refused(Refusal),
 }
 
-/// A member in good standing.
+/// A member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its present life.
+    /// The start number of its current instance.
     pub start: u64,
     /// Its zone.
     pub zone: String,
-    /// Since which epoch.
+    /// The epoch in which this instance became a member.
     #[serde(rename = "since")]
     pub since_epoch: u64,
 }
 
-/// A role that is somebody's.
+/// The lease of a role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Whose.
+    /// The process that holds the role.
     #[serde(rename = "by")]
     pub holder: ProcessInstance,
-    /// The lease's number: greater than that of each before it, of any role.
+    /// The fencing token of the lease: greater than that of every earlier lease of any role.
     #[serde(rename = "fence")]
     pub fencing_token: u64,
-    /// The last of its holder's asks that counts.
+    /// The last request of the holder that was applied.
     #[serde(rename = "ask")]
     pub request_id: u64,
-    /// For how long.
+    /// The duration of the lease and the clock drift.
     #[serde(rename = "terms")]
     pub timing: LeaseTiming,
 }
 
-/// Bounds of the state.
+/// Limits of the state's size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Bounds {
-    /// Most members in good standing.
+    /// Most members.
     #[serde(rename = "members")]
     pub max_members: usize,
-    /// Most roles that are somebody's.
+    /// Most roles that are leased at the same time.
     #[serde(rename = "roles")]
     pub max_leases: usize,
 }
@@ -186,7 +187,7 @@
     }
 }
 
-/// What the log comes to.
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
     bounds: Bounds,
@@ -199,32 +200,32 @@
 }
 
 impl State {
-    /// At the log's start.
+    /// The state before the first command of the log.
     pub fn new(bounds: Bounds) -> State {
         State { bounds, ..State::default() }
     }
 
-    /// The number of the present set of members. It grows by one with each change.
+    /// The number of the current set of members. It grows by one with each change of the set.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The members in good standing.
+    /// The members.
     pub fn members(&self) -> &BTreeMap<Name, Member> {
         &self.members
     }
 
-    /// The roles that are somebody's.
+    /// The leases, by role.
     pub fn leases(&self) -> &BTreeMap<Role, Lease> {
         &self.leases
     }
 
-    /// Whether this life is a member in good standing.
+    /// Whether this instance of the process is a member.
     pub fn is_member(&self, process: &ProcessInstance) -> bool {
         self.members.get(&process.name).is_some_and(|member| member.start == process.start)
     }
 
-    /// Takes the log's next command.
+    /// Applies the next command of the log.
     pub fn apply(&mut self, command: &Command) -> Change {
         match self.change(command) {
             Ok(change) => change,
@@ -232,8 +233,9 @@
         }
     }
 
-    /// The same for a council that begins anew from what one voter knew of the last one: numbers that the last may have
-    /// given beyond that are passed over.
+    /// This state as the initial state of a new group, when the old group has lost its majority for good. The
+    /// old group may have issued epochs and fencing tokens after this state: the numbers are advanced so far
+    /// that none is issued again.
     #[must_use]
     pub fn recovered(&self) -> State {
         State {
@@ -265,7 +267,8 @@
                 self.members.insert(process.name.clone(), member);
                 Ok(change)
             }
-            // What it holds stays its own until its time is over: it may only be cut off, and act under it.
+            // Its leases stay until they expire: the process may only be disconnected and still act under
+            // them.
             Command::RemoveMember { process } if self.is_member(process) => {
                 self.members.remove(&process.name);
                 Ok(self.next_epoch())
