--- a/council/log/tests/voters.rs
+++ b/council/log/tests/voters.rs
@@ -1,4 +1,5 @@
-//! Voters that lose letters, processes and disks, on virtual time: one log, one leader a term, one holder.
+//! Replicas that lose messages, processes and disks, on virtual time: there must be one log, one leader per
+//! term, and one holder of the lease.
 
 use nettleworks_council::*;
 use nettleworks_council_log::*;
@@ -6,13 +7,13 @@
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A tick, in microseconds.
+/// The length of a tick, in microseconds.
 const TICK: Micros = 50_000;
-/// Two seconds of a lease, as voters need about a second to find a leader.
+/// A lease of two seconds, since the voters need about a second to elect a leader.
 const TIMING: LeaseTiming = LeaseTiming { duration: 2_000_000, max_drift_ppm: 50_000 };
 
 fn instance_of(number: u64, start: u64) -> ProcessInstance {
-    ProcessInstance { name: Name::new(&format!("p-{number}")).expect("a name"), start }
+    ProcessInstance { name: Name::new(&format!("p-{number}")).expect("valid name"), start }
 }
 
 fn instance(number: u64) -> ProcessInstance {
@@ -26,11 +27,11 @@
 struct Node {
     replica: Option<Replica>,
     disk: DiskState,
-    /// Seeds its draws anew with each start.
+    /// How often it was started; part of the seed, so that each start draws other timeouts.
     starts: u64,
     lease_client: LeaseClient,
     tracker: ExpiryTracker,
-    /// How fast its clock runs, in hundredths.
+    /// The rate of its clock, in percent.
     rate: u64,
 }
 
@@ -43,21 +44,21 @@
     duplication: f64,
     max_delay: u64,
     blocked: BTreeSet<(u64, u64)>,
-    /// Whether each wants the role.
+    /// Whether every process requests the lease.
     requests_lease: bool,
-    /// What all must agree on.
+    /// The committed commands by index, on which all replicas must agree.
     log: BTreeMap<u64, Command>,
     leaders: BTreeMap<u64, u64>,
-    /// Where in the log each epoch began.
+    /// The index at which each epoch began.
     epochs: BTreeMap<u64, u64>,
-    tokens: BTreeSet<u64>,
+    observed_tokens: BTreeSet<u64>,
     compaction: CompactionPolicy,
 }
 
 impl Cluster {
     fn new(seed: u64, count: u64) -> Cluster {
         let ids: Vec<u64> = (1..=count).collect();
-        let state = Replica::initial_state(Bounds::default()).expect("written");
+        let state = Replica::initial_state(Bounds::default()).expect("state can be encoded");
         let mut cluster = Cluster {
             tick: 0,
             voters: BTreeMap::new(),
@@ -71,7 +72,7 @@
             log: BTreeMap::new(),
             leaders: BTreeMap::new(),
             epochs: BTreeMap::new(),
-            tokens: BTreeSet::new(),
+            observed_tokens: BTreeSet::new(),
             compaction: CompactionPolicy { min_entries: 40 },
         };
         for id in ids.clone() {
@@ -91,17 +92,17 @@
 
     fn start(&mut self, id: u64) {
         let compaction = self.compaction;
-        let voter = self.voters.get_mut(&id).expect("known");
+        let voter = self.voters.get_mut(&id).expect("known id");
         voter.starts += 1;
         let replica = Replica::new(id, voter.disk.clone(), id * 1_000 + voter.starts, compaction);
-        voter.replica = Some(replica.expect("it goes on"));
-        // Of an earlier life's asks it knows nothing: it is another.
+        voter.replica = Some(replica.expect("valid disk state"));
+        // A restarted process is another instance and does not know the requests of the earlier one.
         voter.lease_client = LeaseClient::new(role(), instance_of(id, voter.starts), TIMING);
         voter.tracker = ExpiryTracker::default();
     }
 
     fn kill(&mut self, id: u64) {
-        self.voters.get_mut(&id).expect("known").replica = None;
+        self.voters.get_mut(&id).expect("known id").replica = None;
     }
 
     fn clock(&self, id: u64) -> Micros {
@@ -113,7 +114,7 @@
     }
 
     fn replica(&mut self, id: u64) -> &mut Replica {
-        self.voters.get_mut(&id).and_then(|voter| voter.replica.as_mut()).expect("it runs")
+        self.voters.get_mut(&id).and_then(|voter| voter.replica.as_mut()).expect("replica is running")
     }
 
     fn leader(&mut self) -> Option<u64> {
@@ -142,13 +143,13 @@
             self.send(applied.messages);
             for (index, command, change) in applied.changes {
                 let expected = self.log.entry(index).or_insert_with(|| command.clone());
-                assert_eq!(*expected, command, "two logs at {index}, seen by {id}");
+                assert_eq!(*expected, command, "replica {id} applied another command at {index}");
                 if let Change::NewEpoch(epoch) = change {
                     let expected = *self.epochs.entry(epoch).or_insert(index);
-                    assert_eq!(expected, index, "two epochs of number {epoch}");
+                    assert_eq!(expected, index, "epoch {epoch} began at two indexes");
                 }
             }
-            let voter = self.voters.get_mut(&id).expect("known");
+            let voter = self.voters.get_mut(&id).expect("known id");
             if let Some(disk_write) = voter.replica.as_mut().and_then(Replica::compact) {
                 voter.disk.apply(&disk_write);
             }
@@ -169,7 +170,7 @@
             commands.push(Command::AddMember { process, zone: "a".into() });
         }
         for command in commands {
-            // Nobody may lead now: it is asked again.
+            // There may be no leader at present; it is proposed again later.
             let _ = replica.propose(&command);
         }
     }
@@ -192,17 +193,17 @@
                     self.run_replica(to);
                 }
             }
-            self.check();
+            self.check_invariants();
         }
     }
 
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         let mut lease_holders = Vec::new();
         for id in self.running() {
             let now = self.clock(id);
             if let Some(fencing_token) = self.voters[&id].lease_client.fencing_token(now) {
                 lease_holders.push(id);
-                self.tokens.insert(fencing_token);
+                self.observed_tokens.insert(fencing_token);
             }
             let replica = self.replica(id);
             if replica.is_leader() {
@@ -211,7 +212,7 @@
                 assert_eq!(expected, id, "two leaders of term {term}");
             }
         }
-        assert!(lease_holders.len() <= 1, "{lease_holders:?} hold it at once");
+        assert!(lease_holders.len() <= 1, "{lease_holders:?} hold the lease at once");
     }
 
     fn run_until(&mut self, ticks: u64, description: &str, condition: impl Fn(&mut Cluster) -> bool) {
@@ -225,10 +226,10 @@
     }
 
     fn add_member(&mut self, process: u64) {
-        self.run_until(600, "admitted", |cluster| {
+        self.run_until(600, "process added", |cluster| {
             if cluster.tick % 20 == 0 {
                 if let Some(leader) = cluster.leader() {
-                    // It may be lost on its way: once more then.
+                    // The proposal may be lost; it is repeated.
                     let _ = cluster
                         .replica(leader)
                         .propose(&Command::AddMember { process: instance(process), zone: "a".into() });
@@ -242,7 +243,7 @@
 }
 
 #[test]
-fn five_voters_agree_on_one_log_under_any_course_of_faults() {
+fn five_voters_agree_on_one_log_under_random_faults() {
     let mut committed = 0;
     for seed in 0..100 {
         let mut cluster = Cluster::new(seed, 5);
@@ -282,54 +283,56 @@
             cluster.running().iter().map(|id| format!("{:?}", cluster.replica(*id).state())).collect();
         assert_eq!(states.len(), 1, "seed {seed}");
         committed += cluster.log.len();
-        assert!(!cluster.tokens.is_empty(), "seed {seed}: nobody ever held it");
+        assert!(!cluster.observed_tokens.is_empty(), "seed {seed}: no process ever held the lease");
     }
     assert!(committed > 100 * 20, "{committed} commands");
 }
 
 #[test]
-fn a_leader_cut_off_from_the_others_decides_nothing_and_its_lease_ends() {
+fn an_isolated_leader_commits_nothing_and_its_lease_expires() {
     let mut cluster = Cluster::new(3, 5);
     (1..=5).for_each(|id| cluster.add_member(id));
-    let old = cluster.leader().expect("somebody leads");
-    // Its own holder gets the role.
-    let now = cluster.clock(old);
-    let state = cluster.replica(old).state().clone();
+    let old_leader = cluster.leader().expect("a leader");
+    // The leader's own process acquires the lease.
+    let now = cluster.clock(old_leader);
+    let state = cluster.replica(old_leader).state().clone();
     let command = cluster
         .voters
-        .get_mut(&old)
+        .get_mut(&old_leader)
         .and_then(|voter| voter.lease_client.request_lease(now, &state))
-        .expect("it is free");
-    cluster.replica(old).propose(&command).expect("it leads");
-    cluster.run_until(100, "it holds", |cluster| {
-        cluster.voters[&old].lease_client.fencing_token(cluster.clock(old)).is_some()
+        .expect("the role is free");
+    cluster.replica(old_leader).propose(&command).expect("it is the leader");
+    cluster.run_until(100, "the leader holds the lease", |cluster| {
+        cluster.voters[&old_leader].lease_client.fencing_token(cluster.clock(old_leader)).is_some()
     });
-    for other in (1..=5).filter(|other| *other != old) {
-        cluster.blocked.insert((old, other));
-        cluster.blocked.insert((other, old));
+    for other in (1..=5).filter(|other| *other != old_leader) {
+        cluster.blocked.insert((old_leader, other));
+        cluster.blocked.insert((other, old_leader));
     }
     let before = cluster.log.len();
-    let _ = cluster.replica(old).propose(&Command::RemoveMember { process: instance(5) });
+    let _ = cluster.replica(old_leader).propose(&Command::RemoveMember { process: instance(5) });
     cluster.run(4);
     assert_eq!(cluster.log.len(), before);
-    cluster.run_until(200, "another leads", |cluster| cluster.leader().is_some_and(|leader| leader != old));
+    cluster.run_until(200, "another replica leads", |cluster| {
+        cluster.leader().is_some_and(|leader| leader != old_leader)
+    });
     cluster.requests_lease = true;
-    cluster.run_until(400, "another holds it", |cluster| {
+    cluster.run_until(400, "another process holds the lease", |cluster| {
         (1..=5).any(|id| {
-            id != old && cluster.voters[&id].lease_client.fencing_token(cluster.clock(id)).is_some()
+            id != old_leader && cluster.voters[&id].lease_client.fencing_token(cluster.clock(id)).is_some()
         })
     });
-    assert!(!cluster.replica(old).is_leader(), "without a majority it leads no more");
+    assert!(!cluster.replica(old_leader).is_leader(), "a leader without a majority steps down");
     assert!(
-        cluster.replica(old).propose(&Command::RemoveMember { process: instance(4) }).is_err()
-            || cluster.replica(old).leader().is_none()
+        cluster.replica(old_leader).propose(&Command::RemoveMember { process: instance(4) }).is_err()
+            || cluster.replica(old_leader).leader().is_none()
     );
     cluster.blocked.clear();
     cluster.requests_lease = false;
     cluster.run(200);
     assert!(
-        cluster.replica(old).state().is_member(&instance(5)),
-        "what it alone had proposed is not in the log"
+        cluster.replica(old_leader).state().is_member(&instance(5)),
+        "its uncommitted proposal is not in the log"
     );
 }
 
@@ -342,7 +345,7 @@
     cluster.voters.iter().map(status).collect()
 }
 
-/// Runs with a leader that replaces voters.
+/// Runs the cluster with a voter planner on each leader.
 fn run_with_planner(cluster: &mut Cluster, ticks: u64, failure_timeout: u64) {
     let mut planners: BTreeMap<u64, VoterPlanner> = BTreeMap::new();
     for _ in 0..ticks {
@@ -352,26 +355,29 @@
         let statuses = replica_statuses(cluster);
         let configuration = cluster.replica(leader).configuration().clone();
         let planner = planners.entry(leader).or_insert_with(|| VoterPlanner::new(5, failure_timeout));
-        let replica =
-            cluster.voters.get_mut(&leader).and_then(|voter| voter.replica.as_mut()).expect("it runs");
+        let replica = cluster
+            .voters
+            .get_mut(&leader)
+            .and_then(|voter| voter.replica.as_mut())
+            .expect("replica is running");
         if let Some(change) =
             planner.next_change(now, &configuration, &statuses, |id| replica.has_caught_up(id))
         {
-            // One at a time: a further one comes to nothing.
+            // Only one change at a time is possible; a further one has no effect.
             let _ = replica.propose_configuration_change(change);
         }
         let voters = cluster.replica(leader).configuration().voters.clone();
         let alive_voters = voters.iter().filter(|id| cluster.running().contains(id)).count();
-        assert!(alive_voters > voters.len() / 2, "{voters:?}, {alive_voters} there");
+        assert!(alive_voters > voters.len() / 2, "{voters:?}, {alive_voters} alive");
     }
 }
 
-/// They come back as new ones, never under their old votes.
+/// The lost voters are replaced by replicas with new ids; the old ids never vote again.
 #[test]
-fn two_voters_that_lose_their_disks_come_back_as_new_ones() {
+fn voters_that_lose_their_disks_rejoin_under_new_ids() {
     let mut cluster = Cluster::new(4, 5);
     (1..=5).for_each(|id| cluster.add_member(id));
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("a leader");
     let lost_voters: Vec<u64> = (1..=5).filter(|id| *id != leader).take(2).collect();
     for id in &lost_voters {
         cluster.kill(*id);
@@ -380,7 +386,7 @@
     cluster.add_replica(6, DiskState::join(1));
     cluster.add_replica(7, DiskState::join(1));
     run_with_planner(&mut cluster, 600, 40);
-    let leader = cluster.leader().expect("somebody leads");
+    let leader = cluster.leader().expect("a leader");
     let voters = cluster.replica(leader).configuration().voters.clone();
     assert_eq!(voters.len(), 5, "{voters:?}");
     assert!(
@@ -393,10 +399,10 @@
     assert_eq!(*cluster.replica(6).state(), state);
 }
 
-/// Nothing is decided any more; by an operator's word a new council begins from one that is left, and an old voter that
-/// comes back late is not heard.
+/// Without a majority nothing is committed any more. An operator bootstraps a new group from a replica that
+/// is left, and messages of an old voter that returns are dropped.
 #[test]
-fn three_of_five_lost_for_good_want_an_operators_word() {
+fn recovery_from_a_lost_majority_needs_an_operator() {
     let mut cluster = Cluster::new(5, 5);
     (1..=5).for_each(|id| cluster.add_member(id));
     cluster.run(40);
@@ -410,26 +416,23 @@
     }
     cluster.run(200);
     assert_eq!((cluster.replica(4).state().epoch(), cluster.leader()), (epoch, None));
-    // The new council, from the state of 4: of 4 and 5 in new seats, and a new one.
-    let disk_state = cluster.replica(4).recover_group(2, &[14, 15, 16]).expect("written");
+    // The new group starts from the state of replica 4. Its voters have new ids.
+    let disk_state = cluster.replica(4).recover_group(2, &[14, 15, 16]).expect("state can be encoded");
     for id in [4, 5] {
         cluster.kill(id);
     }
     for id in [14, 15, 16] {
         cluster.add_replica(id, disk_state.clone());
     }
-    // Its log begins anew.
+    // The new group has a new log.
     cluster.log.clear();
     cluster.leaders.clear();
     cluster.epochs.clear();
     cluster.add_member(20);
-    let leader = cluster.leader().expect("somebody leads");
-    assert!(
-        cluster.replica(leader).state().epoch() > epoch + 1_000,
-        "numbers of the old one are passed over"
-    );
-    assert!(cluster.replica(leader).state().is_member(&instance(1)), "what it knew is kept");
-    // The old ones are back, and would have a majority of their own council.
+    let leader = cluster.leader().expect("a leader");
+    assert!(cluster.replica(leader).state().epoch() > epoch + 1_000, "epochs of the old group are skipped");
+    assert!(cluster.replica(leader).state().is_member(&instance(1)), "the recovered state is kept");
+    // The old voters return, and would have a majority of their own group.
     let log = std::mem::take(&mut cluster.log);
     for id in [1, 2, 3] {
         cluster.start(id);
@@ -437,7 +440,7 @@
     let before = cluster.replica(leader).state().clone();
     let terms: Vec<u64> = [14, 15, 16].map(|id| cluster.replica(id).term()).to_vec();
     for to in [14, 15, 16] {
-        // Whatever they say there, with a term above all.
+        // A message from the old group, with a higher term than any in the new one.
         let message = Message {
             group_id: 1,
             kind: MessageKind::Append,
@@ -463,12 +466,13 @@
     drop(log);
 }
 
-/// It was away while the log's beginning went: it gets the base, and then the rest.
+/// A replica was down while the others compacted their logs: it gets the snapshot, and then the entries after
+/// it.
 #[test]
-fn one_that_is_far_behind_gets_the_base() {
+fn a_replica_that_is_far_behind_gets_a_snapshot() {
     let mut cluster = Cluster::new(6, 5);
     (1..=5).for_each(|id| cluster.add_member(id));
-    let stopped = (1..=5).find(|id| Some(*id) != cluster.leader()).expect("one that does not lead");
+    let stopped = (1..=5).find(|id| Some(*id) != cluster.leader()).expect("a follower");
     cluster.kill(stopped);
     for process in 100..180 {
         cluster.add_member(process);
@@ -477,7 +481,7 @@
     cluster.start(stopped);
     cluster.run(100);
     assert_eq!(cluster.replica(stopped).state().members().len(), 85);
-    // And goes on from it after its next end.
+    // It also restarts from that snapshot.
     cluster.kill(stopped);
     cluster.start(stopped);
     cluster.run(100);
@@ -485,8 +489,8 @@
 }
 
 #[test]
-fn what_is_saved_and_torn_is_refused() {
-    let state = Replica::initial_state(Bounds::default()).expect("written");
+fn inconsistent_disk_state_is_rejected() {
+    let state = Replica::initial_state(Bounds::default()).expect("state can be encoded");
     let good = DiskState::bootstrap(1, &[1, 2, 3], state);
     let replica =
         |disk_state: &DiskState| Replica::new(1, disk_state.clone(), 1, CompactionPolicy::default());
@@ -500,12 +504,12 @@
     for disk_state in bad {
         assert!(replica(&disk_state).is_err(), "{disk_state:?}");
     }
-    assert!(Replica::new(0, good, 1, CompactionPolicy::default()).is_err(), "0 is nobody's number");
+    assert!(Replica::new(0, good, 1, CompactionPolicy::default()).is_err(), "id 0 is reserved");
 }
 
 #[test]
-fn a_seat_is_changed_only_where_a_majority_stays() {
-    let all = |alive: &[u64]| -> Vec<ReplicaStatus> {
+fn voters_change_only_while_a_majority_remains() {
+    let statuses = |alive: &[u64]| -> Vec<ReplicaStatus> {
         (1..=8)
             .map(|id| ReplicaStatus { id, zone: format!("z{}", id % 3), alive: alive.contains(&id) })
             .collect()
@@ -515,43 +519,47 @@
         learners: learners.to_vec(),
     };
     let mut planner = VoterPlanner::new(5, 30);
-    let five = configuration(&[1, 2, 3, 4, 5], &[]);
-    assert_eq!(planner.next_change(0, &five, &all(&[1, 2, 3, 4, 5, 6, 7, 8]), |_| true), None);
+    let five_voters = configuration(&[1, 2, 3, 4, 5], &[]);
+    assert_eq!(planner.next_change(0, &five_voters, &statuses(&[1, 2, 3, 4, 5, 6, 7, 8]), |_| true), None);
     assert_eq!(
-        planner.next_change(1, &five, &all(&[2, 3, 4, 5, 6, 7, 8]), |_| true),
+        planner.next_change(1, &five_voters, &statuses(&[2, 3, 4, 5, 6, 7, 8]), |_| true),
         None,
-        "it has failed only now"
+        "it has failed for too short a time"
     );
-    // 1 was of zone 1, as 4 and 7 are; of zone 0 is 3, of 2 are 2 and 5.
+    // Replica 1 was in zone 1, as are 4 and 7; 3 is in zone 0; 2 and 5 are in zone 2.
     assert_eq!(
-        planner.next_change(31, &five, &all(&[2, 3, 4, 5, 6, 7, 8]), |_| true),
+        planner.next_change(31, &five_voters, &statuses(&[2, 3, 4, 5, 6, 7, 8]), |_| true),
         Some(ConfigurationChange::AddLearner(6))
     );
-    let learning = configuration(&[1, 2, 3, 4, 5], &[6]);
+    let with_learner = configuration(&[1, 2, 3, 4, 5], &[6]);
     assert_eq!(
-        planner.next_change(32, &learning, &all(&[2, 3, 4, 5, 6]), |_| false),
+        planner.next_change(32, &with_learner, &statuses(&[2, 3, 4, 5, 6]), |_| false),
         None,
-        "it has not the log yet"
+        "the learner has not caught up"
     );
     assert_eq!(
-        planner.next_change(33, &learning, &all(&[2, 3, 4, 5, 6]), |_| true),
+        planner.next_change(33, &with_learner, &statuses(&[2, 3, 4, 5, 6]), |_| true),
         Some(ConfigurationChange::AddVoter(6))
     );
-    let six = configuration(&[1, 2, 3, 4, 5, 6], &[]);
+    let six_voters = configuration(&[1, 2, 3, 4, 5, 6], &[]);
     assert_eq!(
-        planner.next_change(34, &six, &all(&[2, 3, 4, 5, 6]), |_| true),
+        planner.next_change(34, &six_voters, &statuses(&[2, 3, 4, 5, 6]), |_| true),
         Some(ConfigurationChange::Remove(1))
     );
-    // Two of five there: the leader can't know better, and nothing is changed.
+    // Two of five voters are alive: this may be a failure of the leader's own view, and nothing is changed.
     let mut planner = VoterPlanner::new(5, 30);
     for now in [0, 100] {
-        let next = planner.next_change(now, &learning, &all(&[2, 6]), |_| true);
+        let next = planner.next_change(now, &with_learner, &statuses(&[2, 6]), |_| true);
         assert_eq!(next, None, "at {now}");
     }
-    // One that is back in between has not failed for so long.
+    // A voter that recovers in between has not failed without interruption.
     let mut planner = VoterPlanner::new(5, 30);
     for now in 0..100 {
         let alive_voters: &[u64] = if now % 20 == 0 { &[1, 2, 3, 4, 5] } else { &[2, 3, 4, 5] };
-        assert_eq!(planner.next_change(now, &five, &all(alive_voters), |_| true), None, "at {now}");
+        assert_eq!(
+            planner.next_change(now, &five_voters, &statuses(alive_voters), |_| true),
+            None,
+            "at {now}"
+        );
     }
 }
--- a/council/tests/machine.rs
+++ b/council/tests/machine.rs
@@ -1,10 +1,10 @@
-//! The machine, and the two sides of a lease, by hand and at random.
+//! The state machine, the lease client and the expiry tracker, by single cases and by random logs.
 
 use nettleworks_council::*;
 use proptest::prelude::*;
 
 fn instance(name: &str, start: u64) -> ProcessInstance {
-    ProcessInstance { name: Name::new(name).expect("a name"), start }
+    ProcessInstance { name: Name::new(name).expect("valid name"), start }
 }
 
 fn role(text: &str) -> Role {
@@ -25,22 +25,23 @@
 const TIMING: LeaseTiming = LeaseTiming { duration: 10_000_000, max_drift_ppm: 50_000 };
 
 #[test]
-fn a_lease_is_shorter_for_its_holder_than_for_its_keeper() {
+fn a_lease_is_shorter_for_its_holder_than_for_the_leader() {
     assert_eq!((TIMING.holder_duration(), TIMING.expiry_delay()), (9_500_000, 10_500_000));
     assert!(LeaseTiming { max_drift_ppm: 500_001, ..TIMING }.validate().is_err());
     assert!(LeaseTiming { duration: 9_999, ..TIMING }.validate().is_err());
     assert!(LeaseTiming::default().validate().is_ok());
 }
 
-/// Its clock 2% slow, the keeper's 2% fast, by true time: it ends before it is taken back.
+/// The holder's clock runs 2% slow and the leader's 2% fast: by true time the holder stops before the leader
+/// expires the lease.
 #[test]
-fn clocks_two_per_cent_off_are_borne() {
+fn a_clock_drift_of_two_per_cent_is_tolerated() {
     let process = instance("a", 1);
     let mut state = state_with_members(std::slice::from_ref(&process));
     let mut lease_client = LeaseClient::new(role("r"), process, TIMING);
     let mut tracker = ExpiryTracker::default();
     tracker.observe(0, &state, true);
-    state.apply(&lease_client.request_lease(0, &state).expect("it is free"));
+    state.apply(&lease_client.request_lease(0, &state).expect("the role is free"));
     lease_client.observe(&state);
     tracker.observe(0, &state, true);
     let (slow, fast) = (|at: Micros| at * 98 / 100, |at: Micros| at * 102 / 100);
@@ -48,97 +49,103 @@
         (0..12_000).map(|ms| ms * 1_000).filter(|at| lease_client.fencing_token(slow(*at)).is_some()).max();
     let first =
         (0..12_000).map(|ms| ms * 1_000).find(|at| !tracker.expire_commands(fast(*at), &state).is_empty());
-    let (last, first) = (last.expect("it holds"), first.expect("it is taken back"));
+    let (last, first) = (last.expect("lease was valid"), first.expect("lease expired"));
     assert!(last < first, "{last} and {first}");
-    assert!(first - last < 2_000_000, "no longer than clocks want");
+    assert!(first - last < 2_000_000, "the gap is no longer than the drift requires");
 }
 
-/// Stopped for longer than its lease, it acts on nothing when it goes on; the next one's fence is greater.
+/// A holder that was paused for longer than its lease has none when it resumes, and the next holder's fencing
+/// token is greater.
 #[test]
-fn one_that_was_stopped_holds_nothing_when_it_goes_on() {
+fn a_paused_holder_has_no_lease_when_it_resumes() {
     let (a, b) = (instance("a", 1), instance("b", 1));
     let mut state = state_with_members(&[a.clone(), b.clone()]);
     let (mut first, mut second) =
         (LeaseClient::new(role("r"), a, TIMING), LeaseClient::new(role("r"), b, TIMING));
     let mut tracker = ExpiryTracker::default();
     tracker.observe(0, &state, true);
-    state.apply(&first.request_lease(0, &state).expect("it is free"));
+    state.apply(&first.request_lease(0, &state).expect("the role is free"));
     first.observe(&state);
-    let fencing_token = first.fencing_token(1).expect("it holds");
+    let fencing_token = first.fencing_token(1).expect("valid lease");
     tracker.observe(0, &state, true);
-    assert_eq!(second.request_lease(5_000_000, &state), None, "it is taken");
+    assert_eq!(second.request_lease(5_000_000, &state), None, "another process holds the role");
     let expired = tracker.expire_commands(10_500_000, &state);
     assert_eq!(expired.len(), 1);
-    // What it asked before it was stopped comes only now: it is too late, or comes first and keeps it.
-    let late = first.request_lease(9_000_000, &state).expect("more time");
-    let mut other = state.clone();
-    other.apply(&late);
-    assert!(matches!(other.apply(&expired[0]), Change::Refused(Refusal::Stale)));
+    // A renewal from before the pause arrives only now: if it is applied after the expiry it is refused, and
+    // if before, the expiry is refused.
+    let renewal = first.request_lease(9_000_000, &state).expect("renewal");
+    let mut renewed_state = state.clone();
+    renewed_state.apply(&renewal);
+    assert!(matches!(renewed_state.apply(&expired[0]), Change::Refused(Refusal::Stale)));
     state.apply(&expired[0]);
-    assert!(matches!(state.apply(&late), Change::Refused(Refusal::NoLease)));
-    state.apply(&second.request_lease(10_600_000, &state).expect("it is free"));
+    assert!(matches!(state.apply(&renewal), Change::Refused(Refusal::NoLease)));
+    state.apply(&second.request_lease(10_600_000, &state).expect("the role is free"));
     second.observe(&state);
-    let next = second.fencing_token(10_600_001).expect("it holds");
-    // It has heard nothing of all this.
+    let next = second.fencing_token(10_600_001).expect("valid lease");
+    // The first holder has not observed any of this yet.
     assert_eq!(first.fencing_token(10_600_001), None);
     assert!(next > fencing_token);
     first.observe(&state);
     assert_eq!(first.fencing_token(1), None);
 }
 
-/// An ask that was lost on its way for long and then taken gives no time that its asker does not know of.
+/// A request that was delayed for long before the log applied it extends the lease only from when it was
+/// sent.
 #[test]
-fn a_grant_that_comes_out_of_the_past_counts_from_when_it_was_asked() {
+fn a_delayed_grant_is_timed_from_when_it_was_requested() {
     let process = instance("a", 1);
     let mut state = state_with_members(std::slice::from_ref(&process));
     let mut lease_client = LeaseClient::new(role("r"), process.clone(), TIMING);
-    let old = lease_client.request_lease(0, &state).expect("it is free");
-    let _lost = lease_client.request_lease(8_000_000, &state).expect("it is free");
-    state.apply(&old);
+    let delayed = lease_client.request_lease(0, &state).expect("the role is free");
+    let _lost = lease_client.request_lease(8_000_000, &state).expect("the role is free");
+    state.apply(&delayed);
     lease_client.observe(&state);
-    assert_eq!(lease_client.valid_until(), Some(9_500_000), "the old one counted");
-    // One of a life that is over gives nothing to the next.
+    assert_eq!(lease_client.valid_until(), Some(9_500_000), "timed from the delayed request");
+    // A request of an earlier instance gives the next instance no lease.
     let mut next = LeaseClient::new(role("r"), instance("a", 2), TIMING);
     next.observe(&state);
     assert_eq!(next.fencing_token(0), None);
     state.apply(&Command::AddMember { process: instance("a", 2), zone: String::new() });
-    assert_eq!(next.request_lease(1, &state), None, "its earlier life's time is not over");
+    assert_eq!(next.request_lease(1, &state), None, "the lease of its earlier instance has not expired");
     assert!(state.leases().contains_key(&role("r")));
 }
 
 #[test]
-fn who_is_dismissed_gets_no_more_time_and_keeps_what_it_has() {
+fn a_removed_member_keeps_its_lease_but_cannot_renew_it() {
     let process = instance("a", 1);
     let mut state = state_with_members(std::slice::from_ref(&process));
     let mut lease_client = LeaseClient::new(role("r"), process.clone(), TIMING);
-    state.apply(&lease_client.request_lease(0, &state).expect("it is free"));
+    state.apply(&lease_client.request_lease(0, &state).expect("the role is free"));
     lease_client.observe(&state);
-    let more = lease_client.request_lease(3_000_000, &state).expect("more time");
+    let renewal = lease_client.request_lease(3_000_000, &state).expect("renewal");
     let epoch = state.epoch();
     assert_eq!(state.apply(&Command::RemoveMember { process: process.clone() }), Change::NewEpoch(epoch + 1));
-    assert!(matches!(state.apply(&more), Change::Refused(Refusal::NotMember)));
+    assert!(matches!(state.apply(&renewal), Change::Refused(Refusal::NotMember)));
     assert_eq!(lease_client.request_lease(4_000_000, &state), None);
     lease_client.observe(&state);
     assert!(
         lease_client.fencing_token(9_499_999).is_some() && lease_client.fencing_token(9_500_000).is_none()
     );
-    assert!(state.leases().contains_key(&role("r")), "nobody else may have it before its time is over");
+    assert!(
+        state.leases().contains_key(&role("r")),
+        "no other process may acquire the role before the lease expires"
+    );
     assert!(matches!(state.apply(&Command::RemoveMember { process }), Change::Refused(Refusal::NotMember)));
 }
 
-/// Whoever begins to lead has seen nothing: each lease has its whole time from then on.
+/// A new leader has observed nothing: each lease gets its whole time from then on.
 #[test]
-fn a_new_leader_takes_nothing_back_early() {
+fn a_new_leader_expires_no_lease_early() {
     let process = instance("a", 1);
     let mut state = state_with_members(std::slice::from_ref(&process));
     let mut lease_client = LeaseClient::new(role("r"), process, TIMING);
-    state.apply(&lease_client.request_lease(0, &state).expect("it is free"));
+    state.apply(&lease_client.request_lease(0, &state).expect("the role is free"));
     let mut tracker = ExpiryTracker::default();
     tracker.observe(0, &state, true);
     tracker.observe(5_000_000, &state, false);
     assert!(
         tracker.expire_commands(60_000_000, &state).is_empty() && tracker.next_expiry(&state).is_none(),
-        "it does not lead"
+        "it is not the leader"
     );
     tracker.observe(9_000_000, &state, true);
     assert!(tracker.expire_commands(19_499_999, &state).is_empty());
@@ -147,15 +154,19 @@
 }
 
 #[test]
-fn bounds_are_kept_and_said() {
+fn limits_are_enforced_and_reported() {
     let mut state = State::new(Bounds { max_members: 2, max_leases: 1 });
     let admit =
         |name: &str, start| Command::AddMember { process: instance(name, start), zone: String::new() };
-    assert_eq!(state.apply(&admit("a", 1)), Change::NewEpoch(1));
-    assert_eq!(state.apply(&admit("b", 1)), Change::NewEpoch(2));
-    assert_eq!(state.apply(&admit("c", 1)), Change::Refused(Refusal::OutOfBounds));
-    assert_eq!(state.apply(&admit("a", 1)), Change::Refused(Refusal::NotNewer));
-    assert_eq!(state.apply(&admit("a", 2)), Change::NewEpoch(3), "a later life takes its place");
+    assert_eq!(state.apply(&add_member("a", 1)), Change::NewEpoch(1));
+    assert_eq!(state.apply(&add_member("b", 1)), Change::NewEpoch(2));
+    assert_eq!(state.apply(&add_member("c", 1)), Change::Refused(Refusal::OutOfBounds));
+    assert_eq!(state.apply(&add_member("a", 1)), Change::Refused(Refusal::NotNewer));
+    assert_eq!(
+        state.apply(&add_member("a", 2)),
+        Change::NewEpoch(3),
+        "a later instance replaces the earlier one"
+    );
     let grant = |name: &str, text: &str, timing| Command::Grant {
         role: role(text),
         holder: instance(name, 1),
@@ -165,7 +176,7 @@
     assert_eq!(
         state.apply(&grant("a", "r", TIMING)),
         Change::Refused(Refusal::NotMember),
-        "that life is over"
+        "that instance was replaced"
     );
     assert_eq!(state.apply(&grant("b", "", TIMING)), Change::Refused(Refusal::OutOfBounds));
     assert_eq!(
@@ -206,10 +217,10 @@
 }
 
 proptest! {
-    /// Whatever the log holds: epochs and last_token only grow, by one and as changes are; what was refused changed nothing; a
-    /// role changes hands only over being free.
+    /// For any log: epochs grow by one with each change of the members, fencing tokens only grow, a refused
+    /// command changes nothing, and a role is granted only while it is free.
     #[test]
-    fn any_log_keeps_epochs_and_fences_in_order(log in proptest::collection::vec(command(), 1..80)) {
+    fn any_log_keeps_epochs_and_fencing_tokens_in_order(log in proptest::collection::vec(command(), 1..80)) {
         let mut state = State::new(Bounds::default());
         let mut last_token = 0;
         for command in &log {
--- a/council/tests/model.rs
+++ b/council/tests/model.rs
@@ -1,22 +1,22 @@
-//! The council's use, by a model checker: two that want one role, whoever leads, and a log between them. What is sent may be
-//! lost, come late, come twice; a holder may die and come back in another life; the lead may pass on; each hears of the log
-//! as late as it likes. The code is the real one; clocks run at their rates.
+//! A model check of the leases: two processes that want one role, the leader, and the log between them.
+//! Commands may be lost, delayed or duplicated; a process may restart; the leader may change; each process
+//! applies the log with any delay. The code under test is the real one; the clocks run at given rates.
 
 use nettleworks_council::*;
 use stateright::{Checker, Model, Property};
 use std::hash::Hash;
 
-/// What a clock shows when a unit of true time has passed, for each of the three: the two holders and the leader.
+/// What the clocks of the two processes and of the leader advance by in a unit of true time.
 type Rates = [u64; 3];
 
-/// A unit of true time on a clock that is right.
+/// What an exact clock advances by in a unit of true time.
 const UNIT: u64 = 10_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     lease_client: LeaseClient,
     start: u64,
-    /// How much of the log it has heard.
+    /// How many entries of the log it has applied.
     applied: usize,
     state: State,
 }
@@ -28,7 +28,7 @@
     in_flight: Vec<Command>,
     processes: [Process; 2],
     tracker: ExpiryTracker,
-    /// The leader's own reading of the log; it leads from here on.
+    /// The leader's state, with every entry of the log applied.
     leader_state: State,
     requests: usize,
     restarts: usize,
@@ -55,7 +55,7 @@
     timing: LeaseTiming,
     time: u64,
     requests: usize,
-    /// How often a holder dies, the lead passes on, something comes twice; whether holders give the role up.
+    /// Bounds on restarts, leader changes and duplicates; and whether processes release the lease.
     restarts: usize,
     leader_changes: usize,
     duplicates: usize,
@@ -67,17 +67,17 @@
 }
 
 fn member(which: usize, start: u64) -> ProcessInstance {
-    ProcessInstance { name: Name::new(["a", "b"][which]).expect("a name"), start }
+    ProcessInstance { name: Name::new(["a", "b"][which]).expect("valid name"), start }
 }
 
 impl LeaseModel {
     fn now(&self, system: &System, which: usize) -> Micros {
-        // No clock begins at the same moment.
+        // The clocks do not start at the same reading.
         1_000_000 * (which as u64 + 1) + system.time * self.rates[which]
     }
 
     fn deliver(&self, system: &mut System, command: Command) {
-        // What changes nothing need not be heard of.
+        // A refused command changes nothing, so the log leaves it out.
         if matches!(system.leader_state.apply(&command), Change::Refused(_)) {
             return;
         }
@@ -201,11 +201,13 @@
                 let process = &mut system.processes[which];
                 process.start += 1;
                 process.lease_client = LeaseClient::new(role(), member(which, process.start), self.timing);
-                let admit = Command::AddMember { process: member(which, process.start), zone: String::new() };
-                self.deliver(&mut system, admit);
+                let add_member =
+                    Command::AddMember { process: member(which, process.start), zone: String::new() };
+                self.deliver(&mut system, add_member);
             }
             SystemAction::ChangeLeader => {
-                // Another process: it has seen nothing, and its clock runs as the one before's.
+                // The new leader is another process, which has observed nothing; its clock runs at the same
+                // rate.
                 system.leader_changes += 1;
                 system.tracker = ExpiryTracker::default();
                 let now = self.now(&system, 2);
@@ -224,14 +226,20 @@
             Property::always("one holder at a time", |model: &LeaseModel, system: &System| {
                 model.holder_count(system) <= 1
             }),
-            Property::always("a later holder has a greater fence", |model: &LeaseModel, system: &System| {
-                let fencing_token = |which: usize| {
-                    system.processes[which].lease_client.fencing_token(model.now(system, which))
-                };
-                let granted =
-                    system.leader_state.leases().get(&role()).map_or(u64::MAX, |lease| lease.fencing_token);
-                (0..2).filter_map(fencing_token).all(|fencing_token| fencing_token <= granted)
-            }),
+            Property::always(
+                "a later holder has a greater fencing token",
+                |model: &LeaseModel, system: &System| {
+                    let fencing_token = |which: usize| {
+                        system.processes[which].lease_client.fencing_token(model.now(system, which))
+                    };
+                    let granted = system
+                        .leader_state
+                        .leases()
+                        .get(&role())
+                        .map_or(u64::MAX, |lease| lease.fencing_token);
+                    (0..2).filter_map(fencing_token).all(|fencing_token| fencing_token <= granted)
+                },
+            ),
             Property::always("an epoch has one set of members", |_, system: &System| {
                 let mut state = State::new(Bounds::default());
                 let mut last = 0;
@@ -240,29 +248,28 @@
                     _ => state.epoch() == last,
                 })
             }),
-            Property::sometimes("somebody holds it", |model: &LeaseModel, system: &System| {
+            Property::sometimes("a process holds the lease", |model: &LeaseModel, system: &System| {
                 model.holder_count(system) == 1
             }),
-            Property::sometimes("it passes from one to the other", |model: &LeaseModel, system: &System| {
-                let token = |which: usize| {
-                    system.processes[which].lease_client.fencing_token(model.now(system, which))
-                };
-                system
-                    .log
-                    .iter()
-                    .any(|entry| {
- matches!(entry, Command::Grant { holder, .. } if holder.name == member(0, 1).name)
- })
-                    && token(1).is_some_and(|fencing_token| fencing_token > 1)
-            }),
-            Property::sometimes("it is taken back", |_, system: &System| {
+            Property::sometimes(
+                "the lease passes from one process to the other",
+                |model: &LeaseModel, system: &System| {
+                    let token = |which: usize| {
+                        system.processes[which].lease_client.fencing_token(model.now(system, which))
+                    };
+                    system.log.iter().any(
+                    |item| matches!(item, Command::Grant { holder, .. } if holder.name == member(0, 1).name),
+                ) && token(1).is_some_and(|fencing_token| fencing_token > 1)
+                },
+            ),
+            Property::sometimes("a lease expires", |_, system: &System| {
                 system.log.iter().any(|command| matches!(command, Command::Expire { .. }))
             }),
         ]
     }
 }
 
-/// A lease of two units, and clocks that may be off by a quarter.
+/// A lease of two units, and a clock drift of a quarter.
 fn timing() -> LeaseTiming {
     LeaseTiming { duration: 2 * UNIT, max_drift_ppm: 250_000 }
 }
@@ -287,11 +294,11 @@
 const SLOW: u64 = UNIT * 3 / 4;
 const FAST: u64 = UNIT * 5 / 4;
 
-/// Each kind of trouble by itself, beside what is lost and late, with holders that think that little has passed and a leader
-/// that thinks that much has.
+/// Each kind of fault by itself, together with loss and delay. The clocks of the processes are slow and the
+/// leader's is fast.
 #[test]
-fn no_moment_has_two_holders_whatever_is_lost_late_or_doubled() {
-    let none = || LeaseModel {
+fn no_two_holders_under_each_kind_of_fault() {
+    let no_faults = || LeaseModel {
         restarts: 0,
         leader_changes: 0,
         duplicates: 0,
@@ -299,12 +306,12 @@
         ..all_faults([SLOW, SLOW, FAST])
     };
     let kinds = [
-        ("losses", LeaseModel { requests: 3, ..none() }),
-        ("doubles", LeaseModel { duplicates: 1, ..none() }),
-        ("deaths", LeaseModel { restarts: 1, ..none() }),
-        ("leads", LeaseModel { leader_changes: 1, ..none() }),
-        ("given up", LeaseModel { releases: true, duplicates: 1, ..none() }),
-        ("other clocks", LeaseModel { rates: [SLOW, FAST, FAST], leader_changes: 1, ..none() }),
+        ("lost commands", LeaseModel { requests: 3, ..no_faults() }),
+        ("duplicates", LeaseModel { duplicates: 1, ..no_faults() }),
+        ("restarts", LeaseModel { restarts: 1, ..no_faults() }),
+        ("leader changes", LeaseModel { leader_changes: 1, ..no_faults() }),
+        ("releases", LeaseModel { releases: true, duplicates: 1, ..no_faults() }),
+        ("other clocks", LeaseModel { rates: [SLOW, FAST, FAST], leader_changes: 1, ..no_faults() }),
     ];
     for (kind, model) in kinds {
         let checker = check_exhaustively(model);
@@ -314,10 +321,10 @@
     }
 }
 
-/// All kinds together: minutes.
+/// All kinds of faults together; takes minutes.
 #[test]
 #[ignore = "three million states each"]
-fn no_moment_has_two_holders_at_length() {
+fn no_two_holders_under_all_faults_together() {
     for rates in [[UNIT; 3], [SLOW, SLOW, FAST], [SLOW, FAST, FAST], [FAST, SLOW, SLOW]] {
         let checker = check_exhaustively(all_faults(rates));
         checker.assert_properties();
@@ -325,9 +332,9 @@
     }
 }
 
-/// The checker can see it: clocks that are off by more than the terms bear give two holders.
+/// Shows that the check can fail: clocks that drift by more than the configured bound give two holders.
 #[test]
-fn clocks_beyond_their_bound_give_two_holders_and_a_trace() {
+fn excessive_clock_drift_gives_two_holders_and_a_trace() {
     let rates = [UNIT / 3, UNIT / 3, UNIT * 5 / 3];
     let checker = check_exhaustively(LeaseModel {
         restarts: 0,
