--- a/council/tests/machine.rs
+++ b/council/tests/machine.rs
@@ -156,7 +156,7 @@
 #[test]
 fn limits_are_enforced_and_reported() {
     let mut state = State::new(Bounds { max_members: 2, max_leases: 1 });
-    let admit =
+    let add_member =
         |name: &str, start| Command::AddMember { process: instance(name, start), zone: String::new() };
     assert_eq!(state.apply(&add_member("a", 1)), Change::NewEpoch(1));
     assert_eq!(state.apply(&add_member("b", 1)), Change::NewEpoch(2));
--- a/council/tests/model.rs
+++ b/council/tests/model.rs
@@ -251,17 +251,14 @@
             Property::sometimes("a process holds the lease", |model: &LeaseModel, system: &System| {
                 model.holder_count(system) == 1
             }),
-            Property::sometimes(
-                "the lease passes from one process to the other",
-                |model: &LeaseModel, system: &System| {
-                    let token = |which: usize| {
-                        system.processes[which].lease_client.fencing_token(model.now(system, which))
-                    };
-                    system.log.iter().any(
+            Property::sometimes("the lease passes to the other", |model: &LeaseModel, system: &System| {
+                let token = |which: usize| {
+                    system.processes[which].lease_client.fencing_token(model.now(system, which))
+                };
+                system.log.iter().any(
                     |item| matches!(item, Command::Grant { holder, .. } if holder.name == member(0, 1).name),
                 ) && token(1).is_some_and(|fencing_token| fencing_token > 1)
-                },
-            ),
+            }),
             Property::sometimes("a lease expires", |_, system: &System| {
                 system.log.iter().any(|command| matches!(command, Command::Expire { .. }))
             }),
