--- a/council/log/src/lib.rs
+++ b/council/log/src/lib.rs
@@ -1,6 +1,6 @@
-//! The replicated log of the council: the `raft` crate with the state machine of `nettleworks-council`. Its
-//! inputs are ticks and messages; its outputs are messages, and what must be written to disk before they are
-//! sent.
+//! The replicated log of the council, which is one raft group: the `raft` crate with the state machine of
+//! `nettleworks-council`. Its inputs are ticks and messages; its outputs are messages, and what must be
+//! written to disk before they are sent.
 //!
 //! It does no I/O and reads no clock. Raft's random election timeouts are derived from a seed, so that a run
 //! can be reproduced. Messages and the state on disk are types of this crate that any serde codec can encode;
--- a/council/log/src/replica.rs
+++ b/council/log/src/replica.rs
@@ -214,8 +214,8 @@
         {
             return;
         }
-        // A leader can't have more committed than this replica could have received before the heartbeat. Raft
-        // panics on such a commit index.
+        // A correct leader never sends a heartbeat whose commit index is beyond this replica's log, and raft
+        // panics on one.
         let last = self.node.raft.raft_log.last_index();
         if message.kind == MessageKind::Heartbeat && message.commit > last {
             return;
--- a/council/log/src/voter_planner.rs
+++ b/council/log/src/voter_planner.rs
@@ -1,5 +1,5 @@
-//! Decides who votes: a fixed number of live replicas, spread over the zones. A voter that has failed for
-//! long is replaced; the configuration changes by one replica at a time.
+//! Decides who votes: a fixed number of live replicas (usually five), spread over the zones. A voter that
+//! has failed for long is replaced; the configuration changes by one replica at a time.
 
 use crate::message::ConfigurationChange;
 use crate::storage::Configuration;
