--- a/lab/src/crowd.rs
+++ b/lab/src/crowd.rs
@@ -4,7 +4,9 @@
 use crate::draw::Draw;
 use crate::queue::Queue;
 use crate::Micros;
-use nettleworks_members::{Card, Condition, Config, Members, Message, Name, News, Out, What};
+use nettleworks_members::{
+    Action, Condition, Config, MemberEvent, MemberEventKind, Membership, Message, Metadata, Name,
+};
 use std::net::SocketAddr;
 
 /// The wall clock at the start: some day, in milliseconds since 1970.
@@ -28,7 +30,7 @@
     parts: Vec<u8>,
     draw: Draw,
     /// What was told, by whom, when.
-    pub news: Vec<(Micros, usize, News)>,
+    pub news: Vec<(Micros, usize, MemberEvent)>,
     /// Datagrams that were sent, and their bytes by the core's own bound.
     pub sent: (u64, u64),
 }
@@ -50,7 +52,7 @@
 
 #[derive(Clone)]
 struct Node {
-    members: Members,
+    members: Membership,
     up: bool,
     /// The wake that counts; one that was asked for before does not.
     wake: u64,
@@ -112,11 +114,11 @@
         }
     }
 
-    fn born(&mut self, node: usize, config: &Config) -> Result<Members, String> {
+    fn born(&mut self, node: usize, config: &Config) -> Result<Membership, String> {
         let seeds = (0..3).map(address).collect();
         let seed = self.draw.below(usize::MAX >> 12) as u64;
         let wall = WALL + self.now / 1_000;
-        Members::new(config.clone(), name(node), Card::at(address(node)), seeds, seed, self.now, wall)
+        Membership::new(config.clone(), name(node), Metadata::new(address(node)), seeds, seed, self.now, wall)
     }
 
     /// Another course from here on: what the network draws is drawn anew.
@@ -154,13 +156,13 @@
     }
 
     /// A member.
-    pub fn member(&self, node: usize) -> &Members {
+    pub fn member(&self, node: usize) -> &Membership {
         &self.nodes[node].members
     }
 
     /// How many news of a kind were told from a moment on of members that do not pass.
-    pub fn told_since(&self, at: Micros, what: What, but: impl Fn(&Name) -> bool) -> usize {
-        let news = self.news.iter().filter(|(when, _, news)| *when >= at && news.what == what);
+    pub fn told_since(&self, at: Micros, what: MemberEventKind, but: impl Fn(&Name) -> bool) -> usize {
+        let news = self.news.iter().filter(|(when, _, news)| *when >= at && news.kind == what);
         news.filter(|(_, _, news)| !but(&news.name)).count()
     }
 
@@ -204,7 +206,7 @@
                     return;
                 }
                 at.wakes_at = None;
-                at.members.wake(now, &mut out);
+                at.members.handle_timeout(now, &mut out);
                 node
             }
             Ev::Arrive { to, from, message } => {
@@ -212,18 +214,18 @@
                 if !self.nodes[to].up || self.parts[to] != self.parts[from] {
                     return;
                 }
-                self.nodes[to].members.hear(now, *message, &mut out);
+                self.nodes[to].members.handle_message(now, *message, &mut out);
                 to
             }
         };
         for out in out {
             match out {
-                Out::Tell(news) => self.news.push((now, node, news)),
-                Out::Send { to, message } => self.send(node, node_at(to), message),
+                Action::Notify(news) => self.news.push((now, node, news)),
+                Action::Send { to, message } => self.send(node, node_at(to), message),
             }
         }
         let at = &mut self.nodes[node];
-        let wakes_at = at.members.wakes_at().map(|wakes_at| wakes_at.max(now));
+        let wakes_at = at.members.next_timeout().map(|wakes_at| wakes_at.max(now));
         if at.up && wakes_at != at.wakes_at.filter(|_| at.wake > 0) {
             at.wake += 1;
             at.wakes_at = wakes_at;
@@ -235,7 +237,7 @@
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         self.sent.0 += 1;
-        self.sent.1 += message.size_most() as u64 + HEAD;
+        self.sent.1 += message.max_size() as u64 + HEAD;
         if to >= self.nodes.len()
             || self.parts[from] != self.parts[to]
             || self.draw.happens(self.network.loss)
--- a/lab/tests/crowd.rs
+++ b/lab/tests/crowd.rs
@@ -1,7 +1,7 @@
 //! Members in their hundreds, on virtual time.
 
 use nettleworks_lab::crowd::{name, Crowd};
-use nettleworks_members::{Condition, Config, What};
+use nettleworks_members::{Condition, Config, MemberEventKind};
 
 const SECOND: u64 = 1_000_000;
 
@@ -22,8 +22,8 @@
     let all = |crowd: &Crowd| (0..40).all(|node| crowd.all_take(5 * node, Condition::Failed));
     assert!(many.until(90 * SECOND, all).is_some());
     let dead = |who: &nettleworks_members::Name| (0..40).any(|node| *who == name(5 * node));
-    assert_eq!(many.told_since(at, What::Failed, dead), 0);
-    assert_eq!(one.told_since(at, What::Failed, |who| *who == name(77)), 0);
+    assert_eq!(many.told_since(at, MemberEventKind::Failed, dead), 0);
+    assert_eq!(one.told_since(at, MemberEventKind::Failed, |who| *who == name(77)), 0);
 }
 
 #[test]
@@ -47,10 +47,10 @@
     crowd.run(60 * SECOND);
     let rate = (crowd.sent.0 - before) as f64 / 60.0 / 60.0;
     assert!((1.95..2.1).contains(&rate), "{rate} datagrams a second a member");
-    assert_eq!(crowd.told_since(at, What::Suspected, |_| false), 0);
+    assert_eq!(crowd.told_since(at, MemberEventKind::Suspected, |_| false), 0);
     for node in 0..60 {
         let view = crowd.member(node).view(crowd.now);
-        assert_eq!((view.doubt, view.counts.stalls, view.counts.unanswered), (0, 0, 0), "{node}");
+        assert_eq!((view.health_score, view.counts.stalls, view.counts.failed_probes), (0, 0, 0), "{node}");
     }
 }
 
--- a/measure/src/members.rs
+++ b/measure/src/members.rs
@@ -4,7 +4,7 @@
 use crate::process::Role;
 use crate::report::{median, Bound, Report};
 use nettleworks_lab::crowd::Crowd;
-use nettleworks_members::{Condition, Config, What};
+use nettleworks_members::{Condition, Config, MemberEventKind};
 use nettleworks_members_wire::{start, Settings};
 use nettleworks_standins::{Load, Plan, Site};
 use rayon::prelude::*;
@@ -55,7 +55,8 @@
         crowd.network.loss = loss;
         let (before, at) = (crowd.sent, crowd.now);
         crowd.run(minutes * 60 * SECOND);
-        let news = crowd.news.iter().filter(|(when, _, news)| *when >= at && news.what == What::Failed);
+        let news =
+            crowd.news.iter().filter(|(when, _, news)| *when >= at && news.kind == MemberEventKind::Failed);
         let failed: BTreeSet<_> = news.map(|(_, _, news)| news.name.clone()).collect();
         let spent = (minutes * 60 * crowd.count() as u64) as f64;
         let sent = (crowd.sent.0 - before.0) as f64 / spent;
--- a/members/src/standing.rs
+++ b/members/src/cluster_status.rs
@@ -5,7 +5,7 @@
 /// Where this process stands, in its own opinion. It says what to expect and what to look at; what needs agreement is
 /// not decided by it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum ClusterStatus {
     /// It hears of all that it remembers.
     Agreed,
     /// Some do not answer, and it is not known yet whether they have failed.
@@ -20,21 +20,21 @@
     Replaced,
 }
 
-impl Standing {
+impl ClusterStatus {
     /// Its name, in log and state.
     pub fn name(self) -> &'static str {
         match self {
-            Standing::Agreed => "agreed",
-            Standing::Suspecting => "suspecting",
-            Standing::Reduced => "reduced",
-            Standing::Minority => "minority",
-            Standing::Alone => "alone",
-            Standing::Replaced => "replaced",
+            ClusterStatus::Agreed => "agreed",
+            ClusterStatus::Suspecting => "suspecting",
+            ClusterStatus::Reduced => "reduced",
+            ClusterStatus::Minority => "minority",
+            ClusterStatus::Alone => "alone",
+            ClusterStatus::Replaced => "replaced",
         }
     }
 
     /// By the list; whoever has left of itself does not count.
-    pub(crate) fn of(roster: &Roster) -> Standing {
+    pub(crate) fn from_roster(roster: &Roster) -> ClusterStatus {
         let (mut alive, mut suspected, mut failed) = (0, 0, 0);
         for (_, entry) in roster.iter() {
             match entry.condition() {
@@ -46,11 +46,11 @@
         }
         let all = alive + suspected + failed;
         match () {
-            () if alive + suspected <= 1 => Standing::Alone,
-            () if 2 * alive <= all => Standing::Minority,
-            () if suspected > 0 => Standing::Suspecting,
-            () if failed > 0 => Standing::Reduced,
-            () => Standing::Agreed,
+            () if alive + suspected <= 1 => ClusterStatus::Alone,
+            () if 2 * alive <= all => ClusterStatus::Minority,
+            () if suspected > 0 => ClusterStatus::Suspecting,
+            () if failed > 0 => ClusterStatus::Reduced,
+            () => ClusterStatus::Agreed,
         }
     }
 }
--- a/members/src/health.rs
+++ b/members/src/health.rs
@@ -4,24 +4,24 @@
 
 /// A score from 0 (well) up. Paces that would accuse others are stretched by it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Health {
+pub(crate) struct LocalHealth {
     score: u32,
-    most: u32,
+    max: u32,
 }
 
-impl Health {
-    pub fn new(most: u32) -> Health {
-        Health { score: 0, most }
+impl LocalHealth {
+    pub fn new(max: u32) -> LocalHealth {
+        LocalHealth { score: 0, max }
     }
 
     /// Something speaks against this process itself: its question went unanswered and helpers stay silent too, it was
     /// suspected, or it ran late.
-    pub fn doubt(&mut self, by: u32) {
-        self.score = (self.score + by).min(self.most);
+    pub fn penalize(&mut self, by: u32) {
+        self.score = (self.score + by).min(self.max);
     }
 
     /// A question was answered in time.
-    pub fn trust(&mut self) {
+    pub fn reward(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
@@ -29,7 +29,7 @@
         self.score
     }
 
-    pub fn stretch(self, pace: Micros) -> Micros {
-        pace * Micros::from(self.score + 1)
+    pub fn scale(self, interval: Micros) -> Micros {
+        interval * Micros::from(self.score + 1)
     }
 }
--- a/members/src/lib.rs
+++ b/members/src/lib.rs
@@ -6,38 +6,38 @@
 //! is sent does not grow with how many there are. `docs/design-members.md` says what was weighed.
 //!
 //! It does no I/O and reads no clock: every call is given the present moment, in microseconds of a clock that does not
-//! go back, and draws come from a seed. What it knows is an [`Opinion`]: two members may have different ones for as long
+//! go back, and draws come from a seed. What it knows is an [`MemberView`]: two members may have different ones for as long
 //! as they cannot hear each other, so nothing that needs agreement may rest on it alone.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod claim;
+mod broadcast;
+mod cluster_status;
 mod config;
-mod contest;
+mod event;
 mod health;
-mod members;
+mod membership;
 mod message;
 mod name;
-mod news;
+mod name_conflict;
 mod probe;
-mod rate;
-mod relays;
+mod rate_limiter;
+mod relayed_probes;
 mod roster;
-mod rumours;
-mod standing;
 mod suspicion;
 mod sync;
+mod update;
 
-pub use claim::{Card, Claim, Incarnation, Update};
+pub use cluster_status::ClusterStatus;
 pub use config::Config;
-pub use members::{Members, Out};
-pub use message::{Kind, Message, Sender};
-pub use name::{BadName, Name};
-pub use news::{News, What};
-pub use rate::Rate;
+pub use event::{MemberEvent, MemberEventKind};
+pub use membership::{Action, Membership};
+pub use message::{Message, MessageKind, Sender};
+pub use name::{InvalidName, Name};
+pub use rate_limiter::RateLimiter;
 pub use roster::Condition;
-pub use standing::Standing;
-pub use view::{Counts, Opinion, View};
+pub use update::{Incarnation, Metadata, ReportedState, Update};
+pub use view::{Counts, MemberView, MembershipView};
 
 mod view;
 
--- a/members/src/message.rs
+++ b/members/src/message.rs
@@ -1,7 +1,7 @@
 //! What passes between members.
 
-use crate::claim::{Incarnation, Update};
 use crate::name::Name;
+use crate::update::{Incarnation, Update};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -25,14 +25,14 @@
     /// From whom.
     pub from: Sender,
     /// What it is about.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// News that rides along.
     pub updates: Vec<Update>,
 }
 
 /// What a message is about.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum MessageKind {
     /// Is `to` there? Another that hears at its address does not answer.
     Ping {
         /// For the answer.
@@ -81,21 +81,22 @@
 
 impl Message {
     /// Bytes that a message takes without its updates, at most.
-    pub(crate) fn head_most(from: &Sender, kind: &Kind) -> usize {
+    pub(crate) fn max_header_size(from: &Sender, kind: &MessageKind) -> usize {
         let text = |name: &Name| name.as_str().len() + 2;
         let kind = match kind {
-            Kind::Ping { to, .. } => 5 + text(to),
-            Kind::Ack { .. } => 15,
-            Kind::PingFor { target, .. } => 5 + text(target) + 22,
-            Kind::Nack { .. } | Kind::Join { .. } => 5,
-            Kind::Gossip | Kind::Entries => 0,
-            Kind::Digests { parts, .. } => 3 + 10 * parts.len(),
+            MessageKind::Ping { to, .. } => 5 + text(to),
+            MessageKind::Ack { .. } => 15,
+            MessageKind::PingFor { target, .. } => 5 + text(target) + 22,
+            MessageKind::Nack { .. } | MessageKind::Join { .. } => 5,
+            MessageKind::Gossip | MessageKind::Entries => 0,
+            MessageKind::Digests { parts, .. } => 3 + 10 * parts.len(),
         };
         text(&from.name) + 15 + 22 + 1 + kind + 3
     }
 
     /// The same for a whole message.
-    pub fn size_most(&self) -> usize {
-        Message::head_most(&self.from, &self.kind) + self.updates.iter().map(Update::size_most).sum::<usize>()
+    pub fn max_size(&self) -> usize {
+        Message::max_header_size(&self.from, &self.kind)
+            + self.updates.iter().map(Update::max_size).sum::<usize>()
     }
 }
--- a/members/src/name.rs
+++ b/members/src/name.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 /// Longest name, in bytes.
-const NAME_MOST: usize = 48;
+const MAX_NAME_BYTES: usize = 48;
 
 /// A member's name: 1 to 48 letters, digits, dots, hyphens and underscores. Clones share the text.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -13,15 +13,15 @@
 
 /// Not a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadName;
+pub struct InvalidName;
 
-impl fmt::Display for BadName {
+impl fmt::Display for InvalidName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a name has 1 to {NAME_MOST} letters, digits, dots, hyphens and underscores")
+        write!(f, "a name has 1 to {MAX_NAME_BYTES} letters, digits, dots, hyphens and underscores")
     }
 }
 
-impl std::error::Error for BadName {}
+impl std::error::Error for InvalidName {}
 
 impl Name {
     /// A name.
@@ -29,11 +29,11 @@
     /// # Errors
     ///
     /// The text is empty, too long, or has other characters.
-    pub fn new(text: &str) -> Result<Name, BadName> {
+    pub fn new(text: &str) -> Result<Name, InvalidName> {
         let good = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
-        match (1..=NAME_MOST).contains(&text.len()) && text.bytes().all(good) {
+        match (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(good) {
             true => Ok(Name(text.into())),
-            false => Err(BadName),
+            false => Err(InvalidName),
         }
     }
 
--- a/members/src/probe.rs
+++ b/members/src/probe.rs
@@ -1,65 +1,65 @@
 //! Who is asked next, and the question that is out.
 
-use crate::claim::Incarnation;
 use crate::name::Name;
+use crate::update::Incarnation;
 use crate::Micros;
 use rand::{Rng, RngExt};
 
 /// The others that may be there, in an order that is drawn anew after each round: each is asked once in it, and one that
 /// joins has a place at random. So a dead one is found within two rounds for sure, and after 1.6 periods in the mean.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Order {
+pub(crate) struct ProbeOrder {
     names: Vec<Name>,
-    at: usize,
+    next_index: usize,
 }
 
-impl Order {
+impl ProbeOrder {
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    pub fn insert(&mut self, name: Name, draws: &mut impl Rng) {
-        let place = draws.random_range(0..=self.names.len());
+    pub fn insert(&mut self, name: Name, rng: &mut impl Rng) {
+        let place = rng.random_range(0..=self.names.len());
         self.names.insert(place, name);
-        if place < self.at {
-            self.at += 1;
+        if place < self.next_index {
+            self.next_index += 1;
         }
     }
 
     pub fn remove(&mut self, name: &Name) {
         if let Some(place) = self.names.iter().position(|known| known == name) {
             self.names.remove(place);
-            if place < self.at {
-                self.at -= 1;
+            if place < self.next_index {
+                self.next_index -= 1;
             }
         }
     }
 
-    pub fn next(&mut self, draws: &mut impl Rng) -> Option<Name> {
-        if self.at >= self.names.len() {
-            self.at = 0;
+    pub fn next(&mut self, rng: &mut impl Rng) -> Option<Name> {
+        if self.next_index >= self.names.len() {
+            self.next_index = 0;
             for last in (1..self.names.len()).rev() {
-                let other = draws.random_range(0..=last);
+                let other = rng.random_range(0..=last);
                 self.names.swap(last, other);
             }
         }
-        let name = self.names.get(self.at).cloned();
-        self.at += 1;
+        let name = self.names.get(self.next_index).cloned();
+        self.next_index += 1;
         name
     }
 
     /// Up to `count` different ones at random, those that do not pass left out.
-    pub fn pick(&self, count: usize, draws: &mut impl Rng, passes: impl Fn(&Name) -> bool) -> Vec<Name> {
+    pub fn pick(&self, count: usize, rng: &mut impl Rng, passes: impl Fn(&Name) -> bool) -> Vec<Name> {
         let mut picked: Vec<Name> = Vec::with_capacity(count);
         if self.names.is_empty() {
             return picked;
         }
         // From a random place on, in steps that visit each place once: as good as drawn one by one where the order itself
         // is drawn, and it ends.
-        let start = draws.random_range(0..self.names.len());
+        let start = rng.random_range(0..self.names.len());
         let stride = match self.names.len() {
             len if len > 8 => {
-                let first = draws.random_range(1..len);
+                let first = rng.random_range(1..len);
                 (first..len).chain(1..first).find(|step| coprime(*step, len)).unwrap_or(1)
             }
             _ => 1,
@@ -91,9 +91,9 @@
     pub target: Name,
     pub incarnation: Incarnation,
     /// When others are asked to ask; `None`: they were.
-    pub helped_at: Option<Micros>,
+    pub indirect_at: Option<Micros>,
     /// When the period ends.
-    pub ends: Micros,
+    pub ends_at: Micros,
     pub answered: bool,
     /// How many others were asked, and how many said that they have no answer either.
     pub helpers: u32,
@@ -112,40 +112,40 @@
     }
 
     #[test]
-    fn each_is_asked_once_a_round_whoever_joins_and_goes() {
-        let mut draws = Pcg64::seed_from_u64(3);
-        let mut order = Order::default();
-        (0..20).for_each(|number| order.insert(name(number), &mut draws));
+    fn each_member_is_probed_once_a_round_while_others_join_and_leave() {
+        let mut rng = Pcg64::seed_from_u64(3);
+        let mut order = ProbeOrder::default();
+        (0..20).for_each(|number| order.insert(name(number), &mut rng));
         let mut gaps = vec![0usize; 20];
         for turn in 0..200 {
             // One comes and goes beside them.
             match turn % 7 {
-                0 => order.insert(name(99), &mut draws),
+                0 => order.insert(name(99), &mut rng),
                 3 => order.remove(&name(99)),
                 _ => {}
             }
-            let asked = order.next(&mut draws);
+            let asked = order.next(&mut rng);
             gaps.iter_mut().for_each(|gap| *gap += 1);
-            if let Some(at) = (0..20).find(|number| asked == Some(name(*number))) {
-                gaps[at] = 0;
+            if let Some(probed) = (0..20).find(|number| asked == Some(name(*number))) {
+                gaps[probed] = 0;
             }
             assert!(gaps.iter().all(|gap| *gap <= 2 * 21), "{gaps:?}");
         }
     }
 
     #[test]
-    fn picks_are_different_pass_and_reach_everyone() {
-        let mut draws = Pcg64::seed_from_u64(3);
-        let mut order = Order::default();
-        (0..30).for_each(|number| order.insert(name(number), &mut draws));
+    fn picks_are_distinct_eligible_and_cover_all_members() {
+        let mut rng = Pcg64::seed_from_u64(3);
+        let mut order = ProbeOrder::default();
+        (0..30).for_each(|number| order.insert(name(number), &mut rng));
         let mut seen = BTreeSet::new();
         for _ in 0..200 {
-            let picked = order.pick(3, &mut draws, |picked| *picked != name(7));
+            let picked = order.pick(3, &mut rng, |picked| *picked != name(7));
             let different: BTreeSet<_> = picked.iter().collect();
             assert_eq!(different.len(), 3);
             seen.extend(picked);
         }
         assert_eq!(seen.len(), 29);
-        assert_eq!(order.pick(40, &mut draws, |_| true).len(), 30);
+        assert_eq!(order.pick(40, &mut rng, |_| true).len(), 30);
     }
 }
--- a/members/src/roster.rs
+++ b/members/src/roster.rs
@@ -1,10 +1,10 @@
 //! The list: who is known, in which life, and in which condition.
 
-use crate::claim::{Card, Claim, Incarnation, Update};
+use crate::event::FlapHistory;
 use crate::message::BUCKETS;
 use crate::name::Name;
-use crate::news::Flaps;
 use crate::suspicion::Suspicion;
+use crate::update::{Incarnation, Metadata, ReportedState, Update};
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -45,28 +45,28 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    pub card: Card,
+    pub metadata: Metadata,
     pub incarnation: Incarnation,
     pub state: State,
     /// When it came to be in this condition.
     pub since: Micros,
     /// When it last answered this process, itself or by a helper.
-    pub acked: Option<Micros>,
+    pub last_ack_at: Option<Micros>,
     /// What its list came to when it last said so.
     pub digest: Option<u64>,
-    pub flaps: Flaps,
+    pub flaps: FlapHistory,
 }
 
 impl Entry {
-    pub fn new(card: Card, incarnation: Incarnation, now: Micros) -> Entry {
+    pub fn new(metadata: Metadata, incarnation: Incarnation, now: Micros) -> Entry {
         Entry {
-            card,
+            metadata,
             incarnation,
             state: State::Alive,
             since: now,
-            acked: None,
+            last_ack_at: None,
             digest: None,
-            flaps: Flaps::default(),
+            flaps: FlapHistory::default(),
         }
     }
 
@@ -85,14 +85,14 @@
     }
 
     /// What is said of it.
-    pub fn update(&self, name: &Name) -> Update {
-        let claim = match &self.state {
-            State::Alive => Claim::Alive(self.card.clone()),
-            State::Suspect(suspicion) => Claim::Suspect { by: suspicion.by()[0].clone() },
-            State::Failed => Claim::Failed,
-            State::Left => Claim::Left,
+    pub fn to_update(&self, name: &Name) -> Update {
+        let state = match &self.state {
+            State::Alive => ReportedState::Alive(self.metadata.clone()),
+            State::Suspect(suspicion) => ReportedState::Suspect { by: suspicion.accusers()[0].clone() },
+            State::Failed => ReportedState::Failed,
+            State::Left => ReportedState::Left,
         };
-        Update { name: name.clone(), incarnation: self.incarnation, claim }
+        Update { name: name.clone(), incarnation: self.incarnation, state }
     }
 }
 
@@ -101,9 +101,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Roster {
     entries: BTreeMap<Name, Entry>,
-    parts: [u64; BUCKETS],
+    buckets: [u64; BUCKETS],
     live: usize,
-    most: usize,
+    max_members: usize,
 }
 
 fn hash(name: &Name, incarnation: Incarnation) -> u64 {
@@ -115,15 +115,15 @@
 }
 
 /// In which part of the list a name is.
-pub(crate) fn part(name: &Name) -> usize {
+pub(crate) fn bucket_of(name: &Name) -> usize {
     let mut hasher = XxHash64::with_seed(2);
     hasher.write(name.as_str().as_bytes());
     (hasher.finish() % BUCKETS as u64) as usize
 }
 
 impl Roster {
-    pub fn new(most: usize) -> Roster {
-        Roster { entries: BTreeMap::new(), parts: [0; BUCKETS], live: 0, most }
+    pub fn new(max_members: usize) -> Roster {
+        Roster { entries: BTreeMap::new(), buckets: [0; BUCKETS], live: 0, max_members }
     }
 
     pub fn get(&self, name: &Name) -> Option<&Entry> {
@@ -140,69 +140,69 @@
     }
 
     /// What it comes to, part by part. Whoever has failed or left does not count: it is forgotten sooner here than there.
-    pub fn parts(&self) -> &[u64; BUCKETS] {
-        &self.parts
+    pub fn buckets(&self) -> &[u64; BUCKETS] {
+        &self.buckets
     }
 
     /// The same in one number.
     pub fn digest(&self) -> u64 {
         let mut hasher = XxHash64::with_seed(3);
-        self.parts.iter().for_each(|part| hasher.write_u64(*part));
+        self.buckets.iter().for_each(|bucket| hasher.write_u64(*bucket));
         hasher.finish()
     }
 
     /// The entries of a part.
-    pub fn of_part(&self, which: usize) -> impl Iterator<Item = (&Name, &Entry)> {
-        self.entries.iter().filter(move |(name, _)| part(name) == which)
+    pub fn bucket_entries(&self, which: usize) -> impl Iterator<Item = (&Name, &Entry)> {
+        self.entries.iter().filter(move |(name, _)| bucket_of(name) == which)
     }
 
     /// One more. Where the list is full, the one that has failed or left longest ago makes way, and is given back;
     /// `Err`: there is none.
     pub fn insert(&mut self, name: Name, entry: Entry) -> Result<Option<Name>, ()> {
-        let mut gone = None;
-        if self.entries.len() >= self.most {
+        let mut evicted = None;
+        if self.entries.len() >= self.max_members {
             let oldest = self.entries.iter().filter(|(_, entry)| !entry.is_live());
             let oldest = oldest.min_by_key(|(_, entry)| entry.since).map(|(name, _)| name.clone());
             let oldest = oldest.ok_or(())?;
             self.remove(&oldest);
-            gone = Some(oldest);
+            evicted = Some(oldest);
         }
-        self.count(&name, &entry);
+        self.add_to_digest(&name, &entry);
         self.entries.insert(name, entry);
-        Ok(gone)
+        Ok(evicted)
     }
 
     pub fn remove(&mut self, name: &Name) {
         if let Some(entry) = self.entries.remove(name) {
-            self.uncount(name, &entry);
+            self.remove_from_digest(name, &entry);
         }
     }
 
     /// Changes an entry; nothing where there is none.
-    pub fn change<T>(&mut self, name: &Name, change: impl FnOnce(&mut Entry) -> T) -> Option<T> {
+    pub fn modify<T>(&mut self, name: &Name, change: impl FnOnce(&mut Entry) -> T) -> Option<T> {
         let mut entry = self.entries.remove(name)?;
-        self.uncount(name, &entry);
-        let given = change(&mut entry);
-        self.count(name, &entry);
+        self.remove_from_digest(name, &entry);
+        let result = change(&mut entry);
+        self.add_to_digest(name, &entry);
         self.entries.insert(name.clone(), entry);
-        Some(given)
+        Some(result)
     }
 
     /// For what does not tell in the digest.
-    pub fn touch(&mut self, name: &Name) -> Option<&mut Entry> {
+    pub fn get_mut(&mut self, name: &Name) -> Option<&mut Entry> {
         self.entries.get_mut(name)
     }
 
-    fn count(&mut self, name: &Name, entry: &Entry) {
+    fn add_to_digest(&mut self, name: &Name, entry: &Entry) {
         if entry.is_live() {
-            self.parts[part(name)] ^= hash(name, entry.incarnation);
+            self.buckets[bucket_of(name)] ^= hash(name, entry.incarnation);
             self.live += 1;
         }
     }
 
-    fn uncount(&mut self, name: &Name, entry: &Entry) {
+    fn remove_from_digest(&mut self, name: &Name, entry: &Entry) {
         if entry.is_live() {
-            self.parts[part(name)] ^= hash(name, entry.incarnation);
+            self.buckets[bucket_of(name)] ^= hash(name, entry.incarnation);
             self.live -= 1;
         }
     }
@@ -218,45 +218,49 @@
     }
 
     fn entry(start: u64) -> Entry {
-        Entry::new(Card::at("127.0.0.1:1".parse().expect("an address")), Incarnation::starting(start), start)
+        Entry::new(
+            Metadata::new("127.0.0.1:1".parse().expect("an address")),
+            Incarnation::initial(start),
+            start,
+        )
     }
 
     proptest! {
         /// Whatever was done on the way, equal lists come to equal parts and unequal ones do not.
         #[test]
-        fn digests_tell_lists_apart(steps in proptest::collection::vec((0u8..12, 0u8..4, 1u64..4), 1..60)) {
+        fn digests_differ_exactly_when_lists_differ(steps in proptest::collection::vec((0u8..12, 0u8..4, 1u64..4), 1..60)) {
             let mut roster = Roster::new(64);
-            for (number, act, start) in steps {
+            for (number, operation, start) in steps {
                 let name = name(number);
-                match act {
+                match operation {
                     0 => drop(roster.get(&name).is_none().then(|| roster.insert(name, entry(start)))),
                     1 => roster.remove(&name),
-                    2 => drop(roster.change(&name, |entry| entry.state = State::Failed)),
-                    _ => drop(roster.change(&name, |entry| entry.incarnation.round += 1)),
+                    2 => drop(roster.modify(&name, |entry| entry.state = State::Failed)),
+                    _ => drop(roster.modify(&name, |entry| entry.incarnation.round += 1)),
                 }
             }
-            let mut again = Roster::new(64);
+            let mut rebuilt = Roster::new(64);
             for (name, entry) in roster.iter() {
-                prop_assert!(again.insert(name.clone(), entry.clone()).is_ok());
+                prop_assert!(rebuilt.insert(name.clone(), entry.clone()).is_ok());
             }
-            prop_assert_eq!(again.digest(), roster.digest());
-            prop_assert_eq!(again.live(), roster.iter().filter(|(_, entry)| entry.is_live()).count());
+            prop_assert_eq!(rebuilt.digest(), roster.digest());
+            prop_assert_eq!(rebuilt.live(), roster.iter().filter(|(_, entry)| entry.is_live()).count());
             let live = roster.iter().find(|(_, entry)| entry.is_live()).map(|(name, _)| name.clone());
             if let Some(live) = live {
-                again.change(&live, |entry| entry.incarnation.round += 1);
-                prop_assert_ne!(again.digest(), roster.digest());
+                rebuilt.modify(&live, |entry| entry.incarnation.round += 1);
+                prop_assert_ne!(rebuilt.digest(), roster.digest());
             }
         }
     }
 
     #[test]
-    fn a_full_list_lets_those_that_are_gone_make_way_and_nobody_else() {
+    fn a_full_roster_evicts_only_failed_members() {
         let mut roster = Roster::new(3);
         for number in 0..3 {
             assert_eq!(roster.insert(name(number), entry(1)), Ok(None));
         }
         assert_eq!(roster.insert(name(3), entry(1)), Err(()));
-        roster.change(&name(1), |entry| entry.state = State::Failed);
+        roster.modify(&name(1), |entry| entry.state = State::Failed);
         assert_eq!(roster.insert(name(3), entry(1)), Ok(Some(name(1))));
         assert_eq!(roster.iter().count(), 3);
     }
--- a/members/src/suspicion.rs
+++ b/members/src/suspicion.rs
@@ -6,52 +6,52 @@
 /// Somebody does not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Suspicion {
-    began: Micros,
+    started_at: Micros,
     /// Time that did not count, as this process did not run.
-    lost: Micros,
-    least: Micros,
-    most: Micros,
-    wanted: usize,
-    by: Vec<Name>,
+    paused: Micros,
+    min: Micros,
+    max: Micros,
+    needed: usize,
+    accusers: Vec<Name>,
 }
 
 impl Suspicion {
-    /// Lasts from `least` (shared by `wanted` more) to `most` (by nobody else).
-    pub fn new(now: Micros, by: Name, least: Micros, most: Micros, wanted: usize) -> Suspicion {
-        Suspicion { began: now, lost: 0, least, most, wanted, by: vec![by] }
+    /// Lasts from `min` (shared by `needed` more) to `max` (by nobody else).
+    pub fn new(now: Micros, by: Name, min: Micros, max: Micros, needed: usize) -> Suspicion {
+        Suspicion { started_at: now, paused: 0, min, max, needed, accusers: vec![by] }
     }
 
     /// Somebody shares it. Whether that is news: not from one that has said so, nor beyond those that are wanted.
     pub fn confirm(&mut self, by: &Name) -> bool {
-        let is_news = self.by.len() <= self.wanted && !self.by.contains(by);
-        if is_news {
-            self.by.push(by.clone());
+        let is_new = self.accusers.len() <= self.needed && !self.accusers.contains(by);
+        if is_new {
+            self.accusers.push(by.clone());
         }
-        is_news
+        is_new
     }
 
-    pub fn began(&self) -> Micros {
-        self.began
+    pub fn started_at(&self) -> Micros {
+        self.started_at
     }
 
-    pub fn by(&self) -> &[Name] {
-        &self.by
+    pub fn accusers(&self) -> &[Name] {
+        &self.accusers
     }
 
     /// Time that does not count.
-    pub fn forgive(&mut self, time: Micros) {
-        self.lost += time;
+    pub fn extend(&mut self, duration: Micros) {
+        self.paused += duration;
     }
 
-    pub fn ends(&self) -> Micros {
-        let shared = self.by.len() - 1;
-        let part = match self.wanted {
+    pub fn ends_at(&self) -> Micros {
+        let confirmations = self.accusers.len() - 1;
+        let fraction = match self.needed {
             0 => 1.0,
-            wanted => ((shared + 1) as f64).ln() / ((wanted + 1) as f64).ln(),
+            needed => ((confirmations + 1) as f64).ln() / ((needed + 1) as f64).ln(),
         };
-        let most = self.most as f64;
-        let time = (most - (most - self.least as f64) * part).max(self.least as f64);
-        self.began + self.lost + time as Micros
+        let max = self.max as f64;
+        let duration = (max - (max - self.min as f64) * fraction).max(self.min as f64);
+        self.started_at + self.paused + duration as Micros
     }
 }
 
@@ -60,20 +60,20 @@
     use super::*;
 
     #[test]
-    fn each_that_shares_it_makes_it_shorter_and_nobody_counts_twice() {
+    fn confirmations_shorten_a_suspicion_and_count_once_per_member() {
         let name = |text| Name::new(text).expect("a name");
         let mut suspicion = Suspicion::new(100, name("a"), 1_000, 3_000, 3);
-        assert_eq!(suspicion.ends(), 3_100);
+        assert_eq!(suspicion.ends_at(), 3_100);
         assert!(!suspicion.confirm(&name("a")), "its own word does not confirm it");
-        let mut before = suspicion.ends();
+        let mut before = suspicion.ends_at();
         for by in ["b", "c", "d"] {
             assert!(suspicion.confirm(&name(by)));
-            assert!(suspicion.ends() < before);
-            before = suspicion.ends();
+            assert!(suspicion.ends_at() < before);
+            before = suspicion.ends_at();
         }
         assert_eq!(before, 1_100);
         assert!(!suspicion.confirm(&name("e")), "no more are wanted");
-        suspicion.forgive(50);
-        assert_eq!(suspicion.ends(), 1_150);
+        suspicion.extend(50);
+        assert_eq!(suspicion.ends_at(), 1_150);
     }
 }
--- a/members/src/sync.rs
+++ b/members/src/sync.rs
@@ -4,23 +4,24 @@
 use crate::roster::Roster;
 
 /// Which parts differ; `None`: what was sent is not such a list.
-pub(crate) fn differing(own: &[u64; BUCKETS], other: &[u64]) -> Option<Vec<usize>> {
-    (other.len() == BUCKETS).then(|| (0..BUCKETS).filter(|part| own[*part] != other[*part]).collect())
+pub(crate) fn differing_buckets(local: &[u64; BUCKETS], remote: &[u64]) -> Option<Vec<usize>> {
+    (remote.len() == BUCKETS)
+        .then(|| (0..BUCKETS).filter(|bucket| local[*bucket] != remote[*bucket]).collect())
 }
 
 /// The messages that hold these parts' entries, of whom `to` hears nothing about itself that it does not know.
-pub(crate) fn pages(roster: &Roster, parts: &[usize], page_bytes: usize) -> Vec<Vec<crate::Update>> {
+pub(crate) fn pages(roster: &Roster, buckets: &[usize], page_capacity: usize) -> Vec<Vec<crate::Update>> {
     let mut pages = vec![Vec::new()];
-    let mut left = page_bytes;
-    for part in parts {
-        for (name, entry) in roster.of_part(*part) {
-            let update = entry.update(name);
-            let size = update.size_most();
-            if size > left {
+    let mut bytes_left = page_capacity;
+    for bucket in buckets {
+        for (name, entry) in roster.bucket_entries(*bucket) {
+            let update = entry.to_update(name);
+            let size = update.max_size();
+            if size > bytes_left {
                 pages.push(Vec::new());
-                left = page_bytes;
+                bytes_left = page_capacity;
             }
-            left = left.saturating_sub(size);
+            bytes_left = bytes_left.saturating_sub(size);
             if let Some(page) = pages.last_mut() {
                 page.push(update);
             }
@@ -31,8 +32,12 @@
 }
 
 /// Room for entries beside a message's head.
-pub(crate) fn page_room(packet: usize, from: &crate::Sender, kind: &crate::Kind) -> usize {
-    packet.saturating_sub(Message::head_most(from, kind))
+pub(crate) fn page_capacity(
+    max_message_bytes: usize,
+    from: &crate::Sender,
+    kind: &crate::MessageKind,
+) -> usize {
+    max_message_bytes.saturating_sub(Message::max_header_size(from, kind))
 }
 
 #[cfg(test)]
@@ -40,8 +45,8 @@
     use super::*;
 
     #[test]
-    fn another_number_of_parts_is_no_list() {
-        assert_eq!(differing(&[0; BUCKETS], &[0; BUCKETS - 1]), None);
-        assert_eq!(differing(&[0; BUCKETS], &[0; BUCKETS]), Some(vec![]));
+    fn digests_with_another_number_of_buckets_are_rejected() {
+        assert_eq!(differing_buckets(&[0; BUCKETS], &[0; BUCKETS - 1]), None);
+        assert_eq!(differing_buckets(&[0; BUCKETS], &[0; BUCKETS]), Some(vec![]));
     }
 }
--- a/members/src/claim.rs
+++ b/members/src/update.rs
@@ -4,18 +4,18 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest of the card's texts, in bytes.
-const TEXT_MOST: usize = 24;
+/// Longest of the metadata's texts, in bytes.
+const MAX_TEXT_BYTES: usize = 24;
 
 /// A round that no member reaches by what it says itself: one more is said at each refutation, and there is at most one
 /// in a wake.
-const ROUND_MOST: u32 = 1 << 24;
+const MAX_ROUND: u32 = 1 << 24;
 /// How far rounds may lie apart within one start. Each is a refutation; whoever missed more than these hears of the
 /// member by its next start.
-const ROUNDS_APART: u32 = 1 << 12;
+const MAX_ROUND_GAP: u32 = 1 << 12;
 /// How far a start may lie ahead of this process's wall clock, in milliseconds: a day. Clocks that are set wrong by hours
 /// are met, a claim that nobody could ever go beyond is not believed.
-const AHEAD_MOST: u64 = 24 * 60 * 60 * 1_000;
+const MAX_CLOCK_LEAD_MS: u64 = 24 * 60 * 60 * 1_000;
 
 /// Which of a member's lives, and how often it has contradicted in it. The greater one is the later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -29,14 +29,14 @@
 
 impl Incarnation {
     /// The first of a life.
-    pub fn starting(start: u64) -> Incarnation {
+    pub fn initial(start: u64) -> Incarnation {
         Incarnation { start, round: 0 }
     }
 
     /// The next one up.
     #[must_use]
     pub fn next(self) -> Incarnation {
-        match self.round < ROUND_MOST {
+        match self.round < MAX_ROUND {
             true => Incarnation { round: self.round + 1, ..self },
             false => Incarnation { start: self.start.saturating_add(1), round: 0 },
         }
@@ -45,25 +45,25 @@
     /// What a member says next that hears this of itself. A later start than its own is that of a life which is over, as
     /// its wall clock was set back: the others are to see that this is another one.
     #[must_use]
-    pub(crate) fn above(self, heard: Incarnation) -> Incarnation {
+    pub(crate) fn next_above(self, heard: Incarnation) -> Incarnation {
         match heard.start > self.start {
-            true => Incarnation::starting(heard.start.saturating_add(1)),
+            true => Incarnation::initial(heard.start.saturating_add(1)),
             false => heard.max(self).next(),
         }
     }
 
     /// Whether it may be true, at this wall clock (milliseconds since 1970), of a member of which `known` is known.
-    pub(crate) fn is_plausible(self, known: Option<Incarnation>, wall: u64) -> bool {
+    pub(crate) fn is_plausible(self, known: Option<Incarnation>, wall_ms: u64) -> bool {
         let jumps = known.is_some_and(|known| {
-            known.start == self.start && self.round.saturating_sub(known.round) > ROUNDS_APART
+            known.start == self.start && self.round.saturating_sub(known.round) > MAX_ROUND_GAP
         });
-        self.start <= wall.saturating_add(AHEAD_MOST) && self.round <= ROUND_MOST && !jumps
+        self.start <= wall_ms.saturating_add(MAX_CLOCK_LEAD_MS) && self.round <= MAX_ROUND && !jumps
     }
 }
 
 /// What a member says of itself. Small, as it goes round with each change of its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Card {
+pub struct Metadata {
     /// Where it hears. Others send here, wherever its own messages seem to come from.
     pub address: SocketAddr,
     /// Its zone; may be empty.
@@ -78,25 +78,25 @@
     pub capacity: u16,
 }
 
-impl Card {
+impl Metadata {
     /// One that says no more than an address.
-    pub fn at(address: SocketAddr) -> Card {
+    pub fn new(address: SocketAddr) -> Metadata {
         let empty = String::new;
-        Card { address, zone: empty(), region: empty(), version: empty(), role: empty(), capacity: 100 }
+        Metadata { address, zone: empty(), region: empty(), version: empty(), role: empty(), capacity: 100 }
     }
 
     /// Whether its texts are within their bound (24 bytes each) and without control characters.
-    pub fn is_good(&self) -> bool {
-        let good = |text: &String| text.len() <= TEXT_MOST && !text.chars().any(char::is_control);
+    pub fn is_valid(&self) -> bool {
+        let good = |text: &String| text.len() <= MAX_TEXT_BYTES && !text.chars().any(char::is_control);
         [&self.zone, &self.region, &self.version, &self.role].into_iter().all(good)
     }
 }
 
 /// What is said of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Claim {
+pub enum ReportedState {
     /// It lives. Only it says so first.
-    Alive(Card),
+    Alive(Metadata),
     /// It did not answer `by`.
     Suspect {
         /// Whom it did not answer.
@@ -116,22 +116,23 @@
     /// Of which life and round.
     pub incarnation: Incarnation,
     /// What.
-    pub claim: Claim,
+    #[serde(rename = "claim")]
+    pub state: ReportedState,
 }
 
 impl Update {
     /// No codec that writes integers in at most 10 bytes and texts with their length takes more bytes for it.
-    pub fn size_most(&self) -> usize {
+    pub fn max_size(&self) -> usize {
         let text = |text: &str| text.len() + 2;
-        let claim = match &self.claim {
-            Claim::Alive(card) => {
-                let texts = [&card.zone, &card.region, &card.version, &card.role];
-                texts.into_iter().map(|of| text(of)).sum::<usize>() + 22 + 3
+        let state = match &self.state {
+            ReportedState::Alive(metadata) => {
+                let texts = [&metadata.zone, &metadata.region, &metadata.version, &metadata.role];
+                texts.into_iter().map(|value| text(value)).sum::<usize>() + 22 + 3
             }
-            Claim::Suspect { by } => text(by.as_str()),
-            Claim::Failed | Claim::Left => 0,
+            ReportedState::Suspect { by } => text(by.as_str()),
+            ReportedState::Failed | ReportedState::Left => 0,
         };
-        text(self.name.as_str()) + 10 + 5 + 1 + claim
+        text(self.name.as_str()) + 10 + 5 + 1 + state
     }
 }
 
@@ -140,18 +141,18 @@
     use super::*;
 
     #[test]
-    fn no_claim_can_take_a_name_beyond_its_owners_reach() {
-        let wall = 1_700_000_000_000;
-        let own = Incarnation::starting(wall);
-        assert!(own.is_plausible(None, wall));
+    fn implausible_incarnations_are_rejected() {
+        let wall_ms = 1_700_000_000_000;
+        let own = Incarnation::initial(wall_ms);
+        assert!(own.is_plausible(None, wall_ms));
         // A clock that is hours ahead is met; one that nobody could go beyond is not.
-        assert!(Incarnation::starting(wall + 3_600_000).is_plausible(Some(own), wall));
-        assert!(!Incarnation::starting(u64::MAX).is_plausible(Some(own), wall));
-        assert!(!Incarnation { round: u32::MAX, ..own }.is_plausible(Some(own), wall));
-        assert!(!Incarnation { round: ROUNDS_APART + 1, ..own }.is_plausible(Some(own), wall));
-        assert!(Incarnation { round: ROUNDS_APART, ..own }.is_plausible(Some(own), wall));
-        let last = Incarnation { round: ROUND_MOST, ..own };
+        assert!(Incarnation::initial(wall_ms + 3_600_000).is_plausible(Some(own), wall_ms));
+        assert!(!Incarnation::initial(u64::MAX).is_plausible(Some(own), wall_ms));
+        assert!(!Incarnation { round: u32::MAX, ..own }.is_plausible(Some(own), wall_ms));
+        assert!(!Incarnation { round: MAX_ROUND_GAP + 1, ..own }.is_plausible(Some(own), wall_ms));
+        assert!(Incarnation { round: MAX_ROUND_GAP, ..own }.is_plausible(Some(own), wall_ms));
+        let last = Incarnation { round: MAX_ROUND, ..own };
         assert!(last.next() > last);
-        assert!(last.next().is_plausible(Some(last), wall));
+        assert!(last.next().is_plausible(Some(last), wall_ms));
     }
 }
--- a/members/tests/common/mod.rs
+++ b/members/tests/common/mod.rs
@@ -20,10 +20,10 @@
 }
 
 pub struct Node {
-    pub members: Members,
-    pub news: Vec<(Micros, News)>,
+    pub members: Membership,
+    pub events: Vec<(Micros, MemberEvent)>,
     /// Until when it does not run; what comes meanwhile waits.
-    pub stopped_until: Micros,
+    pub paused_until: Micros,
     pub inbox: Vec<Message>,
     pub up: bool,
 }
@@ -32,15 +32,15 @@
     pub now: Micros,
     pub nodes: BTreeMap<SocketAddr, Node>,
     pub loss: f64,
-    pub doubled: f64,
+    pub duplication: f64,
     /// From whom to whom nothing goes.
-    pub cut: BTreeSet<(SocketAddr, SocketAddr)>,
+    pub blocked_links: BTreeSet<(SocketAddr, SocketAddr)>,
     pub delay: (Micros, Micros),
     pub sent: u64,
     pub bytes: u64,
-    draws: Pcg64,
-    flying: BTreeMap<(Micros, u64), (SocketAddr, SocketAddr, Message)>,
-    next: u64,
+    rng: Pcg64,
+    in_flight: BTreeMap<(Micros, u64), (SocketAddr, SocketAddr, Message)>,
+    next_sequence: u64,
     pub config: Config,
 }
 
@@ -50,46 +50,54 @@
             now: 0,
             nodes: BTreeMap::new(),
             loss: 0.0,
-            doubled: 0.0,
-            cut: BTreeSet::new(),
+            duplication: 0.0,
+            blocked_links: BTreeSet::new(),
             delay: (200, 2_000),
             sent: 0,
             bytes: 0,
-            draws: Pcg64::seed_from_u64(seed),
-            flying: BTreeMap::new(),
-            next: 0,
+            rng: Pcg64::seed_from_u64(seed),
+            in_flight: BTreeMap::new(),
+            next_sequence: 0,
             config,
         }
     }
 
     /// So many that all know the first three as seeds, all agreed.
-    pub fn agreed(seed: u64, count: usize) -> Net {
+    pub fn converged(seed: u64, count: usize) -> Net {
         let mut net = Net::new(seed, Config::default());
         (0..count).for_each(|number| net.start(number, WALL));
         let all = |net: &Net| {
             net.nodes.values().all(|node| {
                 let view = node.members.view(net.now);
-                view.members.len() == count && view.members.iter().all(|of| of.condition == Condition::Alive)
+                view.members.len() == count
+                    && view.members.iter().all(|member| member.condition == Condition::Alive)
             })
         };
-        assert!(net.until(60 * SECOND, all), "they never agree");
+        assert!(net.run_until(60 * SECOND, all), "they never agree");
         net
     }
 
-    pub fn start(&mut self, number: usize, wall: u64) {
-        self.start_at(number, address(number), wall);
+    pub fn start(&mut self, number: usize, wall_ms: u64) {
+        self.start_at(number, address(number), wall_ms);
     }
 
-    pub fn start_at(&mut self, number: usize, at: SocketAddr, wall: u64) {
+    pub fn start_at(&mut self, number: usize, at: SocketAddr, wall_ms: u64) {
         let seeds = (0..3).map(address).collect();
-        let seed = self.draws.random();
-        let wall = wall + self.now / 1_000;
-        let members =
-            Members::new(self.config.clone(), name(number), Card::at(at), seeds, seed, self.now, wall);
+        let seed = self.rng.random();
+        let wall_ms = wall_ms + self.now / 1_000;
+        let members = Membership::new(
+            self.config.clone(),
+            name(number),
+            Metadata::new(at),
+            seeds,
+            seed,
+            self.now,
+            wall_ms,
+        );
         let node = Node {
             members: members.expect("good bounds"),
-            news: Vec::new(),
-            stopped_until: 0,
+            events: Vec::new(),
+            paused_until: 0,
             inbox: Vec::new(),
             up: true,
         };
@@ -105,21 +113,21 @@
     }
 
     /// It does not run for so long.
-    pub fn stop(&mut self, number: usize, time: Micros) {
+    pub fn pause(&mut self, number: usize, time: Micros) {
         let until = self.now + time;
-        self.node(number).stopped_until = until;
+        self.node(number).paused_until = until;
     }
 
     /// Cuts both ways between each of the one and each of the other.
-    pub fn split(
+    pub fn partition(
         &mut self,
         one: impl IntoIterator<Item = usize>,
         other: impl IntoIterator<Item = usize> + Clone,
     ) {
         for a in one {
             for b in other.clone() {
-                self.cut.insert((address(a), address(b)));
-                self.cut.insert((address(b), address(a)));
+                self.blocked_links.insert((address(a), address(b)));
+                self.blocked_links.insert((address(b), address(a)));
             }
         }
     }
@@ -128,13 +136,13 @@
         self.nodes[&address(seen_by)].members.condition(&name(of))
     }
 
-    pub fn everyone(&self, of: usize, is: Condition) -> bool {
+    pub fn all_see(&self, of: usize, is: Condition) -> bool {
         let others = self.nodes.iter().filter(|(at, node)| node.up && **at != address(of));
         let mut others = others.map(|(_, node)| node.members.condition(&name(of)));
         others.all(|condition| condition == Some(is))
     }
 
-    pub fn agree(&self) -> bool {
+    pub fn digests_agree(&self) -> bool {
         let mut digests = self.nodes.values().filter(|node| node.up).map(|node| node.members.digest());
         let first = digests.next();
         digests.all(|digest| Some(digest) == first)
@@ -142,9 +150,9 @@
 
     /// Who was told to have failed, by those that run, since a moment.
     pub fn failed_since(&self, at: Micros) -> BTreeSet<Name> {
-        let news = self.nodes.values().filter(|node| node.up).flat_map(|node| &node.news);
-        let failed = news.filter(|(when, news)| *when >= at && news.what == What::Failed);
-        failed.map(|(_, news)| news.name.clone()).collect()
+        let events = self.nodes.values().filter(|node| node.up).flat_map(|node| &node.events);
+        let failed = events.filter(|(when, event)| *when >= at && event.kind == MemberEventKind::Failed);
+        failed.map(|(_, event)| event.name.clone()).collect()
     }
 
     pub fn run(&mut self, time: Micros) {
@@ -154,7 +162,7 @@
     }
 
     /// Plays until a condition holds, for so long at the most; whether it came.
-    pub fn until(&mut self, time: Micros, holds: impl Fn(&Net) -> bool) -> bool {
+    pub fn run_until(&mut self, time: Micros, holds: impl Fn(&Net) -> bool) -> bool {
         let until = self.now + time;
         while self.now < until {
             if holds(self) {
@@ -167,10 +175,10 @@
 
     fn step(&mut self, until: Micros) -> bool {
         let wakes = self.nodes.iter().filter(|(_, node)| node.up).filter_map(|(at, node)| {
-            node.members.wakes_at().map(|wake| (wake.max(node.stopped_until).max(self.now), *at))
+            node.members.next_timeout().map(|wake| (wake.max(node.paused_until).max(self.now), *at))
         });
         let wake = wakes.min();
-        let arrival = self.flying.keys().next().copied();
+        let arrival = self.in_flight.keys().next().copied();
         match (wake, arrival) {
             (Some((at, who)), arrival) if at <= until && arrival.is_none_or(|(then, _)| at < then) => {
                 self.now = at;
@@ -178,20 +186,20 @@
                 let Some(node) = self.nodes.get_mut(&who) else { return true };
                 // What has come while it did not run is read, in one order or the other.
                 let inbox = std::mem::take(&mut node.inbox);
-                if self.draws.random::<bool>() {
-                    node.members.wake(at, &mut out);
-                    inbox.into_iter().for_each(|message| node.members.hear(at, message, &mut out));
+                if self.rng.random::<bool>() {
+                    node.members.handle_timeout(at, &mut out);
+                    inbox.into_iter().for_each(|message| node.members.handle_message(at, message, &mut out));
                 } else {
-                    inbox.into_iter().for_each(|message| node.members.hear(at, message, &mut out));
-                    node.members.wake(at, &mut out);
+                    inbox.into_iter().for_each(|message| node.members.handle_message(at, message, &mut out));
+                    node.members.handle_timeout(at, &mut out);
                 }
-                self.carry(who, out);
+                self.perform(who, out);
                 true
             }
             (_, Some(key)) if key.0 <= until => {
                 self.now = key.0;
-                if let Some((_, to, message)) = self.flying.remove(&key) {
-                    self.arrive(to, message);
+                if let Some((_, to, message)) = self.in_flight.remove(&key) {
+                    self.deliver(to, message);
                 }
                 true
             }
@@ -199,38 +207,38 @@
         }
     }
 
-    fn arrive(&mut self, to: SocketAddr, message: Message) {
+    fn deliver(&mut self, to: SocketAddr, message: Message) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&to).filter(|node| node.up) else { return };
-        if node.stopped_until > now {
+        if node.paused_until > now {
             node.inbox.push(message);
             return;
         }
         let mut out = Vec::new();
-        node.members.hear(now, message, &mut out);
-        self.carry(to, out);
+        node.members.handle_message(now, message, &mut out);
+        self.perform(to, out);
     }
 
     /// Something that a member has to say, or somebody in its place.
-    pub fn carry(&mut self, from: SocketAddr, out: Vec<Out>) {
+    pub fn perform(&mut self, from: SocketAddr, out: Vec<Action>) {
         for out in out {
             match out {
-                Out::Tell(news) => {
+                Action::Notify(event) => {
                     let now = self.now;
-                    self.nodes.get_mut(&from).expect("known").news.push((now, news));
+                    self.nodes.get_mut(&from).expect("known").events.push((now, event));
                 }
-                Out::Send { to, message } => {
+                Action::Send { to, message } => {
                     self.sent += 1;
-                    self.bytes += message.size_most() as u64;
-                    assert!(message.size_most() <= self.config.packet, "{message:?}");
-                    if self.cut.contains(&(from, to)) || self.draws.random::<f64>() < self.loss {
+                    self.bytes += message.max_size() as u64;
+                    assert!(message.max_size() <= self.config.max_message_bytes, "{message:?}");
+                    if self.blocked_links.contains(&(from, to)) || self.rng.random::<f64>() < self.loss {
                         continue;
                     }
-                    let copies = 1 + usize::from(self.draws.random::<f64>() < self.doubled);
+                    let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplication);
                     for _ in 0..copies {
-                        let at = self.now + self.draws.random_range(self.delay.0..=self.delay.1);
-                        self.next += 1;
-                        self.flying.insert((at, self.next), (from, to, message.clone()));
+                        let at = self.now + self.rng.random_range(self.delay.0..=self.delay.1);
+                        self.next_sequence += 1;
+                        self.in_flight.insert((at, self.next_sequence), (from, to, message.clone()));
                     }
                 }
             }
--- a/members/tests/protocol.rs
+++ b/members/tests/protocol.rs
@@ -10,41 +10,41 @@
 const NOTICED: Micros = 40 * SECOND;
 
 #[test]
-fn twenty_of_sixty_die_at_once_and_nobody_else_is_taken_for_dead() {
-    let mut net = Net::agreed(1, 60);
+fn twenty_of_sixty_crash_at_once_and_no_other_member_is_marked_failed() {
+    let mut net = Net::converged(1, 60);
     let at = net.now;
     (0..20).for_each(|number| net.kill(3 * number));
-    let all = |net: &Net| (0..20).all(|number| net.everyone(3 * number, Condition::Failed));
-    assert!(net.until(NOTICED, all), "not all noticed: {:?}", net.failed_since(at).len());
+    let all = |net: &Net| (0..20).all(|number| net.all_see(3 * number, Condition::Failed));
+    assert!(net.run_until(NOTICED, all), "not all noticed: {:?}", net.failed_since(at).len());
     assert_eq!(net.failed_since(at).len(), 20);
     net.run(60 * SECOND);
     assert_eq!(net.failed_since(at).len(), 20);
-    assert!(net.agree());
-    assert_eq!(net.node(1).members.standing(), Standing::Reduced);
+    assert!(net.digests_agree());
+    assert_eq!(net.node(1).members.cluster_status(), ClusterStatus::Reduced);
 }
 
 #[test]
-fn a_fleet_that_all_restarts_in_turn_is_whole_again() {
-    let mut net = Net::agreed(2, 24);
+fn a_rolling_restart_of_all_members_converges() {
+    let mut net = Net::converged(2, 24);
     for number in 0..24 {
         let mut out = Vec::new();
         let now = net.now;
         net.node(number).members.leave(now, &mut out);
-        net.carry(address(number), out);
+        net.perform(address(number), out);
         net.run(SECOND);
-        assert!(net.node(number).members.is_over());
+        assert!(net.node(number).members.is_finished());
         net.start(number, WALL);
         net.run(SECOND / 2);
     }
-    let whole = |net: &Net| (0..24).all(|number| net.everyone(number, Condition::Alive));
-    assert!(net.until(20 * SECOND, whole));
+    let whole = |net: &Net| (0..24).all(|number| net.all_see(number, Condition::Alive));
+    assert!(net.run_until(20 * SECOND, whole));
     assert_eq!(net.failed_since(0).len(), 0, "whoever leaves does not fail");
 }
 
 #[test]
-fn the_same_name_is_back_on_a_new_start_within_a_tenth_of_a_second() {
+fn a_restart_within_100_ms_is_reported_as_rejoined() {
     for set_back in [0, 3_600_000] {
-        let mut net = Net::agreed(3, 12);
+        let mut net = Net::converged(3, 12);
         let at = net.now;
         net.kill(7);
         net.run(SECOND / 10);
@@ -52,22 +52,22 @@
         net.start(7, WALL - set_back);
         let back = |net: &Net| {
             let told = net.nodes.values().filter(|node| {
-                node.news
-                    .iter()
-                    .any(|(when, news)| *when > at && news.name == name(7) && news.what == What::Back)
+                node.events.iter().any(|(when, event)| {
+                    *when > at && event.name == name(7) && event.kind == MemberEventKind::Rejoined
+                })
             });
             told.count() == 11
         };
-        assert!(net.until(20 * SECOND, back), "set back by {set_back}");
+        assert!(net.run_until(20 * SECOND, back), "set back by {set_back}");
         net.run(30 * SECOND);
-        assert!(net.everyone(7, Condition::Alive) && net.agree());
+        assert!(net.all_see(7, Condition::Alive) && net.digests_agree());
         assert!(net.failed_since(at).is_empty());
     }
 }
 
 #[test]
-fn one_that_comes_and_goes_troubles_nobody_else() {
-    let mut net = Net::agreed(4, 20);
+fn a_flapping_member_does_not_affect_others() {
+    let mut net = Net::converged(4, 20);
     let at = net.now;
     for _ in 0..10 {
         net.kill(5);
@@ -77,29 +77,29 @@
     }
     let unsettled = net.nodes.values().filter(|node| {
         let view = node.members.view(net.now);
-        view.members.iter().any(|of| of.name == name(5) && of.unsettled)
+        view.members.iter().any(|member| member.name == name(5) && member.is_flapping)
     });
     assert_eq!(unsettled.count(), 19);
-    let others: Vec<_> = net.failed_since(at).into_iter().filter(|of| *of != name(5)).collect();
+    let others: Vec<_> = net.failed_since(at).into_iter().filter(|failed| *failed != name(5)).collect();
     assert!(others.is_empty(), "{others:?}");
     net.run(90 * SECOND);
-    assert!(net.everyone(5, Condition::Alive));
+    assert!(net.all_see(5, Condition::Alive));
     let view = net.nodes[&address(1)].members.view(net.now);
-    assert!(view.members.iter().all(|of| !of.unsettled), "it has settled");
+    assert!(view.members.iter().all(|member| !member.is_flapping), "it has settled");
 }
 
 /// Both sides go on by themselves, and are one again soon after the cut is over.
 #[test]
-fn a_fleet_in_parts_is_one_again_after_the_cut() {
+fn partitioned_members_merge_after_the_partition_heals() {
     let parts: [(&str, Vec<Vec<usize>>); 2] = [
         ("40 and 20", vec![(0..40).collect(), (40..60).collect()]),
         ("three", vec![(0..20).collect(), (20..40).collect(), (40..60).collect()]),
     ];
     for (what, parts) in parts {
-        let mut net = Net::agreed(5, 60);
+        let mut net = Net::converged(5, 60);
         for one in 0..parts.len() {
             for other in 0..one {
-                net.split(parts[one].clone(), parts[other].clone());
+                net.partition(parts[one].clone(), parts[other].clone());
             }
         }
         // Long enough that each side is sure of the other's end.
@@ -110,171 +110,174 @@
                     .all(|of| parts[one].iter().all(|by| net.condition(*by, of) == Some(Condition::Failed)))
             })
         };
-        assert!(net.until(180 * SECOND, sure), "{what}: not sure of each other");
+        assert!(net.run_until(180 * SECOND, sure), "{what}: not sure of each other");
         for (number, part) in parts.iter().enumerate() {
-            let expected = if part.len() > 30 { Standing::Reduced } else { Standing::Minority };
-            assert_eq!(net.node(part[0]).members.standing(), expected, "{what}: {number}");
+            let expected = if part.len() > 30 { ClusterStatus::Reduced } else { ClusterStatus::Minority };
+            assert_eq!(net.node(part[0]).members.cluster_status(), expected, "{what}: {number}");
         }
-        net.cut.clear();
+        net.blocked_links.clear();
         let healed = net.now;
-        let whole = |net: &Net| (0..60).all(|number| net.everyone(number, Condition::Alive)) && net.agree();
-        assert!(net.until(30 * SECOND, whole), "{what}: not whole after the cut");
+        let whole =
+            |net: &Net| (0..60).all(|number| net.all_see(number, Condition::Alive)) && net.digests_agree();
+        assert!(net.run_until(30 * SECOND, whole), "{what}: not whole after the cut");
         net.run(60 * SECOND);
         assert!(net.failed_since(healed).is_empty(), "{what}: {:?}", net.failed_since(healed));
     }
 }
 
 #[test]
-fn a_short_cut_leaves_nobody_failed_for_long() {
-    let mut net = Net::agreed(6, 60);
-    net.split(0..40, 40..60);
+fn a_short_partition_heals_within_30_seconds() {
+    let mut net = Net::converged(6, 60);
+    net.partition(0..40, 40..60);
     net.run(30 * SECOND);
-    net.cut.clear();
-    let whole = |net: &Net| (0..60).all(|number| net.everyone(number, Condition::Alive)) && net.agree();
-    assert!(net.until(30 * SECOND, whole));
+    net.blocked_links.clear();
+    let whole =
+        |net: &Net| (0..60).all(|number| net.all_see(number, Condition::Alive)) && net.digests_agree();
+    assert!(net.run_until(30 * SECOND, whole));
 }
 
 #[test]
-fn a_cut_one_way_and_one_between_two_alone_fail_nobody() {
+fn one_way_and_pairwise_link_failures_fail_no_member() {
     // 0 hears 1 and 1 hears 0 not: others hear both.
-    let mut net = Net::agreed(7, 12);
+    let mut net = Net::converged(7, 12);
     let at = net.now;
-    net.cut.insert((address(0), address(1)));
+    net.blocked_links.insert((address(0), address(1)));
     net.run(300 * SECOND);
     assert!(net.failed_since(at).is_empty(), "one way: {:?}", net.failed_since(at));
     // And of three: A and C hear B, and not each other.
-    let mut net = Net::agreed(8, 3);
+    let mut net = Net::converged(8, 3);
     let at = net.now;
-    net.split([0], [2]);
+    net.partition([0], [2]);
     net.run(300 * SECOND);
     assert!(net.failed_since(at).is_empty(), "of three: {:?}", net.failed_since(at));
 }
 
 /// It can say what it likes and hears nothing: it is the one that is taken out, whatever it says of the others.
 #[test]
-fn one_that_is_deaf_is_taken_out_and_not_the_others() {
-    let mut net = Net::agreed(9, 20);
+fn a_member_that_receives_nothing_is_failed_and_fails_no_other() {
+    let mut net = Net::converged(9, 20);
     let at = net.now;
     for other in 1..20 {
-        net.cut.insert((address(other), address(0)));
+        net.blocked_links.insert((address(other), address(0)));
     }
-    assert!(net.until(2 * NOTICED, |net| net.everyone(0, Condition::Failed)));
+    assert!(net.run_until(2 * NOTICED, |net| net.all_see(0, Condition::Failed)));
     net.run(120 * SECOND);
-    let seen = net.nodes.iter().filter(|(who, _)| **who != address(0)).flat_map(|(_, node)| &node.news);
-    let others = seen.filter(|(when, news)| *when > at && news.what == What::Failed && news.name != name(0));
+    let seen = net.nodes.iter().filter(|(who, _)| **who != address(0)).flat_map(|(_, node)| &node.events);
+    let others = seen
+        .filter(|(when, event)| *when > at && event.kind == MemberEventKind::Failed && event.name != name(0));
     assert_eq!(others.count(), 0);
-    net.cut.clear();
-    let whole = |net: &Net| (0..20).all(|number| net.everyone(number, Condition::Alive)) && net.agree();
-    assert!(net.until(NOTICED, whole));
+    net.blocked_links.clear();
+    let whole =
+        |net: &Net| (0..20).all(|number| net.all_see(number, Condition::Alive)) && net.digests_agree();
+    assert!(net.run_until(NOTICED, whole));
 }
 
 #[test]
-fn one_that_was_stopped_accuses_nobody_when_it_goes_on() {
-    let mut net = Net::agreed(10, 20);
+fn a_paused_process_suspects_no_member_when_it_resumes() {
+    let mut net = Net::converged(10, 20);
     let at = net.now;
     // Longer than any suspicion takes: the others are sure of its end.
-    net.stop(4, 90 * SECOND);
+    net.pause(4, 90 * SECOND);
     net.run(90 * SECOND);
-    assert!(net.everyone(4, Condition::Failed));
+    assert!(net.all_see(4, Condition::Failed));
     net.run(20 * SECOND);
-    assert!(net.everyone(4, Condition::Alive), "it is back");
+    assert!(net.all_see(4, Condition::Alive), "it is back");
     assert_eq!(net.failed_since(at).into_iter().collect::<Vec<_>>(), [name(4)]);
     assert!(net.node(4).members.counts().stalls > 0);
-    let accused = net.nodes[&address(4)]
-        .news
-        .iter()
-        .filter(|(when, news)| *when > at && matches!(news.what, What::Suspected | What::Failed));
+    let accused = net.nodes[&address(4)].events.iter().filter(|(when, event)| {
+        *when > at && matches!(event.kind, MemberEventKind::Suspected | MemberEventKind::Failed)
+    });
     assert_eq!(accused.count(), 0, "it heard nobody for 90 s, and that was its own doing");
 }
 
 /// It runs for 50 ms and then not for 700 ms, again and again: it doubts itself, and fails nobody.
 #[test]
-fn a_busy_one_doubts_itself_before_it_accuses_others() {
-    let mut net = Net::agreed(11, 20);
+fn an_overloaded_member_raises_its_health_score_and_fails_no_other() {
+    let mut net = Net::converged(11, 20);
     let at = net.now;
     for _ in 0..160 {
-        net.stop(4, 700_000);
+        net.pause(4, 700_000);
         net.run(750_000);
     }
-    assert!(net.node(4).members.view(0).doubt > 0);
-    let accused: Vec<_> = net.failed_since(at).into_iter().filter(|of| *of != name(4)).collect();
+    assert!(net.node(4).members.view(0).health_score > 0);
+    let accused: Vec<_> = net.failed_since(at).into_iter().filter(|failed| *failed != name(4)).collect();
     assert!(accused.is_empty(), "{accused:?}");
 }
 
 #[test]
-fn losses_and_doubles_fail_nobody() {
-    let mut net = Net::agreed(12, 30);
+fn packet_loss_and_duplication_fail_no_member() {
+    let mut net = Net::converged(12, 30);
     let at = net.now;
-    (net.loss, net.doubled, net.delay) = (0.05, 0.1, (200, 60_000));
+    (net.loss, net.duplication, net.delay) = (0.05, 0.1, (200, 60_000));
     net.run(300 * SECOND);
     assert!(net.failed_since(at).is_empty(), "{:?}", net.failed_since(at));
     net.loss = 0.3;
     net.run(120 * SECOND);
-    (net.loss, net.doubled) = (0.0, 0.0);
-    let whole = |net: &Net| (0..30).all(|number| net.everyone(number, Condition::Alive)) && net.agree();
-    assert!(net.until(60 * SECOND, whole));
+    (net.loss, net.duplication) = (0.0, 0.0);
+    let whole =
+        |net: &Net| (0..30).all(|number| net.all_see(number, Condition::Alive)) && net.digests_agree();
+    assert!(net.run_until(60 * SECOND, whole));
 }
 
 /// News may be lost altogether: lists that differ are made equal all the same.
 #[test]
-fn views_that_differ_are_made_equal() {
-    let mut net = Net::agreed(13, 40);
+fn anti_entropy_repairs_lost_gossip() {
+    let mut net = Net::converged(13, 40);
     // One hears nothing while the card of another changes and goes round.
-    net.stop(9, 30 * SECOND);
+    net.pause(9, 30 * SECOND);
     let now = net.now;
-    let card = Card { zone: "b".into(), ..Card::at(address(2)) };
-    net.node(2).members.set_card(now, card).expect("a good card");
+    let card = Metadata { zone: "b".into(), ..Metadata::new(address(2)) };
+    net.node(2).members.set_metadata(now, card).expect("a good card");
     net.run(10 * SECOND);
     // What it would have read is lost.
     net.node(9).inbox.clear();
     net.run(20 * SECOND);
     let zone = |net: &Net| {
         let view = net.nodes[&address(9)].members.view(net.now);
-        view.members.iter().find(|of| of.name == name(2)).map(|of| of.card.zone.clone())
+        view.members.iter().find(|member| member.name == name(2)).map(|member| member.metadata.zone.clone())
     };
     assert!(
-        net.until(60 * SECOND, |net| zone(net).as_deref() == Some("b") && net.agree()),
+        net.run_until(60 * SECOND, |net| zone(net).as_deref() == Some("b") && net.digests_agree()),
         "{:?}",
         zone(&net)
     );
 }
 
 #[test]
-fn one_alone_stands_alone_and_is_let_in_when_somebody_comes() {
+fn a_single_member_is_alone_and_joins_when_a_seed_appears() {
     let mut net = Net::new(14, Config::default());
     net.start(1, WALL);
     net.run(120 * SECOND);
-    assert_eq!(net.node(1).members.standing(), Standing::Alone);
+    assert_eq!(net.node(1).members.cluster_status(), ClusterStatus::Alone);
     net.start(0, WALL);
-    assert!(
-        net.until(40 * SECOND, |net| net.everyone(0, Condition::Alive) && net.everyone(1, Condition::Alive))
-    );
+    assert!(net
+        .run_until(40 * SECOND, |net| net.all_see(0, Condition::Alive) && net.all_see(1, Condition::Alive)));
     net.kill(0);
-    assert!(net.until(60 * SECOND, |net| net.condition(1, 0) == Some(Condition::Failed)));
-    assert_eq!(net.node(1).members.standing(), Standing::Alone);
+    assert!(net.run_until(60 * SECOND, |net| net.condition(1, 0) == Some(Condition::Failed)));
+    assert_eq!(net.node(1).members.cluster_status(), ClusterStatus::Alone);
 }
 
 /// Two processes under one name: the later life has it, and the earlier says nothing more.
 #[test]
-fn of_two_with_one_name_the_later_life_has_it() {
-    let mut net = Net::agreed(15, 8);
+fn of_two_processes_with_one_name_the_later_start_keeps_it() {
+    let mut net = Net::converged(15, 8);
     net.run(5 * SECOND);
     let second = address(200);
     net.start_at(3, second, WALL);
-    let told = |net: &Net| net.nodes[&address(3)].members.standing() == Standing::Replaced;
-    assert!(net.until(20 * SECOND, told));
+    let told = |net: &Net| net.nodes[&address(3)].members.cluster_status() == ClusterStatus::Replaced;
+    assert!(net.run_until(20 * SECOND, told));
     net.run(20 * SECOND);
     for (at, node) in net.nodes.iter().filter(|(at, _)| **at != address(3)) {
         let view = node.members.view(net.now);
-        let of = view.members.iter().find(|of| of.name == name(3)).expect("known");
-        assert_eq!((of.card.address, of.condition), (second, Condition::Alive), "at {at}");
+        let of = view.members.iter().find(|member| member.name == name(3)).expect("known");
+        assert_eq!((of.metadata.address, of.condition), (second, Condition::Alive), "at {at}");
     }
 }
 
 /// The earlier life is dead, its clock was ahead, and the new one is elsewhere: nobody is there to have the name.
 #[test]
-fn a_name_whose_last_life_was_ahead_is_had_by_the_one_that_is_there() {
-    let mut net = Net::agreed(16, 8);
+fn a_live_process_takes_over_a_name_last_used_with_a_later_start() {
+    let mut net = Net::converged(16, 8);
     net.kill(3);
     net.nodes.remove(&address(3));
     net.start_at(3, address(200), WALL - 3_600_000);
@@ -282,28 +285,30 @@
         let mut others = net.nodes.values();
         others.all(|node| {
             let view = node.members.view(net.now);
-            let of = view.members.into_iter().find(|of| of.name == name(3));
-            of.is_some_and(|of| of.card.address == address(200) && of.condition == Condition::Alive)
+            let of = view.members.into_iter().find(|member| member.name == name(3));
+            of.is_some_and(|member| {
+                member.metadata.address == address(200) && member.condition == Condition::Alive
+            })
         })
     };
-    assert!(net.until(60 * SECOND, there));
+    assert!(net.run_until(60 * SECOND, there));
     net.run(60 * SECOND);
-    assert!(there(&net) && net.agree());
+    assert!(there(&net) && net.digests_agree());
 }
 
 /// A message from a member with the key that says what is not so.
-fn lie(from: usize, updates: Vec<Update>) -> Message {
-    let incarnation = Incarnation::starting(WALL);
+fn forged_gossip(from: usize, updates: Vec<Update>) -> Message {
+    let incarnation = Incarnation::initial(WALL);
     Message {
         from: Sender { name: name(from), incarnation, address: address(from) },
-        kind: Kind::Gossip,
+        kind: MessageKind::Gossip,
         updates,
     }
 }
 
 #[test]
-fn a_liar_takes_nobody_out() {
-    let mut net = Net::agreed(17, 12);
+fn false_updates_from_a_member_with_the_key_fail_no_member() {
+    let mut net = Net::converged(17, 12);
     let at = net.now;
     let far = [
         Incarnation { start: u64::MAX, round: 0 },
@@ -311,39 +316,43 @@
         Incarnation { start: WALL + 1, round: 0 },
         Incarnation { start: WALL, round: 4_000 },
     ];
-    for turn in 0..600 {
-        let incarnation = far[turn % far.len()];
-        let victim = name(1 + turn % 9);
-        let claims = [
-            Claim::Failed,
-            Claim::Suspect { by: name(11) },
-            Claim::Left,
-            Claim::Alive(Card::at(address(11))),
+    for step in 0..600 {
+        let incarnation = far[step % far.len()];
+        let victim = name(1 + step % 9);
+        let states = [
+            ReportedState::Failed,
+            ReportedState::Suspect { by: name(11) },
+            ReportedState::Left,
+            ReportedState::Alive(Metadata::new(address(11))),
         ];
-        let claim = claims[turn / 4 % claims.len()].clone();
-        let listener = address(1 + turn % 11);
+        let state = states[step / 4 % states.len()].clone();
+        let listener = address(1 + step % 11);
         let now = net.now;
         let mut out = Vec::new();
-        let update = Update { name: victim, incarnation, claim };
-        net.nodes.get_mut(&listener).expect("there").members.hear(now, lie(10, vec![update]), &mut out);
-        net.carry(listener, out);
+        let update = Update { name: victim, incarnation, state };
+        net.nodes.get_mut(&listener).expect("there").members.handle_message(
+            now,
+            forged_gossip(10, vec![update]),
+            &mut out,
+        );
+        net.perform(listener, out);
         net.run(SECOND / 10);
     }
-    let whole = |net: &Net| (0..12).all(|number| net.everyone(number, Condition::Alive));
-    assert!(net.until(60 * SECOND, whole));
+    let whole = |net: &Net| (0..12).all(|number| net.all_see(number, Condition::Alive));
+    assert!(net.run_until(60 * SECOND, whole));
     assert_eq!(net.failed_since(at).len(), 0, "{:?}", net.failed_since(at));
     for (at, node) in &net.nodes {
-        assert_ne!(node.members.standing(), Standing::Replaced, "{at}");
+        assert_ne!(node.members.cluster_status(), ClusterStatus::Replaced, "{at}");
     }
 }
 
 /// What is sent does not grow with how many there are.
 #[test]
-fn a_calm_fleet_sends_the_same_whatever_its_size() {
+fn idle_traffic_per_member_is_independent_of_cluster_size() {
     let rates: Vec<f64> = [10, 40, 120]
         .into_iter()
         .map(|count| {
-            let mut net = Net::agreed(18, count);
+            let mut net = Net::converged(18, count);
             net.run(60 * SECOND);
             let before = net.bytes;
             net.run(60 * SECOND);
@@ -354,23 +363,23 @@
 }
 
 #[test]
-fn a_full_list_lets_no_more_in_and_says_so() {
-    let mut net = Net::new(19, Config { most: 6, ..Config::default() });
+fn a_full_member_list_rejects_joins_and_counts_them() {
+    let mut net = Net::new(19, Config { max_members: 6, ..Config::default() });
     (0..8).for_each(|number| net.start(number, WALL));
     net.run(30 * SECOND);
     assert!(net.nodes.values().all(|node| node.members.view(0).members.len() <= 6));
-    assert!(net.nodes.values().any(|node| node.members.counts().no_room > 0));
+    assert!(net.nodes.values().any(|node| node.members.counts().rejected_members > 0));
 }
 
 #[test]
-fn one_seed_plays_one_course() {
+fn the_same_seed_gives_the_same_run() {
     let play = || {
-        let mut net = Net::agreed(20, 20);
+        let mut net = Net::converged(20, 20);
         net.loss = 0.1;
         net.kill(3);
         net.run(40 * SECOND);
-        let news: Vec<_> = net.nodes.values().map(|node| node.news.clone()).collect();
-        (net.sent, net.bytes, news)
+        let events: Vec<_> = net.nodes.values().map(|node| node.events.clone()).collect();
+        (net.sent, net.bytes, events)
     };
     assert_eq!(play(), play());
 }
--- a/members/tests/single.rs
+++ b/members/tests/single.rs
@@ -14,65 +14,69 @@
     SocketAddr::from(([10, 0, 0, text.as_bytes()[0]], 7_000))
 }
 
-fn life(round: u32) -> Incarnation {
+fn incarnation(round: u32) -> Incarnation {
     Incarnation { start: WALL, round }
 }
 
-struct One {
-    members: Members,
+struct Fixture {
+    members: Membership,
     now: Micros,
     sent: Vec<(SocketAddr, Message)>,
-    told: Vec<News>,
+    notified: Vec<MemberEvent>,
 }
 
-impl One {
+impl Fixture {
     /// Called `me`, which knows these.
-    fn knowing(others: &[&str]) -> One {
-        let card = Card::at(address("m"));
-        let members = Members::new(Config::default(), name("me"), card, vec![], 1, 0, WALL).expect("good");
-        let mut one = One { members, now: 0, sent: Vec::new(), told: Vec::new() };
+    fn with_members(others: &[&str]) -> Fixture {
+        let card = Metadata::new(address("m"));
+        let members = Membership::new(Config::default(), name("me"), card, vec![], 1, 0, WALL).expect("good");
+        let mut one = Fixture { members, now: 0, sent: Vec::new(), notified: Vec::new() };
         for other in others {
-            one.says(other, Kind::Gossip, &[(other, life(0), Claim::Alive(Card::at(address(other))))]);
+            one.receive(
+                other,
+                MessageKind::Gossip,
+                &[(other, incarnation(0), ReportedState::Alive(Metadata::new(address(other))))],
+            );
         }
         one
     }
 
-    fn heed(&mut self, out: Vec<Out>) {
+    fn record_actions(&mut self, out: Vec<Action>) {
         for out in out {
             match out {
-                Out::Send { to, message } => self.sent.push((to, message)),
-                Out::Tell(news) => self.told.push(news),
+                Action::Send { to, message } => self.sent.push((to, message)),
+                Action::Notify(event) => self.notified.push(event),
             }
         }
     }
 
-    fn says(&mut self, who: &str, kind: Kind, updates: &[(&str, Incarnation, Claim)]) {
-        let from = Sender { name: name(who), incarnation: life(0), address: address(who) };
-        let update = |(of, incarnation, claim): &(&str, Incarnation, Claim)| Update {
-            name: name(of),
+    fn receive(&mut self, who: &str, kind: MessageKind, updates: &[(&str, Incarnation, ReportedState)]) {
+        let from = Sender { name: name(who), incarnation: incarnation(0), address: address(who) };
+        let update = |(member, incarnation, state): &(&str, Incarnation, ReportedState)| Update {
+            name: name(member),
             incarnation: *incarnation,
-            claim: claim.clone(),
+            state: state.clone(),
         };
         let message = Message { from, kind, updates: updates.iter().map(update).collect() };
         let mut out = Vec::new();
-        self.members.hear(self.now, message, &mut out);
-        self.heed(out);
+        self.members.handle_message(self.now, message, &mut out);
+        self.record_actions(out);
     }
 
     /// Time passes; `answers` do so at once, without a word of what is said of them.
-    fn passes(&mut self, time: Micros, answers: &[&str]) {
+    fn advance(&mut self, time: Micros, answers: &[&str]) {
         let until = self.now + time;
-        while let Some(at) = self.members.wakes_at().filter(|at| *at <= until) {
+        while let Some(at) = self.members.next_timeout().filter(|at| *at <= until) {
             self.now = at.max(self.now);
             let mut out = Vec::new();
-            self.members.wake(self.now, &mut out);
+            self.members.handle_timeout(self.now, &mut out);
             let before = self.sent.len();
-            self.heed(out);
+            self.record_actions(out);
             let new: Vec<Message> = self.sent[before..].iter().map(|(_, message)| message.clone()).collect();
             for message in new {
-                if let Kind::Ping { number, to } = message.kind {
+                if let MessageKind::Ping { number, to } = message.kind {
                     if answers.contains(&to.as_str()) {
-                        self.says(to.as_str(), Kind::Ack { number, digest: 0 }, &[]);
+                        self.receive(to.as_str(), MessageKind::Ack { number, digest: 0 }, &[]);
                     }
                 }
             }
@@ -80,164 +84,184 @@
         self.now = until;
     }
 
-    fn is(&self, who: &str) -> Option<Condition> {
+    fn condition(&self, who: &str) -> Option<Condition> {
         self.members.condition(&name(who))
     }
 
-    fn asked_for(&self, who: &str) -> usize {
+    fn indirect_probes_for(&self, who: &str) -> usize {
         let asks = self.sent.iter().filter(
-            |(_, message)| matches!(&message.kind, Kind::PingFor { target, .. } if target.as_str() == who),
+            |(_, message)| matches!(&message.kind, MessageKind::PingFor { target, .. } if target.as_str() == who),
         );
         asks.count()
     }
 }
 
-fn suspect(by: &str) -> Claim {
-    Claim::Suspect { by: name(by) }
+fn suspect(by: &str) -> ReportedState {
+    ReportedState::Suspect { by: name(by) }
 }
 
 /// Somebody can't hear it; this one can. It does not even contradict, as it is slow to.
 #[test]
-fn who_answers_here_does_not_fail_here_by_the_word_of_others() {
-    let mut one = One::knowing(&["a", "b", "x"]);
+fn a_member_that_acks_directly_is_not_failed_by_reports_of_others() {
+    let mut one = Fixture::with_members(&["a", "b", "x"]);
     for _ in 0..20 {
-        one.says("a", Kind::Gossip, &[("x", life(0), suspect("a")), ("x", life(0), Claim::Failed)]);
-        one.says("b", Kind::Gossip, &[("x", life(0), suspect("b")), ("x", life(0), Claim::Failed)]);
-        one.passes(2 * SECOND, &["a", "b", "x"]);
+        one.receive(
+            "a",
+            MessageKind::Gossip,
+            &[("x", incarnation(0), suspect("a")), ("x", incarnation(0), ReportedState::Failed)],
+        );
+        one.receive(
+            "b",
+            MessageKind::Gossip,
+            &[("x", incarnation(0), suspect("b")), ("x", incarnation(0), ReportedState::Failed)],
+        );
+        one.advance(2 * SECOND, &["a", "b", "x"]);
     }
-    assert!(one.told.iter().all(|news| news.what != What::Failed), "{:?}", one.told);
+    assert!(one.notified.iter().all(|event| event.kind != MemberEventKind::Failed), "{:?}", one.notified);
     // Where it does not answer, it does.
-    one.says("a", Kind::Gossip, &[("x", life(0), suspect("a"))]);
-    one.passes(30 * SECOND, &["a", "b"]);
-    assert_eq!(one.is("x"), Some(Condition::Failed));
+    one.receive("a", MessageKind::Gossip, &[("x", incarnation(0), suspect("a"))]);
+    one.advance(30 * SECOND, &["a", "b"]);
+    assert_eq!(one.condition("x"), Some(Condition::Failed));
 }
 
 #[test]
-fn an_accusation_holds_of_the_present_incarnation_alone() {
-    let mut one = One::knowing(&["a", "x"]);
+fn a_suspicion_applies_only_to_the_known_incarnation() {
+    let mut one = Fixture::with_members(&["a", "x"]);
     for round in [1, 7] {
-        one.says("a", Kind::Gossip, &[("x", life(round), suspect("a"))]);
-        one.says("a", Kind::Gossip, &[("x", life(round), Claim::Failed)]);
-        assert_eq!(one.is("x"), Some(Condition::Alive), "round {round} was not announced");
+        one.receive("a", MessageKind::Gossip, &[("x", incarnation(round), suspect("a"))]);
+        one.receive("a", MessageKind::Gossip, &[("x", incarnation(round), ReportedState::Failed)]);
+        assert_eq!(one.condition("x"), Some(Condition::Alive), "round {round} was not announced");
     }
-    assert_eq!(one.members.counts().disbelieved, 4);
-    one.says("x", Kind::Gossip, &[("x", life(2), Claim::Alive(Card::at(address("x"))))]);
-    one.says("a", Kind::Gossip, &[("x", life(1), suspect("a"))]);
-    assert_eq!(one.is("x"), Some(Condition::Alive), "that was contradicted");
-    one.says("a", Kind::Gossip, &[("x", life(2), suspect("a"))]);
-    assert_eq!(one.is("x"), Some(Condition::Suspected));
+    assert_eq!(one.members.counts().rejected_updates, 4);
+    one.receive(
+        "x",
+        MessageKind::Gossip,
+        &[("x", incarnation(2), ReportedState::Alive(Metadata::new(address("x"))))],
+    );
+    one.receive("a", MessageKind::Gossip, &[("x", incarnation(1), suspect("a"))]);
+    assert_eq!(one.condition("x"), Some(Condition::Alive), "that was contradicted");
+    one.receive("a", MessageKind::Gossip, &[("x", incarnation(2), suspect("a"))]);
+    assert_eq!(one.condition("x"), Some(Condition::Suspected));
 }
 
 #[test]
-fn who_has_failed_accuses_nobody() {
-    let mut one = One::knowing(&["a", "x", "y"]);
-    one.says("x", Kind::Gossip, &[("a", life(0), suspect("x"))]);
-    one.passes(30 * SECOND, &["x", "y"]);
-    assert_eq!(one.is("a"), Some(Condition::Failed));
-    one.says("a", Kind::Gossip, &[("x", life(0), suspect("a"))]);
+fn suspicions_by_a_failed_member_are_rejected() {
+    let mut one = Fixture::with_members(&["a", "x", "y"]);
+    one.receive("x", MessageKind::Gossip, &[("a", incarnation(0), suspect("x"))]);
+    one.advance(30 * SECOND, &["x", "y"]);
+    assert_eq!(one.condition("a"), Some(Condition::Failed));
+    one.receive("a", MessageKind::Gossip, &[("x", incarnation(0), suspect("a"))]);
     // Nor by somebody else's mouth.
-    one.says("y", Kind::Gossip, &[("x", life(0), suspect("a"))]);
-    assert_eq!(one.is("x"), Some(Condition::Alive));
-    assert_eq!(one.members.counts().disbelieved, 2);
+    one.receive("y", MessageKind::Gossip, &[("x", incarnation(0), suspect("a"))]);
+    assert_eq!(one.condition("x"), Some(Condition::Alive));
+    assert_eq!(one.members.counts().rejected_updates, 2);
 }
 
 /// What is heard of a life that is over may be old, or sent again by anybody.
 #[test]
-fn a_life_that_is_over_accuses_nobody() {
-    let mut one = One::knowing(&["x", "y"]);
-    let next = Incarnation::starting(WALL + 5);
-    one.says("y", Kind::Gossip, &[("y", next, Claim::Alive(Card::at(address("y"))))]);
-    one.says("y", Kind::Gossip, &[("x", life(0), suspect("y"))]);
-    assert_eq!(one.is("x"), Some(Condition::Alive));
+fn suspicions_from_a_superseded_start_are_rejected() {
+    let mut one = Fixture::with_members(&["x", "y"]);
+    let next_sequence = Incarnation::initial(WALL + 5);
+    one.receive(
+        "y",
+        MessageKind::Gossip,
+        &[("y", next_sequence, ReportedState::Alive(Metadata::new(address("y"))))],
+    );
+    one.receive("y", MessageKind::Gossip, &[("x", incarnation(0), suspect("y"))]);
+    assert_eq!(one.condition("x"), Some(Condition::Alive));
 }
 
 /// Others are asked to ask, and an answer that comes by one of them is an answer.
 #[test]
-fn helpers_are_asked_where_no_answer_comes() {
-    let mut one = One::knowing(&["a", "b", "x"]);
-    one.passes(3 * SECOND, &["a", "b"]);
-    assert!(one.asked_for("x") > 0 && one.asked_for("a") == 0);
-    let mut one = One::knowing(&["a", "b", "x"]);
+fn indirect_probes_are_sent_when_no_ack_arrives() {
+    let mut one = Fixture::with_members(&["a", "b", "x"]);
+    one.advance(3 * SECOND, &["a", "b"]);
+    assert!(one.indirect_probes_for("x") > 0 && one.indirect_probes_for("a") == 0);
+    let mut one = Fixture::with_members(&["a", "b", "x"]);
     for _ in 0..60 {
-        one.passes(SECOND / 20, &["a", "b"]);
+        one.advance(SECOND / 20, &["a", "b"]);
         let asked = one.sent.drain(..).filter_map(|(_, message)| match message.kind {
-            Kind::PingFor { number, .. } => Some(number),
+            MessageKind::PingFor { number, .. } => Some(number),
             _ => None,
         });
         let asked: Vec<u32> = asked.collect();
         for number in asked {
-            one.says("a", Kind::Ack { number, digest: 0 }, &[]);
+            one.receive("a", MessageKind::Ack { number, digest: 0 }, &[]);
         }
     }
-    assert_eq!(one.is("x"), Some(Condition::Alive));
-    assert_eq!(one.members.counts().unanswered, 0);
+    assert_eq!(one.condition("x"), Some(Condition::Alive));
+    assert_eq!(one.members.counts().failed_probes, 0);
 }
 
 /// It is asked for others, answers for them, and says so where none came.
 #[test]
-fn it_asks_for_others_up_to_a_bound() {
-    let mut one = One::knowing(&["a", "x"]);
-    let ask = |number| Kind::PingFor { number, target: name("x"), at: address("x") };
-    one.says("a", ask(7), &[]);
+fn indirect_probes_are_relayed_up_to_a_bound() {
+    let mut one = Fixture::with_members(&["a", "x"]);
+    let ask = |number| MessageKind::PingFor { number, target: name("x"), at: address("x") };
+    one.receive("a", ask(7), &[]);
     let number = one.sent.iter().find_map(|(to, message)| match message.kind {
-        Kind::Ping { number, .. } if *to == address("x") => Some(number),
+        MessageKind::Ping { number, .. } if *to == address("x") => Some(number),
         _ => None,
     });
-    one.says("x", Kind::Ack { number: number.expect("it asks"), digest: 0 }, &[]);
-    let told = |one: &One, wanted: fn(&Kind) -> bool| {
+    one.receive("x", MessageKind::Ack { number: number.expect("it asks"), digest: 0 }, &[]);
+    let sent_to_a = |one: &Fixture, wanted: fn(&MessageKind) -> bool| {
         one.sent.iter().filter(|(to, message)| *to == address("a") && wanted(&message.kind)).count()
     };
-    assert_eq!(told(&one, |kind| matches!(kind, Kind::Ack { number: 7, .. })), 1);
+    assert_eq!(sent_to_a(&one, |kind| matches!(kind, MessageKind::Ack { number: 7, .. })), 1);
     for number in 0..100 {
-        one.says("a", ask(number), &[]);
+        one.receive("a", ask(number), &[]);
     }
-    one.passes(SECOND, &["a"]);
-    assert_eq!(told(&one, |kind| matches!(kind, Kind::Nack { .. })), 64, "no more are open at a time");
+    one.advance(SECOND, &["a"]);
+    assert_eq!(
+        sent_to_a(&one, |kind| matches!(kind, MessageKind::Nack { .. })),
+        64,
+        "no more are open at a time"
+    );
 }
 
 #[test]
-fn whoever_asks_hears_what_is_said_of_it() {
-    let mut one = One::knowing(&["a", "x"]);
-    one.says("a", Kind::Gossip, &[("x", life(0), suspect("a"))]);
+fn an_ack_carries_the_suspicion_of_the_prober() {
+    let mut one = Fixture::with_members(&["a", "x"]);
+    one.receive("a", MessageKind::Gossip, &[("x", incarnation(0), suspect("a"))]);
     one.sent.clear();
-    one.says("x", Kind::Ping { number: 1, to: name("me") }, &[]);
+    one.receive("x", MessageKind::Ping { number: 1, to: name("me") }, &[]);
     let (_, answer) = one.sent.pop().expect("an answer");
     assert!(answer
         .updates
         .iter()
-        .any(|of| of.name == name("x") && matches!(of.claim, Claim::Suspect { .. })));
+        .any(|member| member.name == name("x") && matches!(member.state, ReportedState::Suspect { .. })));
     // One that is meant for somebody else is not answered.
-    one.says("x", Kind::Ping { number: 2, to: name("before") }, &[]);
+    one.receive("x", MessageKind::Ping { number: 2, to: name("before") }, &[]);
     assert!(one.sent.is_empty());
 }
 
 /// Helpers that have no answer either say that the trouble is there; silent ones, that it is here. Answers in time end
 /// the doubt.
 #[test]
-fn it_doubts_itself_where_helpers_are_silent_and_trusts_itself_again() {
+fn silent_helpers_raise_the_health_score_and_acks_lower_it() {
     let play = |nacks: bool| {
-        let mut one = One::knowing(&["a", "b", "x"]);
+        let mut one = Fixture::with_members(&["a", "b", "x"]);
         for _ in 0..400 {
-            one.passes(SECOND / 20, &["a", "b"]);
+            one.advance(SECOND / 20, &["a", "b"]);
             let asked: Vec<(SocketAddr, Message)> = one.sent.drain(..).collect();
             for (to, message) in asked {
-                if let Kind::PingFor { number, .. } = message.kind {
+                if let MessageKind::PingFor { number, .. } = message.kind {
                     let helper = if to == address("a") { "a" } else { "b" };
                     if nacks {
-                        one.says(helper, Kind::Nack { number }, &[]);
+                        one.receive(helper, MessageKind::Nack { number }, &[]);
                     }
                 }
             }
-            if one.members.counts().unanswered > 0 {
+            if one.members.counts().failed_probes > 0 {
                 break;
             }
         }
         one
     };
-    let doubt = |one: &One| one.members.view(one.now).doubt;
+    let doubt = |one: &Fixture| one.members.view(one.now).health_score;
     assert_eq!(doubt(&play(true)), 0);
     let mut alone = play(false);
     assert!(doubt(&alone) > 0);
-    alone.passes(60 * SECOND, &["a", "b", "x"]);
+    alone.advance(60 * SECOND, &["a", "b", "x"]);
     assert_eq!(doubt(&alone), 0);
 }
--- a/members/wire/src/codec.rs
+++ b/members/wire/src/codec.rs
@@ -9,13 +9,13 @@
 /// The version of the form. Another is refused before anything of it is read.
 const VERSION: u8 = 1;
 /// Bytes of the MAC.
-const MAC: usize = 16;
+const MAC_BYTES: usize = 16;
 /// Bytes before the message.
-const HEAD: usize = 1 + MAC;
+const HEADER_BYTES: usize = 1 + MAC_BYTES;
 /// Most bytes of a datagram beside the message itself.
-pub const OVERHEAD_MOST: usize = HEAD + 20;
+pub const MAX_OVERHEAD_BYTES: usize = HEADER_BYTES + 20;
 /// Most bytes of a datagram that is heard.
-pub(crate) const DATAGRAM_MOST: usize = 9_000;
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 9_000;
 
 /// A message on its way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
 
 /// Why a datagram is not heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum DecodeError {
     /// It is shorter than any, or longer than any.
     Size,
     /// It is of another version.
@@ -38,16 +38,16 @@
     /// It was not made with this key, or was changed on its way.
     Mac,
     /// It was made with this key and can't be read all the same, or has bytes behind its end.
-    Form,
+    Malformed,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Size => f.write_str("its size is none that a datagram has"),
-            Refused::Version(version) => write!(f, "its version is {version}, not {VERSION}"),
-            Refused::Mac => f.write_str("its MAC is not by this key"),
-            Refused::Form => f.write_str("it can't be read"),
+            DecodeError::Size => f.write_str("its size is none that a datagram has"),
+            DecodeError::Version(version) => write!(f, "its version is {version}, not {VERSION}"),
+            DecodeError::Mac => f.write_str("its MAC is not by this key"),
+            DecodeError::Malformed => f.write_str("it can't be read"),
         }
     }
 }
@@ -87,11 +87,11 @@
     /// # Errors
     ///
     /// It can't be written in its form.
-    pub fn write(&self, frame: &Frame) -> Result<Vec<u8>, String> {
+    pub fn encode(&self, frame: &Frame) -> Result<Vec<u8>, String> {
         let body = postcard::to_stdvec(frame).map_err(|error| error.to_string())?;
-        let mut datagram = Vec::with_capacity(HEAD + body.len());
+        let mut datagram = Vec::with_capacity(HEADER_BYTES + body.len());
         datagram.push(VERSION);
-        datagram.extend_from_slice(&self.mac(&body).finalize().into_bytes()[..MAC]);
+        datagram.extend_from_slice(&self.mac(&body).finalize().into_bytes()[..MAC_BYTES]);
         datagram.extend_from_slice(&body);
         Ok(datagram)
     }
@@ -101,19 +101,19 @@
     /// # Errors
     ///
     /// It is none that this key has made.
-    pub fn read(&self, datagram: &[u8]) -> Result<Frame, Refused> {
-        if !(HEAD..=DATAGRAM_MOST).contains(&datagram.len()) {
-            return Err(Refused::Size);
+    pub fn decode(&self, datagram: &[u8]) -> Result<Frame, DecodeError> {
+        if !(HEADER_BYTES..=MAX_DATAGRAM_BYTES).contains(&datagram.len()) {
+            return Err(DecodeError::Size);
         }
-        let (head, body) = datagram.split_at(HEAD);
-        if head[0] != VERSION {
-            return Err(Refused::Version(head[0]));
+        let (header, body) = datagram.split_at(HEADER_BYTES);
+        if header[0] != VERSION {
+            return Err(DecodeError::Version(header[0]));
         }
         // In constant time.
-        self.mac(body).verify_truncated_left(&head[1..]).map_err(|_| Refused::Mac)?;
+        self.mac(body).verify_truncated_left(&header[1..]).map_err(|_| DecodeError::Mac)?;
         match postcard::take_from_bytes(body) {
             Ok((frame, [])) => Ok(frame),
-            _ => Err(Refused::Form),
+            _ => Err(DecodeError::Malformed),
         }
     }
 }
--- a/members/wire/src/lib.rs
+++ b/members/wire/src/lib.rs
@@ -10,11 +10,11 @@
 #![warn(missing_docs)]
 
 mod codec;
+mod replay_window;
 mod service;
 mod settings;
-mod window;
 
-pub use codec::{Codec, Frame, Refused, OVERHEAD_MOST};
-pub use service::{start, Handle, Report, Running, Tallies, Told};
+pub use codec::{Codec, DecodeError, Frame, MAX_OVERHEAD_BYTES};
+pub use replay_window::ReplayWindows;
+pub use service::{start, DatagramCounts, Handle, MemberService, MembershipEvent, Report};
 pub use settings::Settings;
-pub use window::Windows;
--- a/members/wire/src/service.rs
+++ b/members/wire/src/service.rs
@@ -1,9 +1,11 @@
 //! A member at its socket: it hears, says and waits as the core wants.
 
-use crate::codec::{Codec, Frame, Refused, DATAGRAM_MOST, OVERHEAD_MOST};
+use crate::codec::{Codec, DecodeError, Frame, MAX_DATAGRAM_BYTES, MAX_OVERHEAD_BYTES};
+use crate::replay_window::ReplayWindows;
 use crate::settings::Settings;
-use crate::window::Windows;
-use nettleworks_members::{Card, Members, Micros, Name, News, Out, Rate, Standing, View};
+use nettleworks_members::{
+    Action, ClusterStatus, MemberEvent, Membership, MembershipView, Metadata, Micros, Name, RateLimiter,
+};
 use rand::rngs::SysRng;
 use rand::TryRng;
 use std::future::Future;
@@ -15,68 +17,68 @@
 use tokio::time::{sleep_until, Instant};
 
 /// News that a subscriber may be behind; one that is further behind hears how much it has missed.
-const NEWS_KEPT: usize = 1_024;
+const EVENT_BUFFER: usize = 1_024;
 /// Datagrams that are read in one turn, before anything else has one.
-const TURN: usize = 64;
+const READS_PER_TURN: usize = 64;
 /// Commands that wait.
-const COMMANDS: usize = 16;
+const COMMAND_BUFFER: usize = 16;
 /// Sessions whose datagrams are counted, for each member that may be known: its last life and this one.
-const SESSIONS: usize = 2;
+const SESSIONS_PER_MEMBER: usize = 2;
 /// At most one line a second about datagrams that are not heard.
-const SAY_EVERY: Duration = Duration::from_secs(1);
+const DECODE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Something that subscribers are told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum MembershipEvent {
     /// Of a member.
-    News(News),
+    Member(MemberEvent),
     /// This process stands otherwise.
-    Stands(Standing),
+    Cluster(ClusterStatus),
 }
 
 /// What was counted at the socket since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tallies {
+pub struct DatagramCounts {
     /// Datagrams that went out.
     pub sent: u64,
     /// Their bytes.
     pub sent_bytes: u64,
     /// Datagrams that came in and were heard.
-    pub heard: u64,
+    pub received: u64,
     /// Bytes of all that came in.
-    pub heard_bytes: u64,
+    pub received_bytes: u64,
     /// Not sent, as too many were.
-    pub over_sent: u64,
+    pub rate_limited_sends: u64,
     /// Not looked at, as too many came.
-    pub over_heard: u64,
+    pub rate_limited_receives: u64,
     /// Of no size or form that a datagram has.
     pub malformed: u64,
     /// Of another version.
-    pub other_version: u64,
+    pub unsupported_version: u64,
     /// Not made with the key.
     pub forged: u64,
     /// Heard before.
     pub replayed: u64,
     /// The system did not take them.
-    pub not_sent: u64,
+    pub send_errors: u64,
 }
 
 /// What is shown of a member.
 #[derive(Clone, Debug)]
 pub struct Report {
     /// The core's view.
-    pub view: View,
+    pub view: MembershipView,
     /// The socket's counts.
-    pub tallies: Tallies,
+    pub datagrams: DatagramCounts,
     /// How long it has run.
-    pub up: Duration,
+    pub uptime: Duration,
     /// Where the others reach it.
     pub address: SocketAddr,
 }
 
 enum Command {
     Report(oneshot::Sender<Report>),
-    Card(Box<Settings>, oneshot::Sender<Result<(), String>>),
+    Metadata(Box<Settings>, oneshot::Sender<Result<(), String>>),
     Leave,
 }
 
@@ -84,7 +86,7 @@
 #[derive(Clone, Debug)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
-    told: broadcast::Sender<Told>,
+    events: broadcast::Sender<MembershipEvent>,
     address: SocketAddr,
 }
 
@@ -108,8 +110,8 @@
     }
 
     /// News from now on. A receiver that is 1,024 behind is told how many it has missed: it asks for a report then.
-    pub fn subscribe(&self) -> broadcast::Receiver<Told> {
-        self.told.subscribe()
+    pub fn subscribe(&self) -> broadcast::Receiver<MembershipEvent> {
+        self.events.subscribe()
     }
 
     /// Takes over zone, region, role and capacity of new settings.
@@ -120,12 +122,12 @@
     pub async fn reload(&self, settings: Settings) -> Result<(), String> {
         let (answer, done) = oneshot::channel();
         let ended = || "this member has ended".to_owned();
-        let command = Command::Card(Box::new(settings), answer);
+        let command = Command::Metadata(Box::new(settings), answer);
         self.commands.send(command).await.map_err(|_| ended())?;
         done.await.map_err(|_| ended())?
     }
 
-    /// Says to the others that it goes. What [`Running::run`] gave ends soon after.
+    /// Says to the others that it goes. What [`MemberService::run`] gave ends soon after.
     pub async fn leave(&self) {
         // One that has ended is gone.
         let _ = self.commands.send(Command::Leave).await;
@@ -133,23 +135,23 @@
 }
 
 /// A member at its socket, ready to run.
-pub struct Running {
+pub struct MemberService {
     settings: Settings,
     version: String,
     socket: UdpSocket,
     codec: Codec,
-    members: Members,
+    membership: Membership,
     session: u64,
     counter: u64,
-    windows: Windows,
-    sends: Rate,
-    hears: Rate,
-    tallies: Tallies,
-    stands: Standing,
-    began: Instant,
-    said: Option<Instant>,
+    replay_windows: ReplayWindows,
+    send_limiter: RateLimiter,
+    receive_limiter: RateLimiter,
+    datagrams: DatagramCounts,
+    last_cluster_status: ClusterStatus,
+    started_at: Instant,
+    last_decode_log: Option<Instant>,
     commands: mpsc::Receiver<Command>,
-    told: broadcast::Sender<Told>,
+    events: broadcast::Sender<MembershipEvent>,
     address: SocketAddr,
     log: Arc<dyn Fn(&str) + Send + Sync>,
 }
@@ -163,7 +165,7 @@
     settings: Settings,
     version: &str,
     log: impl Fn(&str) + Send + Sync + 'static,
-) -> Result<(Handle, Running), String> {
+) -> Result<(Handle, MemberService), String> {
     let codec = settings.codec()?;
     let bad = |error: std::io::Error| format!("{}: {error}", settings.listen);
     let socket = UdpSocket::bind(settings.listen).await.map_err(bad)?;
@@ -172,36 +174,36 @@
         None => socket.local_addr().map_err(bad)?,
     };
     let drawn = || SysRng.try_next_u64().map_err(|error| format!("no random numbers: {error}"));
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
+    let wall_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let name = Name::new(&settings.name).map_err(|error| error.to_string())?;
-    let members = Members::new(
+    let membership = Membership::new(
         settings.config()?,
         name,
-        settings.card(address, version),
+        settings.metadata(address, version),
         settings.seeds.clone(),
         drawn()?,
         0,
-        u64::try_from(wall).unwrap_or(0),
+        u64::try_from(wall_ms).unwrap_or(0),
     )?;
-    let (commands, received) = mpsc::channel(COMMANDS);
-    let (told, _) = broadcast::channel(NEWS_KEPT);
-    let handle = Handle { commands, told: told.clone(), address };
-    let running = Running {
+    let (commands, received) = mpsc::channel(COMMAND_BUFFER);
+    let (events, _) = broadcast::channel(EVENT_BUFFER);
+    let handle = Handle { commands, events: events.clone(), address };
+    let running = MemberService {
         version: version.to_owned(),
         socket,
         codec,
-        stands: members.standing(),
-        members,
+        last_cluster_status: membership.cluster_status(),
+        membership,
         session: drawn()?,
         counter: 0,
-        windows: Windows::new(SESSIONS * settings.most),
-        sends: Rate::new(settings.sends_a_second, 0),
-        hears: Rate::new(settings.hears_a_second, 0),
-        tallies: Tallies::default(),
-        began: Instant::now(),
-        said: None,
+        replay_windows: ReplayWindows::new(SESSIONS_PER_MEMBER * settings.most),
+        send_limiter: RateLimiter::new(settings.sends_a_second, 0),
+        receive_limiter: RateLimiter::new(settings.hears_a_second, 0),
+        datagrams: DatagramCounts::default(),
+        started_at: Instant::now(),
+        last_decode_log: None,
         commands: received,
-        told,
+        events,
         address,
         log: Arc::new(log),
         settings,
@@ -209,38 +211,38 @@
     Ok((handle, running))
 }
 
-impl Running {
+impl MemberService {
     /// Runs until it has left, another process has its name, or nobody can ask it any more.
     pub async fn run(mut self) {
         (self.log)(&format!("members: {} hears at {}", self.settings.name, self.address));
-        let mut buffer = vec![0; DATAGRAM_MOST + 1];
-        let mut out = Vec::new();
-        while let Some(wakes_at) = self.members.wakes_at() {
-            let wakes_at = self.began + Duration::from_micros(wakes_at);
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
+        let mut actions = Vec::new();
+        while let Some(timeout_at) = self.membership.next_timeout() {
+            let timeout_at = self.started_at + Duration::from_micros(timeout_at);
             tokio::select! {
                 // What has come is read before time is said to have passed: answers may lie there.
                 biased;
                 command = self.commands.recv() => match command {
-                    Some(command) => self.heed(command, &mut out),
+                    Some(command) => self.handle_command(command, &mut actions),
                     None => return,
                 },
                 heard = self.socket.recv_from(&mut buffer) => {
                     // Errors are what came back of something sent: nobody hears there.
                     if let Ok((size, _)) = heard {
-                        self.hear(&buffer[..size], &mut out);
+                        self.handle_datagram(&buffer[..size], &mut actions);
                     }
-                    self.hear_more(&mut buffer, &mut out);
-                    if self.now() >= self.members.wakes_at().unwrap_or(Micros::MAX) {
+                    self.drain_socket(&mut buffer, &mut actions);
+                    if self.now() >= self.membership.next_timeout().unwrap_or(Micros::MAX) {
                         let now = self.now();
-                        self.members.wake(now, &mut out);
+                        self.membership.handle_timeout(now, &mut actions);
                     }
                 }
-                () = sleep_until(wakes_at) => {
+                () = sleep_until(timeout_at) => {
                     let now = self.now();
-                    self.members.wake(now, &mut out);
+                    self.membership.handle_timeout(now, &mut actions);
                 }
             }
-            self.carry_out(&mut out);
+            self.perform_actions(&mut actions);
             // A flood of datagrams is no reason to keep others of this thread waiting.
             tokio::task::yield_now().await;
         }
@@ -248,73 +250,74 @@
     }
 
     fn now(&self) -> Micros {
-        u64::try_from(self.began.elapsed().as_micros()).unwrap_or(Micros::MAX)
+        u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    fn hear_more(&mut self, buffer: &mut [u8], out: &mut Vec<Out>) {
-        for _ in 1..TURN {
+    fn drain_socket(&mut self, buffer: &mut [u8], actions: &mut Vec<Action>) {
+        for _ in 1..READS_PER_TURN {
             match self.socket.try_recv_from(buffer) {
-                Ok((size, _)) => self.hear(&buffer[..size], out),
+                Ok((size, _)) => self.handle_datagram(&buffer[..size], actions),
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
                 Err(_) => {}
             }
         }
     }
 
-    fn hear(&mut self, datagram: &[u8], out: &mut Vec<Out>) {
+    fn handle_datagram(&mut self, datagram: &[u8], actions: &mut Vec<Action>) {
         let now = self.now();
-        self.tallies.heard_bytes += datagram.len() as u64;
-        if !self.hears.take(now) {
-            self.tallies.over_heard += 1;
+        self.datagrams.received_bytes += datagram.len() as u64;
+        if !self.receive_limiter.try_acquire(now) {
+            self.datagrams.rate_limited_receives += 1;
             return;
         }
-        let frame = match self.codec.read(datagram) {
+        let frame = match self.codec.decode(datagram) {
             Ok(frame) => frame,
-            Err(refused) => {
-                match refused {
-                    Refused::Size | Refused::Form => self.tallies.malformed += 1,
-                    Refused::Version(_) => self.tallies.other_version += 1,
-                    Refused::Mac => self.tallies.forged += 1,
+            Err(error) => {
+                match error {
+                    DecodeError::Size | DecodeError::Malformed => self.datagrams.malformed += 1,
+                    DecodeError::Version(_) => self.datagrams.unsupported_version += 1,
+                    DecodeError::Mac => self.datagrams.forged += 1,
                 }
-                if self.said.is_none_or(|said| said.elapsed() >= SAY_EVERY) {
-                    self.said = Some(Instant::now());
-                    (self.log)(&format!("members: a datagram is not heard: {refused}"));
+                if self.last_decode_log.is_none_or(|logged_at| logged_at.elapsed() >= DECODE_LOG_INTERVAL) {
+                    self.last_decode_log = Some(Instant::now());
+                    (self.log)(&format!("members: a datagram is not heard: {error}"));
                 }
                 return;
             }
         };
-        if frame.session == self.session || !self.windows.take(frame.session, frame.counter) {
-            self.tallies.replayed += 1;
+        if frame.session == self.session || !self.replay_windows.accept(frame.session, frame.counter) {
+            self.datagrams.replayed += 1;
             return;
         }
-        self.tallies.heard += 1;
-        self.members.hear(now, frame.message, out);
+        self.datagrams.received += 1;
+        self.membership.handle_message(now, frame.message, actions);
     }
 
-    fn heed(&mut self, command: Command, out: &mut Vec<Out>) {
+    fn handle_command(&mut self, command: Command, actions: &mut Vec<Action>) {
         let now = self.now();
         match command {
             Command::Report(answer) => {
-                let view = self.members.view(now);
-                let up = self.began.elapsed();
+                let view = self.membership.view(now);
+                let uptime = self.started_at.elapsed();
                 // Whoever asked may have gone.
-                let _ = answer.send(Report { view, tallies: self.tallies, up, address: self.address });
+                let _ =
+                    answer.send(Report { view, datagrams: self.datagrams, uptime, address: self.address });
             }
-            Command::Card(settings, answer) => {
-                let _ = answer.send(self.renew(now, *settings));
+            Command::Metadata(settings, answer) => {
+                let _ = answer.send(self.apply_settings(now, *settings));
             }
-            Command::Leave => self.members.leave(now, out),
+            Command::Leave => self.membership.leave(now, actions),
         }
     }
 
-    fn renew(&mut self, now: Micros, new: Settings) -> Result<(), String> {
-        let card: Card = new.card(self.address, &self.version);
+    fn apply_settings(&mut self, now: Micros, new: Settings) -> Result<(), String> {
+        let card: Metadata = new.metadata(self.address, &self.version);
         let of = |of: &Settings| {
             (of.name.clone(), of.listen, of.advertise, of.seeds.clone(), of.period_ms, of.most)
         };
         let differs = of(&new) != of(&self.settings);
-        if card != self.settings.card(self.address, &self.version) {
-            self.members.set_card(now, card)?;
+        if card != self.settings.metadata(self.address, &self.version) {
+            self.membership.set_metadata(now, card)?;
         }
         let Settings { zone, region, role, capacity, .. } = new;
         self.settings = Settings { zone, region, role, capacity, ..self.settings.clone() };
@@ -326,60 +329,60 @@
         }
     }
 
-    fn carry_out(&mut self, out: &mut Vec<Out>) {
+    fn perform_actions(&mut self, actions: &mut Vec<Action>) {
         let now = self.now();
-        for out in out.drain(..) {
-            match out {
-                Out::Tell(news) => {
-                    let unsettled = if news.unsettled { ", which comes and goes" } else { "" };
-                    (self.log)(&format!("members: {} has {}{unsettled}", news.name, word(&news)));
+        for actions in actions.drain(..) {
+            match actions {
+                Action::Notify(event) => {
+                    let flapping = if event.is_flapping { ", which comes and goes" } else { "" };
+                    (self.log)(&format!("members: {} has {}{flapping}", event.name, describe(&event)));
                     // Nobody may have subscribed.
-                    let _ = self.told.send(Told::News(news));
+                    let _ = self.events.send(MembershipEvent::Member(event));
                 }
-                Out::Send { to, message } => {
-                    if !self.sends.take(now) {
-                        self.tallies.over_sent += 1;
+                Action::Send { to, message } => {
+                    if !self.send_limiter.try_acquire(now) {
+                        self.datagrams.rate_limited_sends += 1;
                         continue;
                     }
                     let frame = Frame { session: self.session, counter: self.counter, message };
                     self.counter += 1;
                     // Where the system's buffer is full it is lost, as on the network.
-                    match self.codec.write(&frame).map(|datagram| self.socket.try_send_to(&datagram, to)) {
+                    match self.codec.encode(&frame).map(|datagram| self.socket.try_send_to(&datagram, to)) {
                         Ok(Ok(bytes)) => {
-                            self.tallies.sent += 1;
-                            self.tallies.sent_bytes += bytes as u64;
+                            self.datagrams.sent += 1;
+                            self.datagrams.sent_bytes += bytes as u64;
                         }
-                        _ => self.tallies.not_sent += 1,
+                        _ => self.datagrams.send_errors += 1,
                     }
                 }
             }
         }
-        let stands = self.members.standing();
-        if stands != self.stands {
-            self.stands = stands;
-            (self.log)(&format!("members: this process stands {}", stands.name()));
-            let _ = self.told.send(Told::Stands(stands));
+        let last_cluster_status = self.membership.cluster_status();
+        if last_cluster_status != self.last_cluster_status {
+            self.last_cluster_status = last_cluster_status;
+            (self.log)(&format!("members: this process stands {}", last_cluster_status.name()));
+            let _ = self.events.send(MembershipEvent::Cluster(last_cluster_status));
         }
     }
 }
 
-fn word(news: &News) -> &'static str {
-    use nettleworks_members::What;
-    match news.what {
-        What::Joined => "joined",
-        What::Suspected => "not answered somebody",
-        What::Cleared => "contradicted, or answered",
-        What::Failed => "failed",
-        What::Left => "left",
-        What::Back => "come back",
-        What::Changed => "another card",
+fn describe(event: &MemberEvent) -> &'static str {
+    use nettleworks_members::MemberEventKind;
+    match event.kind {
+        MemberEventKind::Joined => "joined",
+        MemberEventKind::Suspected => "not answered somebody",
+        MemberEventKind::SuspicionCleared => "contradicted, or answered",
+        MemberEventKind::Failed => "failed",
+        MemberEventKind::Left => "left",
+        MemberEventKind::Rejoined => "come back",
+        MemberEventKind::MetadataChanged => "another card",
     }
 }
 
 /// It runs on any thread.
-const _: fn(Running) = |running| {
+const _: fn(MemberService) = |running| {
     fn send(_: impl Future<Output = ()> + Send) {}
     send(running.run());
 };
 
-const _: () = assert!(OVERHEAD_MOST < 64);
+const _: () = assert!(MAX_OVERHEAD_BYTES < 64);
--- a/members/wire/src/settings.rs
+++ b/members/wire/src/settings.rs
@@ -1,15 +1,15 @@
 //! What the file of members says.
 
-use crate::codec::{Codec, OVERHEAD_MOST};
-use nettleworks_members::{Card, Config, Name};
+use crate::codec::{Codec, MAX_OVERHEAD_BYTES};
+use nettleworks_members::{Config, Metadata, Name};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// Most bytes of a key's file.
-const KEY_MOST: u64 = 4_096;
+const MAX_KEY_BYTES: u64 = 4_096;
 /// Most seeds.
-const SEEDS_MOST: usize = 64;
+const MAX_SEEDS: usize = 64;
 
 /// A process's part among the others. JSON; `docs/operating-members.md` explains every key.
 #[derive(Clone, Debug, Deserialize)]
@@ -36,42 +36,42 @@
     #[serde(default)]
     pub role: String,
     /// How much it bears, in hundredths of a usual one.
-    #[serde(default = "usual")]
+    #[serde(default = "default_capacity")]
     pub capacity: u16,
     /// The operators' socket, where there is to be one.
     #[serde(default)]
     pub socket: Option<PathBuf>,
     /// How often one of the others is asked whether it is there; all other paces follow.
-    #[serde(default = "period")]
+    #[serde(default = "default_period_ms")]
     pub period_ms: u64,
     /// Most members that are known, those that have failed or left among them.
-    #[serde(default = "most")]
+    #[serde(default = "default_max_members")]
     pub most: usize,
     /// Most datagrams that are sent a second, and at once.
-    #[serde(default = "sends")]
+    #[serde(default = "default_sends_per_second")]
     pub sends_a_second: u32,
     /// Most that are heard a second, and at once.
-    #[serde(default = "hears")]
+    #[serde(default = "default_receives_per_second")]
     pub hears_a_second: u32,
 }
 
-fn usual() -> u16 {
+fn default_capacity() -> u16 {
     100
 }
 
-fn period() -> u64 {
+fn default_period_ms() -> u64 {
     1_000
 }
 
-fn most() -> usize {
-    Config::default().most
+fn default_max_members() -> usize {
+    Config::default().max_members
 }
 
-fn sends() -> u32 {
+fn default_sends_per_second() -> u32 {
     400
 }
 
-fn hears() -> u32 {
+fn default_receives_per_second() -> u32 {
     2_000
 }
 
@@ -105,8 +105,8 @@
             })?;
         json.end().map_err(|error| error.to_string())?;
         Name::new(&settings.name).map_err(|error| format!("name: {error}"))?;
-        if settings.seeds.len() > SEEDS_MOST {
-            return Err(format!("seeds: {SEEDS_MOST} at the most"));
+        if settings.seeds.len() > MAX_SEEDS {
+            return Err(format!("seeds: {MAX_SEEDS} at the most"));
         }
         if settings.listen.ip().is_unspecified() && settings.advertise.is_none() {
             return Err("advertise: needed where listen is every address".to_owned());
@@ -119,7 +119,7 @@
                 return Err(format!("{name}_a_second: 10 to 1000000"));
             }
         }
-        if !settings.card(settings.listen, "").is_good() {
+        if !settings.metadata(settings.listen, "").is_valid() {
             return Err("zone, region, role: 24 bytes at the most, no control characters".to_owned());
         }
         settings.config()?;
@@ -132,18 +132,18 @@
     ///
     /// The period or the bound is no good.
     pub fn config(&self) -> Result<Config, String> {
-        let plain = Config::default();
+        let defaults = Config::default();
         let scaled = |pace: u64| pace.saturating_mul(self.period_ms) / 1_000;
         let config = Config {
-            period: scaled(plain.period),
-            timeout: scaled(plain.timeout),
-            gossip_every: scaled(plain.gossip_every),
-            reach_every: scaled(plain.reach_every),
-            join_every: scaled(plain.join_every),
-            most: self.most,
+            period: scaled(defaults.period),
+            timeout: scaled(defaults.timeout),
+            gossip_every: scaled(defaults.gossip_every),
+            reach_every: scaled(defaults.reach_every),
+            join_every: scaled(defaults.join_every),
+            max_members: self.most,
             // A datagram that is not cut on an Ethernet, with room for its own head.
-            packet: 1_400 - OVERHEAD_MOST,
-            ..plain
+            max_message_bytes: 1_400 - MAX_OVERHEAD_BYTES,
+            ..defaults
         };
         if !(10..=60_000).contains(&self.period_ms) {
             return Err("period_ms: 10 to 60000".to_owned());
@@ -153,14 +153,14 @@
     }
 
     /// What this process says of itself.
-    pub fn card(&self, address: SocketAddr, version: &str) -> Card {
-        Card {
+    pub fn metadata(&self, address: SocketAddr, version: &str) -> Metadata {
+        Metadata {
             zone: self.zone.clone(),
             region: self.region.clone(),
             role: self.role.clone(),
             capacity: self.capacity,
             version: version.to_owned(),
-            ..Card::at(address)
+            ..Metadata::new(address)
         }
     }
 
@@ -172,8 +172,8 @@
     pub fn codec(&self) -> Result<Codec, String> {
         let bad = |error: String| format!("{}: {error}", self.key_file.display());
         let size = std::fs::metadata(&self.key_file).map_err(|error| bad(error.to_string()))?.len();
-        if size > KEY_MOST {
-            return Err(bad(format!("a key has {KEY_MOST} bytes at the most")));
+        if size > MAX_KEY_BYTES {
+            return Err(bad(format!("a key has {MAX_KEY_BYTES} bytes at the most")));
         }
         let key = std::fs::read(&self.key_file).map_err(|error| bad(error.to_string()))?;
         Codec::new(key.trim_ascii()).map_err(bad)
--- a/members/wire/tests/datagrams.rs
+++ b/members/wire/tests/datagrams.rs
@@ -1,9 +1,10 @@
 //! Datagrams that are good, and those that are not.
 
 use nettleworks_members::{
-    Card, Claim, Config, Incarnation, Kind, Members, Message, Name, Out, Sender, Update,
+    Action, Config, Incarnation, Membership, Message, MessageKind, Metadata, Name, ReportedState, Sender,
+    Update,
 };
-use nettleworks_members_wire::{Codec, Frame, Refused, OVERHEAD_MOST};
+use nettleworks_members_wire::{Codec, DecodeError, Frame, MAX_OVERHEAD_BYTES};
 use proptest::prelude::*;
 use std::net::{IpAddr, SocketAddr};
 
@@ -29,32 +30,32 @@
     let text = || "[a-z]{0,24}";
     let card = (address(), text(), text(), text(), text(), any::<u16>());
     let card = card.prop_map(|(address, zone, region, version, role, capacity)| {
-        Claim::Alive(Card { address, zone, region, version, role, capacity })
+        ReportedState::Alive(Metadata { address, zone, region, version, role, capacity })
     });
-    let claim = prop_oneof![
+    let state = prop_oneof![
         card,
-        name().prop_map(|by| Claim::Suspect { by }),
-        Just(Claim::Failed),
-        Just(Claim::Left),
+        name().prop_map(|by| ReportedState::Suspect { by }),
+        Just(ReportedState::Failed),
+        Just(ReportedState::Left),
     ];
-    (name(), incarnation(), claim).prop_map(|(name, incarnation, claim)| Update { name, incarnation, claim })
+    (name(), incarnation(), state).prop_map(|(name, incarnation, state)| Update { name, incarnation, state })
 }
 
-fn kind() -> impl Strategy<Value = Kind> {
+fn kind() -> impl Strategy<Value = MessageKind> {
     prop_oneof![
-        (any::<u32>(), name()).prop_map(|(number, to)| Kind::Ping { number, to }),
-        (any::<u32>(), any::<u64>()).prop_map(|(number, digest)| Kind::Ack { number, digest }),
-        (any::<u32>(), name(), address()).prop_map(|(number, target, at)| Kind::PingFor {
+        (any::<u32>(), name()).prop_map(|(number, to)| MessageKind::Ping { number, to }),
+        (any::<u32>(), any::<u64>()).prop_map(|(number, digest)| MessageKind::Ack { number, digest }),
+        (any::<u32>(), name(), address()).prop_map(|(number, target, at)| MessageKind::PingFor {
             number,
             target,
             at
         }),
-        any::<u32>().prop_map(|number| Kind::Nack { number }),
-        any::<u32>().prop_map(|number| Kind::Join { number }),
-        Just(Kind::Gossip),
+        any::<u32>().prop_map(|number| MessageKind::Nack { number }),
+        any::<u32>().prop_map(|number| MessageKind::Join { number }),
+        Just(MessageKind::Gossip),
         (proptest::collection::vec(any::<u64>(), 0..40), any::<bool>())
-            .prop_map(|(parts, answers)| Kind::Digests { parts, answers }),
-        Just(Kind::Entries),
+            .prop_map(|(parts, answers)| MessageKind::Digests { parts, answers }),
+        Just(MessageKind::Entries),
     ]
 }
 
@@ -74,31 +75,31 @@
 proptest! {
     /// What is written is read as it was, and no longer than the core reckoned.
     #[test]
-    fn all_come_through_whole_and_within_their_bound(frame in frame()) {
-        let datagram = codec().write(&frame).expect("written");
-        prop_assert!(datagram.len() <= frame.message.size_most() + OVERHEAD_MOST,
-                     "{} beside {}", datagram.len(), frame.message.size_most());
-        prop_assert_eq!(codec().read(&datagram), Ok(frame));
+    fn frames_round_trip_within_the_size_bound(frame in frame()) {
+        let datagram = codec().encode(&frame).expect("written");
+        prop_assert!(datagram.len() <= frame.message.max_size() + MAX_OVERHEAD_BYTES,
+                     "{} beside {}", datagram.len(), frame.message.max_size());
+        prop_assert_eq!(codec().decode(&datagram), Ok(frame));
     }
 
     /// Any bit that is changed, any byte that is cut off or added: not heard.
     #[test]
-    fn nothing_that_was_changed_is_heard(frame in frame(), place in any::<prop::sample::Index>(), bit in 0u8..8) {
-        let datagram = codec().write(&frame).expect("written");
+    fn altered_datagrams_are_rejected(frame in frame(), place in any::<prop::sample::Index>(), bit in 0u8..8) {
+        let datagram = codec().encode(&frame).expect("written");
         let mut changed = datagram.clone();
         changed[place.index(datagram.len())] ^= 1 << bit;
-        prop_assert!(codec().read(&changed).is_err());
-        prop_assert!(codec().read(&datagram[..place.index(datagram.len())]).is_err());
+        prop_assert!(codec().decode(&changed).is_err());
+        prop_assert!(codec().decode(&datagram[..place.index(datagram.len())]).is_err());
         let longer = [&datagram[..], &[bit]].concat();
-        prop_assert_eq!(codec().read(&longer), Err(Refused::Mac));
+        prop_assert_eq!(codec().decode(&longer), Err(DecodeError::Mac));
         let other = Codec::new(b"another key of sixteen").expect("a good key");
-        prop_assert_eq!(other.read(&datagram), Err(Refused::Mac));
+        prop_assert_eq!(other.decode(&datagram), Err(DecodeError::Mac));
     }
 
     /// Whatever comes, it is refused and nothing else happens.
     #[test]
-    fn noise_is_refused(noise in proptest::collection::vec(any::<u8>(), 0..2_000)) {
-        prop_assert!(codec().read(&noise).is_err());
+    fn random_bytes_are_rejected(noise in proptest::collection::vec(any::<u8>(), 0..2_000)) {
+        prop_assert!(codec().decode(&noise).is_err());
     }
 }
 
@@ -106,46 +107,46 @@
     /// Any messages that the key could have made: the list keeps its bound, nothing longer than a packet is said, and time
     /// that passes always brings an end of what is to be done in it.
     #[test]
-    fn any_messages_leave_a_member_within_its_bounds(frames in proptest::collection::vec(frame(), 1..40)) {
-        let config = Config { most: 6, ..Config::default() };
-        let card = Card::at("10.0.0.1:7000".parse().expect("an address"));
+    fn arbitrary_messages_keep_a_member_within_its_bounds(frames in proptest::collection::vec(frame(), 1..40)) {
+        let config = Config { max_members: 6, ..Config::default() };
+        let card = Metadata::new("10.0.0.1:7000".parse().expect("an address"));
         let name = Name::new("me").expect("a name");
-        let mut members = Members::new(config.clone(), name, card, vec![], 1, 0, 1_700_000_000_000).expect("good");
+        let mut members = Membership::new(config.clone(), name, card, vec![], 1, 0, 1_700_000_000_000).expect("good");
         let (mut now, mut out) = (0, Vec::new());
         for frame in frames {
-            members.hear(now, frame.message, &mut out);
+            members.handle_message(now, frame.message, &mut out);
             let mut wakes = 0;
             let until = now + 400_000;
-            while let Some(at) = members.wakes_at().filter(|at| *at <= until) {
+            while let Some(at) = members.next_timeout().filter(|at| *at <= until) {
                 now = at.max(now);
-                members.wake(now, &mut out);
+                members.handle_timeout(now, &mut out);
                 wakes += 1;
                 prop_assert!(wakes < 1_000, "it wants to be woken for good at {}", now);
             }
             now = until;
         }
-        prop_assert!(members.view(now).members.len() <= config.most);
+        prop_assert!(members.view(now).members.len() <= config.max_members);
         for out in out {
-            if let Out::Send { message, .. } = out {
-                prop_assert!(message.size_most() <= config.packet, "{} bytes", message.size_most());
+            if let Action::Send { message, .. } = out {
+                prop_assert!(message.max_size() <= config.max_message_bytes, "{} bytes", message.max_size());
             }
         }
     }
 }
 
 #[test]
-fn keys_versions_and_sizes_are_told_apart() {
+fn decode_errors_distinguish_keys_versions_and_sizes() {
     assert!(Codec::new(b"too short").is_err());
     let from = Sender {
         name: Name::new("a").expect("a name"),
-        incarnation: Incarnation::starting(1),
+        incarnation: Incarnation::initial(1),
         address: "127.0.0.1:1".parse().expect("an address"),
     };
-    let message = Message { from, kind: Kind::Gossip, updates: Vec::new() };
-    let mut datagram = codec().write(&Frame { session: 1, counter: 2, message }).expect("written");
+    let message = Message { from, kind: MessageKind::Gossip, updates: Vec::new() };
+    let mut datagram = codec().encode(&Frame { session: 1, counter: 2, message }).expect("written");
     datagram[0] = 2;
-    assert_eq!(codec().read(&datagram), Err(Refused::Version(2)));
-    assert_eq!(codec().read(&[1; 10]), Err(Refused::Size));
-    assert_eq!(codec().read(&[1; 10_000]), Err(Refused::Size));
+    assert_eq!(codec().decode(&datagram), Err(DecodeError::Version(2)));
+    assert_eq!(codec().decode(&[1; 10]), Err(DecodeError::Size));
+    assert_eq!(codec().decode(&[1; 10_000]), Err(DecodeError::Size));
     assert!(!format!("{:?}", codec()).contains("sixteen"), "no log holds a key");
 }
--- a/members/wire/tests/settings.rs
+++ b/members/wire/tests/settings.rs
@@ -11,16 +11,16 @@
 }
 
 #[test]
-fn a_plain_file_is_good_and_paces_follow_its_period() {
+fn a_minimal_file_is_valid_and_intervals_scale_with_its_period() {
     let settings = file(|file| file["period_ms"] = 100.into()).expect("good");
     let config = settings.config().expect("good");
     assert_eq!((config.period, config.timeout, config.gossip_every), (100_000, 30_000, 20_000));
-    assert!(config.packet + nettleworks_members_wire::OVERHEAD_MOST <= 1_400);
-    assert_eq!(settings.card(settings.listen, "1.2").version, "1.2");
+    assert!(config.max_message_bytes + nettleworks_members_wire::MAX_OVERHEAD_BYTES <= 1_400);
+    assert_eq!(settings.metadata(settings.listen, "1.2").version, "1.2");
 }
 
 #[test]
-fn what_is_wrong_is_named_by_its_place() {
+fn errors_name_the_invalid_key() {
     let cases: [(&str, Value, &str); 14] = [
         ("name", "".into(), "name"),
         ("name", "two words".into(), "name"),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_key_that_is_not_there_too_short_or_too_long_is_refused() {
+fn a_missing_short_or_long_key_is_rejected() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
     let path = folder.join("key-of-settings");
     let settings = file(|file| file["key_file"] = path.to_string_lossy().into()).expect("good");
--- a/members/wire/tests/sockets.rs
+++ b/members/wire/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! Members at real sockets on loopback.
 
-use nettleworks_members::{Condition, Kind, Name, Standing, What};
-use nettleworks_members_wire::{start, Codec, Handle, Report, Settings, Told};
+use nettleworks_members::{ClusterStatus, Condition, MemberEventKind, MessageKind, Name};
+use nettleworks_members_wire::{start, Codec, Handle, MembershipEvent, Report, Settings};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -42,14 +42,14 @@
 }
 
 fn condition(report: &Report, name: &str) -> Option<Condition> {
-    let of = report.view.members.iter().find(|of| of.name.as_str() == name);
-    of.map(|of| of.condition)
+    let of = report.view.members.iter().find(|member| member.name.as_str() == name);
+    of.map(|member| member.condition)
 }
 
 #[tokio::test]
-async fn they_find_each_other_and_whoever_leaves_has_left() {
+async fn members_discover_each_other_and_a_leave_is_seen() {
     let first = member("find", "a", &[]).await;
-    let mut told = first.subscribe();
+    let mut subscription = first.subscribe();
     let seeds = [first.address()];
     let (second, third) = (member("find", "b", &seeds).await, member("find", "c", &seeds).await);
     for of in [&first, &second, &third] {
@@ -60,22 +60,27 @@
         eventually("it left", of, |report| condition(report, "c") == Some(Condition::Left)).await;
     }
     assert!(third.report().await.is_none() || third.reload(settings("find", "c", &[])).await.is_err());
-    let mut news = Vec::new();
-    while let Ok(of) = told.try_recv() {
-        news.push(of);
+    let mut events = Vec::new();
+    while let Ok(of) = subscription.try_recv() {
+        events.push(of);
     }
     let of = |name: &str, what| {
-        news.iter().any(|told| {
-        matches!(told, Told::News(news) if news.name == Name::new(name).expect("a name") && news.what == what)
+        events.iter().any(|notification| {
+        matches!(notification, MembershipEvent::Member(event) if event.name == Name::new(name).expect("a name") && event.kind == what)
     })
     };
-    assert!(of("b", What::Joined) && of("c", What::Joined) && of("c", What::Left) && !of("c", What::Failed));
-    assert!(news.contains(&Told::Stands(Standing::Agreed)));
+    assert!(
+        of("b", MemberEventKind::Joined)
+            && of("c", MemberEventKind::Joined)
+            && of("c", MemberEventKind::Left)
+            && !of("c", MemberEventKind::Failed)
+    );
+    assert!(events.contains(&MembershipEvent::Cluster(ClusterStatus::Agreed)));
 }
 
 /// One whose task is dropped is a process that was killed: nothing says so for it.
 #[tokio::test]
-async fn one_that_dies_is_noticed() {
+async fn a_crashed_member_is_detected() {
     let first = member("dies", "a", &[]).await;
     let seeds = [first.address()];
     let second = member("dies", "b", &seeds).await;
@@ -87,11 +92,11 @@
     eventually("it failed", &first, |report| condition(report, "c") == Some(Condition::Failed)).await;
     eventually("it failed", &second, |report| condition(report, "c") == Some(Condition::Failed)).await;
     assert!(third.report().await.is_none());
-    assert_eq!(first.report().await.expect("it runs").view.standing, Standing::Reduced);
+    assert_eq!(first.report().await.expect("it runs").view.cluster_status, ClusterStatus::Reduced);
 }
 
 #[tokio::test]
-async fn what_is_forged_replayed_or_of_another_version_is_counted_and_not_heard() {
+async fn forged_replayed_and_unsupported_datagrams_are_counted_and_dropped() {
     let first = member("forged", "a", &[]).await;
     // Somebody between the two, who keeps what passes.
     let between = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
@@ -100,8 +105,8 @@
     let mut buffer = [0; 2_000];
     let (size, _) = between.recv_from(&mut buffer).await.expect("a datagram");
     let datagram = &buffer[..size];
-    let frame = Codec::new(KEY.as_bytes()).expect("good").read(datagram).expect("made with the key");
-    assert!(matches!(frame.message.kind, Kind::Join { .. }));
+    let frame = Codec::new(KEY.as_bytes()).expect("good").decode(datagram).expect("made with the key");
+    assert!(matches!(frame.message.kind, MessageKind::Join { .. }));
     let mut forged = datagram.to_vec();
     forged[size - 1] ^= 1;
     let mut other = datagram.to_vec();
@@ -109,15 +114,19 @@
     for sent in [&forged[..], &other, &datagram[..8], datagram, datagram, datagram] {
         between.send_to(sent, first.address()).await.expect("sent");
     }
-    let report = eventually("all were looked at", &first, |report| report.tallies.replayed == 2).await;
-    let tallies = report.tallies;
-    assert_eq!((tallies.forged, tallies.other_version, tallies.malformed), (1, 1, 1), "{tallies:?}");
+    let report = eventually("all were looked at", &first, |report| report.datagrams.replayed == 2).await;
+    let datagrams = report.datagrams;
+    assert_eq!(
+        (datagrams.forged, datagrams.unsupported_version, datagrams.malformed),
+        (1, 1, 1),
+        "{datagrams:?}"
+    );
     assert_eq!(condition(&report, "b"), Some(Condition::Alive), "the first of them let it in");
     eventually("it is in", &second, |report| report.view.members.len() == 2).await;
 }
 
 #[tokio::test]
-async fn a_flood_is_bounded_and_does_not_end_the_member() {
+async fn a_datagram_flood_is_rate_limited_and_the_member_survives() {
     let quiet = Settings { hears_a_second: 50, sends_a_second: 40, ..settings("flood", "a", &[]) };
     let (first, running) = start(quiet, "1", |_| ()).await.expect("it starts");
     tokio::spawn(running.run());
@@ -131,21 +140,21 @@
             tokio::task::yield_now().await;
         }
     }
-    let report = eventually("over", &first, |report| report.tallies.over_heard > 200).await;
-    assert!(report.tallies.forged <= 50 + 50 * (report.up.as_secs() + 1), "{:?}", report.tallies);
+    let report = eventually("over", &first, |report| report.datagrams.rate_limited_receives > 200).await;
+    assert!(report.datagrams.forged <= 50 + 50 * (report.uptime.as_secs() + 1), "{:?}", report.datagrams);
     eventually("both again", &second, |report| condition(report, "a") == Some(Condition::Alive)).await;
 }
 
 #[tokio::test]
-async fn another_card_goes_round_and_what_takes_a_restart_is_named() {
+async fn changed_metadata_is_gossiped_and_settings_that_need_a_restart_are_reported() {
     let first = member("card", "a", &[]).await;
     let second = member("card", "b", &[first.address()]).await;
     eventually("both", &first, |report| report.view.members.len() == 2).await;
     let new = Settings { zone: "liberia".into(), capacity: 250, ..settings("card", "b", &[first.address()]) };
     second.reload(new.clone()).await.expect("taken over");
     let zone = |report: &Report| {
-        let of = report.view.members.iter().find(|of| of.name.as_str() == "b");
-        of.map(|of| (of.card.zone.clone(), of.card.capacity))
+        let of = report.view.members.iter().find(|member| member.name.as_str() == "b");
+        of.map(|of| (of.metadata.zone.clone(), of.metadata.capacity))
     };
     eventually("its zone", &first, |report| zone(report) == Some(("liberia".into(), 250))).await;
     let said = second.reload(Settings { period_ms: 70, ..new }).await.expect_err("a restart");
--- a/proxy/src/member.rs
+++ b/proxy/src/member.rs
@@ -99,7 +99,7 @@
 }
 
 fn report(report: &Report) -> Value {
-    let Report { view, tallies, up, address } = report;
+    let Report { view, datagrams: tallies, uptime: up, address } = report;
     let members: Vec<Value> = view
         .members
         .iter()
@@ -107,17 +107,17 @@
             json!({
                 "name": of.name.as_str(),
                 "condition": of.condition.name(),
-                "since_ms": of.since / SHOWN,
-                "heard_ms": of.heard.map(|at| at / SHOWN),
-                "agrees": of.agrees,
-                "unsettled": of.unsettled,
+                "since_ms": of.condition_age / SHOWN,
+                "heard_ms": of.last_ack_age.map(|at| at / SHOWN),
+                "agrees": of.digest_matches,
+                "unsettled": of.is_flapping,
                 "suspected_by": of.suspected_by.iter().map(|by| by.as_str()).collect::<Vec<_>>(),
-                "address": of.card.address.to_string(),
-                "zone": of.card.zone,
-                "region": of.card.region,
-                "role": of.card.role,
-                "version": of.card.version,
-                "capacity": of.card.capacity,
+                "address": of.metadata.address.to_string(),
+                "zone": of.metadata.zone,
+                "region": of.metadata.region,
+                "role": of.metadata.role,
+                "version": of.metadata.version,
+                "capacity": of.metadata.capacity,
                 "start": of.incarnation.start,
                 "round": of.incarnation.round,
             })
@@ -125,22 +125,22 @@
         .collect();
     let counts = &view.counts;
     json!({
-        "name": view.own.as_str(),
+        "name": view.local_name.as_str(),
         "address": address.to_string(),
-        "standing": view.standing.name(),
-        "doubt": view.doubt,
+        "standing": view.cluster_status.name(),
+        "doubt": view.health_score,
         "digest": format!("{:016x}", view.digest),
         "up_ms": u64::try_from(up.as_millis()).unwrap_or(u64::MAX),
         "members": members,
         "counts": {
-            "unanswered": counts.unanswered, "contradicted": counts.contradicted, "disbelieved": counts.disbelieved,
-            "no_room": counts.no_room, "syncs": counts.syncs, "pages_held": counts.pages_held, "stalls": counts.stalls,
+            "unanswered": counts.failed_probes, "contradicted": counts.refutations, "disbelieved": counts.rejected_updates,
+            "no_room": counts.rejected_members, "syncs": counts.syncs, "pages_held": counts.throttled_pages, "stalls": counts.stalls,
         },
         "datagrams": {
-            "sent": tallies.sent, "sent_bytes": tallies.sent_bytes, "heard": tallies.heard,
-            "heard_bytes": tallies.heard_bytes, "over_sent": tallies.over_sent, "over_heard": tallies.over_heard,
-            "malformed": tallies.malformed, "other_version": tallies.other_version, "forged": tallies.forged,
-            "replayed": tallies.replayed, "not_sent": tallies.not_sent,
+            "sent": tallies.sent, "sent_bytes": tallies.sent_bytes, "heard": tallies.received,
+            "heard_bytes": tallies.received_bytes, "over_sent": tallies.rate_limited_sends, "over_heard": tallies.rate_limited_receives,
+            "malformed": tallies.malformed, "other_version": tallies.unsupported_version, "forged": tallies.forged,
+            "replayed": tallies.replayed, "not_sent": tallies.send_errors,
         },
     })
 }
