--- a/members/src/broadcast.rs
+++ b/members/src/broadcast.rs
@@ -1,14 +1,15 @@
-//! What is still to be sent on: of each member its last news, what was sent least first.
+//! Updates that are still to be gossiped: the latest one of each member, least often sent first.
 
 use crate::name::Name;
 use crate::update::Update;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// News by how often it went out. One a member at the most, so it is bounded as the list is.
+/// Queue of updates, ordered by how often each was sent. It holds at most one per member, so the list of
+/// members bounds it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BroadcastQueue {
     by_name: BTreeMap<Name, Broadcast>,
-    /// By times sent, the newest of equals first.
+    /// Times sent, inverted sequence number (of equally often sent updates the newest comes first), name.
     order: BTreeSet<(u32, u64, Name)>,
     last_sequence: u64,
 }
@@ -21,7 +22,7 @@
 }
 
 impl BroadcastQueue {
-    /// News that replaces what was said of the same member.
+    /// Queues an update, in place of any earlier one of the same member.
     pub fn push(&mut self, update: Update) {
         self.remove(&update.name);
         self.last_sequence += 1;
@@ -30,7 +31,7 @@
         self.by_name.insert(name, Broadcast { update, sent: 0, sequence });
     }
 
-    /// Nothing more is said of this one.
+    /// Drops the update of a member.
     pub fn remove(&mut self, name: &Name) {
         if let Some(old) = self.by_name.remove(name) {
             self.order.remove(&(old.sent, old.sequence, name.clone()));
@@ -41,8 +42,9 @@
         self.by_name.is_empty()
     }
 
-    /// What fits into so many bytes; counts as sent once, and is dropped after `max_sends` times. What is of `exclude` is left
-    /// out: it says so itself, or was told apart.
+    /// Appends updates that fit into `capacity` bytes and counts each as sent once; after `max_sends` times
+    /// it is dropped. The update of `exclude`, the receiver, is left out: it knows its own state, or the
+    /// caller has added the update already.
     pub fn fill(
         &mut self,
         mut capacity: usize,
@@ -50,7 +52,7 @@
         exclude: Option<&Name>,
         updates: &mut Vec<Update>,
     ) {
-        /// So many that do not fit are passed over: shorter ones may.
+        /// Number of updates that do not fit after which the search ends; shorter ones may still fit before.
         const MAX_SKIPPED: usize = 4;
         let (mut selected, mut skipped) = (Vec::new(), 0);
         for key in &self.order {
--- a/members/src/cluster_status.rs
+++ b/members/src/cluster_status.rs
@@ -1,27 +1,27 @@
-//! Where a member stands among the others.
+//! Status of the whole cluster, as this process sees it.
 
 use crate::roster::{Condition, Roster};
 
-/// Where this process stands, in its own opinion. It says what to expect and what to look at; what needs agreement is
-/// not decided by it.
+/// Status of the cluster by the local list of members. It is for operators and for expectations; decisions
+/// that need agreement must not rest on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClusterStatus {
-    /// It hears of all that it remembers.
+    /// All known members are alive.
     Agreed,
-    /// Some do not answer, and it is not known yet whether they have failed.
+    /// Some members are suspected, and it is not decided yet whether they have failed.
     Suspecting,
-    /// Some have failed; more than half of all that it remembers are there.
+    /// Some members have failed; more than half of the known ones are alive.
     Reduced,
-    /// Half of all that it remembers, or fewer, are there: it may be the one that is cut off.
+    /// At most half of the known members are alive: this process may be on the smaller side of a partition.
     Minority,
-    /// Nobody else is there.
+    /// No other member is alive or suspected.
     Alone,
-    /// Another process lives under its name: it says nothing to the others any more.
+    /// Another process has taken over the name of this one, which no longer takes part.
     Replaced,
 }
 
 impl ClusterStatus {
-    /// Its name, in log and state.
+    /// The name in logs and in the state that operators see.
     pub fn name(self) -> &'static str {
         match self {
             ClusterStatus::Agreed => "agreed",
@@ -33,7 +33,7 @@
         }
     }
 
-    /// By the list; whoever has left of itself does not count.
+    /// Computes the status from the list. Members that have left are not counted.
     pub(crate) fn from_roster(roster: &Roster) -> ClusterStatus {
         let (mut alive, mut suspected, mut failed) = (0, 0, 0);
         for (_, entry) in roster.iter() {
--- a/members/src/config.rs
+++ b/members/src/config.rs
@@ -1,47 +1,50 @@
-//! What a member is set to.
+//! Parameters of the protocol.
 
 use crate::Micros;
 
-/// Bounds and paces. [`Config::check`] says what is wrong with one.
+/// Intervals and limits of the protocol; durations are in microseconds. [`Config::check`] validates them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// How often one other member is asked whether it is there.
+    /// Protocol period: in each one, one other member is probed.
     pub period: Micros,
-    /// How long it has for its answer before others are asked to ask it.
+    /// How long to wait for the acknowledgement of a probe before indirect probes are requested.
     pub timeout: Micros,
-    /// How many others are asked then.
+    /// Number of members asked for an indirect probe.
     pub indirect_probes: usize,
-    /// How often news goes round while there is any.
+    /// Interval of gossip messages while there are updates to spread.
     pub gossip_every: Micros,
-    /// To how many each time.
+    /// Number of members that each gossip round is sent to.
     pub gossip_fanout: usize,
-    /// A suspicion that all share ends after so many periods, times the logarithm (base 10, at least 1) of the members.
+    /// Minimum suspicion timeout, reached when enough members confirm the suspicion: this many periods, times
+    /// the base-10 logarithm (at least 1) of the number of members.
     pub suspicion_multiplier: f64,
-    /// One that nobody shares takes so many times as long.
+    /// Maximum suspicion timeout, used while nobody confirms the suspicion, as a multiple of the minimum.
     pub suspicion_max_factor: f64,
-    /// So many others that share it make it as short as it gets.
+    /// Number of confirmations by other members that reduce the suspicion timeout to its minimum.
     pub suspicion_confirmations: usize,
-    /// News is sent on so often, times the logarithm (base 10, rounded up) of the members.
+    /// How often an update is sent: this number times the base-10 logarithm (rounded up) of the number of
+    /// members.
     pub retransmit_multiplier: usize,
-    /// Most that a member stretches its paces, less one, when it doubts itself.
+    /// Maximum of the local health score. Probe intervals and timeouts are multiplied by the score plus one.
     pub max_health_score: u32,
-    /// How often one that has failed is tried once more, as it may only have been cut off.
+    /// Interval at which a failed member is probed again, because it may only have been partitioned.
     pub reach_every: Micros,
-    /// For how long one that has failed or left is remembered.
+    /// How long a failed or departed member is remembered.
     pub remember: Micros,
-    /// Most members that are known, this one and those that are remembered among them. A further one is not let in; one
-    /// that has failed or left makes way.
+    /// Maximum number of known members, including this one and those that have failed or left. When the list
+    /// is full, a new member replaces one that has failed or left; otherwise it is rejected.
     pub max_members: usize,
-    /// Most bytes of a message, before the wire's own.
+    /// Maximum size of a message in bytes, without the overhead of the wire format.
     pub max_message_bytes: usize,
-    /// Most messages a second that make lists equal; what is more waits for the next time they are compared.
+    /// Maximum number of anti-entropy pages sent per second. Pages beyond it are not sent; the next
+    /// comparison of the lists repeats the exchange.
     pub pages_per_second: u32,
-    /// First pause between two tries to join, doubled up to sixteen times.
+    /// First interval between attempts to join; it doubles up to sixteen times this value.
     pub join_every: Micros,
 }
 
 impl Default for Config {
-    /// For up to a few thousand on networks of a data centre or between a few.
+    /// Suits up to a few thousand members within a data centre or a few of them.
     fn default() -> Self {
         Config {
             period: 1_000_000,
@@ -64,11 +67,11 @@
     }
 }
 
-/// Shortest pace of any kind.
+/// Minimum of every interval.
 const MIN_INTERVAL: Micros = 1_000;
 
 impl Config {
-    /// All paces faster by so much, for tests in real time and for crowded networks.
+    /// Divides all intervals by `by`: for tests in real time and for networks with many members.
     #[must_use]
     pub fn accelerated(self, by: u64) -> Config {
         let by = by.max(1);
@@ -82,9 +85,11 @@
         }
     }
 
+    /// Validates the parameters.
+    ///
     /// # Errors
     ///
-    /// What is wrong, by its name.
+    /// The name of the invalid parameter and its valid range.
     pub fn check(&self) -> Result<(), String> {
         let intervals = [
             ("period", self.period),
@@ -96,12 +101,12 @@
         ];
         for (name, interval) in intervals {
             if !(MIN_INTERVAL..=24 * 3_600_000_000).contains(&interval) {
-                return Err(format!("{name}: 1 ms to a day"));
+                return Err(format!("{name}: 1 ms to 1 day"));
             }
         }
         let checks = [
-            (self.timeout < self.period, "timeout: less than the period"),
-            (self.indirect_probes <= 16, "indirect_probes: 16 at the most"),
+            (self.timeout < self.period, "timeout: must be less than the period"),
+            (self.indirect_probes <= 16, "indirect_probes: at most 16"),
             ((1..=16).contains(&self.gossip_fanout), "gossip_fanout: 1 to 16"),
             (
                 self.suspicion_multiplier >= 1.0 && self.suspicion_multiplier <= 100.0,
@@ -111,12 +116,12 @@
                 self.suspicion_max_factor >= 1.0 && self.suspicion_max_factor <= 100.0,
                 "suspicion_max_factor: 1 to 100",
             ),
-            (self.suspicion_confirmations <= 16, "suspicion_confirmations: 16 at the most"),
+            (self.suspicion_confirmations <= 16, "suspicion_confirmations: at most 16"),
             ((1..=32).contains(&self.retransmit_multiplier), "retransmit_multiplier: 1 to 32"),
-            (self.max_health_score <= 32, "max_health_score: 32 at the most"),
+            (self.max_health_score <= 32, "max_health_score: at most 32"),
             ((2..=65_536).contains(&self.max_members), "most: 2 to 65536"),
             ((1_000..=8_192).contains(&self.max_message_bytes), "max_message_bytes: 1000 to 8192"),
-            (self.pages_per_second >= 1, "pages_per_second: 1 at the least"),
+            (self.pages_per_second >= 1, "pages_per_second: at least 1"),
         ];
         match checks.into_iter().find(|(good, _)| !good) {
             Some((_, text)) => Err(text.to_owned()),
@@ -124,13 +129,13 @@
         }
     }
 
-    /// How long a suspicion takes at the least among so many members.
+    /// Minimum suspicion timeout for this number of members.
     pub(crate) fn min_suspicion(&self, members: usize) -> Micros {
         let scale = (members.max(1) as f64).log10().max(1.0);
         (self.suspicion_multiplier * scale * self.period as f64) as Micros
     }
 
-    /// How often news is sent on among so many members.
+    /// How often an update is sent for this number of members.
     pub(crate) fn retransmissions(&self, members: usize) -> u32 {
         let scale = ((members + 1) as f64).log10().ceil().max(1.0);
         (self.retransmit_multiplier as f64 * scale) as u32
--- a/members/src/event.rs
+++ b/members/src/event.rs
@@ -1,47 +1,48 @@
-//! What is told to whoever subscribes.
+//! Events about members, for subscribers.
 
 use crate::name::Name;
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// So many times back within [`FLAP_WINDOW`], and a member counts as unsettled.
+/// A member that rejoins this often within [`FLAP_WINDOW`] counts as flapping.
 const FLAP_THRESHOLD: usize = 3;
-/// A minute.
+/// One minute.
 const FLAP_WINDOW: Micros = 60_000_000;
 
-/// What has become of a member, in this process's opinion.
+/// How the condition of a member changed, as this process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberEventKind {
-    /// It was not known before.
+    /// The member was not known before.
     Joined,
-    /// It does not answer somebody.
+    /// The member did not acknowledge a probe, here or at another member.
     Suspected,
-    /// It was suspected, and has contradicted.
+    /// The member was suspected, and has refuted the suspicion or acknowledged a probe.
     SuspicionCleared,
-    /// It counts as failed.
+    /// The suspicion timed out, and the member counts as failed.
     Failed,
-    /// It has gone of itself.
+    /// The member left the cluster, or this process was replaced by another one of its name.
     Left,
-    /// It had failed or left, and is there.
+    /// The member had failed or left, or its process restarted, and it is alive.
     Rejoined,
-    /// It is there with another card.
+    /// The member announced other metadata.
     MetadataChanged,
 }
 
-/// One piece of news.
+/// A change of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberEvent {
-    /// Of whom.
+    /// Name of the member.
     pub name: Name,
-    /// What.
+    /// What changed.
     pub kind: MemberEventKind,
-    /// How long ago it was last surely heard (an answer to this process's question); `None`: never.
+    /// Microseconds since the member last acknowledged a message of this process; `None`: never.
     pub last_ack_age: Option<Micros>,
-    /// Whether it comes and goes: three times back within a minute. Whoever hands it something waits for better.
+    /// Whether the member is flapping: it has rejoined three times within a minute. Callers should not assign
+    /// work to it until it is stable.
     pub is_flapping: bool,
 }
 
-/// When a member came back of late.
+/// Times at which a member recently rejoined.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FlapHistory(VecDeque<Micros>);
 
--- a/members/src/health.rs
+++ b/members/src/health.rs
@@ -1,8 +1,9 @@
-//! How far a member doubts itself (Lifeguard's local health multiplier).
+//! Local health: Lifeguard's local health multiplier.
 
 use crate::Micros;
 
-/// A score from 0 (well) up. Paces that would accuse others are stretched by it.
+/// Health score of this process; 0 is healthy. Intervals that lead to suspicions of others are multiplied by
+/// it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LocalHealth {
     score: u32,
@@ -14,13 +15,13 @@
         LocalHealth { score: 0, max }
     }
 
-    /// Something speaks against this process itself: its question went unanswered and helpers stay silent too, it was
-    /// suspected, or it ran late.
+    /// Raises the score after a sign that this process itself is slow: its probe failed and the helpers were
+    /// silent too, it was suspected, or its timers ran late.
     pub fn penalize(&mut self, by: u32) {
         self.score = (self.score + by).min(self.max);
     }
 
-    /// A question was answered in time.
+    /// Lowers the score after a probe was acknowledged in time.
     pub fn reward(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
--- a/members/src/lib.rs
+++ b/members/src/lib.rs
@@ -1,13 +1,16 @@
-//! Who else is there: client proxies that find each other, notice who has failed, and say so to whoever asks.
+//! Group membership of client proxies: they discover each other, detect failed members, and report changes to
+//! subscribers.
 //!
-//! The protocol is SWIM (Das, Gupta, Motivala 2002) with the refinements of Lifeguard (Dadgar, Phillips, Currey 2018):
-//! a member that is slow doubts itself before it accuses others, a suspicion is the shorter the more members share it,
-//! and a member that is asked hears what is said of it. Lists are compared by digests of buckets, so that what
-//! is sent does not grow with how many there are. `docs/design-members.md` says what was weighed.
+//! The protocol is SWIM (Das, Gupta, Motivala 2002) with the refinements of Lifeguard (Dadgar, Phillips,
+//! Currey 2018): a slow member stretches its own timeouts before it suspects others, a suspicion ends sooner
+//! the more members confirm it, and a probe tells its target that it is suspected. Anti-entropy compares
+//! lists by digests of buckets, so that the traffic does not grow with the number of members.
+//! `docs/design-members.md` describes the alternatives that were considered.
 //!
-//! It does no I/O and reads no clock: every call is given the present moment, in microseconds of a clock that does not
-//! go back, and draws come from a seed. What it knows is an [`MemberView`]: two members may have different ones for as long
-//! as they cannot hear each other, so nothing that needs agreement may rest on it alone.
+//! The crate does no I/O and reads no clock: each call gets the current time, in microseconds of a monotonic
+//! clock, and random numbers come from a seed. The list of members is eventually consistent: two members may
+//! see a third in different conditions ([`MemberView`]) for as long as they cannot reach each other, so
+//! nothing that needs agreement may rest on it alone.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -41,5 +44,5 @@
 
 mod view;
 
-/// Microseconds of a clock that does not go back.
+/// Microseconds of a monotonic clock.
 pub type Micros = u64;
--- a/members/src/membership.rs
+++ b/members/src/membership.rs
@@ -1,4 +1,5 @@
-//! The protocol: what is heard and the passing of time in, messages and news out.
+//! The protocol state machine: messages and timeouts are its input, messages to send and events are its
+//! output.
 
 mod local;
 mod messages;
@@ -24,41 +25,42 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Most seeds that a process asks to be let in at a time.
+/// Maximum number of seeds that one join attempt is sent to.
 const SEEDS_PER_JOIN: usize = 3;
-/// How often the word that this process leaves goes round before it does.
+/// Number of gossip rounds that announce the leave before the process stops.
 const LEAVE_GOSSIP_ROUNDS: u32 = 3;
-/// Pauses between tries to join grow up to so many times the first.
+/// Maximum interval between join attempts, as a multiple of the first one.
 const MAX_JOIN_BACKOFF: u64 = 16;
-/// Lists that differ while news is about are compared all the same after so many periods.
+/// While gossip is still spreading, lists that differ are compared only after this many periods.
 const MAX_PERIODS_WITHOUT_SYNC: u64 = 10;
 
-/// What is to be done.
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this message there.
+    /// Send a message.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Tell this to whoever subscribes.
+    /// Pass the event to subscribers.
     Notify(MemberEvent),
 }
 
-/// How far a process is.
+/// Stage in the life of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Lifecycle {
     Active,
-    /// It goes; so many rounds of saying so are left.
+    /// It is announcing its leave, for this many more gossip rounds.
     Leaving(u32),
     Left,
-    /// Another process has its name.
+    /// Another process has taken over the name.
     Replaced,
 }
 
-/// A member, and what it knows of the others.
+/// Membership of this process: its own state and its list of the other members. It does no I/O; the caller
+/// carries out the [`Action`]s that each call appends to `out`.
 #[derive(Clone, Debug)]
 pub struct Membership {
     config: Config,
@@ -85,20 +87,20 @@
     join_backoff: Micros,
     last_sync_at: Option<Micros>,
     last_change_at: Micros,
-    /// When it asked to be woken last; much later is time in which it did not run.
+    /// The timeout that was last requested. If a call comes much later, the process did not run in between.
     expected_wakeup: Micros,
-    /// This process's wall clock when its own stood at zero: milliseconds since 1970.
+    /// Wall clock, in milliseconds since 1970, when the monotonic clock was zero.
     wall_ms_at_zero: u64,
     counts: Counts,
 }
 
 impl Membership {
-    /// A process that begins to live at `now`, when its wall clock says `wall_ms` (milliseconds since 1970), and that asks
-    /// those at `seeds` to be let in. Draws come from `seed`.
+    /// Creates a member that starts at `now`, when the wall clock says `wall_ms` (milliseconds since 1970),
+    /// and that joins through the members at `seeds`. Random numbers come from `seed`.
     ///
     /// # Errors
     ///
-    /// The bounds or the metadata are no good.
+    /// The configuration or the metadata is invalid.
     pub fn new(
         config: Config,
         name: Name,
@@ -110,12 +112,14 @@
     ) -> Result<Membership, String> {
         config.check()?;
         if !metadata.is_valid() {
-            return Err("zone, region, version and role: 24 bytes at the most, no control characters".into());
+            return Err(
+                "zone, region, version, role: at most 24 bytes each, without control characters".into()
+            );
         }
         let local = Sender { name, incarnation: Incarnation::initial(wall_ms), address: metadata.address };
         let mut roster = Roster::new(config.max_members);
         let entry = Entry::new(metadata, local.incarnation, now);
-        // There is room for one.
+        // Cannot fail: the roster is empty and holds at least two members.
         let _ = roster.insert(local.name.clone(), entry);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let first_period_ends_at = now + rng.random_range(0..config.period);
@@ -152,17 +156,17 @@
         Ok(membership)
     }
 
-    /// When it wants to be woken; `None`: not any more.
+    /// When [`Membership::handle_timeout`] is to be called; `None`: never again.
     pub fn next_timeout(&self) -> Option<Micros> {
         self.earliest_deadline()
     }
 
-    /// Whether it has left, or another process has its name: it says nothing more.
+    /// Whether this process has left or was replaced, and does nothing more.
     pub fn is_finished(&self) -> bool {
         matches!(self.lifecycle, Lifecycle::Left | Lifecycle::Replaced)
     }
 
-    /// Time has passed.
+    /// Advances timers; to be called at [`Membership::next_timeout`].
     pub fn handle_timeout(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.is_finished() {
             return;
@@ -195,7 +199,7 @@
         self.expected_wakeup = self.earliest_deadline().unwrap_or(now);
     }
 
-    /// A message has come.
+    /// Processes a received message.
     pub fn handle_message(&mut self, now: Micros, message: Message, out: &mut Vec<Action>) {
         if self.is_finished() {
             return;
@@ -210,8 +214,8 @@
             self.counts.rejected_updates += 1;
             return;
         }
-        // What a member that counts as failed says of others is not heard, but of itself: it may be back.
-        // Nor is one whose life is over: its messages may be sent again by anybody.
+        // A failed member may only report its own state, as it may have recovered. The same holds for a
+        // superseded start of a member, whose messages anybody may replay.
         let may_accuse = self.roster.get(&from.name).is_none_or(|entry| {
             let is_current = entry.incarnation < from.incarnation || entry.is_live();
             is_current && entry.incarnation.start <= from.incarnation.start
@@ -224,11 +228,12 @@
             }
         }
         self.handle_kind(now, &from, kind, out);
-        // What was waited for may have come: then it is woken later than it had asked.
+        // The awaited answer may have arrived, which moves the next timeout to a later time.
         self.expected_wakeup = self.earliest_deadline().unwrap_or(now).max(now);
     }
 
-    /// This process goes: it says so to some, a few times, and is then over.
+    /// Announces that this process leaves, to a few members in a few gossip rounds;
+    /// [`Membership::is_finished`] afterwards.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.lifecycle != Lifecycle::Active {
             return;
@@ -250,21 +255,21 @@
         self.gossip_leave(now, out);
     }
 
-    /// This process says something else of itself from now on. Its address stays.
+    /// Changes the metadata of this process and announces it. The address must stay the same.
     ///
     /// # Errors
     ///
-    /// The metadata is no good.
+    /// The metadata is invalid.
     pub fn set_metadata(&mut self, now: Micros, metadata: Metadata) -> Result<(), String> {
         if !metadata.is_valid() || metadata.address != self.local.address {
-            return Err("a metadata's texts have 24 bytes at the most, and its address stays".into());
+            return Err("metadata texts must have at most 24 bytes, and the address must not change".into());
         }
         self.roster.modify(&self.local.name.clone(), |local| local.metadata = metadata);
         self.announce(now, self.local.incarnation.next());
         Ok(())
     }
 
-    /// What it takes the others to be.
+    /// Snapshot of the membership.
     pub fn view(&self, now: Micros) -> MembershipView {
         let members = self.roster.iter().map(|(name, entry)| MemberView {
             name: name.clone(),
@@ -290,7 +295,7 @@
         }
     }
 
-    /// Where it stands.
+    /// Status of the cluster, as this process sees it.
     pub fn cluster_status(&self) -> ClusterStatus {
         match self.lifecycle {
             Lifecycle::Replaced => ClusterStatus::Replaced,
@@ -298,17 +303,17 @@
         }
     }
 
-    /// In which condition it takes a member to be.
+    /// Condition of a member, as this process sees it; `None`: unknown.
     pub fn condition(&self, name: &Name) -> Option<crate::Condition> {
         self.roster.get(name).map(Entry::condition)
     }
 
-    /// What its list comes to.
+    /// Digest of the list of members.
     pub fn digest(&self) -> u64 {
         self.roster.digest()
     }
 
-    /// What it has counted.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -344,8 +349,8 @@
         all.chain([self.period_ends_at, self.next_reconnect_at, self.next_join_at]).min()
     }
 
-    /// Time in which this process did not run counts for nobody: answers may lie unread. Whoever runs late doubts
-    /// itself.
+    /// Extends all timeouts by time in which this process did not run, because answers may be waiting unread
+    /// in the socket. A late call also raises the health score.
     fn compensate_stall(&mut self, now: Micros) {
         let late = now.saturating_sub(self.expected_wakeup);
         self.expected_wakeup = self.expected_wakeup.max(now);
@@ -405,7 +410,7 @@
         out.push(Action::Notify(MemberEvent { name: name.clone(), kind, last_ack_age, is_flapping }));
     }
 
-    /// This process is at a higher incarnation from now on, and says so.
+    /// Raises this process to a higher incarnation and gossips it.
     fn announce(&mut self, now: Micros, incarnation: Incarnation) {
         self.local.incarnation = incarnation;
         let local = self.local.name.clone();
--- a/members/src/membership/local.rs
+++ b/members/src/membership/local.rs
@@ -1,4 +1,4 @@
-//! What is said of this process, and who else has its name.
+//! Updates about this process itself, and other processes under its name.
 
 use super::{Action, Lifecycle, Membership};
 use crate::event::MemberEventKind;
@@ -13,7 +13,7 @@
         if self.lifecycle != Lifecycle::Active || incarnation < self.local.incarnation {
             return;
         }
-        // Its own clock may be behind by hours, its names' last life not.
+        // The local clock may be hours behind that of the previous process of this name.
         if !incarnation.is_plausible(None, self.wall_ms(now)) {
             self.counts.rejected_updates += 1;
             return;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Another process says something under this one's name, or this one's own message has come back.
+    /// Handles a message from another process under this process's name, or an own message that came back.
     pub(super) fn handle_namesake(
         &mut self,
         now: Micros,
@@ -83,7 +83,7 @@
         }
         let is_later = (from.incarnation, from.address) > (self.local.incarnation, self.local.address);
         if is_later && from.incarnation.is_plausible(None, self.wall_ms(now)) {
-            // The later life has the name.
+            // The process with the later incarnation keeps the name.
             self.lifecycle = Lifecycle::Replaced;
             self.notify(now, &self.local.name, MemberEventKind::Left, out);
         } else if !is_later {
--- a/members/src/membership/messages.rs
+++ b/members/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! Questions, their answers, and what is asked of this member in turn.
+//! Handling of messages by kind, and the periodic tasks: probing, reconnecting, joining and gossip.
 
 use super::{Action, Lifecycle, Membership, MAX_JOIN_BACKOFF, MAX_PERIODS_WITHOUT_SYNC, SEEDS_PER_JOIN};
 use crate::broadcast::BroadcastQueue;
@@ -27,7 +27,7 @@
                 let priority_updates = self.updates_against(from);
                 self.send(from.address, kind, priority_updates, Some(&from.name), out);
             }
-            // Meant for somebody who heard here before.
+            // A ping for another name is meant for a process that used this address before.
             MessageKind::Ping { .. } | MessageKind::Gossip | MessageKind::Entries => {}
             MessageKind::Join { number } => {
                 let kind = MessageKind::Ack { number, digest: self.roster.digest() };
@@ -73,7 +73,8 @@
                     );
                 }
                 if !differing.is_empty() {
-                    // Where not all goes out, something else does the next time.
+                    // Start at a random bucket: when the rate limit cuts the pages short, the next exchange
+                    // sends others.
                     let offset = self.rng.random_range(0..differing.len());
                     differing.rotate_left(offset);
                 }
@@ -92,17 +93,17 @@
         }
     }
 
-    /// What speaks against whoever asks: it hears so at once.
+    /// The update that contradicts the sender's own state, if any, so that it learns of a suspicion at once.
     pub(super) fn updates_against(&self, from: &Sender) -> Vec<Update> {
         let entry = self.roster.get(&from.name);
         let contradicting =
             entry.filter(|entry| entry.incarnation >= from.incarnation && entry.state != State::Alive);
-        // One that has the name in another life hears of the life that is known.
+        // If a later start of this name is known, the sender learns of it.
         let newer = entry.filter(|entry| entry.incarnation > from.incarnation);
         contradicting.or(newer).map(|entry| entry.to_update(&from.name)).into_iter().collect()
     }
 
-    /// The same for one that is asked.
+    /// The update about a probed member that is not known as alive.
     pub(super) fn state_update(&self, name: &Name) -> Vec<Update> {
         let entry = self.roster.get(name).filter(|entry| entry.state != State::Alive);
         entry.map(|entry| entry.to_update(name)).into_iter().collect()
@@ -135,7 +136,7 @@
                 entry.last_ack_at = Some(now);
             }
         } else if let Some(entry) = self.roster.get_mut(&from.name) {
-            // An answer to a question of another kind, or a late one: it is there, and hears.
+            // The ack of a join or a reconnect, or a late one: the member is alive and receives messages.
             if entry.is_live() && entry.incarnation.start == from.incarnation.start {
                 entry.last_ack_at = Some(now);
             }
@@ -154,14 +155,14 @@
         }
     }
 
-    /// A period ends, with its question, and the next begins.
+    /// Ends the current period, evaluates its probe, and starts the next one.
     pub(super) fn start_period(&mut self, now: Micros, out: &mut Vec<Action>) {
         if let Some(probe) = self.probe.take() {
             if probe.answered {
                 self.health.reward();
             } else {
                 self.counts.failed_probes += 1;
-                // Helpers that stay silent too say that the trouble is here.
+                // Helpers that sent no nack either suggest that the problem is at this process.
                 self.health.penalize(if probe.helpers > 0 { probe.helpers - probe.nacks } else { 1 });
                 let current = self.roster.get(&probe.target).map(|entry| entry.incarnation);
                 if current == Some(probe.incarnation) {
@@ -196,7 +197,7 @@
         );
     }
 
-    /// The question is out for longer than an answer takes: others ask as well.
+    /// Requests indirect probes once the timeout of the direct probe has passed.
     pub(super) fn send_indirect_probes(&mut self, now: Micros, out: &mut Vec<Action>) {
         let Some(probe) = &mut self.probe else { return };
         if probe.answered || probe.indirect_at.is_none_or(|at| now < at) {
@@ -219,7 +220,8 @@
         }
     }
 
-    /// One of those that count as failed is asked, as it may only have been cut off; and the long gone are forgotten.
+    /// Probes one failed member, which may only have been partitioned, and forgets members that failed or
+    /// left long ago.
     pub(super) fn reconnect(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.next_reconnect_at = now + self.config.reach_every;
         let remember = self.config.remember;
@@ -248,8 +250,8 @@
         );
     }
 
-    /// Asks to be let in: some seeds while nobody else is known, and later on now and then one that is not among those
-    /// who are.
+    /// Sends join requests: to several seeds while no other member is known, and otherwise occasionally to
+    /// one seed that is not a live member.
     pub(super) fn join(&mut self, now: Micros, out: &mut Vec<Action>) {
         let alone = self.roster.live() <= 1;
         let is_known = |seed: &SocketAddr| {
@@ -261,7 +263,7 @@
             false => self.config.join_every * MAX_JOIN_BACKOFF,
         };
         self.join_backoff = (self.join_backoff * 2).min(self.config.join_every * MAX_JOIN_BACKOFF);
-        // Spread, as many may start at once.
+        // Jitter, because many processes may start at once.
         self.next_join_at = now + interval / 2 + self.rng.random_range(0..=interval / 2);
         let Some(local_update) =
             self.roster.get(&self.local.name).map(|entry| entry.to_update(&self.local.name))
@@ -283,7 +285,7 @@
         self.next_gossip_at = now + self.config.gossip_every;
         let to = self.probe_order.pick(self.config.gossip_fanout, &mut self.rng, |_| true);
         if to.is_empty() {
-            // Whoever joins makes its list equal.
+            // Nobody to gossip to: a member that joins later gets the list by anti-entropy.
             self.broadcasts = BroadcastQueue::default();
         }
         for name in to {
--- a/members/src/membership/updates.rs
+++ b/members/src/membership/updates.rs
@@ -1,4 +1,4 @@
-//! What is said of others, and what this member makes of it.
+//! Updates about other members, and suspicions of them.
 
 use super::{Action, Membership};
 use crate::event::MemberEventKind;
@@ -37,11 +37,12 @@
                     self.suspect(now, &name, &accuser, out);
                 }
             }
-            // Nobody's word alone makes one fail: whoever says so shares the suspicion.
+            // One member's report does not fail another: it counts as a confirmation of the suspicion.
             (ReportedState::Failed, Some((known, _))) if incarnation == known => {
                 self.suspect(now, &name, sender, out)
             }
-            // A life that has not been announced here can't be accused: its own word comes first.
+            // An incarnation that the member has not announced here cannot be suspected: its own alive update
+            // must come first.
             (ReportedState::Suspect { .. } | ReportedState::Failed, Some((known, _)))
                 if incarnation > known =>
             {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// It says itself that it lives, later than all that was known.
+    /// Applies an alive update with an incarnation later than the known one.
     pub(super) fn mark_alive(
         &mut self,
         now: Micros,
@@ -171,7 +172,8 @@
             self.suspected.remove(&name);
             let failed = self.roster.modify(&name, |entry| {
                 let State::Suspect(suspicion) = &entry.state else { return false };
-                // It has answered here since: whoever can't hear it may say what they like.
+                // The member has acknowledged a message of this process since the suspicion started, so the
+                // reports of others, which may not reach it, do not fail it here.
                 let answered = entry.last_ack_at.is_some_and(|at| at > suspicion.started_at());
                 entry.state = if answered { State::Alive } else { State::Failed };
                 entry.since = now;
--- a/members/src/message.rs
+++ b/members/src/message.rs
@@ -1,86 +1,87 @@
-//! What passes between members.
+//! Messages between members.
 
 use crate::name::Name;
 use crate::update::{Incarnation, Update};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// How many parts a list is compared in.
+/// Number of buckets into which the list of members is divided for comparison.
 pub const BUCKETS: usize = 32;
 
-/// Who says something.
+/// Sender of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Its name.
+    /// Name of the member.
     pub name: Name,
-    /// Its present incarnation.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
-    /// Where it hears: answers go here.
+    /// Address where it receives messages; replies go here.
     pub address: SocketAddr,
 }
 
-/// One message. No answer to it is sent anywhere but to what it says of its sender.
+/// A message. Replies go only to the address that the message gives for its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// From whom.
+    /// Sender.
     pub from: Sender,
-    /// What it is about.
+    /// Kind and its parameters.
     pub kind: MessageKind,
-    /// News that rides along.
+    /// Updates piggybacked on the message.
     pub updates: Vec<Update>,
 }
 
-/// What a message is about.
+/// Kind of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageKind {
-    /// Is `to` there? Another that hears at its address does not answer.
+    /// Probe of the member `to`. Another member that now receives at this address does not answer.
     Ping {
-        /// For the answer.
+        /// Sequence number that the acknowledgement repeats.
         number: u32,
-        /// Whom it is meant for.
+        /// Name of the probed member.
         to: Name,
     },
-    /// It is.
+    /// Acknowledges a [`MessageKind::Ping`], [`MessageKind::PingFor`] or [`MessageKind::Join`].
     Ack {
-        /// The question's.
+        /// Sequence number of the request.
         number: u32,
-        /// What its list comes to, for comparison.
+        /// Digest of the sender's list of members.
         digest: u64,
     },
-    /// Ask for me whether this one is there.
+    /// Requests an indirect probe of `target` (SWIM's ping-req).
     PingFor {
-        /// For the answer.
+        /// Sequence number that the answer repeats.
         number: u32,
-        /// Whom.
+        /// Name of the member to be probed.
         target: Name,
-        /// Where it hears.
+        /// Address of that member.
         at: SocketAddr,
     },
-    /// It has not answered me either; I am here.
+    /// Answers a [`MessageKind::PingFor`] when the target has not acknowledged: the helper itself is
+    /// reachable.
     Nack {
-        /// The question's.
+        /// Sequence number of the request.
         number: u32,
     },
-    /// Let me in: the sender's own update comes with it.
+    /// Requests to join; the update of the sender is piggybacked.
     Join {
-        /// For the answer.
+        /// Sequence number that the acknowledgement repeats.
         number: u32,
     },
-    /// News alone.
+    /// Carries piggybacked updates only.
     Gossip,
-    /// What the sender's list comes to, part by part.
+    /// Digests of the buckets of the sender's list, for anti-entropy.
     Digests {
-        /// For each part.
+        /// One digest per bucket.
         parts: Vec<u64>,
-        /// Whether this answers such a message: then nobody answers it with another.
+        /// Whether this answers another such message; an answer is not answered again.
         answers: bool,
     },
-    /// Entries of the sender's list, where the two differ.
+    /// A page of entries from buckets that differ, as piggybacked updates.
     Entries,
 }
 
 impl Message {
-    /// Bytes that a message takes without its updates, at most.
+    /// Upper bound of the encoded size of a message without its updates, in bytes.
     pub(crate) fn max_header_size(from: &Sender, kind: &MessageKind) -> usize {
         let text = |name: &Name| name.as_str().len() + 2;
         let kind = match kind {
@@ -94,7 +95,7 @@
         text(&from.name) + 15 + 22 + 1 + kind + 3
     }
 
-    /// The same for a whole message.
+    /// Upper bound of the encoded size of the whole message, in bytes.
     pub fn max_size(&self) -> usize {
         Message::max_header_size(&self.from, &self.kind)
             + self.updates.iter().map(Update::max_size).sum::<usize>()
--- a/members/src/name.rs
+++ b/members/src/name.rs
@@ -4,14 +4,14 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 const MAX_NAME_BYTES: usize = 48;
 
-/// A member's name: 1 to 48 letters, digits, dots, hyphens and underscores. Clones share the text.
+/// Name of a member: 1 to 48 letters, digits, dots, hyphens and underscores. Clones share the text.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name(Arc<str>);
 
-/// Not a name.
+/// The text is not a valid name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidName;
 
@@ -24,11 +24,11 @@
 impl std::error::Error for InvalidName {}
 
 impl Name {
-    /// A name.
+    /// Creates a name.
     ///
     /// # Errors
     ///
-    /// The text is empty, too long, or has other characters.
+    /// The text is empty, too long, or has characters that are not allowed.
     pub fn new(text: &str) -> Result<Name, InvalidName> {
         let good = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
         match (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(good) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Its text.
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/members/src/name_conflict.rs
+++ b/members/src/name_conflict.rs
@@ -1,14 +1,15 @@
-//! Another process under this one's name. A life of its own that is over may be spoken of as well, at another address: the
-//! two are told apart by asking there.
+//! Name conflicts: an update reports this process's name at another address. Either another process uses the
+//! name, or the update is of a previous process of this name that has ended. Probing that address decides
+//! which.
 
 use crate::update::Incarnation;
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// How often it is asked before nobody is taken to be there.
+/// Number of probes without an answer after which the other address counts as unused.
 const MAX_PROBES: u32 = 3;
 
-/// A question whether somebody else has this name.
+/// An unresolved name conflict.
 #[derive(Clone, Debug)]
 pub(crate) struct NameConflict {
     pub number: u32,
@@ -18,11 +19,11 @@
     probes_left: u32,
 }
 
-/// What a contest does next.
+/// Next step in resolving a name conflict.
 pub(crate) enum ConflictStep {
-    /// Ask once more.
+    /// Send another probe.
     Probe,
-    /// Nobody is there: that life is over.
+    /// No process answers at the other address: the incarnation there has ended.
     Resolved,
 }
 
--- a/members/src/probe.rs
+++ b/members/src/probe.rs
@@ -1,12 +1,13 @@
-//! Who is asked next, and the question that is out.
+//! The order in which members are probed, and the current probe.
 
 use crate::name::Name;
 use crate::update::Incarnation;
 use crate::Micros;
 use rand::{Rng, RngExt};
 
-/// The others that may be there, in an order that is drawn anew after each round: each is asked once in it, and one that
-/// joins has a place at random. So a dead one is found within two rounds for sure, and after 1.6 periods in the mean.
+/// The live other members in the order in which they are probed. The order is shuffled after each round and
+/// each member is probed once a round; a new member is inserted at a random position. A failed member is
+/// therefore probed within two rounds at the latest, and after 1.6 periods on average.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProbeOrder {
     names: Vec<Name>,
@@ -48,14 +49,14 @@
         name
     }
 
-    /// Up to `count` different ones at random, those that do not pass left out.
+    /// Picks up to `count` distinct eligible members at random.
     pub fn pick(&self, count: usize, rng: &mut impl Rng, passes: impl Fn(&Name) -> bool) -> Vec<Name> {
         let mut picked: Vec<Name> = Vec::with_capacity(count);
         if self.names.is_empty() {
             return picked;
         }
-        // From a random place on, in steps that visit each place once: as good as drawn one by one where the order itself
-        // is drawn, and it ends.
+        // Walks from a random position with a stride coprime to the length, which visits each position once
+        // and terminates. As the order itself is shuffled, the result is as good as independent draws.
         let start = rng.random_range(0..self.names.len());
         let stride = match self.names.len() {
             len if len > 8 => {
@@ -84,18 +85,18 @@
     a == 1
 }
 
-/// The question that is out in this period.
+/// The probe of the current period.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
     pub number: u32,
     pub target: Name,
     pub incarnation: Incarnation,
-    /// When others are asked to ask; `None`: they were.
+    /// When indirect probes are requested; `None`: they have been.
     pub indirect_at: Option<Micros>,
-    /// When the period ends.
+    /// End of the protocol period.
     pub ends_at: Micros,
     pub answered: bool,
-    /// How many others were asked, and how many said that they have no answer either.
+    /// Number of helpers asked for an indirect probe, and number of them that answered with a nack.
     pub helpers: u32,
     pub nacks: u32,
 }
@@ -118,7 +119,7 @@
         (0..20).for_each(|number| order.insert(name(number), &mut rng));
         let mut gaps = vec![0usize; 20];
         for turn in 0..200 {
-            // One comes and goes beside them.
+            // One member joins and leaves repeatedly meanwhile.
             match turn % 7 {
                 0 => order.insert(name(99), &mut rng),
                 3 => order.remove(&name(99)),
--- a/members/src/rate_limiter.rs
+++ b/members/src/rate_limiter.rs
@@ -1,24 +1,24 @@
-//! A bound on how much happens a second.
+//! Rate limiting.
 
 use crate::Micros;
 
-/// So many a second, and as many at once.
+/// Token bucket: refills at a rate per second and holds the tokens of one second.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimiter {
-    /// In millionths.
+    /// Available tokens, in millionths.
     micro_tokens: u64,
     per_second: u64,
     refilled_at: Micros,
 }
 
 impl RateLimiter {
-    /// Full at first.
+    /// A full bucket.
     pub fn new(per_second: u32, now: Micros) -> RateLimiter {
         let per_second = u64::from(per_second);
         RateLimiter { micro_tokens: per_second * 1_000_000, per_second, refilled_at: now }
     }
 
-    /// Whether one more may.
+    /// Takes a token; `false` if none is available.
     pub fn try_acquire(&mut self, now: Micros) -> bool {
         let refill = now.saturating_sub(self.refilled_at).saturating_mul(self.per_second);
         self.micro_tokens = self.micro_tokens.saturating_add(refill).min(self.per_second * 1_000_000);
@@ -41,7 +41,7 @@
         assert_eq!((0..9).filter(|_| limiter.try_acquire(0)).count(), 5);
         assert!(!limiter.try_acquire(199_999) && limiter.try_acquire(200_000));
         assert_eq!((0..9).filter(|_| limiter.try_acquire(90_000_000)).count(), 5);
-        // A clock that stands still gives nothing, and none that went back is believed.
+        // A clock that does not advance or goes back adds no tokens.
         assert!(!limiter.try_acquire(1));
     }
 }
--- a/members/src/relayed_probes.rs
+++ b/members/src/relayed_probes.rs
@@ -1,29 +1,30 @@
-//! Questions that this member asks for others.
+//! Indirect probes that this member relays for others.
 
 use crate::message::Sender;
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Most that are open. One more is not asked: whoever wanted it hears neither answer, and doubts itself a little.
+/// Maximum number of relayed probes in flight. A further one is dropped: its origin gets neither ack nor
+/// nack, and raises its health score a little.
 const MAX_RELAYED_PROBES: usize = 64;
 
-/// One of them.
+/// A relayed probe in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct RelayedProbe {
-    /// Who wants to know.
+    /// The member that requested it.
     pub origin: Sender,
-    /// The number under which it asked.
+    /// Sequence number of its request.
     pub number: u32,
-    /// When it is told that no answer has come.
+    /// When the origin is sent a nack, if the target has not acknowledged by then.
     pub nack_at: Micros,
 }
 
-/// All of them, by this member's own numbers.
+/// The relayed probes by the sequence number under which this member sent them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RelayedProbes(BTreeMap<u32, RelayedProbe>);
 
 impl RelayedProbes {
-    /// Whether there was a place.
+    /// Adds a relayed probe; `false` if the maximum is in flight.
     pub fn insert(&mut self, local_number: u32, relayed: RelayedProbe) -> bool {
         let has_room = self.0.len() < MAX_RELAYED_PROBES;
         if has_room {
--- a/members/src/roster.rs
+++ b/members/src/roster.rs
@@ -1,4 +1,4 @@
-//! The list: who is known, in which life, and in which condition.
+//! The list of known members with their incarnations and conditions.
 
 use crate::event::FlapHistory;
 use crate::message::BUCKETS;
@@ -10,21 +10,21 @@
 use std::hash::Hasher;
 use twox_hash::XxHash64;
 
-/// In which condition a member is, in this process's opinion.
+/// Condition of a member, as this process sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Condition {
-    /// Nothing speaks against it.
+    /// Alive.
     Alive,
-    /// It did not answer somebody.
+    /// Suspected: it did not acknowledge a probe, and the suspicion has not ended.
     Suspected,
-    /// It counts as failed.
+    /// Failed: the suspicion timed out.
     Failed,
-    /// It has gone of itself.
+    /// Left the cluster.
     Left,
 }
 
 impl Condition {
-    /// Its name, in log and state.
+    /// The name in logs and in the state that operators see.
     pub fn name(self) -> &'static str {
         match self {
             Condition::Alive => "alive",
@@ -48,11 +48,11 @@
     pub metadata: Metadata,
     pub incarnation: Incarnation,
     pub state: State,
-    /// When it came to be in this condition.
+    /// When the member entered its current condition.
     pub since: Micros,
-    /// When it last answered this process, itself or by a helper.
+    /// When it last acknowledged a message of this process, directly or through a helper.
     pub last_ack_at: Option<Micros>,
-    /// What its list came to when it last said so.
+    /// Digest of its list in its last acknowledgement.
     pub digest: Option<u64>,
     pub flaps: FlapHistory,
 }
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Whether it may be there.
+    /// Whether the member is alive or suspected.
     pub fn is_live(&self) -> bool {
         matches!(self.state, State::Alive | State::Suspect(_))
     }
 
-    /// What is said of it.
+    /// The update that reports the entry.
     pub fn to_update(&self, name: &Name) -> Update {
         let state = match &self.state {
             State::Alive => ReportedState::Alive(self.metadata.clone()),
@@ -96,8 +96,8 @@
     }
 }
 
-/// All that are known, this process among them. What its live entries come to is kept beside it, part by part, so that
-/// two lists are compared without being walked.
+/// All known members, including this process. The digests of the live entries of each bucket are maintained
+/// with each change, so that two lists are compared without walking them.
 #[derive(Clone, Debug)]
 pub(crate) struct Roster {
     entries: BTreeMap<Name, Entry>,
@@ -114,7 +114,7 @@
     hasher.finish()
 }
 
-/// In which part of the list a name is.
+/// Bucket of a name.
 pub(crate) fn bucket_of(name: &Name) -> usize {
     let mut hasher = XxHash64::with_seed(2);
     hasher.write(name.as_str().as_bytes());
@@ -134,30 +134,31 @@
         self.entries.iter()
     }
 
-    /// How many may be there, this process among them.
+    /// Number of alive and suspected members, including this process.
     pub fn live(&self) -> usize {
         self.live
     }
 
-    /// What it comes to, part by part. Whoever has failed or left does not count: it is forgotten sooner here than there.
+    /// Digest of each bucket. Failed and departed members are left out, because members forget them at
+    /// different times.
     pub fn buckets(&self) -> &[u64; BUCKETS] {
         &self.buckets
     }
 
-    /// The same in one number.
+    /// Digest of the whole list.
     pub fn digest(&self) -> u64 {
         let mut hasher = XxHash64::with_seed(3);
         self.buckets.iter().for_each(|bucket| hasher.write_u64(*bucket));
         hasher.finish()
     }
 
-    /// The entries of a part.
+    /// Entries of a bucket.
     pub fn bucket_entries(&self, which: usize) -> impl Iterator<Item = (&Name, &Entry)> {
         self.entries.iter().filter(move |(name, _)| bucket_of(name) == which)
     }
 
-    /// One more. Where the list is full, the one that has failed or left longest ago makes way, and is given back;
-    /// `Err`: there is none.
+    /// Adds a member. In a full list it replaces the one that has failed or left longest ago and returns its
+    /// name; `Err`: no entry can be replaced.
     pub fn insert(&mut self, name: Name, entry: Entry) -> Result<Option<Name>, ()> {
         let mut evicted = None;
         if self.entries.len() >= self.max_members {
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Changes an entry; nothing where there is none.
+    /// Changes an entry and the digests with it; `None` if the name is unknown.
     pub fn modify<T>(&mut self, name: &Name, change: impl FnOnce(&mut Entry) -> T) -> Option<T> {
         let mut entry = self.entries.remove(name)?;
         self.remove_from_digest(name, &entry);
@@ -188,7 +189,8 @@
         Some(result)
     }
 
-    /// For what does not tell in the digest.
+    /// Mutable access to an entry, for changes that do not affect the digests: neither incarnation nor
+    /// liveness.
     pub fn get_mut(&mut self, name: &Name) -> Option<&mut Entry> {
         self.entries.get_mut(name)
     }
@@ -226,7 +228,8 @@
     }
 
     proptest! {
-        /// Whatever was done on the way, equal lists come to equal parts and unequal ones do not.
+        /// Whatever operations led to them, equal lists have equal digests and different lists have different
+        /// ones.
         #[test]
         fn digests_differ_exactly_when_lists_differ(steps in proptest::collection::vec((0u8..12, 0u8..4, 1u64..4), 1..60)) {
             let mut roster = Roster::new(64);
--- a/members/src/suspicion.rs
+++ b/members/src/suspicion.rs
@@ -1,13 +1,13 @@
-//! A suspicion, which is the shorter the more members share it.
+//! Suspicions, whose timeout shrinks with the number of members that confirm them.
 
 use crate::name::Name;
 use crate::Micros;
 
-/// Somebody does not answer.
+/// Suspicion of one member that did not acknowledge a probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Suspicion {
     started_at: Micros,
-    /// Time that did not count, as this process did not run.
+    /// Total time by which the suspicion was extended because this process did not run.
     paused: Micros,
     min: Micros,
     max: Micros,
@@ -16,12 +16,14 @@
 }
 
 impl Suspicion {
-    /// Lasts from `min` (shared by `needed` more) to `max` (by nobody else).
+    /// Creates a suspicion by `by` that lasts from `min` (with `needed` confirmations) to `max` (without
+    /// any).
     pub fn new(now: Micros, by: Name, min: Micros, max: Micros, needed: usize) -> Suspicion {
         Suspicion { started_at: now, paused: 0, min, max, needed, accusers: vec![by] }
     }
 
-    /// Somebody shares it. Whether that is news: not from one that has said so, nor beyond those that are wanted.
+    /// Adds a confirmation. Returns whether it counts: not a second one by the same member, and none beyond
+    /// those needed.
     pub fn confirm(&mut self, by: &Name) -> bool {
         let is_new = self.accusers.len() <= self.needed && !self.accusers.contains(by);
         if is_new {
@@ -38,7 +40,7 @@
         &self.accusers
     }
 
-    /// Time that does not count.
+    /// Extends the suspicion by time in which this process did not run.
     pub fn extend(&mut self, duration: Micros) {
         self.paused += duration;
     }
--- a/members/src/sync.rs
+++ b/members/src/sync.rs
@@ -1,15 +1,15 @@
-//! Making two lists equal: what was missed by news alone.
+//! Anti-entropy: makes two lists equal where gossip was lost.
 
 use crate::message::{Message, BUCKETS};
 use crate::roster::Roster;
 
-/// Which parts differ; `None`: what was sent is not such a list.
+/// Buckets whose digests differ; `None` if the received number of buckets is wrong.
 pub(crate) fn differing_buckets(local: &[u64; BUCKETS], remote: &[u64]) -> Option<Vec<usize>> {
     (remote.len() == BUCKETS)
         .then(|| (0..BUCKETS).filter(|bucket| local[*bucket] != remote[*bucket]).collect())
 }
 
-/// The messages that hold these parts' entries, of whom `to` hears nothing about itself that it does not know.
+/// Updates of all entries of these buckets, divided into pages of at most `page_capacity` bytes.
 pub(crate) fn pages(roster: &Roster, buckets: &[usize], page_capacity: usize) -> Vec<Vec<crate::Update>> {
     let mut pages = vec![Vec::new()];
     let mut bytes_left = page_capacity;
@@ -31,7 +31,7 @@
     pages
 }
 
-/// Room for entries beside a message's head.
+/// Bytes available for updates in a message, after its header.
 pub(crate) fn page_capacity(
     max_message_bytes: usize,
     from: &crate::Sender,
--- a/members/src/update.rs
+++ b/members/src/update.rs
@@ -1,39 +1,41 @@
-//! What members say of each other.
+//! Updates: the state, incarnation and metadata of a member as they are gossiped.
 
 use crate::name::Name;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest of the metadata's texts, in bytes.
+/// Maximum length of each text field of [`Metadata`], in bytes.
 const MAX_TEXT_BYTES: usize = 24;
 
-/// A round that no member reaches by what it says itself: one more is said at each refutation, and there is at most one
-/// in a wake.
+/// Highest round. No member reaches it by its own refutations: each refutation raises the round by one, and a
+/// call of the protocol refutes at most once.
 const MAX_ROUND: u32 = 1 << 24;
-/// How far rounds may lie apart within one start. Each is a refutation; whoever missed more than these hears of the
-/// member by its next start.
+/// Maximum difference between the known and a received round of the same start. Each round is one refutation;
+/// a member that missed more than these learns of the other by its next start.
 const MAX_ROUND_GAP: u32 = 1 << 12;
-/// How far a start may lie ahead of this process's wall clock, in milliseconds: a day. Clocks that are set wrong by hours
-/// are met, a claim that nobody could ever go beyond is not believed.
+/// How far a start may lie ahead of the local wall clock, in milliseconds: one day. This accepts clocks that
+/// are wrong by hours, and rejects an incarnation so high that the owner of the name could never exceed it.
 const MAX_CLOCK_LEAD_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// Which of a member's lives, and how often it has contradicted in it. The greater one is the later.
+/// Incarnation of a member: the start time of its process and a refutation counter. Incarnations are ordered;
+/// updates with a higher one supersede those with a lower one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// When the process started: milliseconds since 1970 by its wall clock, or one more than the last life's where that
-    /// clock was set back.
+    /// Start time of the process, in milliseconds since 1970 by its wall clock. If that clock was set back,
+    /// one more than the previous start.
     pub start: u64,
-    /// Raised by the member itself alone: to contradict what is said of it, and to say that it leaves.
+    /// Refutation counter within this start. Only the member itself raises it: to refute a suspicion, to
+    /// announce new metadata, and to announce that it leaves.
     pub round: u32,
 }
 
 impl Incarnation {
-    /// The first of a life.
+    /// The first incarnation of a process start.
     pub fn initial(start: u64) -> Incarnation {
         Incarnation { start, round: 0 }
     }
 
-    /// The next one up.
+    /// The next higher incarnation.
     #[must_use]
     pub fn next(self) -> Incarnation {
         match self.round < MAX_ROUND {
@@ -42,8 +44,9 @@
         }
     }
 
-    /// What a member says next that hears this of itself. A later start than its own is that of a life which is over, as
-    /// its wall clock was set back: the others are to see that this is another one.
+    /// The incarnation that a member announces after it has received `heard` under its own name. If `heard`
+    /// has a later start than its own, it belongs to a previous process of this name and the wall clock was
+    /// set back since; the result then has a new start, so that the others see a restart.
     #[must_use]
     pub(crate) fn next_above(self, heard: Incarnation) -> Incarnation {
         match heard.start > self.start {
@@ -52,7 +55,8 @@
         }
     }
 
-    /// Whether it may be true, at this wall clock (milliseconds since 1970), of a member of which `known` is known.
+    /// Whether the incarnation may be genuine, given the last known one of the member and the local wall
+    /// clock (milliseconds since 1970).
     pub(crate) fn is_plausible(self, known: Option<Incarnation>, wall_ms: u64) -> bool {
         let jumps = known.is_some_and(|known| {
             known.start == self.start && self.round.saturating_sub(known.round) > MAX_ROUND_GAP
@@ -61,67 +65,69 @@
     }
 }
 
-/// What a member says of itself. Small, as it goes round with each change of its incarnation.
+/// What a member announces about itself. Kept small, because it is gossiped with each change of the
+/// incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Metadata {
-    /// Where it hears. Others send here, wherever its own messages seem to come from.
+    /// UDP address where it receives messages. Others send here, whatever source address its datagrams have.
     pub address: SocketAddr,
-    /// Its zone; may be empty.
+    /// Zone; may be empty.
     pub zone: String,
-    /// Its region; may be empty.
+    /// Region; may be empty.
     pub region: String,
-    /// The program's version; may be empty.
+    /// Version of the program; may be empty.
     pub version: String,
-    /// What it does among the others; may be empty.
+    /// Role in the cluster; may be empty.
     pub role: String,
-    /// How much it bears beside the others, in hundredths of a usual one.
+    /// Relative capacity in percent: 100 is that of a usual member.
     pub capacity: u16,
 }
 
 impl Metadata {
-    /// One that says no more than an address.
+    /// Metadata with an address, empty texts and a capacity of 100.
     pub fn new(address: SocketAddr) -> Metadata {
         let empty = String::new;
         Metadata { address, zone: empty(), region: empty(), version: empty(), role: empty(), capacity: 100 }
     }
 
-    /// Whether its texts are within their bound (24 bytes each) and without control characters.
+    /// Whether each text is within its limit (24 bytes) and free of control characters.
     pub fn is_valid(&self) -> bool {
         let good = |text: &String| text.len() <= MAX_TEXT_BYTES && !text.chars().any(char::is_control);
         [&self.zone, &self.region, &self.version, &self.role].into_iter().all(good)
     }
 }
 
-/// What is said of a member.
+/// State of a member as an update reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReportedState {
-    /// It lives. Only it says so first.
+    /// The member is alive. Originates only from the member itself.
     Alive(Metadata),
-    /// It did not answer `by`.
+    /// The member did not acknowledge a probe by `by`.
     Suspect {
-        /// Whom it did not answer.
+        /// The member that suspects it.
         by: Name,
     },
-    /// It was suspected for so long that it counts as failed.
+    /// The suspicion was not refuted in time, and the member counts as failed.
     Failed,
-    /// It has gone of itself. Only it says so first.
+    /// The member has left. Originates only from the member itself.
     Left,
 }
 
-/// A claim of one member's incarnation.
+/// The reported state of one incarnation of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// Of whom.
+    /// Name of the member.
     pub name: Name,
-    /// Of which life and round.
+    /// Incarnation that the state applies to.
     pub incarnation: Incarnation,
-    /// What.
+    /// Reported state.
     #[serde(rename = "claim")]
     pub state: ReportedState,
 }
 
 impl Update {
-    /// No codec that writes integers in at most 10 bytes and texts with their length takes more bytes for it.
+    /// Upper bound of the encoded size in bytes, for any codec that encodes an integer in at most 10 bytes
+    /// and prefixes texts with their length.
     pub fn max_size(&self) -> usize {
         let text = |text: &str| text.len() + 2;
         let state = match &self.state {
@@ -145,7 +151,7 @@
         let wall_ms = 1_700_000_000_000;
         let own = Incarnation::initial(wall_ms);
         assert!(own.is_plausible(None, wall_ms));
-        // A clock that is hours ahead is met; one that nobody could go beyond is not.
+        // A start that is hours ahead is accepted; one that no process could exceed is rejected.
         assert!(Incarnation::initial(wall_ms + 3_600_000).is_plausible(Some(own), wall_ms));
         assert!(!Incarnation::initial(u64::MAX).is_plausible(Some(own), wall_ms));
         assert!(!Incarnation { round: u32::MAX, ..own }.is_plausible(Some(own), wall_ms));
--- a/members/src/view.rs
+++ b/members/src/view.rs
@@ -1,4 +1,4 @@
-//! What is shown of it all.
+//! Snapshots of the list of members and of the counters.
 
 use crate::cluster_status::ClusterStatus;
 use crate::name::Name;
@@ -6,64 +6,67 @@
 use crate::update::{Incarnation, Metadata};
 use crate::Micros;
 
-/// What this process takes a member to be. Another may take it to be something else at the same moment.
+/// A member as this process sees it. Other members may see it differently at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberView {
-    /// Who.
+    /// Name of the member.
     pub name: Name,
-    /// What it last said of itself.
+    /// Metadata that it last announced.
     pub metadata: Metadata,
-    /// Its life and round.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its condition.
     pub condition: Condition,
-    /// For how long it has been in it.
+    /// Microseconds since it entered this condition.
     pub condition_age: Micros,
-    /// How long ago it last answered this process; `None`: never, or it is this process.
+    /// Microseconds since it last acknowledged a message of this process; `None`: never, or it is this
+    /// process.
     pub last_ack_age: Option<Micros>,
-    /// Whether its list, when it last said what it comes to, was this process's list as it is now; `None`: it has not said.
+    /// Whether the digest in its last acknowledgement equals the current digest of this process; `None`: no
+    /// acknowledgement yet.
     pub digest_matches: Option<bool>,
-    /// Whether it comes and goes.
+    /// Whether it is flapping, that is, has rejoined repeatedly within a minute.
     pub is_flapping: bool,
-    /// Who suspects it.
+    /// Members that suspect it.
     pub suspected_by: Vec<Name>,
 }
 
-/// The whole of it.
+/// Snapshot of the membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipView {
-    /// This process.
+    /// Name of this process.
     pub local_name: Name,
-    /// Where it stands.
+    /// Status of the cluster.
     pub cluster_status: ClusterStatus,
-    /// How far it doubts itself: 0 is not at all.
+    /// Local health score; 0 is healthy.
     pub health_score: u32,
-    /// What its list comes to: members that agree have the same number.
+    /// Digest of the list; members with equal lists have equal digests.
     pub digest: u64,
-    /// All that it knows, itself among them, by name.
+    /// All known members by name, including this process.
     pub members: Vec<MemberView>,
-    /// What it has counted.
+    /// Counters.
     pub counts: Counts,
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Messages that went out.
+    /// Messages sent.
     pub sent: u64,
-    /// Messages that came in.
+    /// Messages received.
     pub received: u64,
-    /// Questions of this process that nobody answered.
+    /// Probes by this process that were not acknowledged, directly or through a helper.
     pub failed_probes: u64,
-    /// What was said of this process and contradicted.
+    /// Updates that reported this process as suspected, failed or left, and were refuted.
     pub refutations: u64,
-    /// Claims that were not believed: of lives that nobody has announced, by members that have failed, beyond what can be.
+    /// Updates and messages that were rejected: with an incarnation that the member has not announced or that
+    /// is implausible, or by a failed member.
     pub rejected_updates: u64,
-    /// Members that were not let in, as the list was full.
+    /// Members that were rejected because the list was full.
     pub rejected_members: u64,
-    /// Comparisons of lists that this process began.
+    /// Comparisons of lists that this process started.
     pub syncs: u64,
-    /// Pages that were not sent, as too many had been.
+    /// Anti-entropy pages that were not sent because of the rate limit.
     pub throttled_pages: u64,
     /// How often this process ran late.
     pub stalls: u64,
--- a/members/tests/common/mod.rs
+++ b/members/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Many members on virtual time, with a network that loses, delays, doubles and cuts.
+//! Simulation of many members on virtual time, with a network that loses, delays, duplicates and blocks
+//! messages.
 #![allow(dead_code)]
 
 use nettleworks_members::*;
@@ -8,7 +9,7 @@
 use std::net::SocketAddr;
 
 pub const SECOND: Micros = 1_000_000;
-/// The wall clock at the start: some day of 2024, in milliseconds.
+/// Wall clock at the start in milliseconds, on some day of 2023.
 pub const WALL: u64 = 1_700_000_000_000;
 
 pub fn name(number: usize) -> Name {
@@ -22,7 +23,7 @@
 pub struct Node {
     pub members: Membership,
     pub events: Vec<(Micros, MemberEvent)>,
-    /// Until when it does not run; what comes meanwhile waits.
+    /// Until when the process does not run; messages that arrive meanwhile wait.
     pub paused_until: Micros,
     pub inbox: Vec<Message>,
     pub up: bool,
@@ -33,7 +34,7 @@
     pub nodes: BTreeMap<SocketAddr, Node>,
     pub loss: f64,
     pub duplication: f64,
-    /// From whom to whom nothing goes.
+    /// Links, from and to, on which nothing is delivered.
     pub blocked_links: BTreeSet<(SocketAddr, SocketAddr)>,
     pub delay: (Micros, Micros),
     pub sent: u64,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// So many that all know the first three as seeds, all agreed.
+    /// Starts this many members with the first three as seeds, and runs until all agree.
     pub fn converged(seed: u64, count: usize) -> Net {
         let mut net = Net::new(seed, Config::default());
         (0..count).for_each(|number| net.start(number, WALL));
@@ -112,13 +113,13 @@
         self.node(number).up = false;
     }
 
-    /// It does not run for so long.
+    /// Pauses a process for this long.
     pub fn pause(&mut self, number: usize, time: Micros) {
         let until = self.now + time;
         self.node(number).paused_until = until;
     }
 
-    /// Cuts both ways between each of the one and each of the other.
+    /// Blocks all links between members of the two groups, in both directions.
     pub fn partition(
         &mut self,
         one: impl IntoIterator<Item = usize>,
@@ -148,7 +149,7 @@
         digests.all(|digest| Some(digest) == first)
     }
 
-    /// Who was told to have failed, by those that run, since a moment.
+    /// Members that were reported as failed by running processes since a time.
     pub fn failed_since(&self, at: Micros) -> BTreeSet<Name> {
         let events = self.nodes.values().filter(|node| node.up).flat_map(|node| &node.events);
         let failed = events.filter(|(when, event)| *when >= at && event.kind == MemberEventKind::Failed);
@@ -161,7 +162,7 @@
         self.now = until;
     }
 
-    /// Plays until a condition holds, for so long at the most; whether it came.
+    /// Runs until a condition holds, for at most this long; returns whether it holds.
     pub fn run_until(&mut self, time: Micros, holds: impl Fn(&Net) -> bool) -> bool {
         let until = self.now + time;
         while self.now < until {
@@ -184,7 +185,8 @@
                 self.now = at;
                 let mut out = Vec::new();
                 let Some(node) = self.nodes.get_mut(&who) else { return true };
-                // What has come while it did not run is read, in one order or the other.
+                // Messages that arrived while it did not run are read before or after its timeouts, at
+                // random.
                 let inbox = std::mem::take(&mut node.inbox);
                 if self.rng.random::<bool>() {
                     node.members.handle_timeout(at, &mut out);
@@ -219,7 +221,7 @@
         self.perform(to, out);
     }
 
-    /// Something that a member has to say, or somebody in its place.
+    /// Performs the actions of a member, or of a test in its place.
     pub fn perform(&mut self, from: SocketAddr, out: Vec<Action>) {
         for out in out {
             match out {
--- a/members/tests/protocol.rs
+++ b/members/tests/protocol.rs
@@ -1,12 +1,13 @@
-//! The hard cases of one list of members, on virtual time.
+//! Failure scenarios of the whole cluster, on virtual time.
 
 mod common;
 
 use common::*;
 use nettleworks_members::*;
 
-/// How long a dead one may stay unnoticed among so many, by the defaults: it is asked within two rounds of questions by
-/// somebody, and a suspicion takes 4 s to 12 s times the logarithm of their number.
+/// Upper bound of the time until a failed member of such a cluster is detected, with the defaults: some
+/// member probes it within two rounds, and a suspicion takes 4 s to 12 s times the logarithm of the number of
+/// members.
 const NOTICED: Micros = 40 * SECOND;
 
 #[test]
@@ -48,7 +49,7 @@
         let at = net.now;
         net.kill(7);
         net.run(SECOND / 10);
-        // Its wall clock may have been set back by an hour meanwhile.
+        // The wall clock may have been set back by an hour meanwhile.
         net.start(7, WALL - set_back);
         let back = |net: &Net| {
             let told = net.nodes.values().filter(|node| {
@@ -88,7 +89,7 @@
     assert!(view.members.iter().all(|member| !member.is_flapping), "it has settled");
 }
 
-/// Both sides go on by themselves, and are one again soon after the cut is over.
+/// Each side of a partition continues by itself, and the sides merge soon after it heals.
 #[test]
 fn partitioned_members_merge_after_the_partition_heals() {
     let parts: [(&str, Vec<Vec<usize>>); 2] = [
@@ -102,7 +103,7 @@
                 net.partition(parts[one].clone(), parts[other].clone());
             }
         }
-        // Long enough that each side is sure of the other's end.
+        // Long enough that each side has marked all members of the others as failed.
         let sure = |net: &Net| {
             (0..parts.len()).all(|one| {
                 (0..60)
@@ -138,13 +139,13 @@
 
 #[test]
 fn one_way_and_pairwise_link_failures_fail_no_member() {
-    // 0 hears 1 and 1 hears 0 not: others hear both.
+    // Messages from 0 to 1 are lost, and indirect probes through the others succeed.
     let mut net = Net::converged(7, 12);
     let at = net.now;
     net.blocked_links.insert((address(0), address(1)));
     net.run(300 * SECOND);
     assert!(net.failed_since(at).is_empty(), "one way: {:?}", net.failed_since(at));
-    // And of three: A and C hear B, and not each other.
+    // Of three members, the first and the third reach the second, but not each other.
     let mut net = Net::converged(8, 3);
     let at = net.now;
     net.partition([0], [2]);
@@ -152,7 +153,8 @@
     assert!(net.failed_since(at).is_empty(), "of three: {:?}", net.failed_since(at));
 }
 
-/// It can say what it likes and hears nothing: it is the one that is taken out, whatever it says of the others.
+/// A member whose datagrams arrive but that receives none: it is marked as failed, and its suspicions of the
+/// others fail nobody.
 #[test]
 fn a_member_that_receives_nothing_is_failed_and_fails_no_other() {
     let mut net = Net::converged(9, 20);
@@ -176,7 +178,7 @@
 fn a_paused_process_suspects_no_member_when_it_resumes() {
     let mut net = Net::converged(10, 20);
     let at = net.now;
-    // Longer than any suspicion takes: the others are sure of its end.
+    // Longer than any suspicion takes, so the others have marked it as failed.
     net.pause(4, 90 * SECOND);
     net.run(90 * SECOND);
     assert!(net.all_see(4, Condition::Failed));
@@ -190,7 +192,8 @@
     assert_eq!(accused.count(), 0, "it heard nobody for 90 s, and that was its own doing");
 }
 
-/// It runs for 50 ms and then not for 700 ms, again and again: it doubts itself, and fails nobody.
+/// A process that repeatedly runs for 50 ms and then not for 700 ms must raise its health score instead of
+/// failing others.
 #[test]
 fn an_overloaded_member_raises_its_health_score_and_fails_no_other() {
     let mut net = Net::converged(11, 20);
@@ -219,17 +222,17 @@
     assert!(net.run_until(60 * SECOND, whole));
 }
 
-/// News may be lost altogether: lists that differ are made equal all the same.
+/// Gossip may be lost altogether; anti-entropy still makes the lists equal.
 #[test]
 fn anti_entropy_repairs_lost_gossip() {
     let mut net = Net::converged(13, 40);
-    // One hears nothing while the card of another changes and goes round.
+    // One member receives nothing while changed metadata of another is gossiped.
     net.pause(9, 30 * SECOND);
     let now = net.now;
     let card = Metadata { zone: "b".into(), ..Metadata::new(address(2)) };
     net.node(2).members.set_metadata(now, card).expect("a good card");
     net.run(10 * SECOND);
-    // What it would have read is lost.
+    // The messages that it would have read are lost.
     net.node(9).inbox.clear();
     net.run(20 * SECOND);
     let zone = |net: &Net| {
@@ -257,7 +260,7 @@
     assert_eq!(net.node(1).members.cluster_status(), ClusterStatus::Alone);
 }
 
-/// Two processes under one name: the later life has it, and the earlier says nothing more.
+/// Two processes run under one name: the one with the later start keeps it, and the earlier one stops.
 #[test]
 fn of_two_processes_with_one_name_the_later_start_keeps_it() {
     let mut net = Net::converged(15, 8);
@@ -274,7 +277,8 @@
     }
 }
 
-/// The earlier life is dead, its clock was ahead, and the new one is elsewhere: nobody is there to have the name.
+/// The previous process of the name had a clock that was ahead, and has crashed; the new one runs at another
+/// address with an earlier start. Probes of the old address go unanswered, so the new process takes the name.
 #[test]
 fn a_live_process_takes_over_a_name_last_used_with_a_later_start() {
     let mut net = Net::converged(16, 8);
@@ -296,7 +300,7 @@
     assert!(there(&net) && net.digests_agree());
 }
 
-/// A message from a member with the key that says what is not so.
+/// A gossip message with the right key and false updates.
 fn forged_gossip(from: usize, updates: Vec<Update>) -> Message {
     let incarnation = Incarnation::initial(WALL);
     Message {
@@ -346,7 +350,7 @@
     }
 }
 
-/// What is sent does not grow with how many there are.
+/// The traffic of each member must not grow with the number of members.
 #[test]
 fn idle_traffic_per_member_is_independent_of_cluster_size() {
     let rates: Vec<f64> = [10, 40, 120]
--- a/members/tests/single.rs
+++ b/members/tests/single.rs
@@ -1,4 +1,4 @@
-//! One member, told by hand what others would say.
+//! One member, with messages of others written by hand.
 
 use nettleworks_members::*;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 }
 
 impl Fixture {
-    /// Called `me`, which knows these.
+    /// Creates the member `me`, which knows these others.
     fn with_members(others: &[&str]) -> Fixture {
         let card = Metadata::new(address("m"));
         let members = Membership::new(Config::default(), name("me"), card, vec![], 1, 0, WALL).expect("good");
@@ -63,7 +63,7 @@
         self.record_actions(out);
     }
 
-    /// Time passes; `answers` do so at once, without a word of what is said of them.
+    /// Advances the time; the members in `answers` acknowledge pings at once, without refuting suspicions.
     fn advance(&mut self, time: Micros, answers: &[&str]) {
         let until = self.now + time;
         while let Some(at) = self.members.next_timeout().filter(|at| *at <= until) {
@@ -100,7 +100,8 @@
     ReportedState::Suspect { by: name(by) }
 }
 
-/// Somebody can't hear it; this one can. It does not even contradict, as it is slow to.
+/// Other members cannot reach the target, but this one can; the target is slow to refute. As long as it
+/// acknowledges the probes of this member, it is not marked as failed here.
 #[test]
 fn a_member_that_acks_directly_is_not_failed_by_reports_of_others() {
     let mut one = Fixture::with_members(&["a", "b", "x"]);
@@ -118,7 +119,7 @@
         one.advance(2 * SECOND, &["a", "b", "x"]);
     }
     assert!(one.notified.iter().all(|event| event.kind != MemberEventKind::Failed), "{:?}", one.notified);
-    // Where it does not answer, it does.
+    // Once it no longer acknowledges here, it is marked as failed.
     one.receive("a", MessageKind::Gossip, &[("x", incarnation(0), suspect("a"))]);
     one.advance(30 * SECOND, &["a", "b"]);
     assert_eq!(one.condition("x"), Some(Condition::Failed));
@@ -151,13 +152,13 @@
     one.advance(30 * SECOND, &["x", "y"]);
     assert_eq!(one.condition("a"), Some(Condition::Failed));
     one.receive("a", MessageKind::Gossip, &[("x", incarnation(0), suspect("a"))]);
-    // Nor by somebody else's mouth.
+    // Nor by a report of another member that names the failed one.
     one.receive("y", MessageKind::Gossip, &[("x", incarnation(0), suspect("a"))]);
     assert_eq!(one.condition("x"), Some(Condition::Alive));
     assert_eq!(one.members.counts().rejected_updates, 2);
 }
 
-/// What is heard of a life that is over may be old, or sent again by anybody.
+/// A message of a superseded start may be old, or replayed by anybody.
 #[test]
 fn suspicions_from_a_superseded_start_are_rejected() {
     let mut one = Fixture::with_members(&["x", "y"]);
@@ -171,7 +172,7 @@
     assert_eq!(one.condition("x"), Some(Condition::Alive));
 }
 
-/// Others are asked to ask, and an answer that comes by one of them is an answer.
+/// Indirect probes are requested, and an ack relayed by a helper counts as an ack.
 #[test]
 fn indirect_probes_are_sent_when_no_ack_arrives() {
     let mut one = Fixture::with_members(&["a", "b", "x"]);
@@ -193,7 +194,7 @@
     assert_eq!(one.members.counts().failed_probes, 0);
 }
 
-/// It is asked for others, answers for them, and says so where none came.
+/// A helper probes the target for the origin, relays its ack, and sends a nack where none arrives.
 #[test]
 fn indirect_probes_are_relayed_up_to_a_bound() {
     let mut one = Fixture::with_members(&["a", "x"]);
@@ -230,13 +231,13 @@
         .updates
         .iter()
         .any(|member| member.name == name("x") && matches!(member.state, ReportedState::Suspect { .. })));
-    // One that is meant for somebody else is not answered.
+    // A ping for another name is not answered.
     one.receive("x", MessageKind::Ping { number: 2, to: name("before") }, &[]);
     assert!(one.sent.is_empty());
 }
 
-/// Helpers that have no answer either say that the trouble is there; silent ones, that it is here. Answers in time end
-/// the doubt.
+/// Nacks of helpers show that the target is at fault; silent helpers, that this member is. Acks in time lower
+/// the health score again.
 #[test]
 fn silent_helpers_raise_the_health_score_and_acks_lower_it() {
     let play = |nacks: bool| {
--- a/members/wire/fuzz/fuzz_targets/datagrams.rs
+++ b/members/wire/fuzz/fuzz_targets/datagrams.rs
@@ -1,5 +1,6 @@
-//! Any bytes as a datagram: refused unless the key made them. And, as if it had, any message to a member that knows two
-//! others: it must keep its bounds, and say nothing longer than a packet.
+//! Any bytes as a datagram must be rejected, as they were not made with the key. Decoded as messages, as if
+//! they had been, they go to a member that must stay within its bounds and send no message longer than a
+//! packet.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/members/wire/src/codec.rs
+++ b/members/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Datagrams: their bytes and their MAC.
+//! Encoding and authentication of datagrams.
 
 use hmac::{Hmac, KeyInit, Mac};
 use nettleworks_members::Message;
@@ -6,53 +6,55 @@
 use sha2::Sha256;
 use std::fmt;
 
-/// The version of the form. Another is refused before anything of it is read.
+/// Version of the format. Datagrams of another version are rejected before anything else is decoded.
 const VERSION: u8 = 1;
-/// Bytes of the MAC.
+/// Length of the MAC in bytes.
 const MAC_BYTES: usize = 16;
-/// Bytes before the message.
+/// Length of version and MAC, before the message.
 const HEADER_BYTES: usize = 1 + MAC_BYTES;
-/// Most bytes of a datagram beside the message itself.
+/// Maximum number of bytes that a datagram adds to the message.
 pub const MAX_OVERHEAD_BYTES: usize = HEADER_BYTES + 20;
-/// Most bytes of a datagram that is heard.
+/// Maximum size of a received datagram in bytes.
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 9_000;
 
-/// A message on its way.
+/// A message with its replay protection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// Drawn at the start of a process: its datagrams are counted under it.
+    /// Random number drawn at the start of the sending process; counters are scoped to it.
     pub session: u64,
-    /// How many datagrams it sent before.
+    /// Number of datagrams that the session sent before.
     pub counter: u64,
-    /// What is said.
+    /// The message.
     pub message: Message,
 }
 
-/// Why a datagram is not heard.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is shorter than any, or longer than any.
+    /// The size is out of range.
     Size,
-    /// It is of another version.
+    /// The version is not supported.
     Version(u8),
-    /// It was not made with this key, or was changed on its way.
+    /// The MAC does not match: another key, or altered in transit.
     Mac,
-    /// It was made with this key and can't be read all the same, or has bytes behind its end.
+    /// The MAC matches, but the body cannot be decoded or has trailing bytes.
     Malformed,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DecodeError::Size => f.write_str("its size is none that a datagram has"),
-            DecodeError::Version(version) => write!(f, "its version is {version}, not {VERSION}"),
+            DecodeError::Size => f.write_str("its size is out of range"),
+            DecodeError::Version(version) => {
+                write!(f, "its version is {version}; only {VERSION} is supported")
+            }
             DecodeError::Mac => f.write_str("its MAC is not by this key"),
-            DecodeError::Malformed => f.write_str("it can't be read"),
+            DecodeError::Malformed => f.write_str("it is malformed"),
         }
     }
 }
 
-/// Makes datagrams and reads them, under one key.
+/// Encodes and decodes datagrams with one key.
 #[derive(Clone)]
 pub struct Codec(Hmac<Sha256>);
 
@@ -63,14 +65,14 @@
 }
 
 impl Codec {
-    /// Under this key.
+    /// Creates a codec for this key.
     ///
     /// # Errors
     ///
-    /// It has fewer than 16 bytes.
+    /// The key has fewer than 16 bytes.
     pub fn new(key: &[u8]) -> Result<Codec, String> {
         if key.len() < 16 {
-            return Err("a key has 16 bytes at the least".to_owned());
+            return Err("a key must have at least 16 bytes".to_owned());
         }
         Hmac::new_from_slice(key).map(Codec).map_err(|error| error.to_string())
     }
@@ -82,11 +84,11 @@
         mac
     }
 
-    /// The datagram of a message.
+    /// Encodes a frame as a datagram.
     ///
     /// # Errors
     ///
-    /// It can't be written in its form.
+    /// The frame cannot be serialized.
     pub fn encode(&self, frame: &Frame) -> Result<Vec<u8>, String> {
         let body = postcard::to_stdvec(frame).map_err(|error| error.to_string())?;
         let mut datagram = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -96,11 +98,11 @@
         Ok(datagram)
     }
 
-    /// What a datagram says.
+    /// Checks and decodes a datagram.
     ///
     /// # Errors
     ///
-    /// It is none that this key has made.
+    /// The datagram was not made with this key, or is malformed.
     pub fn decode(&self, datagram: &[u8]) -> Result<Frame, DecodeError> {
         if !(HEADER_BYTES..=MAX_DATAGRAM_BYTES).contains(&datagram.len()) {
             return Err(DecodeError::Size);
@@ -109,7 +111,7 @@
         if header[0] != VERSION {
             return Err(DecodeError::Version(header[0]));
         }
-        // In constant time.
+        // Compares in constant time.
         self.mac(body).verify_truncated_left(&header[1..]).map_err(|_| DecodeError::Mac)?;
         match postcard::take_from_bytes(body) {
             Ok((frame, [])) => Ok(frame),
--- a/members/wire/src/lib.rs
+++ b/members/wire/src/lib.rs
@@ -1,11 +1,13 @@
-//! Members over UDP. The core (`nettleworks-members`) decides; here are datagrams, the key, the clock and the socket.
+//! Membership over UDP. The core (`nettleworks-members`) decides; this crate provides datagrams, the key, the
+//! clock and the socket.
 //!
-//! A datagram is one byte of version, a MAC of 16 bytes, and the message in postcard's form with a session and a counter. The
-//! MAC is HMAC-SHA-256 under the key of the file that the settings name, cut to its first half (RFC 2104, section 5), over
-//! version and message. Nothing is encrypted: whoever is on the network can read who is there.
+//! A datagram is one byte of version, a MAC of 16 bytes, and the message with a session and a counter,
+//! encoded by postcard. The MAC is HMAC-SHA-256 with the key from the file that the settings name, truncated
+//! to its first half (RFC 2104, section 5), over version and message. Nothing is encrypted: whoever can read
+//! the network can read the list of members.
 //!
-//! What is sent is bounded by datagrams a second, what is heard likewise before its MAC is looked at; what is over is dropped
-//! and counted, as the protocol bears any loss.
+//! Sent datagrams are rate limited, and so are received ones before their MAC is checked. Datagrams beyond
+//! the limit are dropped and counted; the protocol tolerates any loss.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/members/wire/src/replay_window.rs
+++ b/members/wire/src/replay_window.rs
@@ -1,20 +1,22 @@
-//! A window against replays: what was heard already is not heard again.
+//! Replay protection: accepts each counter of a session once.
 
 use std::collections::BTreeMap;
 
-/// How far counters may come out of order. One that is further behind is refused: it is as good as lost.
+/// How far counters may arrive out of order. A counter further behind is rejected, which is the same as a
+/// loss.
 const WINDOW_BITS: u64 = 128;
 
 #[derive(Clone, Copy, Debug)]
 struct ReplayWindow {
     highest: u64,
-    /// Bit `n`: the counter `highest - n` was heard.
+    /// Bit `n`: the counter `highest - n` was seen.
     seen: u128,
     last_used: u64,
 }
 
-/// Those of all sessions, up to a bound: the one that was used longest ago makes way. A datagram of a session that made way,
-/// or of before this process started, may be heard once more; the core's incarnations bear that.
+/// Replay windows of several sessions; beyond the maximum the least recently used session is evicted.
+/// Datagrams of an evicted session, or from before this process started, may be accepted once more; the
+/// incarnations of the core make that harmless.
 #[derive(Clone, Debug)]
 pub struct ReplayWindows {
     sessions: BTreeMap<u64, ReplayWindow>,
@@ -23,12 +25,12 @@
 }
 
 impl ReplayWindows {
-    /// For so many sessions.
+    /// Creates windows for at most this many sessions.
     pub fn new(max_sessions: usize) -> ReplayWindows {
         ReplayWindows { sessions: BTreeMap::new(), max_sessions: max_sessions.max(1), uses: 0 }
     }
 
-    /// Whether this is heard for the first time.
+    /// Whether the counter is seen for the first time.
     pub fn accept(&mut self, session: u64, counter: u64) -> bool {
         self.uses += 1;
         let last_used = self.uses;
@@ -58,12 +60,12 @@
         is_new
     }
 
-    /// How many sessions are known.
+    /// Number of known sessions.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether none is.
+    /// Whether no session is known.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
@@ -76,7 +78,8 @@
     use std::collections::BTreeSet;
 
     proptest! {
-        /// Beside a set of all that was heard: nothing twice, and all that is not too far behind once.
+        /// Compares with a set of all accepted counters: none is accepted twice, and each that is not too far
+        /// behind is accepted once.
         #[test]
         fn each_counter_is_accepted_once_in_any_order(counters in proptest::collection::vec(0u64..400, 1..300)) {
             let mut windows = ReplayWindows::new(4);
--- a/members/wire/src/service.rs
+++ b/members/wire/src/service.rs
@@ -1,4 +1,4 @@
-//! A member at its socket: it hears, says and waits as the core wants.
+//! A member on its UDP socket: performs I/O and keeps time for the core.
 
 use crate::codec::{Codec, DecodeError, Frame, MAX_DATAGRAM_BYTES, MAX_OVERHEAD_BYTES};
 use crate::replay_window::ReplayWindows;
@@ -16,63 +16,63 @@
 use tokio::sync::{broadcast, mpsc, oneshot};
 use tokio::time::{sleep_until, Instant};
 
-/// News that a subscriber may be behind; one that is further behind hears how much it has missed.
+/// Events buffered for a subscriber; one that lags further behind learns how many it missed.
 const EVENT_BUFFER: usize = 1_024;
-/// Datagrams that are read in one turn, before anything else has one.
+/// Datagrams read in a row before timers and commands run.
 const READS_PER_TURN: usize = 64;
-/// Commands that wait.
+/// Commands that may wait in the channel.
 const COMMAND_BUFFER: usize = 16;
-/// Sessions whose datagrams are counted, for each member that may be known: its last life and this one.
+/// Sessions whose replay windows are kept, for each known member: its previous process and the current one.
 const SESSIONS_PER_MEMBER: usize = 2;
-/// At most one line a second about datagrams that are not heard.
+/// Rejected datagrams are logged at most once in this time.
 const DECODE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Something that subscribers are told.
+/// Event for subscribers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
-    /// Of a member.
+    /// A member changed.
     Member(MemberEvent),
-    /// This process stands otherwise.
+    /// The status of the cluster changed.
     Cluster(ClusterStatus),
 }
 
-/// What was counted at the socket since the start.
+/// Counters of the socket since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
-    /// Datagrams that went out.
+    /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that came in and were heard.
+    /// Datagrams received and accepted.
     pub received: u64,
-    /// Bytes of all that came in.
+    /// Bytes of all datagrams received, accepted or not.
     pub received_bytes: u64,
-    /// Not sent, as too many were.
+    /// Datagrams not sent because of the rate limit.
     pub rate_limited_sends: u64,
-    /// Not looked at, as too many came.
+    /// Datagrams dropped unread because of the rate limit.
     pub rate_limited_receives: u64,
-    /// Of no size or form that a datagram has.
+    /// Datagrams of an invalid size or form.
     pub malformed: u64,
-    /// Of another version.
+    /// Datagrams of an unsupported version.
     pub unsupported_version: u64,
-    /// Not made with the key.
+    /// Datagrams whose MAC does not match the key.
     pub forged: u64,
-    /// Heard before.
+    /// Datagrams dropped as replays.
     pub replayed: u64,
-    /// The system did not take them.
+    /// Datagrams that could not be encoded or that the system did not accept.
     pub send_errors: u64,
 }
 
-/// What is shown of a member.
+/// State of a running member, for operators.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The core's view.
+    /// Snapshot of the core.
     pub view: MembershipView,
-    /// The socket's counts.
+    /// Counters of the socket.
     pub datagrams: DatagramCounts,
-    /// How long it has run.
+    /// Time since the start.
     pub uptime: Duration,
-    /// Where the others reach it.
+    /// Address that the other members send to.
     pub address: SocketAddr,
 }
 
@@ -82,7 +82,7 @@
     Leave,
 }
 
-/// Asks a running member. Clones ask the same one.
+/// Handle of a running member. Clones refer to the same one.
 #[derive(Clone, Debug)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
@@ -97,28 +97,29 @@
 }
 
 impl Handle {
-    /// Where the others reach it.
+    /// Address that the other members send to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it takes the others to be, and what it has counted; `None`: it has ended.
+    /// The state of the member; `None`: it has stopped.
     pub async fn report(&self) -> Option<Report> {
         let (answer, report) = oneshot::channel();
         self.commands.send(Command::Report(answer)).await.ok()?;
         report.await.ok()
     }
 
-    /// News from now on. A receiver that is 1,024 behind is told how many it has missed: it asks for a report then.
+    /// Subscribes to events from now on. A receiver that lags by more than 1,024 events gets the number it
+    /// missed, and should request a report then.
     pub fn subscribe(&self) -> broadcast::Receiver<MembershipEvent> {
         self.events.subscribe()
     }
 
-    /// Takes over zone, region, role and capacity of new settings.
+    /// Applies zone, region, role and capacity of new settings.
     ///
     /// # Errors
     ///
-    /// They are no good, what they change besides takes a restart, or it has ended.
+    /// The settings are invalid, other changes in them need a restart, or the member has stopped.
     pub async fn reload(&self, settings: Settings) -> Result<(), String> {
         let (answer, done) = oneshot::channel();
         let ended = || "this member has ended".to_owned();
@@ -127,14 +128,14 @@
         done.await.map_err(|_| ended())?
     }
 
-    /// Says to the others that it goes. What [`MemberService::run`] gave ends soon after.
+    /// Announces to the other members that this one leaves; [`MemberService::run`] ends soon after.
     pub async fn leave(&self) {
-        // One that has ended is gone.
+        // An error means that the member has stopped already.
         let _ = self.commands.send(Command::Leave).await;
     }
 }
 
-/// A member at its socket, ready to run.
+/// A member bound to its socket, to be run.
 pub struct MemberService {
     settings: Settings,
     version: String,
@@ -156,11 +157,12 @@
     log: Arc<dyn Fn(&str) + Send + Sync>,
 }
 
-/// Takes the socket and gets ready; `version` is the program's. What comes back runs it.
+/// Binds the socket and creates the member; `version` is that of the program. The returned service has to be
+/// run.
 ///
 /// # Errors
 ///
-/// The key can't be read, or the address is not to be had.
+/// The key cannot be read, or the address cannot be bound.
 pub async fn start(
     settings: Settings,
     version: &str,
@@ -212,22 +214,22 @@
 }
 
 impl MemberService {
-    /// Runs until it has left, another process has its name, or nobody can ask it any more.
+    /// Runs until the member has left, another process has taken over its name, or all handles are dropped.
     pub async fn run(mut self) {
-        (self.log)(&format!("members: {} hears at {}", self.settings.name, self.address));
+        (self.log)(&format!("members: {} is listening on {}", self.settings.name, self.address));
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         let mut actions = Vec::new();
         while let Some(timeout_at) = self.membership.next_timeout() {
             let timeout_at = self.started_at + Duration::from_micros(timeout_at);
             tokio::select! {
-                // What has come is read before time is said to have passed: answers may lie there.
+                // Datagrams are read before timeouts are handled, because they may hold awaited answers.
                 biased;
                 command = self.commands.recv() => match command {
                     Some(command) => self.handle_command(command, &mut actions),
                     None => return,
                 },
                 heard = self.socket.recv_from(&mut buffer) => {
-                    // Errors are what came back of something sent: nobody hears there.
+                    // Errors report the failure of an earlier send: no process receives at that address.
                     if let Ok((size, _)) = heard {
                         self.handle_datagram(&buffer[..size], &mut actions);
                     }
@@ -243,10 +245,10 @@
                 }
             }
             self.perform_actions(&mut actions);
-            // A flood of datagrams is no reason to keep others of this thread waiting.
+            // A flood of datagrams must not starve the other tasks of this thread.
             tokio::task::yield_now().await;
         }
-        (self.log)(&format!("members: {} is over", self.settings.name));
+        (self.log)(&format!("members: {} stopped", self.settings.name));
     }
 
     fn now(&self) -> Micros {
@@ -299,7 +301,7 @@
             Command::Report(answer) => {
                 let view = self.membership.view(now);
                 let uptime = self.started_at.elapsed();
-                // Whoever asked may have gone.
+                // The requester may have been dropped.
                 let _ =
                     answer.send(Report { view, datagrams: self.datagrams, uptime, address: self.address });
             }
@@ -323,7 +325,7 @@
         self.settings = Settings { zone, region, role, capacity, ..self.settings.clone() };
         match differs {
             true => {
-                Err("zone, region, role and capacity are taken over; the rest takes a restart".to_owned())
+                Err("zone, region, role and capacity were applied; other changes need a restart".to_owned())
             }
             false => Ok(()),
         }
@@ -334,9 +336,9 @@
         for actions in actions.drain(..) {
             match actions {
                 Action::Notify(event) => {
-                    let flapping = if event.is_flapping { ", which comes and goes" } else { "" };
+                    let flapping = if event.is_flapping { ", which is flapping" } else { "" };
                     (self.log)(&format!("members: {} has {}{flapping}", event.name, describe(&event)));
-                    // Nobody may have subscribed.
+                    // An error means that nobody has subscribed.
                     let _ = self.events.send(MembershipEvent::Member(event));
                 }
                 Action::Send { to, message } => {
@@ -346,7 +348,7 @@
                     }
                     let frame = Frame { session: self.session, counter: self.counter, message };
                     self.counter += 1;
-                    // Where the system's buffer is full it is lost, as on the network.
+                    // If the socket buffer is full, the datagram is lost, as on the network.
                     match self.codec.encode(&frame).map(|datagram| self.socket.try_send_to(&datagram, to)) {
                         Ok(Ok(bytes)) => {
                             self.datagrams.sent += 1;
@@ -360,7 +362,7 @@
         let last_cluster_status = self.membership.cluster_status();
         if last_cluster_status != self.last_cluster_status {
             self.last_cluster_status = last_cluster_status;
-            (self.log)(&format!("members: this process stands {}", last_cluster_status.name()));
+            (self.log)(&format!("members: the cluster status is {}", last_cluster_status.name()));
             let _ = self.events.send(MembershipEvent::Cluster(last_cluster_status));
         }
     }
@@ -371,15 +373,15 @@
     match event.kind {
         MemberEventKind::Joined => "joined",
         MemberEventKind::Suspected => "not answered somebody",
-        MemberEventKind::SuspicionCleared => "contradicted, or answered",
+        MemberEventKind::SuspicionCleared => "refuted the suspicion, or acknowledged",
         MemberEventKind::Failed => "failed",
         MemberEventKind::Left => "left",
         MemberEventKind::Rejoined => "come back",
-        MemberEventKind::MetadataChanged => "another card",
+        MemberEventKind::MetadataChanged => "changed its metadata",
     }
 }
 
-/// It runs on any thread.
+/// Checks at compile time that the service can run on any thread.
 const _: fn(MemberService) = |running| {
     fn send(_: impl Future<Output = ()> + Send) {}
     send(running.run());
--- a/members/wire/src/settings.rs
+++ b/members/wire/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the file of members says.
+//! Settings of a member, read from the members file.
 
 use crate::codec::{Codec, MAX_OVERHEAD_BYTES};
 use nettleworks_members::{Config, Metadata, Name};
@@ -6,81 +6,82 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Most bytes of a key's file.
+/// Maximum size of a key file in bytes.
 const MAX_KEY_BYTES: u64 = 4_096;
-/// Most seeds.
+/// Maximum number of seeds.
 const MAX_SEEDS: usize = 64;
 
-/// A process's part among the others. JSON; `docs/operating-members.md` explains every key.
+/// Settings of this process as a member. JSON; `docs/operating-members.md` explains every key.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// This process's name among the others, the same at each start.
+    /// Name of this process among the members; the same at each start.
     pub name: String,
-    /// Where it hears. Port 0 is any that is free: for tests.
+    /// Address of the UDP socket. Port 0 takes any free port, for tests.
     pub listen: SocketAddr,
-    /// Where the others reach it, if not at `listen`.
+    /// Address that the other members send to, if it is not `listen`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// Whom it asks to be let in, at the start and when it is alone. Best three that rarely move; itself may be among them.
+    /// Members asked to let this process join, at the start and while it is alone. Preferably three with
+    /// stable addresses; this process itself may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// The file that holds the key that all share: 16 bytes at the least, spaces and newlines at its ends not counted.
+    /// File with the key that all members share: at least 16 bytes, without leading and trailing whitespace.
     pub key_file: PathBuf,
-    /// Its zone.
+    /// Zone of this process.
     #[serde(default)]
     pub zone: String,
-    /// Its region.
+    /// Region of this process.
     #[serde(default)]
     pub region: String,
-    /// What it does among the others.
+    /// Role of this process in the cluster.
     #[serde(default)]
     pub role: String,
-    /// How much it bears, in hundredths of a usual one.
-    #[serde(default = "default_capacity")]
+    /// Relative capacity in percent: 100 is that of a usual member.
+    #[serde(default = "usual")]
     pub capacity: u16,
-    /// The operators' socket, where there is to be one.
+    /// Path of the operators' socket, if there is to be one.
     #[serde(default)]
     pub socket: Option<PathBuf>,
-    /// How often one of the others is asked whether it is there; all other paces follow.
-    #[serde(default = "default_period_ms")]
+    /// Protocol period in milliseconds: the interval between probes. All other intervals scale with it.
+    #[serde(default = "period")]
     pub period_ms: u64,
-    /// Most members that are known, those that have failed or left among them.
-    #[serde(default = "default_max_members")]
+    /// Maximum number of known members, including those that have failed or left.
+    #[serde(default = "most")]
     pub most: usize,
-    /// Most datagrams that are sent a second, and at once.
-    #[serde(default = "default_sends_per_second")]
+    /// Maximum number of datagrams sent per second, and in a burst.
+    #[serde(default = "sends")]
     pub sends_a_second: u32,
-    /// Most that are heard a second, and at once.
-    #[serde(default = "default_receives_per_second")]
+    /// Maximum number of datagrams received per second, and in a burst.
+    #[serde(default = "hears")]
     pub hears_a_second: u32,
 }
 
-fn default_capacity() -> u16 {
+fn usual() -> u16 {
     100
 }
 
-fn default_period_ms() -> u64 {
+fn period() -> u64 {
     1_000
 }
 
-fn default_max_members() -> usize {
+fn most() -> usize {
     Config::default().max_members
 }
 
-fn default_sends_per_second() -> u32 {
+fn sends() -> u32 {
     400
 }
 
-fn default_receives_per_second() -> u32 {
+fn hears() -> u32 {
     2_000
 }
 
 impl Settings {
-    /// Reads a file. A path in it that is not whole counts from the folder that the file is in.
+    /// Reads a file. Relative paths in it are relative to its folder.
     ///
     /// # Errors
     ///
-    /// It can't be read, or something in it is no good; the place is named.
+    /// The file cannot be read, or has an invalid value; the error names its key.
     pub fn load(path: &Path) -> Result<Settings, String> {
         let bad = |error: String| format!("{}: {error}", path.display());
         let text = std::fs::read_to_string(path).map_err(|error| bad(error.to_string()))?;
@@ -91,11 +92,11 @@
         Ok(settings)
     }
 
-    /// Reads a text.
+    /// Parses the text of a file.
     ///
     /// # Errors
     ///
-    /// Something in it is no good; the place is named.
+    /// The text has an invalid value; the error names its key.
     pub fn parse(text: &str) -> Result<Settings, String> {
         let mut json = serde_json::Deserializer::from_str(text);
         let settings: Settings =
@@ -106,13 +107,13 @@
         json.end().map_err(|error| error.to_string())?;
         Name::new(&settings.name).map_err(|error| format!("name: {error}"))?;
         if settings.seeds.len() > MAX_SEEDS {
-            return Err(format!("seeds: {MAX_SEEDS} at the most"));
+            return Err(format!("seeds: at most {MAX_SEEDS}"));
         }
         if settings.listen.ip().is_unspecified() && settings.advertise.is_none() {
-            return Err("advertise: needed where listen is every address".to_owned());
+            return Err("advertise: required when listen is an unspecified address".to_owned());
         }
         if settings.advertise.is_some_and(|at| at.ip().is_unspecified() || at.port() == 0) {
-            return Err("advertise: an address that others can reach".to_owned());
+            return Err("advertise: must be an address and port that others can reach".to_owned());
         }
         for (name, a_second) in [("sends", settings.sends_a_second), ("hears", settings.hears_a_second)] {
             if !(10..=1_000_000).contains(&a_second) {
@@ -120,17 +121,17 @@
             }
         }
         if !settings.metadata(settings.listen, "").is_valid() {
-            return Err("zone, region, role: 24 bytes at the most, no control characters".to_owned());
+            return Err("zone, region, role: at most 24 bytes each, without control characters".to_owned());
         }
         settings.config()?;
         Ok(settings)
     }
 
-    /// Bounds and paces of the core.
+    /// Configuration of the core.
     ///
     /// # Errors
     ///
-    /// The period or the bound is no good.
+    /// The period or the maximum number of members is out of range.
     pub fn config(&self) -> Result<Config, String> {
         let defaults = Config::default();
         let scaled = |pace: u64| pace.saturating_mul(self.period_ms) / 1_000;
@@ -141,7 +142,7 @@
             reach_every: scaled(defaults.reach_every),
             join_every: scaled(defaults.join_every),
             max_members: self.most,
-            // A datagram that is not cut on an Ethernet, with room for its own head.
+            // The largest datagram that Ethernet does not fragment, less the overhead of the format.
             max_message_bytes: 1_400 - MAX_OVERHEAD_BYTES,
             ..defaults
         };
@@ -152,7 +153,7 @@
         Ok(config)
     }
 
-    /// What this process says of itself.
+    /// Metadata of this process.
     pub fn metadata(&self, address: SocketAddr, version: &str) -> Metadata {
         Metadata {
             zone: self.zone.clone(),
@@ -164,16 +165,16 @@
         }
     }
 
-    /// Makes and reads datagrams under the key of its file.
+    /// Creates a codec with the key from the key file.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or holds no good key.
+    /// The file cannot be read, or holds no valid key.
     pub fn codec(&self) -> Result<Codec, String> {
         let bad = |error: String| format!("{}: {error}", self.key_file.display());
         let size = std::fs::metadata(&self.key_file).map_err(|error| bad(error.to_string()))?.len();
         if size > MAX_KEY_BYTES {
-            return Err(bad(format!("a key has {MAX_KEY_BYTES} bytes at the most")));
+            return Err(bad(format!("a key must have at most {MAX_KEY_BYTES} bytes")));
         }
         let key = std::fs::read(&self.key_file).map_err(|error| bad(error.to_string()))?;
         Codec::new(key.trim_ascii()).map_err(bad)
--- a/members/wire/tests/datagrams.rs
+++ b/members/wire/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams that are good, and those that are not.
+//! Valid and invalid datagrams.
 
 use nettleworks_members::{
     Action, Config, Incarnation, Membership, Message, MessageKind, Metadata, Name, ReportedState, Sender,
@@ -73,7 +73,7 @@
 }
 
 proptest! {
-    /// What is written is read as it was, and no longer than the core reckoned.
+    /// A frame is decoded as it was encoded, and its size stays within the bound that the core computes.
     #[test]
     fn frames_round_trip_within_the_size_bound(frame in frame()) {
         let datagram = codec().encode(&frame).expect("written");
@@ -82,7 +82,7 @@
         prop_assert_eq!(codec().decode(&datagram), Ok(frame));
     }
 
-    /// Any bit that is changed, any byte that is cut off or added: not heard.
+    /// A datagram with any bit changed, or any byte removed or appended, is rejected.
     #[test]
     fn altered_datagrams_are_rejected(frame in frame(), place in any::<prop::sample::Index>(), bit in 0u8..8) {
         let datagram = codec().encode(&frame).expect("written");
@@ -96,7 +96,7 @@
         prop_assert_eq!(other.decode(&datagram), Err(DecodeError::Mac));
     }
 
-    /// Whatever comes, it is refused and nothing else happens.
+    /// Random bytes are rejected without a panic.
     #[test]
     fn random_bytes_are_rejected(noise in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         prop_assert!(codec().decode(&noise).is_err());
@@ -104,8 +104,8 @@
 }
 
 proptest! {
-    /// Any messages that the key could have made: the list keeps its bound, nothing longer than a packet is said, and time
-    /// that passes always brings an end of what is to be done in it.
+    /// Any messages that the key could have signed: the list stays within its maximum, no message exceeds the
+    /// packet size, and the timeouts within any span of time come to an end.
     #[test]
     fn arbitrary_messages_keep_a_member_within_its_bounds(frames in proptest::collection::vec(frame(), 1..40)) {
         let config = Config { max_members: 6, ..Config::default() };
--- a/members/wire/tests/settings.rs
+++ b/members/wire/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Files of members, good and bad.
+//! Valid and invalid members files.
 
 use nettleworks_members_wire::Settings;
 use serde_json::{json, Value};
--- a/members/wire/tests/sockets.rs
+++ b/members/wire/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Members at real sockets on loopback.
+//! Members on real sockets on loopback.
 
 use nettleworks_members::{ClusterStatus, Condition, MemberEventKind, MessageKind, Name};
 use nettleworks_members_wire::{start, Codec, Handle, MembershipEvent, Report, Settings};
@@ -78,7 +78,7 @@
     assert!(events.contains(&MembershipEvent::Cluster(ClusterStatus::Agreed)));
 }
 
-/// One whose task is dropped is a process that was killed: nothing says so for it.
+/// A dropped task stands for a killed process: it announces no leave.
 #[tokio::test]
 async fn a_crashed_member_is_detected() {
     let first = member("dies", "a", &[]).await;
@@ -98,7 +98,7 @@
 #[tokio::test]
 async fn forged_replayed_and_unsupported_datagrams_are_counted_and_dropped() {
     let first = member("forged", "a", &[]).await;
-    // Somebody between the two, who keeps what passes.
+    // A socket between the two that records the datagrams.
     let between = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let at = between.local_addr().expect("an address");
     let second = member("forged", "b", &[at]).await;
@@ -134,7 +134,7 @@
     eventually("both", &second, |report| report.view.members.len() == 2).await;
     let flood = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     for turn in 0..2_000 {
-        // What the system does not take is no flood.
+        // Datagrams that the system does not accept do not count.
         let _ = flood.send_to(&[1; 100], first.address()).await;
         if turn % 50 == 0 {
             tokio::task::yield_now().await;
