--- a/members/src/broadcast.rs
+++ b/members/src/broadcast.rs
@@ -101,20 +101,20 @@
         for name in ["a", "b", "c"] {
             broadcasts.push(update(name, 1));
         }
-        let one = update("a", 1).max_size();
+        let update_size = update("a", 1).max_size();
         let mut sent = BTreeMap::<String, u32>::new();
-        let mut times = 0;
+        let mut packets = 0;
         while !broadcasts.is_empty() {
             let mut packet = Vec::new();
-            broadcasts.fill(one * 2, 4, None, &mut packet);
+            broadcasts.fill(update_size * 2, 4, None, &mut packet);
             assert!(packet.len() <= 2);
             for update in packet {
                 *sent.entry(update.name.to_string()).or_default() += 1;
             }
             let (fewest, most) = (sent.values().min(), sent.values().max());
             assert!(sent.len() < 3 || most.unwrap_or(&0) - fewest.unwrap_or(&0) <= 1, "{sent:?}");
-            times += 1;
-            assert!(times < 10);
+            packets += 1;
+            assert!(packets < 10);
         }
         assert!(sent.values().all(|times| *times == 4) && sent.len() == 3, "{sent:?}");
     }
--- a/members/src/cluster_status.rs
+++ b/members/src/cluster_status.rs
@@ -44,10 +44,10 @@
                 Condition::Left => {}
             }
         }
-        let all = alive + suspected + failed;
+        let known = alive + suspected + failed;
         match () {
             () if alive + suspected <= 1 => ClusterStatus::Alone,
-            () if 2 * alive <= all => ClusterStatus::Minority,
+            () if 2 * alive <= known => ClusterStatus::Minority,
             () if suspected > 0 => ClusterStatus::Suspecting,
             () if failed > 0 => ClusterStatus::Reduced,
             () => ClusterStatus::Agreed,
--- a/members/src/config.rs
+++ b/members/src/config.rs
@@ -123,7 +123,7 @@
             ((1_000..=8_192).contains(&self.max_message_bytes), "max_message_bytes: 1000 to 8192"),
             (self.pages_per_second >= 1, "pages_per_second: at least 1"),
         ];
-        match checks.into_iter().find(|(good, _)| !good) {
+        match checks.into_iter().find(|(is_valid, _)| !is_valid) {
             Some((_, text)) => Err(text.to_owned()),
             None => Ok(()),
         }
--- a/members/src/event.rs
+++ b/members/src/event.rs
@@ -55,7 +55,7 @@
     }
 
     pub fn is_flapping(&self, now: Micros) -> bool {
-        let recent = |at: &&Micros| now.saturating_sub(**at) <= FLAP_WINDOW;
-        self.0.iter().filter(recent).count() >= FLAP_THRESHOLD
+        let is_recent = |at: &&Micros| now.saturating_sub(**at) <= FLAP_WINDOW;
+        self.0.iter().filter(is_recent).count() >= FLAP_THRESHOLD
     }
 }
--- a/members/src/membership.rs
+++ b/members/src/membership.rs
@@ -79,6 +79,7 @@
     page_limiter: RateLimiter,
     lifecycle: Lifecycle,
     last_number: u32,
+    /// Sequence number of the last join request, until it is acknowledged.
     pending_join: Option<u32>,
     period_ends_at: Micros,
     next_gossip_at: Micros,
@@ -327,6 +328,7 @@
         self.last_number
     }
 
+    /// The earliest of all timers; `None` once this process has left or was replaced.
     fn earliest_deadline(&self) -> Option<Micros> {
         match self.lifecycle {
             Lifecycle::Left | Lifecycle::Replaced => return None,
@@ -372,6 +374,7 @@
         }
     }
 
+    /// Sends `priority_updates`, and queued updates as far as they fit, except those about `exclude`.
     fn send(
         &mut self,
         to: SocketAddr,
@@ -395,6 +398,7 @@
         out.push(Action::Send { to, message: Message { from: self.local.clone(), kind, updates } });
     }
 
+    /// Queues an update for gossip.
     fn enqueue(&mut self, now: Micros, update: Update) {
         if self.next_gossip_at < now {
             self.next_gossip_at = now + self.rng.random_range(0..self.config.gossip_every);
@@ -403,6 +407,7 @@
         self.broadcasts.push(update);
     }
 
+    /// Reports a change of a member to subscribers.
     fn notify(&self, now: Micros, name: &Name, kind: MemberEventKind, out: &mut Vec<Action>) {
         let entry = self.roster.get(name);
         let last_ack_age = entry.and_then(|entry| entry.last_ack_at).map(|at| now.saturating_sub(at));
--- a/members/src/membership/local.rs
+++ b/members/src/membership/local.rs
@@ -8,6 +8,7 @@
 use crate::Micros;
 
 impl Membership {
+    /// Refutes an update that reports this process as not alive, and starts to resolve a name conflict.
     pub(super) fn apply_local_update(&mut self, now: Micros, update: Update, out: &mut Vec<Action>) {
         let Update { incarnation, state, .. } = update;
         if self.lifecycle != Lifecycle::Active || incarnation < self.local.incarnation {
@@ -43,6 +44,7 @@
         }
     }
 
+    /// Continues to resolve a name conflict: probes the other address again, or ends the conflict.
     pub(super) fn probe_name_conflict(&mut self, now: Micros, out: &mut Vec<Action>) {
         let next_probe_at = now + self.config.period;
         let Some(conflict) = self.name_conflict.as_mut().filter(|conflict| conflict.next_probe_at <= now)
--- a/members/src/membership/messages.rs
+++ b/members/src/membership/messages.rs
@@ -14,6 +14,7 @@
 use std::net::SocketAddr;
 
 impl Membership {
+    /// Handles a message by its kind, after its updates were applied.
     pub(super) fn handle_kind(
         &mut self,
         now: Micros,
@@ -82,9 +83,9 @@
                     sync::page_capacity(self.config.max_message_bytes, &self.local, &MessageKind::Entries);
                 let pages = sync::pages(&self.roster, &differing, capacity);
                 let total = pages.len() as u64;
-                for (number, page) in (0..).zip(pages) {
+                for (sent, page) in (0..).zip(pages) {
                     if !self.page_limiter.try_acquire(now) {
-                        self.counts.throttled_pages += total - number;
+                        self.counts.throttled_pages += total - sent;
                         break;
                     }
                     self.send(from.address, MessageKind::Entries, page, None, out);
@@ -109,6 +110,8 @@
         entry.map(|entry| entry.to_update(name)).into_iter().collect()
     }
 
+    /// Handles an acknowledgement: of a relayed probe, of a join, or of a probe of its own. Starts anti-entropy if the
+    /// digests differ and a comparison is due.
     pub(super) fn handle_ack(
         &mut self,
         now: Micros,
@@ -141,11 +144,11 @@
                 entry.last_ack_at = Some(now);
             }
         }
-        let since = |at: Micros| now.saturating_sub(at);
-        let quiet = since(self.last_change_at) > 2 * self.config.period;
+        let elapsed = |at: Micros| now.saturating_sub(at);
+        let is_quiet = elapsed(self.last_change_at) > 2 * self.config.period;
         let sync_due = self.last_sync_at.is_none_or(|at| {
-            since(at) >= self.config.period
-                && (quiet || since(at) > MAX_PERIODS_WITHOUT_SYNC * self.config.period)
+            elapsed(at) >= self.config.period
+                && (is_quiet || elapsed(at) > MAX_PERIODS_WITHOUT_SYNC * self.config.period)
         });
         if digest != self.roster.digest() && (is_join_ack || sync_due) {
             self.last_sync_at = Some(now);
@@ -224,9 +227,9 @@
     /// left long ago.
     pub(super) fn reconnect(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.next_reconnect_at = now + self.config.reach_every;
-        let remember = self.config.remember;
+        let retention = self.config.remember;
         let expired = self.roster.iter().filter(|(name, entry)| {
-            !entry.is_live() && now.saturating_sub(entry.since) > remember && **name != self.local.name
+            !entry.is_live() && now.saturating_sub(entry.since) > retention && **name != self.local.name
         });
         let expired: Vec<Name> = expired.map(|(name, _)| name.clone()).collect();
         for name in expired {
@@ -253,12 +256,12 @@
     /// Sends join requests: to several seeds while no other member is known, and otherwise occasionally to
     /// one seed that is not a live member.
     pub(super) fn join(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let alone = self.roster.live() <= 1;
+        let is_alone = self.roster.live() <= 1;
         let is_known = |seed: &SocketAddr| {
             self.roster.iter().any(|(_, entry)| entry.is_live() && entry.metadata.address == *seed)
         };
         let mut seeds: Vec<SocketAddr> = self.seeds.iter().filter(|seed| !is_known(seed)).copied().collect();
-        let interval = match alone {
+        let interval = match is_alone {
             true => self.join_backoff,
             false => self.config.join_every * MAX_JOIN_BACKOFF,
         };
@@ -272,7 +275,7 @@
         };
         let number = self.next_number();
         self.pending_join = Some(number);
-        for _ in 0..if alone { SEEDS_PER_JOIN } else { 1 } {
+        for _ in 0..if is_alone { SEEDS_PER_JOIN } else { 1 } {
             if seeds.is_empty() {
                 return;
             }
@@ -281,14 +284,15 @@
         }
     }
 
+    /// Sends queued updates to a few random members.
     pub(super) fn gossip(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.next_gossip_at = now + self.config.gossip_every;
-        let to = self.probe_order.pick(self.config.gossip_fanout, &mut self.rng, |_| true);
-        if to.is_empty() {
+        let receivers = self.probe_order.pick(self.config.gossip_fanout, &mut self.rng, |_| true);
+        if receivers.is_empty() {
             // Nobody to gossip to: a member that joins later gets the list by anti-entropy.
             self.broadcasts = BroadcastQueue::default();
         }
-        for name in to {
+        for name in receivers {
             if self.broadcasts.is_empty() {
                 return;
             }
@@ -297,6 +301,7 @@
         }
     }
 
+    /// Gossips the leave; after the last round this process stops.
     pub(super) fn gossip_leave(&mut self, now: Micros, out: &mut Vec<Action>) {
         let Lifecycle::Leaving(rounds_left) = self.lifecycle else { return };
         if now < self.next_gossip_at {
--- a/members/src/membership/updates.rs
+++ b/members/src/membership/updates.rs
@@ -9,6 +9,7 @@
 use crate::Micros;
 
 impl Membership {
+    /// Applies an update that `sender` has sent.
     pub(super) fn apply_update(&mut self, now: Micros, update: Update, sender: &Name, out: &mut Vec<Action>) {
         if update.name == self.local.name {
             return self.apply_local_update(now, update, out);
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Adds a member that was unknown, or counts it as rejected.
     pub(super) fn add_member(
         &mut self,
         now: Micros,
@@ -116,6 +118,7 @@
         }
     }
 
+    /// Marks a member as left.
     pub(super) fn mark_left(
         &mut self,
         now: Micros,
@@ -133,6 +136,7 @@
         self.notify(now, name, MemberEventKind::Left, out);
     }
 
+    /// Starts a suspicion of a member, or confirms it.
     pub(super) fn suspect(&mut self, now: Micros, name: &Name, by: &Name, out: &mut Vec<Action>) {
         let live = self.roster.live();
         let min = self.config.min_suspicion(live);
@@ -162,6 +166,7 @@
         }
     }
 
+    /// Ends the suspicions whose timeout has passed.
     pub(super) fn expire_suspicions(&mut self, now: Micros, out: &mut Vec<Action>) {
         let expired = self.suspected.iter().filter(|name| {
             let state = self.roster.get(name).map(|entry| &entry.state);
@@ -190,6 +195,7 @@
         }
     }
 
+    /// Queues the current state of a member for gossip.
     pub(super) fn enqueue_entry(&mut self, now: Micros, name: &Name) {
         if let Some(update) = self.roster.get(name).map(|entry| entry.to_update(name)) {
             self.enqueue(now, update);
--- a/members/src/name.rs
+++ b/members/src/name.rs
@@ -30,8 +30,8 @@
     ///
     /// The text is empty, too long, or has characters that are not allowed.
     pub fn new(text: &str) -> Result<Name, InvalidName> {
-        let good = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
-        match (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(good) {
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
+        match (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(is_allowed) {
             true => Ok(Name(text.into())),
             false => Err(InvalidName),
         }
--- a/members/src/probe.rs
+++ b/members/src/probe.rs
@@ -20,22 +20,23 @@
     }
 
     pub fn insert(&mut self, name: Name, rng: &mut impl Rng) {
-        let place = rng.random_range(0..=self.names.len());
-        self.names.insert(place, name);
-        if place < self.next_index {
+        let index = rng.random_range(0..=self.names.len());
+        self.names.insert(index, name);
+        if index < self.next_index {
             self.next_index += 1;
         }
     }
 
     pub fn remove(&mut self, name: &Name) {
-        if let Some(place) = self.names.iter().position(|known| known == name) {
-            self.names.remove(place);
-            if place < self.next_index {
+        if let Some(index) = self.names.iter().position(|known| known == name) {
+            self.names.remove(index);
+            if index < self.next_index {
                 self.next_index -= 1;
             }
         }
     }
 
+    /// The next target; shuffles the order at the start of each round. `None`: no other member is live.
     pub fn next(&mut self, rng: &mut impl Rng) -> Option<Name> {
         if self.next_index >= self.names.len() {
             self.next_index = 0;
@@ -50,7 +51,7 @@
     }
 
     /// Picks up to `count` distinct eligible members at random.
-    pub fn pick(&self, count: usize, rng: &mut impl Rng, passes: impl Fn(&Name) -> bool) -> Vec<Name> {
+    pub fn pick(&self, count: usize, rng: &mut impl Rng, is_eligible: impl Fn(&Name) -> bool) -> Vec<Name> {
         let mut picked: Vec<Name> = Vec::with_capacity(count);
         if self.names.is_empty() {
             return picked;
@@ -70,7 +71,7 @@
                 break;
             }
             let name = &self.names[(start + step * stride) % self.names.len()];
-            if passes(name) {
+            if is_eligible(name) {
                 picked.push(name.clone());
             }
         }
@@ -88,6 +89,7 @@
 /// The probe of the current period.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
+    /// Sequence number of the ping and of the indirect probes.
     pub number: u32,
     pub target: Name,
     pub incarnation: Incarnation,
@@ -95,6 +97,7 @@
     pub indirect_at: Option<Micros>,
     /// End of the protocol period.
     pub ends_at: Micros,
+    /// Whether the target has acknowledged, directly or through a helper.
     pub answered: bool,
     /// Number of helpers asked for an indirect probe, and number of them that answered with a nack.
     pub helpers: u32,
@@ -118,16 +121,16 @@
         let mut order = ProbeOrder::default();
         (0..20).for_each(|number| order.insert(name(number), &mut rng));
         let mut gaps = vec![0usize; 20];
-        for turn in 0..200 {
+        for step in 0..200 {
             // One member joins and leaves repeatedly meanwhile.
-            match turn % 7 {
+            match step % 7 {
                 0 => order.insert(name(99), &mut rng),
                 3 => order.remove(&name(99)),
                 _ => {}
             }
-            let asked = order.next(&mut rng);
+            let target = order.next(&mut rng);
             gaps.iter_mut().for_each(|gap| *gap += 1);
-            if let Some(probed) = (0..20).find(|number| asked == Some(name(*number))) {
+            if let Some(probed) = (0..20).find(|number| target == Some(name(*number))) {
                 gaps[probed] = 0;
             }
             assert!(gaps.iter().all(|gap| *gap <= 2 * 21), "{gaps:?}");
--- a/members/src/roster.rs
+++ b/members/src/roster.rs
@@ -153,8 +153,8 @@
     }
 
     /// Entries of a bucket.
-    pub fn bucket_entries(&self, which: usize) -> impl Iterator<Item = (&Name, &Entry)> {
-        self.entries.iter().filter(move |(name, _)| bucket_of(name) == which)
+    pub fn bucket_entries(&self, bucket: usize) -> impl Iterator<Item = (&Name, &Entry)> {
+        self.entries.iter().filter(move |(name, _)| bucket_of(name) == bucket)
     }
 
     /// Adds a member. In a full list it replaces the one that has failed or left longest ago and returns its
@@ -231,7 +231,9 @@
         /// Whatever operations led to them, equal lists have equal digests and different lists have different
         /// ones.
         #[test]
-        fn digests_differ_exactly_when_lists_differ(steps in proptest::collection::vec((0u8..12, 0u8..4, 1u64..4), 1..60)) {
+        fn digests_differ_exactly_when_lists_differ(
+            steps in proptest::collection::vec((0u8..12, 0u8..4, 1u64..4), 1..60)
+        ) {
             let mut roster = Roster::new(64);
             for (number, operation, start) in steps {
                 let name = name(number);
--- a/members/src/suspicion.rs
+++ b/members/src/suspicion.rs
@@ -45,6 +45,7 @@
         self.paused += duration;
     }
 
+    /// When the suspicion times out. Each confirmation shortens it, on a logarithmic scale as in Lifeguard.
     pub fn ends_at(&self) -> Micros {
         let confirmations = self.accusers.len() - 1;
         let fraction = match self.needed {
@@ -66,7 +67,7 @@
         let name = |text| Name::new(text).expect("a name");
         let mut suspicion = Suspicion::new(100, name("a"), 1_000, 3_000, 3);
         assert_eq!(suspicion.ends_at(), 3_100);
-        assert!(!suspicion.confirm(&name("a")), "its own word does not confirm it");
+        assert!(!suspicion.confirm(&name("a")), "the accuser does not confirm its own suspicion");
         let mut before = suspicion.ends_at();
         for by in ["b", "c", "d"] {
             assert!(suspicion.confirm(&name(by)));
@@ -74,7 +75,7 @@
             before = suspicion.ends_at();
         }
         assert_eq!(before, 1_100);
-        assert!(!suspicion.confirm(&name("e")), "no more are wanted");
+        assert!(!suspicion.confirm(&name("e")), "no further confirmations are needed");
         suspicion.extend(50);
         assert_eq!(suspicion.ends_at(), 1_150);
     }
--- a/members/src/update.rs
+++ b/members/src/update.rs
@@ -58,10 +58,12 @@
     /// Whether the incarnation may be genuine, given the last known one of the member and the local wall
     /// clock (milliseconds since 1970).
     pub(crate) fn is_plausible(self, known: Option<Incarnation>, wall_ms: u64) -> bool {
-        let jumps = known.is_some_and(|known| {
+        let is_gap_too_large = known.is_some_and(|known| {
             known.start == self.start && self.round.saturating_sub(known.round) > MAX_ROUND_GAP
         });
-        self.start <= wall_ms.saturating_add(MAX_CLOCK_LEAD_MS) && self.round <= MAX_ROUND && !jumps
+        self.start <= wall_ms.saturating_add(MAX_CLOCK_LEAD_MS)
+            && self.round <= MAX_ROUND
+            && !is_gap_too_large
     }
 }
 
@@ -92,8 +94,8 @@
 
     /// Whether each text is within its limit (24 bytes) and free of control characters.
     pub fn is_valid(&self) -> bool {
-        let good = |text: &String| text.len() <= MAX_TEXT_BYTES && !text.chars().any(char::is_control);
-        [&self.zone, &self.region, &self.version, &self.role].into_iter().all(good)
+        let is_valid = |text: &String| text.len() <= MAX_TEXT_BYTES && !text.chars().any(char::is_control);
+        [&self.zone, &self.region, &self.version, &self.role].into_iter().all(is_valid)
     }
 }
 
@@ -149,15 +151,15 @@
     #[test]
     fn implausible_incarnations_are_rejected() {
         let wall_ms = 1_700_000_000_000;
-        let own = Incarnation::initial(wall_ms);
-        assert!(own.is_plausible(None, wall_ms));
+        let current = Incarnation::initial(wall_ms);
+        assert!(current.is_plausible(None, wall_ms));
         // A start that is hours ahead is accepted; one that no process could exceed is rejected.
-        assert!(Incarnation::initial(wall_ms + 3_600_000).is_plausible(Some(own), wall_ms));
-        assert!(!Incarnation::initial(u64::MAX).is_plausible(Some(own), wall_ms));
-        assert!(!Incarnation { round: u32::MAX, ..own }.is_plausible(Some(own), wall_ms));
-        assert!(!Incarnation { round: MAX_ROUND_GAP + 1, ..own }.is_plausible(Some(own), wall_ms));
-        assert!(Incarnation { round: MAX_ROUND_GAP, ..own }.is_plausible(Some(own), wall_ms));
-        let last = Incarnation { round: MAX_ROUND, ..own };
+        assert!(Incarnation::initial(wall_ms + 3_600_000).is_plausible(Some(current), wall_ms));
+        assert!(!Incarnation::initial(u64::MAX).is_plausible(Some(current), wall_ms));
+        assert!(!Incarnation { round: u32::MAX, ..current }.is_plausible(Some(current), wall_ms));
+        assert!(!Incarnation { round: MAX_ROUND_GAP + 1, ..current }.is_plausible(Some(current), wall_ms));
+        assert!(Incarnation { round: MAX_ROUND_GAP, ..current }.is_plausible(Some(current), wall_ms));
+        let last = Incarnation { round: MAX_ROUND, ..current };
         assert!(last.next() > last);
         assert!(last.next().is_plausible(Some(last), wall_ms));
     }
--- a/members/tests/common/mod.rs
+++ b/members/tests/common/mod.rs
@@ -67,14 +67,14 @@
     pub fn converged(seed: u64, count: usize) -> Net {
         let mut net = Net::new(seed, Config::default());
         (0..count).for_each(|number| net.start(number, WALL));
-        let all = |net: &Net| {
+        let converged = |net: &Net| {
             net.nodes.values().all(|node| {
                 let view = node.members.view(net.now);
                 view.members.len() == count
                     && view.members.iter().all(|member| member.condition == Condition::Alive)
             })
         };
-        assert!(net.run_until(60 * SECOND, all), "they never agree");
+        assert!(net.run_until(60 * SECOND, converged), "the members do not converge");
         net
     }
 
@@ -96,7 +96,7 @@
             wall_ms,
         );
         let node = Node {
-            members: members.expect("good bounds"),
+            members: members.expect("a valid configuration"),
             events: Vec::new(),
             paused_until: 0,
             inbox: Vec::new(),
@@ -106,7 +106,7 @@
     }
 
     pub fn node(&mut self, number: usize) -> &mut Node {
-        self.nodes.get_mut(&address(number)).expect("it was started")
+        self.nodes.get_mut(&address(number)).expect("the node was started")
     }
 
     pub fn kill(&mut self, number: usize) {
@@ -133,14 +133,14 @@
         }
     }
 
-    pub fn condition(&self, seen_by: usize, of: usize) -> Option<Condition> {
-        self.nodes[&address(seen_by)].members.condition(&name(of))
+    pub fn condition(&self, observer: usize, member: usize) -> Option<Condition> {
+        self.nodes[&address(observer)].members.condition(&name(member))
     }
 
-    pub fn all_see(&self, of: usize, is: Condition) -> bool {
-        let others = self.nodes.iter().filter(|(at, node)| node.up && **at != address(of));
-        let mut others = others.map(|(_, node)| node.members.condition(&name(of)));
-        others.all(|condition| condition == Some(is))
+    pub fn all_see(&self, member: usize, expected: Condition) -> bool {
+        let others = self.nodes.iter().filter(|(at, node)| node.up && **at != address(member));
+        let mut others = others.map(|(_, node)| node.members.condition(&name(member)));
+        others.all(|condition| condition == Some(expected))
     }
 
     pub fn digests_agree(&self) -> bool {
@@ -163,24 +163,24 @@
     }
 
     /// Runs until a condition holds, for at most this long; returns whether it holds.
-    pub fn run_until(&mut self, time: Micros, holds: impl Fn(&Net) -> bool) -> bool {
+    pub fn run_until(&mut self, time: Micros, condition: impl Fn(&Net) -> bool) -> bool {
         let until = self.now + time;
         while self.now < until {
-            if holds(self) {
+            if condition(self) {
                 return true;
             }
             self.run(100_000.min(until - self.now));
         }
-        holds(self)
+        condition(self)
     }
 
     fn step(&mut self, until: Micros) -> bool {
-        let wakes = self.nodes.iter().filter(|(_, node)| node.up).filter_map(|(at, node)| {
-            node.members.next_timeout().map(|wake| (wake.max(node.paused_until).max(self.now), *at))
+        let timeouts = self.nodes.iter().filter(|(_, node)| node.up).filter_map(|(at, node)| {
+            node.members.next_timeout().map(|timeout| (timeout.max(node.paused_until).max(self.now), *at))
         });
-        let wake = wakes.min();
+        let timeout = timeouts.min();
         let arrival = self.in_flight.keys().next().copied();
-        match (wake, arrival) {
+        match (timeout, arrival) {
             (Some((at, who)), arrival) if at <= until && arrival.is_none_or(|(then, _)| at < then) => {
                 self.now = at;
                 let mut out = Vec::new();
@@ -222,9 +222,9 @@
     }
 
     /// Performs the actions of a member, or of a test in its place.
-    pub fn perform(&mut self, from: SocketAddr, out: Vec<Action>) {
-        for out in out {
-            match out {
+    pub fn perform(&mut self, from: SocketAddr, actions: Vec<Action>) {
+        for action in actions {
+            match action {
                 Action::Notify(event) => {
                     let now = self.now;
                     self.nodes.get_mut(&from).expect("known").events.push((now, event));
--- a/members/tests/protocol.rs
+++ b/members/tests/protocol.rs
@@ -8,15 +8,19 @@
 /// Upper bound of the time until a failed member of such a cluster is detected, with the defaults: some
 /// member probes it within two rounds, and a suspicion takes 4 s to 12 s times the logarithm of the number of
 /// members.
-const NOTICED: Micros = 40 * SECOND;
+const DETECTION_LIMIT: Micros = 40 * SECOND;
 
 #[test]
 fn twenty_of_sixty_crash_at_once_and_no_other_member_is_marked_failed() {
     let mut net = Net::converged(1, 60);
     let at = net.now;
     (0..20).for_each(|number| net.kill(3 * number));
-    let all = |net: &Net| (0..20).all(|number| net.all_see(3 * number, Condition::Failed));
-    assert!(net.run_until(NOTICED, all), "not all noticed: {:?}", net.failed_since(at).len());
+    let all_detected = |net: &Net| (0..20).all(|number| net.all_see(3 * number, Condition::Failed));
+    assert!(
+        net.run_until(DETECTION_LIMIT, all_detected),
+        "not all detected: {:?}",
+        net.failed_since(at).len()
+    );
     assert_eq!(net.failed_since(at).len(), 20);
     net.run(60 * SECOND);
     assert_eq!(net.failed_since(at).len(), 20);
@@ -37,9 +41,9 @@
         net.start(number, WALL);
         net.run(SECOND / 2);
     }
-    let whole = |net: &Net| (0..24).all(|number| net.all_see(number, Condition::Alive));
-    assert!(net.run_until(20 * SECOND, whole));
-    assert_eq!(net.failed_since(0).len(), 0, "whoever leaves does not fail");
+    let converged = |net: &Net| (0..24).all(|number| net.all_see(number, Condition::Alive));
+    assert!(net.run_until(20 * SECOND, converged));
+    assert_eq!(net.failed_since(0).len(), 0, "a member that leaves is not reported as failed");
 }
 
 #[test]
@@ -51,15 +55,15 @@
         net.run(SECOND / 10);
         // The wall clock may have been set back by an hour meanwhile.
         net.start(7, WALL - set_back);
-        let back = |net: &Net| {
-            let told = net.nodes.values().filter(|node| {
+        let rejoined = |net: &Net| {
+            let notified = net.nodes.values().filter(|node| {
                 node.events.iter().any(|(when, event)| {
                     *when > at && event.name == name(7) && event.kind == MemberEventKind::Rejoined
                 })
             });
-            told.count() == 11
+            notified.count() == 11
         };
-        assert!(net.run_until(20 * SECOND, back), "set back by {set_back}");
+        assert!(net.run_until(20 * SECOND, rejoined), "set back by {set_back}");
         net.run(30 * SECOND);
         assert!(net.all_see(7, Condition::Alive) && net.digests_agree());
         assert!(net.failed_since(at).is_empty());
@@ -76,17 +80,17 @@
         net.start(5, WALL);
         net.run(3 * SECOND);
     }
-    let unsettled = net.nodes.values().filter(|node| {
+    let flapping = net.nodes.values().filter(|node| {
         let view = node.members.view(net.now);
         view.members.iter().any(|member| member.name == name(5) && member.is_flapping)
     });
-    assert_eq!(unsettled.count(), 19);
+    assert_eq!(flapping.count(), 19);
     let others: Vec<_> = net.failed_since(at).into_iter().filter(|failed| *failed != name(5)).collect();
     assert!(others.is_empty(), "{others:?}");
     net.run(90 * SECOND);
     assert!(net.all_see(5, Condition::Alive));
     let view = net.nodes[&address(1)].members.view(net.now);
-    assert!(view.members.iter().all(|member| !member.is_flapping), "it has settled");
+    assert!(view.members.iter().all(|member| !member.is_flapping), "it no longer counts as flapping");
 }
 
 /// Each side of a partition continues by itself, and the sides merge soon after it heals.
@@ -96,7 +100,7 @@
         ("40 and 20", vec![(0..40).collect(), (40..60).collect()]),
         ("three", vec![(0..20).collect(), (20..40).collect(), (40..60).collect()]),
     ];
-    for (what, parts) in parts {
+    for (case, parts) in parts {
         let mut net = Net::converged(5, 60);
         for one in 0..parts.len() {
             for other in 0..one {
@@ -104,25 +108,27 @@
             }
         }
         // Long enough that each side has marked all members of the others as failed.
-        let sure = |net: &Net| {
+        let all_failed = |net: &Net| {
             (0..parts.len()).all(|one| {
-                (0..60)
-                    .filter(|of| !parts[one].contains(of))
-                    .all(|of| parts[one].iter().all(|by| net.condition(*by, of) == Some(Condition::Failed)))
+                (0..60).filter(|member| !parts[one].contains(member)).all(|member| {
+                    parts[one]
+                        .iter()
+                        .all(|observer| net.condition(*observer, member) == Some(Condition::Failed))
+                })
             })
         };
-        assert!(net.run_until(180 * SECOND, sure), "{what}: not sure of each other");
+        assert!(net.run_until(180 * SECOND, all_failed), "{case}: the sides have not failed each other");
         for (number, part) in parts.iter().enumerate() {
             let expected = if part.len() > 30 { ClusterStatus::Reduced } else { ClusterStatus::Minority };
-            assert_eq!(net.node(part[0]).members.cluster_status(), expected, "{what}: {number}");
+            assert_eq!(net.node(part[0]).members.cluster_status(), expected, "{case}: {number}");
         }
         net.blocked_links.clear();
         let healed = net.now;
-        let whole =
+        let converged =
             |net: &Net| (0..60).all(|number| net.all_see(number, Condition::Alive)) && net.digests_agree();
-        assert!(net.run_until(30 * SECOND, whole), "{what}: not whole after the cut");
+        assert!(net.run_until(30 * SECOND, converged), "{case}: not converged after the partition");
         net.run(60 * SECOND);
-        assert!(net.failed_since(healed).is_empty(), "{what}: {:?}", net.failed_since(healed));
+        assert!(net.failed_since(healed).is_empty(), "{case}: {:?}", net.failed_since(healed));
     }
 }
 
@@ -132,9 +138,9 @@
     net.partition(0..40, 40..60);
     net.run(30 * SECOND);
     net.blocked_links.clear();
-    let whole =
+    let converged =
         |net: &Net| (0..60).all(|number| net.all_see(number, Condition::Alive)) && net.digests_agree();
-    assert!(net.run_until(30 * SECOND, whole));
+    assert!(net.run_until(30 * SECOND, converged));
 }
 
 #[test]
@@ -162,16 +168,17 @@
     for other in 1..20 {
         net.blocked_links.insert((address(other), address(0)));
     }
-    assert!(net.run_until(2 * NOTICED, |net| net.all_see(0, Condition::Failed)));
+    assert!(net.run_until(2 * DETECTION_LIMIT, |net| net.all_see(0, Condition::Failed)));
     net.run(120 * SECOND);
-    let seen = net.nodes.iter().filter(|(who, _)| **who != address(0)).flat_map(|(_, node)| &node.events);
-    let others = seen
+    let seen_by_others =
+        net.nodes.iter().filter(|(who, _)| **who != address(0)).flat_map(|(_, node)| &node.events);
+    let failed_others = seen_by_others
         .filter(|(when, event)| *when > at && event.kind == MemberEventKind::Failed && event.name != name(0));
-    assert_eq!(others.count(), 0);
+    assert_eq!(failed_others.count(), 0);
     net.blocked_links.clear();
-    let whole =
+    let converged =
         |net: &Net| (0..20).all(|number| net.all_see(number, Condition::Alive)) && net.digests_agree();
-    assert!(net.run_until(NOTICED, whole));
+    assert!(net.run_until(DETECTION_LIMIT, converged));
 }
 
 #[test]
@@ -183,13 +190,13 @@
     net.run(90 * SECOND);
     assert!(net.all_see(4, Condition::Failed));
     net.run(20 * SECOND);
-    assert!(net.all_see(4, Condition::Alive), "it is back");
+    assert!(net.all_see(4, Condition::Alive), "it has rejoined");
     assert_eq!(net.failed_since(at).into_iter().collect::<Vec<_>>(), [name(4)]);
     assert!(net.node(4).members.counts().stalls > 0);
-    let accused = net.nodes[&address(4)].events.iter().filter(|(when, event)| {
+    let suspected = net.nodes[&address(4)].events.iter().filter(|(when, event)| {
         *when > at && matches!(event.kind, MemberEventKind::Suspected | MemberEventKind::Failed)
     });
-    assert_eq!(accused.count(), 0, "it heard nobody for 90 s, and that was its own doing");
+    assert_eq!(suspected.count(), 0, "it received nothing for 90 s only because it was paused");
 }
 
 /// A process that repeatedly runs for 50 ms and then not for 700 ms must raise its health score instead of
@@ -203,8 +210,8 @@
         net.run(750_000);
     }
     assert!(net.node(4).members.view(0).health_score > 0);
-    let accused: Vec<_> = net.failed_since(at).into_iter().filter(|failed| *failed != name(4)).collect();
-    assert!(accused.is_empty(), "{accused:?}");
+    let suspected: Vec<_> = net.failed_since(at).into_iter().filter(|failed| *failed != name(4)).collect();
+    assert!(suspected.is_empty(), "{suspected:?}");
 }
 
 #[test]
@@ -217,9 +224,9 @@
     net.loss = 0.3;
     net.run(120 * SECOND);
     (net.loss, net.duplication) = (0.0, 0.0);
-    let whole =
+    let converged =
         |net: &Net| (0..30).all(|number| net.all_see(number, Condition::Alive)) && net.digests_agree();
-    assert!(net.run_until(60 * SECOND, whole));
+    assert!(net.run_until(60 * SECOND, converged));
 }
 
 /// Gossip may be lost altogether; anti-entropy still makes the lists equal.
@@ -229,8 +236,8 @@
     // One member receives nothing while changed metadata of another is gossiped.
     net.pause(9, 30 * SECOND);
     let now = net.now;
-    let card = Metadata { zone: "b".into(), ..Metadata::new(address(2)) };
-    net.node(2).members.set_metadata(now, card).expect("a good card");
+    let metadata = Metadata { zone: "b".into(), ..Metadata::new(address(2)) };
+    net.node(2).members.set_metadata(now, metadata).expect("valid metadata");
     net.run(10 * SECOND);
     // The messages that it would have read are lost.
     net.node(9).inbox.clear();
@@ -267,13 +274,13 @@
     net.run(5 * SECOND);
     let second = address(200);
     net.start_at(3, second, WALL);
-    let told = |net: &Net| net.nodes[&address(3)].members.cluster_status() == ClusterStatus::Replaced;
-    assert!(net.run_until(20 * SECOND, told));
+    let replaced = |net: &Net| net.nodes[&address(3)].members.cluster_status() == ClusterStatus::Replaced;
+    assert!(net.run_until(20 * SECOND, replaced));
     net.run(20 * SECOND);
     for (at, node) in net.nodes.iter().filter(|(at, _)| **at != address(3)) {
         let view = node.members.view(net.now);
-        let of = view.members.iter().find(|member| member.name == name(3)).expect("known");
-        assert_eq!((of.metadata.address, of.condition), (second, Condition::Alive), "at {at}");
+        let current = view.members.iter().find(|member| member.name == name(3)).expect("known");
+        assert_eq!((current.metadata.address, current.condition), (second, Condition::Alive), "at {at}");
     }
 }
 
@@ -285,19 +292,19 @@
     net.kill(3);
     net.nodes.remove(&address(3));
     net.start_at(3, address(200), WALL - 3_600_000);
-    let there = |net: &Net| {
+    let took_name = |net: &Net| {
         let mut others = net.nodes.values();
         others.all(|node| {
             let view = node.members.view(net.now);
-            let of = view.members.into_iter().find(|member| member.name == name(3));
-            of.is_some_and(|member| {
+            let current = view.members.into_iter().find(|member| member.name == name(3));
+            current.is_some_and(|member| {
                 member.metadata.address == address(200) && member.condition == Condition::Alive
             })
         })
     };
-    assert!(net.run_until(60 * SECOND, there));
+    assert!(net.run_until(60 * SECOND, took_name));
     net.run(60 * SECOND);
-    assert!(there(&net) && net.digests_agree());
+    assert!(took_name(&net) && net.digests_agree());
 }
 
 /// A gossip message with the right key and false updates.
@@ -314,14 +321,14 @@
 fn false_updates_from_a_member_with_the_key_fail_no_member() {
     let mut net = Net::converged(17, 12);
     let at = net.now;
-    let far = [
+    let incarnations = [
         Incarnation { start: u64::MAX, round: 0 },
         Incarnation { start: WALL, round: u32::MAX },
         Incarnation { start: WALL + 1, round: 0 },
         Incarnation { start: WALL, round: 4_000 },
     ];
     for step in 0..600 {
-        let incarnation = far[step % far.len()];
+        let incarnation = incarnations[step % incarnations.len()];
         let victim = name(1 + step % 9);
         let states = [
             ReportedState::Failed,
@@ -342,8 +349,8 @@
         net.perform(listener, out);
         net.run(SECOND / 10);
     }
-    let whole = |net: &Net| (0..12).all(|number| net.all_see(number, Condition::Alive));
-    assert!(net.run_until(60 * SECOND, whole));
+    let converged = |net: &Net| (0..12).all(|number| net.all_see(number, Condition::Alive));
+    assert!(net.run_until(60 * SECOND, converged));
     assert_eq!(net.failed_since(at).len(), 0, "{:?}", net.failed_since(at));
     for (at, node) in &net.nodes {
         assert_ne!(node.members.cluster_status(), ClusterStatus::Replaced, "{at}");
@@ -363,7 +370,7 @@
             (net.bytes - before) as f64 / 60.0 / count as f64
         })
         .collect();
-    assert!(rates[2] <= 1.3 * rates[0], "bytes a second a member: {rates:?}");
+    assert!(rates[2] <= 1.3 * rates[0], "bytes per second and member: {rates:?}");
 }
 
 #[test]
@@ -377,7 +384,7 @@
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let play = || {
+    let run = || {
         let mut net = Net::converged(20, 20);
         net.loss = 0.1;
         net.kill(3);
@@ -385,5 +392,5 @@
         let events: Vec<_> = net.nodes.values().map(|node| node.events.clone()).collect();
         (net.sent, net.bytes, events)
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
--- a/members/wire/fuzz/fuzz_targets/datagrams.rs
+++ b/members/wire/fuzz/fuzz_targets/datagrams.rs
@@ -4,7 +4,7 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use nettleworks_members::{Metadata, Config, Membership, Message, Name, Action};
+use nettleworks_members::{Action, Config, Membership, Message, Metadata, Name};
 use nettleworks_members_wire::Codec;
 
 const WALL: u64 = 1_700_000_000_000;
@@ -14,21 +14,22 @@
     assert!(codec.decode(data).is_err());
     let config = Config { max_members: 8, ..Config::default() };
     let name = Name::new("me").expect("a name");
-    let card = Metadata::new(([10, 0, 0, 1], 7_000).into());
-    let mut members = Membership::new(config.clone(), name, card, vec![], 1, 0, WALL).expect("good bounds");
+    let metadata = Metadata::new(([10, 0, 0, 1], 7_000).into());
+    let mut membership =
+        Membership::new(config.clone(), name, metadata, vec![], 1, 0, WALL).expect("a valid configuration");
     let (mut now, mut rest, mut out) = (0, data, Vec::new());
     while let Ok((message, left)) = postcard::take_from_bytes::<Message>(rest) {
-        members.handle_message(now, message, &mut out);
-        now = members.next_timeout().unwrap_or(now).max(now) + 1;
-        members.handle_timeout(now, &mut out);
+        membership.handle_message(now, message, &mut out);
+        now = membership.next_timeout().unwrap_or(now).max(now) + 1;
+        membership.handle_timeout(now, &mut out);
         if left.len() == rest.len() {
             break;
         }
         rest = left;
     }
-    assert!(members.view(now).members.len() <= config.max_members);
-    for out in out {
-        if let Action::Send { message, .. } = out {
+    assert!(membership.view(now).members.len() <= config.max_members);
+    for action in out {
+        if let Action::Send { message, .. } = action {
             assert!(message.max_size() <= config.max_message_bytes);
         }
     }
--- a/members/wire/src/service.rs
+++ b/members/wire/src/service.rs
@@ -78,7 +78,7 @@
 
 enum Command {
     Report(oneshot::Sender<Report>),
-    Metadata(Box<Settings>, oneshot::Sender<Result<(), String>>),
+    Reload(Box<Settings>, oneshot::Sender<Result<(), String>>),
     Leave,
 }
 
@@ -104,8 +104,8 @@
 
     /// The state of the member; `None`: it has stopped.
     pub async fn report(&self) -> Option<Report> {
-        let (answer, report) = oneshot::channel();
-        self.commands.send(Command::Report(answer)).await.ok()?;
+        let (reply, report) = oneshot::channel();
+        self.commands.send(Command::Report(reply)).await.ok()?;
         report.await.ok()
     }
 
@@ -121,11 +121,11 @@
     ///
     /// The settings are invalid, other changes in them need a restart, or the member has stopped.
     pub async fn reload(&self, settings: Settings) -> Result<(), String> {
-        let (answer, done) = oneshot::channel();
+        let (reply, result) = oneshot::channel();
         let ended = || "this member has ended".to_owned();
-        let command = Command::Metadata(Box::new(settings), answer);
+        let command = Command::Reload(Box::new(settings), reply);
         self.commands.send(command).await.map_err(|_| ended())?;
-        done.await.map_err(|_| ended())?
+        result.await.map_err(|_| ended())?
     }
 
     /// Announces to the other members that this one leaves; [`MemberService::run`] ends soon after.
@@ -169,13 +169,13 @@
     log: impl Fn(&str) + Send + Sync + 'static,
 ) -> Result<(Handle, MemberService), String> {
     let codec = settings.codec()?;
-    let bad = |error: std::io::Error| format!("{}: {error}", settings.listen);
-    let socket = UdpSocket::bind(settings.listen).await.map_err(bad)?;
+    let bind_error = |error: std::io::Error| format!("{}: {error}", settings.listen);
+    let socket = UdpSocket::bind(settings.listen).await.map_err(bind_error)?;
     let address = match settings.advertise {
         Some(address) => address,
-        None => socket.local_addr().map_err(bad)?,
+        None => socket.local_addr().map_err(bind_error)?,
     };
-    let drawn = || SysRng.try_next_u64().map_err(|error| format!("no random numbers: {error}"));
+    let random = || SysRng.try_next_u64().map_err(|error| format!("no random numbers: {error}"));
     let wall_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let name = Name::new(&settings.name).map_err(|error| error.to_string())?;
     let membership = Membership::new(
@@ -183,20 +183,20 @@
         name,
         settings.metadata(address, version),
         settings.seeds.clone(),
-        drawn()?,
+        random()?,
         0,
         u64::try_from(wall_ms).unwrap_or(0),
     )?;
-    let (commands, received) = mpsc::channel(COMMAND_BUFFER);
+    let (commands, command_receiver) = mpsc::channel(COMMAND_BUFFER);
     let (events, _) = broadcast::channel(EVENT_BUFFER);
     let handle = Handle { commands, events: events.clone(), address };
-    let running = MemberService {
+    let service = MemberService {
         version: version.to_owned(),
         socket,
         codec,
         last_cluster_status: membership.cluster_status(),
         membership,
-        session: drawn()?,
+        session: random()?,
         counter: 0,
         replay_windows: ReplayWindows::new(SESSIONS_PER_MEMBER * settings.most),
         send_limiter: RateLimiter::new(settings.sends_a_second, 0),
@@ -204,13 +204,13 @@
         datagrams: DatagramCounts::default(),
         started_at: Instant::now(),
         last_decode_log: None,
-        commands: received,
+        commands: command_receiver,
         events,
         address,
         log: Arc::new(log),
         settings,
     };
-    Ok((handle, running))
+    Ok((handle, service))
 }
 
 impl MemberService {
@@ -220,7 +220,7 @@
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         let mut actions = Vec::new();
         while let Some(timeout_at) = self.membership.next_timeout() {
-            let timeout_at = self.started_at + Duration::from_micros(timeout_at);
+            let deadline = self.started_at + Duration::from_micros(timeout_at);
             tokio::select! {
                 // Datagrams are read before timeouts are handled, because they may hold awaited answers.
                 biased;
@@ -228,9 +228,9 @@
                     Some(command) => self.handle_command(command, &mut actions),
                     None => return,
                 },
-                heard = self.socket.recv_from(&mut buffer) => {
+                received = self.socket.recv_from(&mut buffer) => {
                     // Errors report the failure of an earlier send: no process receives at that address.
-                    if let Ok((size, _)) = heard {
+                    if let Ok((size, _)) = received {
                         self.handle_datagram(&buffer[..size], &mut actions);
                     }
                     self.drain_socket(&mut buffer, &mut actions);
@@ -239,7 +239,7 @@
                         self.membership.handle_timeout(now, &mut actions);
                     }
                 }
-                () = sleep_until(timeout_at) => {
+                () = sleep_until(deadline) => {
                     let now = self.now();
                     self.membership.handle_timeout(now, &mut actions);
                 }
@@ -298,32 +298,38 @@
     fn handle_command(&mut self, command: Command, actions: &mut Vec<Action>) {
         let now = self.now();
         match command {
-            Command::Report(answer) => {
+            Command::Report(reply) => {
                 let view = self.membership.view(now);
                 let uptime = self.started_at.elapsed();
                 // The requester may have been dropped.
-                let _ =
-                    answer.send(Report { view, datagrams: self.datagrams, uptime, address: self.address });
+                let _ = reply.send(Report { view, datagrams: self.datagrams, uptime, address: self.address });
             }
-            Command::Metadata(settings, answer) => {
-                let _ = answer.send(self.apply_settings(now, *settings));
+            Command::Reload(settings, reply) => {
+                let _ = reply.send(self.apply_settings(now, *settings));
             }
             Command::Leave => self.membership.leave(now, actions),
         }
     }
 
     fn apply_settings(&mut self, now: Micros, new: Settings) -> Result<(), String> {
-        let card: Metadata = new.metadata(self.address, &self.version);
-        let of = |of: &Settings| {
-            (of.name.clone(), of.listen, of.advertise, of.seeds.clone(), of.period_ms, of.most)
+        let metadata: Metadata = new.metadata(self.address, &self.version);
+        let fixed = |settings: &Settings| {
+            (
+                settings.name.clone(),
+                settings.listen,
+                settings.advertise,
+                settings.seeds.clone(),
+                settings.period_ms,
+                settings.most,
+            )
         };
-        let differs = of(&new) != of(&self.settings);
-        if card != self.settings.metadata(self.address, &self.version) {
-            self.membership.set_metadata(now, card)?;
+        let needs_restart = fixed(&new) != fixed(&self.settings);
+        if metadata != self.settings.metadata(self.address, &self.version) {
+            self.membership.set_metadata(now, metadata)?;
         }
         let Settings { zone, region, role, capacity, .. } = new;
         self.settings = Settings { zone, region, role, capacity, ..self.settings.clone() };
-        match differs {
+        match needs_restart {
             true => {
                 Err("zone, region, role and capacity were applied; other changes need a restart".to_owned())
             }
@@ -333,8 +339,8 @@
 
     fn perform_actions(&mut self, actions: &mut Vec<Action>) {
         let now = self.now();
-        for actions in actions.drain(..) {
-            match actions {
+        for action in actions.drain(..) {
+            match action {
                 Action::Notify(event) => {
                     let flapping = if event.is_flapping { ", which is flapping" } else { "" };
                     (self.log)(&format!("members: {} has {}{flapping}", event.name, describe(&event)));
@@ -359,11 +365,11 @@
                 }
             }
         }
-        let last_cluster_status = self.membership.cluster_status();
-        if last_cluster_status != self.last_cluster_status {
-            self.last_cluster_status = last_cluster_status;
-            (self.log)(&format!("members: the cluster status is {}", last_cluster_status.name()));
-            let _ = self.events.send(MembershipEvent::Cluster(last_cluster_status));
+        let cluster_status = self.membership.cluster_status();
+        if cluster_status != self.last_cluster_status {
+            self.last_cluster_status = cluster_status;
+            (self.log)(&format!("members: the cluster status is {}", cluster_status.name()));
+            let _ = self.events.send(MembershipEvent::Cluster(cluster_status));
         }
     }
 }
@@ -373,7 +379,7 @@
     match event.kind {
         MemberEventKind::Joined => "joined",
         MemberEventKind::Suspected => "not answered somebody",
-        MemberEventKind::SuspicionCleared => "refuted the suspicion, or acknowledged",
+        MemberEventKind::SuspicionCleared => "refuted the suspicion, or acknowledged a probe",
         MemberEventKind::Failed => "failed",
         MemberEventKind::Left => "left",
         MemberEventKind::Rejoined => "come back",
@@ -382,9 +388,9 @@
 }
 
 /// Checks at compile time that the service can run on any thread.
-const _: fn(MemberService) = |running| {
+const _: fn(MemberService) = |service| {
     fn send(_: impl Future<Output = ()> + Send) {}
-    send(running.run());
+    send(service.run());
 };
 
 const _: () = assert!(MAX_OVERHEAD_BYTES < 64);
--- a/members/wire/src/settings.rs
+++ b/members/wire/src/settings.rs
@@ -56,22 +56,27 @@
     pub hears_a_second: u32,
 }
 
+/// Default of `capacity`.
 fn usual() -> u16 {
     100
 }
 
+/// Default of `period_ms`.
 fn period() -> u64 {
     1_000
 }
 
+/// Default of `most`.
 fn most() -> usize {
     Config::default().max_members
 }
 
+/// Default of `sends_a_second`.
 fn sends() -> u32 {
     400
 }
 
+/// Default of `hears_a_second`.
 fn hears() -> u32 {
     2_000
 }
@@ -83,9 +88,9 @@
     ///
     /// The file cannot be read, or has an invalid value; the error names its key.
     pub fn load(path: &Path) -> Result<Settings, String> {
-        let bad = |error: String| format!("{}: {error}", path.display());
-        let text = std::fs::read_to_string(path).map_err(|error| bad(error.to_string()))?;
-        let mut settings = Settings::parse(&text).map_err(bad)?;
+        let with_path = |error: String| format!("{}: {error}", path.display());
+        let text = std::fs::read_to_string(path).map_err(|error| with_path(error.to_string()))?;
+        let mut settings = Settings::parse(&text).map_err(with_path)?;
         let folder = path.parent().unwrap_or(Path::new(""));
         settings.key_file = folder.join(&settings.key_file);
         settings.socket = settings.socket.map(|socket| folder.join(socket));
@@ -101,8 +106,8 @@
         let mut json = serde_json::Deserializer::from_str(text);
         let settings: Settings =
             serde_path_to_error::deserialize(&mut json).map_err(|error| match error.path().to_string() {
-                place if place == "." => error.into_inner().to_string(),
-                place => format!("{place}: {}", error.into_inner()),
+                key if key == "." => error.into_inner().to_string(),
+                key => format!("{key}: {}", error.into_inner()),
             })?;
         json.end().map_err(|error| error.to_string())?;
         Name::new(&settings.name).map_err(|error| format!("name: {error}"))?;
@@ -112,11 +117,11 @@
         if settings.listen.ip().is_unspecified() && settings.advertise.is_none() {
             return Err("advertise: required when listen is an unspecified address".to_owned());
         }
-        if settings.advertise.is_some_and(|at| at.ip().is_unspecified() || at.port() == 0) {
+        if settings.advertise.is_some_and(|address| address.ip().is_unspecified() || address.port() == 0) {
             return Err("advertise: must be an address and port that others can reach".to_owned());
         }
-        for (name, a_second) in [("sends", settings.sends_a_second), ("hears", settings.hears_a_second)] {
-            if !(10..=1_000_000).contains(&a_second) {
+        for (name, rate) in [("sends", settings.sends_a_second), ("hears", settings.hears_a_second)] {
+            if !(10..=1_000_000).contains(&rate) {
                 return Err(format!("{name}_a_second: 10 to 1000000"));
             }
         }
@@ -134,7 +139,7 @@
     /// The period or the maximum number of members is out of range.
     pub fn config(&self) -> Result<Config, String> {
         let defaults = Config::default();
-        let scaled = |pace: u64| pace.saturating_mul(self.period_ms) / 1_000;
+        let scaled = |interval: u64| interval.saturating_mul(self.period_ms) / 1_000;
         let config = Config {
             period: scaled(defaults.period),
             timeout: scaled(defaults.timeout),
@@ -171,12 +176,12 @@
     ///
     /// The file cannot be read, or holds no valid key.
     pub fn codec(&self) -> Result<Codec, String> {
-        let bad = |error: String| format!("{}: {error}", self.key_file.display());
-        let size = std::fs::metadata(&self.key_file).map_err(|error| bad(error.to_string()))?.len();
+        let with_path = |error: String| format!("{}: {error}", self.key_file.display());
+        let size = std::fs::metadata(&self.key_file).map_err(|error| with_path(error.to_string()))?.len();
         if size > MAX_KEY_BYTES {
-            return Err(bad(format!("a key must have at most {MAX_KEY_BYTES} bytes")));
+            return Err(with_path(format!("a key must have at most {MAX_KEY_BYTES} bytes")));
         }
-        let key = std::fs::read(&self.key_file).map_err(|error| bad(error.to_string()))?;
-        Codec::new(key.trim_ascii()).map_err(bad)
+        let key = std::fs::read(&self.key_file).map_err(|error| with_path(error.to_string()))?;
+        Codec::new(key.trim_ascii()).map_err(with_path)
     }
 }
--- a/members/wire/tests/datagrams.rs
+++ b/members/wire/tests/datagrams.rs
@@ -28,12 +28,12 @@
 
 fn update() -> impl Strategy<Value = Update> {
     let text = || "[a-z]{0,24}";
-    let card = (address(), text(), text(), text(), text(), any::<u16>());
-    let card = card.prop_map(|(address, zone, region, version, role, capacity)| {
+    let metadata = (address(), text(), text(), text(), text(), any::<u16>());
+    let metadata = metadata.prop_map(|(address, zone, region, version, role, capacity)| {
         ReportedState::Alive(Metadata { address, zone, region, version, role, capacity })
     });
     let state = prop_oneof![
-        card,
+        metadata,
         name().prop_map(|by| ReportedState::Suspect { by }),
         Just(ReportedState::Failed),
         Just(ReportedState::Left),
@@ -78,7 +78,7 @@
     fn frames_round_trip_within_the_size_bound(frame in frame()) {
         let datagram = codec().encode(&frame).expect("written");
         prop_assert!(datagram.len() <= frame.message.max_size() + MAX_OVERHEAD_BYTES,
-                     "{} beside {}", datagram.len(), frame.message.max_size());
+                     "{} bytes of at most {} and overhead", datagram.len(), frame.message.max_size());
         prop_assert_eq!(codec().decode(&datagram), Ok(frame));
     }
 
@@ -109,25 +109,26 @@
     #[test]
     fn arbitrary_messages_keep_a_member_within_its_bounds(frames in proptest::collection::vec(frame(), 1..40)) {
         let config = Config { max_members: 6, ..Config::default() };
-        let card = Metadata::new("10.0.0.1:7000".parse().expect("an address"));
+        let metadata = Metadata::new("10.0.0.1:7000".parse().expect("an address"));
         let name = Name::new("me").expect("a name");
-        let mut members = Membership::new(config.clone(), name, card, vec![], 1, 0, 1_700_000_000_000).expect("good");
+        let mut membership =
+            Membership::new(config.clone(), name, metadata, vec![], 1, 0, 1_700_000_000_000).expect("good");
         let (mut now, mut out) = (0, Vec::new());
         for frame in frames {
-            members.handle_message(now, frame.message, &mut out);
-            let mut wakes = 0;
+            membership.handle_message(now, frame.message, &mut out);
+            let mut timeouts = 0;
             let until = now + 400_000;
-            while let Some(at) = members.next_timeout().filter(|at| *at <= until) {
+            while let Some(at) = membership.next_timeout().filter(|at| *at <= until) {
                 now = at.max(now);
-                members.handle_timeout(now, &mut out);
-                wakes += 1;
-                prop_assert!(wakes < 1_000, "it wants to be woken for good at {}", now);
+                membership.handle_timeout(now, &mut out);
+                timeouts += 1;
+                prop_assert!(timeouts < 1_000, "timeouts do not end at {}", now);
             }
             now = until;
         }
-        prop_assert!(members.view(now).members.len() <= config.max_members);
-        for out in out {
-            if let Action::Send { message, .. } = out {
+        prop_assert!(membership.view(now).members.len() <= config.max_members);
+        for action in out {
+            if let Action::Send { message, .. } = action {
                 prop_assert!(message.max_size() <= config.max_message_bytes, "{} bytes", message.max_size());
             }
         }
@@ -148,5 +149,5 @@
     assert_eq!(codec().decode(&datagram), Err(DecodeError::Version(2)));
     assert_eq!(codec().decode(&[1; 10]), Err(DecodeError::Size));
     assert_eq!(codec().decode(&[1; 10_000]), Err(DecodeError::Size));
-    assert!(!format!("{:?}", codec()).contains("sixteen"), "no log holds a key");
+    assert!(!format!("{:?}", codec()).contains("sixteen"), "Debug output must not contain the key");
 }
--- a/members/wire/tests/settings.rs
+++ b/members/wire/tests/settings.rs
@@ -37,14 +37,14 @@
         ("sends_a_second", 1.into(), "sends"),
         ("naem", "x".into(), "naem"),
     ];
-    for (key, value, place) in cases {
-        let bad = file(|file| file[key] = value.clone());
-        let said = bad.expect_err(&format!("{key} = {value}"));
-        assert!(said.contains(place), "{key} = {value}: {said}");
+    for (key, value, named) in cases {
+        let result = file(|file| file[key] = value.clone());
+        let error = result.expect_err(&format!("{key} = {value}"));
+        assert!(error.contains(named), "{key} = {value}: {error}");
     }
     for missing in ["name", "listen", "seeds", "key_file"] {
-        let bad = file(|file| drop(file.as_object_mut().expect("an object").remove(missing)));
-        assert!(bad.expect_err(missing).contains(missing));
+        let result = file(|file| drop(file.as_object_mut().expect("an object").remove(missing)));
+        assert!(result.expect_err(missing).contains(missing));
     }
 }
 
@@ -55,8 +55,8 @@
     let settings = file(|file| file["key_file"] = path.to_string_lossy().into()).expect("good");
     let _ = std::fs::remove_file(&path);
     assert!(settings.codec().expect_err("none").contains("key-of-settings"));
-    for (key, good) in [("short", false), ("  sixteen bytes....\n", true), (&"k".repeat(5_000), false)] {
+    for (key, is_valid) in [("short", false), ("  sixteen bytes....\n", true), (&"k".repeat(5_000), false)] {
         std::fs::write(&path, key).expect("written");
-        assert_eq!(settings.codec().is_ok(), good, "{} bytes", key.len());
+        assert_eq!(settings.codec().is_ok(), is_valid, "{} bytes", key.len());
     }
 }
