--- a/members/src/update.rs
+++ b/members/src/update.rs
@@ -44,14 +44,14 @@
         }
     }
 
-    /// The incarnation that a member announces after it has received `heard` under its own name. If `heard`
+    /// The incarnation that a member announces after it has received `received` under its own name. If `received`
     /// has a later start than its own, it belongs to a previous process of this name and the wall clock was
     /// set back since; the result then has a new start, so that the others see a restart.
     #[must_use]
-    pub(crate) fn next_above(self, heard: Incarnation) -> Incarnation {
-        match heard.start > self.start {
-            true => Incarnation::initial(heard.start.saturating_add(1)),
-            false => heard.max(self).next(),
+    pub(crate) fn next_above(self, received: Incarnation) -> Incarnation {
+        match received.start > self.start {
+            true => Incarnation::initial(received.start.saturating_add(1)),
+            false => received.max(self).next(),
         }
     }
 
--- a/members/wire/tests/sockets.rs
+++ b/members/wire/tests/sockets.rs
@@ -135,10 +135,10 @@
     let second = member("flood", "b", &[first.address()]).await;
     eventually("both", &second, |report| report.view.members.len() == 2).await;
     let flood = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-    for turn in 0..2_000 {
+    for datagram in 0..2_000 {
         // Datagrams that the system does not accept do not count.
         let _ = flood.send_to(&[1; 100], first.address()).await;
-        if turn % 50 == 0 {
+        if datagram % 50 == 0 {
             tokio::task::yield_now().await;
         }
     }
@@ -151,10 +151,11 @@
 
 #[tokio::test]
 async fn changed_metadata_is_gossiped_and_settings_that_need_a_restart_are_reported() {
-    let first = member("card", "a", &[]).await;
-    let second = member("card", "b", &[first.address()]).await;
+    let first = member("metadata", "a", &[]).await;
+    let second = member("metadata", "b", &[first.address()]).await;
     eventually("both", &first, |report| report.view.members.len() == 2).await;
-    let new = Settings { zone: "liberia".into(), capacity: 250, ..settings("card", "b", &[first.address()]) };
+    let new =
+        Settings { zone: "liberia".into(), capacity: 250, ..settings("metadata", "b", &[first.address()]) };
     second.reload(new.clone()).await.expect("applied");
     let zone = |report: &Report| {
         let member = report.view.members.iter().find(|member| member.name.as_str() == "b");
