--- a/members/src/name.rs
+++ b/members/src/name.rs
@@ -4,40 +4,40 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest name, in bytes.
-const NAME_MOST: usize = 48;
+/// Maximum length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 48;
 
-/// A member's name: 1 to 48 letters, digits, dots, hyphens and underscores. Clones share the text.
+/// Name of a member: 1 to 48 letters, digits, dots, hyphens and underscores. Clones share the text.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Name(Arc<str>);
 
-/// Not a name.
+/// The text is not a valid name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadName;
+pub struct InvalidName;
 
-impl fmt::Display for BadName {
+impl fmt::Display for InvalidName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a name has 1 to {NAME_MOST} letters, digits, dots, hyphens and underscores")
+        write!(f, "a name has 1 to {MAX_NAME_BYTES} letters, digits, dots, hyphens and underscores")
     }
 }
 
-impl std::error::Error for BadName {}
+impl std::error::Error for InvalidName {}
 
 impl Name {
-    /// A name.
+    /// Creates a name.
     ///
     /// # Errors
     ///
-    /// The text is empty, too long, or has other characters.
-    pub fn new(text: &str) -> Result<Name, BadName> {
-        let good = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
-        match (1..=NAME_MOST).contains(&text.len()) && text.bytes().all(good) {
+    /// The text is empty, too long, or has characters that are not allowed.
+    pub fn new(text: &str) -> Result<Name, InvalidName> {
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
+        match (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(is_allowed) {
             true => Ok(Name(text.into())),
-            false => Err(BadName),
+            false => Err(InvalidName),
         }
     }
 
-    /// Its text.
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/members/src/view.rs
+++ b/members/src/view.rs
@@ -1,70 +1,73 @@
-//! What is shown of it all.
+//! Snapshots of the list of members and of the counters.
 
-use crate::claim::{Card, Incarnation};
+use crate::cluster_status::ClusterStatus;
 use crate::name::Name;
 use crate::roster::Condition;
-use crate::standing::Standing;
+use crate::update::{Incarnation, Metadata};
 use crate::Micros;
 
-/// What this process takes a member to be. Another may take it to be something else at the same moment.
+/// A member as this process sees it. Other members may see it differently at the same time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Opinion {
-    /// Who.
+pub struct MemberView {
+    /// Name of the member.
     pub name: Name,
-    /// What it last said of itself.
-    pub card: Card,
-    /// Its life and round.
+    /// Metadata that it last announced.
+    pub metadata: Metadata,
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its condition.
     pub condition: Condition,
-    /// For how long it has been in it.
-    pub since: Micros,
-    /// How long ago it last answered this process; `None`: never, or it is this process.
-    pub heard: Option<Micros>,
-    /// Whether its list, when it last said what it comes to, was this process's list as it is now; `None`: it has not said.
-    pub agrees: Option<bool>,
-    /// Whether it comes and goes.
-    pub unsettled: bool,
-    /// Who suspects it.
+    /// Microseconds since it entered this condition.
+    pub condition_age: Micros,
+    /// Microseconds since it last acknowledged a message of this process; `None`: never, or it is this
+    /// process.
+    pub last_ack_age: Option<Micros>,
+    /// Whether the digest in its last acknowledgement equals the current digest of this process; `None`: no
+    /// acknowledgement yet.
+    pub digest_matches: Option<bool>,
+    /// Whether it is flapping, that is, has rejoined repeatedly within a minute.
+    pub is_flapping: bool,
+    /// Members that suspect it.
     pub suspected_by: Vec<Name>,
 }
 
-/// The whole of it.
+/// Snapshot of the membership.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
-    /// This process.
-    pub own: Name,
-    /// Where it stands.
-    pub standing: Standing,
-    /// How far it doubts itself: 0 is not at all.
-    pub doubt: u32,
-    /// What its list comes to: members that agree have the same number.
+pub struct MembershipView {
+    /// Name of this process.
+    pub local_name: Name,
+    /// Status of the cluster.
+    pub cluster_status: ClusterStatus,
+    /// Local health score; 0 is healthy.
+    pub health_score: u32,
+    /// Digest of the list; members with equal lists have equal digests.
     pub digest: u64,
-    /// All that it knows, itself among them, by name.
-    pub members: Vec<Opinion>,
-    /// What it has counted.
+    /// All known members by name, including this process.
+    pub members: Vec<MemberView>,
+    /// Counters.
     pub counts: Counts,
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Messages that went out.
+    /// Messages sent.
     pub sent: u64,
-    /// Messages that came in.
-    pub heard: u64,
-    /// Questions of this process that nobody answered.
-    pub unanswered: u64,
-    /// What was said of this process and contradicted.
-    pub contradicted: u64,
-    /// Claims that were not believed: of lives that nobody has announced, by members that have failed, beyond what can be.
-    pub disbelieved: u64,
-    /// Members that were not let in, as the list was full.
-    pub no_room: u64,
-    /// Comparisons of lists that this process began.
+    /// Messages received.
+    pub received: u64,
+    /// Probes by this process that were not acknowledged, directly or through a helper.
+    pub failed_probes: u64,
+    /// Updates that reported this process as suspected, failed or left, and were refuted.
+    pub refutations: u64,
+    /// Updates and messages that were rejected: with an incarnation that the member has not announced or that
+    /// is implausible, or by a failed member.
+    pub rejected_updates: u64,
+    /// Members that were rejected because the list was full.
+    pub rejected_members: u64,
+    /// Comparisons of lists that this process started.
     pub syncs: u64,
-    /// Pages that were not sent, as too many had been.
-    pub pages_held: u64,
+    /// Anti-entropy pages that were not sent because of the rate limit.
+    pub throttled_pages: u64,
     /// How often this process ran late.
     pub stalls: u64,
 }
--- a/members/wire/src/service.rs
+++ b/members/wire/src/service.rs
@@ -1,9 +1,11 @@
-//! A member at its socket: it hears, says and waits as the core wants.
+//! A member on its UDP socket: performs I/O and keeps time for the core.
 
-use crate::codec::{Codec, Frame, Refused, DATAGRAM_MOST, OVERHEAD_MOST};
+use crate::codec::{Codec, DecodeError, Frame, MAX_DATAGRAM_BYTES, MAX_OVERHEAD_BYTES};
+use crate::replay_window::ReplayWindows;
 use crate::settings::Settings;
-use crate::window::Windows;
-use nettleworks_members::{Card, Members, Micros, Name, News, Out, Rate, Standing, View};
+use nettleworks_members::{
+    Action, ClusterStatus, MemberEvent, Membership, MembershipView, Metadata, Micros, Name, RateLimiter,
+};
 use rand::rngs::SysRng;
 use rand::TryRng;
 use std::future::Future;
@@ -14,77 +16,77 @@
 use tokio::sync::{broadcast, mpsc, oneshot};
 use tokio::time::{sleep_until, Instant};
 
-/// News that a subscriber may be behind; one that is further behind hears how much it has missed.
-const NEWS_KEPT: usize = 1_024;
-/// Datagrams that are read in one turn, before anything else has one.
-const TURN: usize = 64;
-/// Commands that wait.
-const COMMANDS: usize = 16;
-/// Sessions whose datagrams are counted, for each member that may be known: its last life and this one.
-const SESSIONS: usize = 2;
-/// At most one line a second about datagrams that are not heard.
-const SAY_EVERY: Duration = Duration::from_secs(1);
+/// Events buffered for a subscriber; one that lags further behind learns how many it missed.
+const EVENT_BUFFER: usize = 1_024;
+/// Datagrams read in a row before timers and commands run.
+const READS_PER_TURN: usize = 64;
+/// Commands that may wait in the channel.
+const COMMAND_BUFFER: usize = 16;
+/// Sessions whose replay windows are kept, for each known member: its previous process and the current one.
+const SESSIONS_PER_MEMBER: usize = 2;
+/// Rejected datagrams are logged at most once in this time.
+const DECODE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Something that subscribers are told.
+/// Event for subscribers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
-    /// Of a member.
-    News(News),
-    /// This process stands otherwise.
-    Stands(Standing),
+pub enum MembershipEvent {
+    /// A member changed.
+    Member(MemberEvent),
+    /// The status of the cluster changed.
+    Cluster(ClusterStatus),
 }
 
-/// What was counted at the socket since the start.
+/// Counters of the socket since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tallies {
-    /// Datagrams that went out.
+pub struct DatagramCounts {
+    /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that came in and were heard.
-    pub heard: u64,
-    /// Bytes of all that came in.
-    pub heard_bytes: u64,
-    /// Not sent, as too many were.
-    pub over_sent: u64,
-    /// Not looked at, as too many came.
-    pub over_heard: u64,
-    /// Of no size or form that a datagram has.
+    /// Datagrams received and accepted.
+    pub received: u64,
+    /// Bytes of all datagrams received, accepted or not.
+    pub received_bytes: u64,
+    /// Datagrams not sent because of the rate limit.
+    pub rate_limited_sends: u64,
+    /// Datagrams dropped unread because of the rate limit.
+    pub rate_limited_receives: u64,
+    /// Datagrams of an invalid size or form.
     pub malformed: u64,
-    /// Of another version.
-    pub other_version: u64,
-    /// Not made with the key.
+    /// Datagrams of an unsupported version.
+    pub unsupported_version: u64,
+    /// Datagrams whose MAC does not match the key.
     pub forged: u64,
-    /// Heard before.
+    /// Datagrams dropped as replays.
     pub replayed: u64,
-    /// The system did not take them.
-    pub not_sent: u64,
+    /// Datagrams that could not be encoded or that the system did not accept.
+    pub send_errors: u64,
 }
 
-/// What is shown of a member.
+/// State of a running member, for operators.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The core's view.
-    pub view: View,
-    /// The socket's counts.
-    pub tallies: Tallies,
-    /// How long it has run.
-    pub up: Duration,
-    /// Where the others reach it.
+    /// Snapshot of the core.
+    pub view: MembershipView,
+    /// Counters of the socket.
+    pub datagrams: DatagramCounts,
+    /// Time since the start.
+    pub uptime: Duration,
+    /// Address that the other members send to.
     pub address: SocketAddr,
 }
 
 enum Command {
     Report(oneshot::Sender<Report>),
-    Card(Box<Settings>, oneshot::Sender<Result<(), String>>),
+    Reload(Box<Settings>, oneshot::Sender<Result<(), String>>),
     Leave,
 }
 
-/// Asks a running member. Clones ask the same one.
+/// Handle of a running member. Clones refer to the same one.
 #[derive(Clone, Debug)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
-    told: broadcast::Sender<Told>,
+    events: broadcast::Sender<MembershipEvent>,
     address: SocketAddr,
 }
 
@@ -95,291 +97,300 @@
 }
 
 impl Handle {
-    /// Where the others reach it.
+    /// Address that the other members send to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it takes the others to be, and what it has counted; `None`: it has ended.
+    /// The state of the member; `None`: it has stopped.
     pub async fn report(&self) -> Option<Report> {
-        let (answer, report) = oneshot::channel();
-        self.commands.send(Command::Report(answer)).await.ok()?;
+        let (reply, report) = oneshot::channel();
+        self.commands.send(Command::Report(reply)).await.ok()?;
         report.await.ok()
     }
 
-    /// News from now on. A receiver that is 1,024 behind is told how many it has missed: it asks for a report then.
-    pub fn subscribe(&self) -> broadcast::Receiver<Told> {
-        self.told.subscribe()
+    /// Subscribes to events from now on. A receiver that lags by more than 1,024 events gets the number it
+    /// missed, and should request a report then.
+    pub fn subscribe(&self) -> broadcast::Receiver<MembershipEvent> {
+        self.events.subscribe()
     }
 
-    /// Takes over zone, region, role and capacity of new settings.
+    /// Applies zone, region, role and capacity of new settings.
     ///
     /// # Errors
     ///
-    /// They are no good, what they change besides takes a restart, or it has ended.
+    /// The settings are invalid, other changes in them need a restart, or the member has stopped.
     pub async fn reload(&self, settings: Settings) -> Result<(), String> {
-        let (answer, done) = oneshot::channel();
+        let (reply, result) = oneshot::channel();
         let ended = || "this member has ended".to_owned();
-        let command = Command::Card(Box::new(settings), answer);
+        let command = Command::Reload(Box::new(settings), reply);
         self.commands.send(command).await.map_err(|_| ended())?;
-        done.await.map_err(|_| ended())?
+        result.await.map_err(|_| ended())?
     }
 
-    /// Says to the others that it goes. What [`Running::run`] gave ends soon after.
+    /// Announces to the other members that this one leaves; [`MemberService::run`] ends soon after.
     pub async fn leave(&self) {
-        // One that has ended is gone.
+        // An error means that the member has stopped already.
         let _ = self.commands.send(Command::Leave).await;
     }
 }
 
-/// A member at its socket, ready to run.
-pub struct Running {
+/// A member bound to its socket, to be run.
+pub struct MemberService {
     settings: Settings,
     version: String,
     socket: UdpSocket,
     codec: Codec,
-    members: Members,
+    membership: Membership,
     session: u64,
     counter: u64,
-    windows: Windows,
-    sends: Rate,
-    hears: Rate,
-    tallies: Tallies,
-    stands: Standing,
-    began: Instant,
-    said: Option<Instant>,
+    replay_windows: ReplayWindows,
+    send_limiter: RateLimiter,
+    receive_limiter: RateLimiter,
+    datagrams: DatagramCounts,
+    last_cluster_status: ClusterStatus,
+    started_at: Instant,
+    last_decode_log: Option<Instant>,
     commands: mpsc::Receiver<Command>,
-    told: broadcast::Sender<Told>,
+    events: broadcast::Sender<MembershipEvent>,
     address: SocketAddr,
     log: Arc<dyn Fn(&str) + Send + Sync>,
 }
 
-/// Takes the socket and gets ready; `version` is the program's. What comes back runs it.
+/// Binds the socket and creates the member; `version` is that of the program. The returned service has to be
+/// run.
 ///
 /// # Errors
 ///
-/// The key can't be read, or the address is not to be had.
+/// The key cannot be read, or the address cannot be bound.
 pub async fn start(
     settings: Settings,
     version: &str,
     log: impl Fn(&str) + Send + Sync + 'static,
-) -> Result<(Handle, Running), String> {
+) -> Result<(Handle, MemberService), String> {
     let codec = settings.codec()?;
-    let bad = |error: std::io::Error| format!("{}: {error}", settings.listen);
-    let socket = UdpSocket::bind(settings.listen).await.map_err(bad)?;
+    let bind_error = |error: std::io::Error| format!("{}: {error}", settings.listen);
+    let socket = UdpSocket::bind(settings.listen).await.map_err(bind_error)?;
     let address = match settings.advertise {
         Some(address) => address,
-        None => socket.local_addr().map_err(bad)?,
+        None => socket.local_addr().map_err(bind_error)?,
     };
-    let drawn = || SysRng.try_next_u64().map_err(|error| format!("no random numbers: {error}"));
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
+    let random = || SysRng.try_next_u64().map_err(|error| format!("no random numbers: {error}"));
+    let wall_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
     let name = Name::new(&settings.name).map_err(|error| error.to_string())?;
-    let members = Members::new(
+    let membership = Membership::new(
         settings.config()?,
         name,
-        settings.card(address, version),
+        settings.metadata(address, version),
         settings.seeds.clone(),
-        drawn()?,
+        random()?,
         0,
-        u64::try_from(wall).unwrap_or(0),
+        u64::try_from(wall_ms).unwrap_or(0),
     )?;
-    let (commands, received) = mpsc::channel(COMMANDS);
-    let (told, _) = broadcast::channel(NEWS_KEPT);
-    let handle = Handle { commands, told: told.clone(), address };
-    let running = Running {
+    let (commands, command_receiver) = mpsc::channel(COMMAND_BUFFER);
+    let (events, _) = broadcast::channel(EVENT_BUFFER);
+    let handle = Handle { commands, events: events.clone(), address };
+    let service = MemberService {
         version: version.to_owned(),
         socket,
         codec,
-        stands: members.standing(),
-        members,
-        session: drawn()?,
+        last_cluster_status: membership.cluster_status(),
+        membership,
+        session: random()?,
         counter: 0,
-        windows: Windows::new(SESSIONS * settings.most),
-        sends: Rate::new(settings.sends_a_second, 0),
-        hears: Rate::new(settings.hears_a_second, 0),
-        tallies: Tallies::default(),
-        began: Instant::now(),
-        said: None,
-        commands: received,
-        told,
+        replay_windows: ReplayWindows::new(SESSIONS_PER_MEMBER * settings.most),
+        send_limiter: RateLimiter::new(settings.sends_a_second, 0),
+        receive_limiter: RateLimiter::new(settings.hears_a_second, 0),
+        datagrams: DatagramCounts::default(),
+        started_at: Instant::now(),
+        last_decode_log: None,
+        commands: command_receiver,
+        events,
         address,
         log: Arc::new(log),
         settings,
     };
-    Ok((handle, running))
+    Ok((handle, service))
 }
 
-impl Running {
-    /// Runs until it has left, another process has its name, or nobody can ask it any more.
+impl MemberService {
+    /// Runs until the member has left, another process has taken over its name, or all handles are dropped.
     pub async fn run(mut self) {
-        (self.log)(&format!("members: {} hears at {}", self.settings.name, self.address));
-        let mut buffer = vec![0; DATAGRAM_MOST + 1];
-        let mut out = Vec::new();
-        while let Some(wakes_at) = self.members.wakes_at() {
-            let wakes_at = self.began + Duration::from_micros(wakes_at);
+        (self.log)(&format!("members: {} is listening on {}", self.settings.name, self.address));
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
+        let mut actions = Vec::new();
+        while let Some(timeout_at) = self.membership.next_timeout() {
+            let deadline = self.started_at + Duration::from_micros(timeout_at);
             tokio::select! {
-                // What has come is read before time is said to have passed: answers may lie there.
+                // Datagrams are read before timeouts are handled, because they may hold awaited answers.
                 biased;
                 command = self.commands.recv() => match command {
-                    Some(command) => self.heed(command, &mut out),
+                    Some(command) => self.handle_command(command, &mut actions),
                     None => return,
                 },
-                heard = self.socket.recv_from(&mut buffer) => {
-                    // Errors are what came back of something sent: nobody hears there.
-                    if let Ok((size, _)) = heard {
-                        self.hear(&buffer[..size], &mut out);
+                received = self.socket.recv_from(&mut buffer) => {
+                    // Errors report the failure of an earlier send: no process receives at that address.
+                    if let Ok((size, _)) = received {
+                        self.handle_datagram(&buffer[..size], &mut actions);
                     }
-                    self.hear_more(&mut buffer, &mut out);
-                    if self.now() >= self.members.wakes_at().unwrap_or(Micros::MAX) {
+                    self.drain_socket(&mut buffer, &mut actions);
+                    if self.now() >= self.membership.next_timeout().unwrap_or(Micros::MAX) {
                         let now = self.now();
-                        self.members.wake(now, &mut out);
+                        self.membership.handle_timeout(now, &mut actions);
                     }
                 }
-                () = sleep_until(wakes_at) => {
+                () = sleep_until(deadline) => {
                     let now = self.now();
-                    self.members.wake(now, &mut out);
+                    self.membership.handle_timeout(now, &mut actions);
                 }
             }
-            self.carry_out(&mut out);
-            // A flood of datagrams is no reason to keep others of this thread waiting.
+            self.perform_actions(&mut actions);
+            // A flood of datagrams must not starve the other tasks of this thread.
             tokio::task::yield_now().await;
         }
-        (self.log)(&format!("members: {} is over", self.settings.name));
+        (self.log)(&format!("members: {} stopped", self.settings.name));
     }
 
     fn now(&self) -> Micros {
-        u64::try_from(self.began.elapsed().as_micros()).unwrap_or(Micros::MAX)
+        u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    fn hear_more(&mut self, buffer: &mut [u8], out: &mut Vec<Out>) {
-        for _ in 1..TURN {
+    fn drain_socket(&mut self, buffer: &mut [u8], actions: &mut Vec<Action>) {
+        for _ in 1..READS_PER_TURN {
             match self.socket.try_recv_from(buffer) {
-                Ok((size, _)) => self.hear(&buffer[..size], out),
+                Ok((size, _)) => self.handle_datagram(&buffer[..size], actions),
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return,
                 Err(_) => {}
             }
         }
     }
 
-    fn hear(&mut self, datagram: &[u8], out: &mut Vec<Out>) {
+    fn handle_datagram(&mut self, datagram: &[u8], actions: &mut Vec<Action>) {
         let now = self.now();
-        self.tallies.heard_bytes += datagram.len() as u64;
-        if !self.hears.take(now) {
-            self.tallies.over_heard += 1;
+        self.datagrams.received_bytes += datagram.len() as u64;
+        if !self.receive_limiter.try_acquire(now) {
+            self.datagrams.rate_limited_receives += 1;
             return;
         }
-        let frame = match self.codec.read(datagram) {
+        let frame = match self.codec.decode(datagram) {
             Ok(frame) => frame,
-            Err(refused) => {
-                match refused {
-                    Refused::Size | Refused::Form => self.tallies.malformed += 1,
-                    Refused::Version(_) => self.tallies.other_version += 1,
-                    Refused::Mac => self.tallies.forged += 1,
+            Err(error) => {
+                match error {
+                    DecodeError::Size | DecodeError::Malformed => self.datagrams.malformed += 1,
+                    DecodeError::Version(_) => self.datagrams.unsupported_version += 1,
+                    DecodeError::Mac => self.datagrams.forged += 1,
                 }
-                if self.said.is_none_or(|said| said.elapsed() >= SAY_EVERY) {
-                    self.said = Some(Instant::now());
-                    (self.log)(&format!("members: a datagram is not heard: {refused}"));
+                if self.last_decode_log.is_none_or(|logged_at| logged_at.elapsed() >= DECODE_LOG_INTERVAL) {
+                    self.last_decode_log = Some(Instant::now());
+                    (self.log)(&format!("members: a datagram is not heard: {error}"));
                 }
                 return;
             }
         };
-        if frame.session == self.session || !self.windows.take(frame.session, frame.counter) {
-            self.tallies.replayed += 1;
+        if frame.session == self.session || !self.replay_windows.accept(frame.session, frame.counter) {
+            self.datagrams.replayed += 1;
             return;
         }
-        self.tallies.heard += 1;
-        self.members.hear(now, frame.message, out);
+        self.datagrams.received += 1;
+        self.membership.handle_message(now, frame.message, actions);
     }
 
-    fn heed(&mut self, command: Command, out: &mut Vec<Out>) {
+    fn handle_command(&mut self, command: Command, actions: &mut Vec<Action>) {
         let now = self.now();
         match command {
-            Command::Report(answer) => {
-                let view = self.members.view(now);
-                let up = self.began.elapsed();
-                // Whoever asked may have gone.
-                let _ = answer.send(Report { view, tallies: self.tallies, up, address: self.address });
+            Command::Report(reply) => {
+                let view = self.membership.view(now);
+                let uptime = self.started_at.elapsed();
+                // The requester may have been dropped.
+                let _ = reply.send(Report { view, datagrams: self.datagrams, uptime, address: self.address });
             }
-            Command::Card(settings, answer) => {
-                let _ = answer.send(self.renew(now, *settings));
+            Command::Reload(settings, reply) => {
+                let _ = reply.send(self.apply_settings(now, *settings));
             }
-            Command::Leave => self.members.leave(now, out),
+            Command::Leave => self.membership.leave(now, actions),
         }
     }
 
-    fn renew(&mut self, now: Micros, new: Settings) -> Result<(), String> {
-        let card: Card = new.card(self.address, &self.version);
-        let of = |of: &Settings| {
-            (of.name.clone(), of.listen, of.advertise, of.seeds.clone(), of.period_ms, of.most)
+    fn apply_settings(&mut self, now: Micros, new: Settings) -> Result<(), String> {
+        let metadata: Metadata = new.metadata(self.address, &self.version);
+        let fixed = |settings: &Settings| {
+            (
+                settings.name.clone(),
+                settings.listen,
+                settings.advertise,
+                settings.seeds.clone(),
+                settings.period_ms,
+                settings.most,
+            )
         };
-        let differs = of(&new) != of(&self.settings);
-        if card != self.settings.card(self.address, &self.version) {
-            self.members.set_card(now, card)?;
+        let needs_restart = fixed(&new) != fixed(&self.settings);
+        if metadata != self.settings.metadata(self.address, &self.version) {
+            self.membership.set_metadata(now, metadata)?;
         }
         let Settings { zone, region, role, capacity, .. } = new;
         self.settings = Settings { zone, region, role, capacity, ..self.settings.clone() };
-        match differs {
+        match needs_restart {
             true => {
-                Err("zone, region, role and capacity are taken over; the rest takes a restart".to_owned())
+                Err("zone, region, role and capacity were applied; other changes need a restart".to_owned())
             }
             false => Ok(()),
         }
     }
 
-    fn carry_out(&mut self, out: &mut Vec<Out>) {
+    fn perform_actions(&mut self, actions: &mut Vec<Action>) {
         let now = self.now();
-        for out in out.drain(..) {
-            match out {
-                Out::Tell(news) => {
-                    let unsettled = if news.unsettled { ", which comes and goes" } else { "" };
-                    (self.log)(&format!("members: {} has {}{unsettled}", news.name, word(&news)));
-                    // Nobody may have subscribed.
-                    let _ = self.told.send(Told::News(news));
+        for action in actions.drain(..) {
+            match action {
+                Action::Notify(event) => {
+                    let flapping = if event.is_flapping { ", which is flapping" } else { "" };
+                    (self.log)(&format!("members: {} has {}{flapping}", event.name, describe(&event)));
+                    // An error means that nobody has subscribed.
+                    let _ = self.events.send(MembershipEvent::Member(event));
                 }
-                Out::Send { to, message } => {
-                    if !self.sends.take(now) {
-                        self.tallies.over_sent += 1;
+                Action::Send { to, message } => {
+                    if !self.send_limiter.try_acquire(now) {
+                        self.datagrams.rate_limited_sends += 1;
                         continue;
                     }
                     let frame = Frame { session: self.session, counter: self.counter, message };
                     self.counter += 1;
-                    // Where the system's buffer is full it is lost, as on the network.
-                    match self.codec.write(&frame).map(|datagram| self.socket.try_send_to(&datagram, to)) {
+                    // If the socket buffer is full, the datagram is lost, as on the network.
+                    match self.codec.encode(&frame).map(|datagram| self.socket.try_send_to(&datagram, to)) {
                         Ok(Ok(bytes)) => {
-                            self.tallies.sent += 1;
-                            self.tallies.sent_bytes += bytes as u64;
+                            self.datagrams.sent += 1;
+                            self.datagrams.sent_bytes += bytes as u64;
                         }
-                        _ => self.tallies.not_sent += 1,
+                        _ => self.datagrams.send_errors += 1,
                     }
                 }
             }
         }
-        let stands = self.members.standing();
-        if stands != self.stands {
-            self.stands = stands;
-            (self.log)(&format!("members: this process stands {}", stands.name()));
-            let _ = self.told.send(Told::Stands(stands));
+        let cluster_status = self.membership.cluster_status();
+        if cluster_status != self.last_cluster_status {
+            self.last_cluster_status = cluster_status;
+            (self.log)(&format!("members: the cluster status is {}", cluster_status.name()));
+            let _ = self.events.send(MembershipEvent::Cluster(cluster_status));
         }
     }
 }
 
-fn word(news: &News) -> &'static str {
-    use nettleworks_members::What;
-    match news.what {
-        What::Joined => "joined",
-        What::Suspected => "not answered somebody",
-        What::Cleared => "contradicted, or answered",
-        What::Failed => "failed",
-        What::Left => "left",
-        What::Back => "come back",
-        What::Changed => "another card",
+fn describe(event: &MemberEvent) -> &'static str {
+    use nettleworks_members::MemberEventKind;
+    match event.kind {
+        MemberEventKind::Joined => "joined",
+        MemberEventKind::Suspected => "not answered somebody",
+        MemberEventKind::SuspicionCleared => "refuted the suspicion, or acknowledged a probe",
+        MemberEventKind::Failed => "failed",
+        MemberEventKind::Left => "left",
+        MemberEventKind::Rejoined => "come back",
+        MemberEventKind::MetadataChanged => "changed its metadata",
     }
 }
 
-/// It runs on any thread.
-const _: fn(Running) = |running| {
+/// Checks at compile time that the service can run on any thread.
+const _: fn(MemberService) = |service| {
     fn send(_: impl Future<Output = ()> + Send) {}
-    send(running.run());
+    send(service.run());
 };
 
-const _: () = assert!(OVERHEAD_MOST < 64);
+const _: () = assert!(MAX_OVERHEAD_BYTES < 64);
--- a/members/wire/src/settings.rs
+++ b/members/wire/src/settings.rs
@@ -1,149 +1,155 @@
-//! What the file of members says.
+//! Settings of a member, read from the members file.
 
-use crate::codec::{Codec, OVERHEAD_MOST};
-use nettleworks_members::{Card, Config, Name};
+use crate::codec::{Codec, MAX_OVERHEAD_BYTES};
+use nettleworks_members::{Config, Metadata, Name};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Most bytes of a key's file.
-const KEY_MOST: u64 = 4_096;
-/// Most seeds.
-const SEEDS_MOST: usize = 64;
+/// Maximum size of a key file in bytes.
+const MAX_KEY_BYTES: u64 = 4_096;
+/// Maximum number of seeds.
+const MAX_SEEDS: usize = 64;
 
-/// A process's part among the others. JSON; `docs/operating-members.md` explains every key.
+/// Settings of this process as a member. JSON; `docs/operating-members.md` explains every key.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// This process's name among the others, the same at each start.
+    /// Name of this process among the members; the same at each start.
     pub name: String,
-    /// Where it hears. Port 0 is any that is free: for tests.
+    /// Address of the UDP socket. Port 0 takes any free port, for tests.
     pub listen: SocketAddr,
-    /// Where the others reach it, if not at `listen`.
+    /// Address that the other members send to, if it is not `listen`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// Whom it asks to be let in, at the start and when it is alone. Best three that rarely move; itself may be among them.
+    /// Members asked to let this process join, at the start and while it is alone. Preferably three with
+    /// stable addresses; this process itself may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// The file that holds the key that all share: 16 bytes at the least, spaces and newlines at its ends not counted.
+    /// File with the key that all members share: at least 16 bytes, without leading and trailing whitespace.
     pub key_file: PathBuf,
-    /// Its zone.
+    /// Zone of this process.
     #[serde(default)]
     pub zone: String,
-    /// Its region.
+    /// Region of this process.
     #[serde(default)]
     pub region: String,
-    /// What it does among the others.
+    /// Role of this process in the cluster.
     #[serde(default)]
     pub role: String,
-    /// How much it bears, in hundredths of a usual one.
+    /// Relative capacity in percent: 100 is that of a usual member.
     #[serde(default = "usual")]
     pub capacity: u16,
-    /// The operators' socket, where there is to be one.
+    /// Path of the operators' socket, if there is to be one.
     #[serde(default)]
     pub socket: Option<PathBuf>,
-    /// How often one of the others is asked whether it is there; all other paces follow.
+    /// Protocol period in milliseconds: the interval between probes. All other intervals scale with it.
     #[serde(default = "period")]
     pub period_ms: u64,
-    /// Most members that are known, those that have failed or left among them.
+    /// Maximum number of known members, including those that have failed or left.
     #[serde(default = "most")]
     pub most: usize,
-    /// Most datagrams that are sent a second, and at once.
+    /// Maximum number of datagrams sent per second, and in a burst.
     #[serde(default = "sends")]
     pub sends_a_second: u32,
-    /// Most that are heard a second, and at once.
+    /// Maximum number of datagrams received per second, and in a burst.
     #[serde(default = "hears")]
     pub hears_a_second: u32,
 }
 
+/// Default of `capacity`.
 fn usual() -> u16 {
     100
 }
 
+/// Default of `period_ms`.
 fn period() -> u64 {
     1_000
 }
 
+/// Default of `most`.
 fn most() -> usize {
-    Config::default().most
+    Config::default().max_members
 }
 
+/// Default of `sends_a_second`.
 fn sends() -> u32 {
     400
 }
 
+/// Default of `hears_a_second`.
 fn hears() -> u32 {
     2_000
 }
 
 impl Settings {
-    /// Reads a file. A path in it that is not whole counts from the folder that the file is in.
+    /// Reads a file. Relative paths in it are relative to its folder.
     ///
     /// # Errors
     ///
-    /// It can't be read, or something in it is no good; the place is named.
+    /// The file cannot be read, or has an invalid value; the error names its key.
     pub fn load(path: &Path) -> Result<Settings, String> {
-        let bad = |error: String| format!("{}: {error}", path.display());
-        let text = std::fs::read_to_string(path).map_err(|error| bad(error.to_string()))?;
-        let mut settings = Settings::parse(&text).map_err(bad)?;
+        let with_path = |error: String| format!("{}: {error}", path.display());
+        let text = std::fs::read_to_string(path).map_err(|error| with_path(error.to_string()))?;
+        let mut settings = Settings::parse(&text).map_err(with_path)?;
         let folder = path.parent().unwrap_or(Path::new(""));
         settings.key_file = folder.join(&settings.key_file);
         settings.socket = settings.socket.map(|socket| folder.join(socket));
         Ok(settings)
     }
 
-    /// Reads a text.
+    /// Parses the text of a file.
     ///
     /// # Errors
     ///
-    /// Something in it is no good; the place is named.
+    /// The text has an invalid value; the error names its key.
     pub fn parse(text: &str) -> Result<Settings, String> {
         let mut json = serde_json::Deserializer::from_str(text);
         let settings: Settings =
             serde_path_to_error::deserialize(&mut json).map_err(|error| match error.path().to_string() {
-                place if place == "." => error.into_inner().to_string(),
-                place => format!("{place}: {}", error.into_inner()),
+                key if key == "." => error.into_inner().to_string(),
+                key => format!("{key}: {}", error.into_inner()),
             })?;
         json.end().map_err(|error| error.to_string())?;
         Name::new(&settings.name).map_err(|error| format!("name: {error}"))?;
-        if settings.seeds.len() > SEEDS_MOST {
-            return Err(format!("seeds: {SEEDS_MOST} at the most"));
+        if settings.seeds.len() > MAX_SEEDS {
+            return Err(format!("seeds: at most {MAX_SEEDS}"));
         }
         if settings.listen.ip().is_unspecified() && settings.advertise.is_none() {
-            return Err("advertise: needed where listen is every address".to_owned());
+            return Err("advertise: required when listen is an unspecified address".to_owned());
         }
-        if settings.advertise.is_some_and(|at| at.ip().is_unspecified() || at.port() == 0) {
-            return Err("advertise: an address that others can reach".to_owned());
+        if settings.advertise.is_some_and(|address| address.ip().is_unspecified() || address.port() == 0) {
+            return Err("advertise: must be an address and port that others can reach".to_owned());
         }
-        for (name, a_second) in [("sends", settings.sends_a_second), ("hears", settings.hears_a_second)] {
-            if !(10..=1_000_000).contains(&a_second) {
+        for (name, rate) in [("sends", settings.sends_a_second), ("hears", settings.hears_a_second)] {
+            if !(10..=1_000_000).contains(&rate) {
                 return Err(format!("{name}_a_second: 10 to 1000000"));
             }
         }
-        if !settings.card(settings.listen, "").is_good() {
-            return Err("zone, region, role: 24 bytes at the most, no control characters".to_owned());
+        if !settings.metadata(settings.listen, "").is_valid() {
+            return Err("zone, region, role: at most 24 bytes each, without control characters".to_owned());
         }
         settings.config()?;
         Ok(settings)
     }
 
-    /// Bounds and paces of the core.
+    /// Configuration of the core.
     ///
     /// # Errors
     ///
-    /// The period or the bound is no good.
+    /// The period or the maximum number of members is out of range.
     pub fn config(&self) -> Result<Config, String> {
-        let plain = Config::default();
-        let scaled = |pace: u64| pace.saturating_mul(self.period_ms) / 1_000;
+        let defaults = Config::default();
+        let scaled = |interval: u64| interval.saturating_mul(self.period_ms) / 1_000;
         let config = Config {
-            period: scaled(plain.period),
-            timeout: scaled(plain.timeout),
-            gossip_every: scaled(plain.gossip_every),
-            reach_every: scaled(plain.reach_every),
-            join_every: scaled(plain.join_every),
-            most: self.most,
-            // A datagram that is not cut on an Ethernet, with room for its own head.
-            packet: 1_400 - OVERHEAD_MOST,
-            ..plain
+            period: scaled(defaults.period),
+            timeout: scaled(defaults.timeout),
+            gossip_every: scaled(defaults.gossip_every),
+            reach_every: scaled(defaults.reach_every),
+            join_every: scaled(defaults.join_every),
+            max_members: self.most,
+            // The largest datagram that Ethernet does not fragment, less the overhead of the format.
+            max_message_bytes: 1_400 - MAX_OVERHEAD_BYTES,
+            ..defaults
         };
         if !(10..=60_000).contains(&self.period_ms) {
             return Err("period_ms: 10 to 60000".to_owned());
@@ -152,30 +158,30 @@
         Ok(config)
     }
 
-    /// What this process says of itself.
-    pub fn card(&self, address: SocketAddr, version: &str) -> Card {
-        Card {
+    /// Metadata of this process.
+    pub fn metadata(&self, address: SocketAddr, version: &str) -> Metadata {
+        Metadata {
             zone: self.zone.clone(),
             region: self.region.clone(),
             role: self.role.clone(),
             capacity: self.capacity,
             version: version.to_owned(),
-            ..Card::at(address)
+            ..Metadata::new(address)
         }
     }
 
-    /// Makes and reads datagrams under the key of its file.
+    /// Creates a codec with the key from the key file.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or holds no good key.
+    /// The file cannot be read, or holds no valid key.
     pub fn codec(&self) -> Result<Codec, String> {
-        let bad = |error: String| format!("{}: {error}", self.key_file.display());
-        let size = std::fs::metadata(&self.key_file).map_err(|error| bad(error.to_string()))?.len();
-        if size > KEY_MOST {
-            return Err(bad(format!("a key has {KEY_MOST} bytes at the most")));
+        let with_path = |error: String| format!("{}: {error}", self.key_file.display());
+        let size = std::fs::metadata(&self.key_file).map_err(|error| with_path(error.to_string()))?.len();
+        if size > MAX_KEY_BYTES {
+            return Err(with_path(format!("a key must have at most {MAX_KEY_BYTES} bytes")));
         }
-        let key = std::fs::read(&self.key_file).map_err(|error| bad(error.to_string()))?;
-        Codec::new(key.trim_ascii()).map_err(bad)
+        let key = std::fs::read(&self.key_file).map_err(|error| with_path(error.to_string()))?;
+        Codec::new(key.trim_ascii()).map_err(with_path)
     }
 }
--- a/members/wire/tests/settings.rs
+++ b/members/wire/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Files of members, good and bad.
+//! Valid and invalid members files.
 
 use nettleworks_members_wire::Settings;
 use serde_json::{json, Value};
@@ -11,16 +11,16 @@
 }
 
 #[test]
-fn a_plain_file_is_good_and_paces_follow_its_period() {
+fn a_minimal_file_is_valid_and_intervals_scale_with_its_period() {
     let settings = file(|file| file["period_ms"] = 100.into()).expect("good");
     let config = settings.config().expect("good");
     assert_eq!((config.period, config.timeout, config.gossip_every), (100_000, 30_000, 20_000));
-    assert!(config.packet + nettleworks_members_wire::OVERHEAD_MOST <= 1_400);
-    assert_eq!(settings.card(settings.listen, "1.2").version, "1.2");
+    assert!(config.max_message_bytes + nettleworks_members_wire::MAX_OVERHEAD_BYTES <= 1_400);
+    assert_eq!(settings.metadata(settings.listen, "1.2").version, "1.2");
 }
 
 #[test]
-fn what_is_wrong_is_named_by_its_place() {
+fn errors_name_the_invalid_key() {
     let cases: [(&str, Value, &str); 14] = [
         ("name", "".into(), "name"),
         ("name", "two words".into(), "name"),
@@ -37,26 +37,26 @@
         ("sends_a_second", 1.into(), "sends"),
         ("naem", "x".into(), "naem"),
     ];
-    for (key, value, place) in cases {
-        let bad = file(|file| file[key] = value.clone());
-        let said = bad.expect_err(&format!("{key} = {value}"));
-        assert!(said.contains(place), "{key} = {value}: {said}");
+    for (key, value, named) in cases {
+        let result = file(|file| file[key] = value.clone());
+        let error = result.expect_err(&format!("{key} = {value}"));
+        assert!(error.contains(named), "{key} = {value}: {error}");
     }
     for missing in ["name", "listen", "seeds", "key_file"] {
-        let bad = file(|file| drop(file.as_object_mut().expect("an object").remove(missing)));
-        assert!(bad.expect_err(missing).contains(missing));
+        let result = file(|file| drop(file.as_object_mut().expect("an object").remove(missing)));
+        assert!(result.expect_err(missing).contains(missing));
     }
 }
 
 #[test]
-fn a_key_that_is_not_there_too_short_or_too_long_is_refused() {
+fn a_missing_short_or_long_key_is_rejected() {
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
     let path = folder.join("key-of-settings");
     let settings = file(|file| file["key_file"] = path.to_string_lossy().into()).expect("good");
     let _ = std::fs::remove_file(&path);
     assert!(settings.codec().expect_err("none").contains("key-of-settings"));
-    for (key, good) in [("short", false), ("  sixteen bytes....\n", true), (&"k".repeat(5_000), false)] {
+    for (key, is_valid) in [("short", false), ("  sixteen bytes....\n", true), (&"k".repeat(5_000), false)] {
         std::fs::write(&path, key).expect("written");
-        assert_eq!(settings.codec().is_ok(), good, "{} bytes", key.len());
+        assert_eq!(settings.codec().is_ok(), is_valid, "{} bytes", key.len());
     }
 }
--- a/proxy/src/member.rs
+++ b/proxy/src/member.rs
@@ -102,7 +102,7 @@
 }
 
 fn report_json(report: &Report) -> Value {
-    let Report { view, tallies, up, address } = report;
+    let Report { view, datagrams: tallies, uptime: up, address } = report;
     let members: Vec<Value> = view
         .members
         .iter()
@@ -110,17 +110,17 @@
             json!({
                 "name": member.name.as_str(),
                 "condition": member.condition.name(),
-                "since_ms": member.since / MICROS_PER_MILLI,
-                "heard_ms": member.heard.map(|age| age / MICROS_PER_MILLI),
-                "agrees": member.agrees,
-                "unsettled": member.unsettled,
+                "since_ms": member.condition_age / MICROS_PER_MILLI,
+                "heard_ms": member.last_ack_age.map(|age| age / MICROS_PER_MILLI),
+                "agrees": member.digest_matches,
+                "unsettled": member.is_flapping,
                 "suspected_by": member.suspected_by.iter().map(|by| by.as_str()).collect::<Vec<_>>(),
-                "address": member.card.address.to_string(),
-                "zone": member.card.zone,
-                "region": member.card.region,
-                "role": member.card.role,
-                "version": member.card.version,
-                "capacity": member.card.capacity,
+                "address": member.metadata.address.to_string(),
+                "zone": member.metadata.zone,
+                "region": member.metadata.region,
+                "role": member.metadata.role,
+                "version": member.metadata.version,
+                "capacity": member.metadata.capacity,
                 "start": member.incarnation.start,
                 "round": member.incarnation.round,
             })
@@ -128,22 +128,22 @@
         .collect();
     let counts = &view.counts;
     json!({
-        "name": view.own.as_str(),
+        "name": view.local_name.as_str(),
         "address": address.to_string(),
-        "standing": view.standing.name(),
-        "doubt": view.doubt,
+        "standing": view.cluster_status.name(),
+        "doubt": view.health_score,
         "digest": format!("{:016x}", view.digest),
         "up_ms": u64::try_from(up.as_millis()).unwrap_or(u64::MAX),
         "members": members,
         "counts": {
-            "unanswered": counts.unanswered, "contradicted": counts.contradicted, "disbelieved": counts.disbelieved,
-            "no_room": counts.no_room, "syncs": counts.syncs, "pages_held": counts.pages_held, "stalls": counts.stalls,
+            "unanswered": counts.failed_probes, "contradicted": counts.refutations, "disbelieved": counts.rejected_updates,
+            "no_room": counts.rejected_members, "syncs": counts.syncs, "pages_held": counts.throttled_pages, "stalls": counts.stalls,
         },
         "datagrams": {
-            "sent": tallies.sent, "sent_bytes": tallies.sent_bytes, "heard": tallies.heard,
-            "heard_bytes": tallies.heard_bytes, "over_sent": tallies.over_sent, "over_heard": tallies.over_heard,
-            "malformed": tallies.malformed, "other_version": tallies.other_version, "forged": tallies.forged,
-            "replayed": tallies.replayed, "not_sent": tallies.not_sent,
+            "sent": tallies.sent, "sent_bytes": tallies.sent_bytes, "heard": tallies.received,
+            "heard_bytes": tallies.received_bytes, "over_sent": tallies.rate_limited_sends, "over_heard": tallies.rate_limited_receives,
+            "malformed": tallies.malformed, "other_version": tallies.unsupported_version, "forged": tallies.forged,
+            "replayed": tallies.replayed, "not_sent": tallies.send_errors,
         },
     })
 }
