--- a/library/src/builder.rs
+++ b/library/src/builder.rs
@@ -28,7 +28,7 @@
 /// Builds a [`Fleet`].
 pub struct Builder {
     config: Result<Value, StartError>,
-    calls: Option<usize>,
+    max_calls: Option<usize>,
     keys: Option<String>,
     engines: usize,
     log: Box<dyn Fn(&str) + Send>,
@@ -45,7 +45,7 @@
                 "invariants": {"cold_from": 0.3, "cold_us": 10_000_000, "ask_every_us": 5_000_000}
             }
         });
-        Builder { config: Ok(config), calls: None, keys: None, engines: 1, log: Box::new(|_| ()) }
+        Builder { config: Ok(config), max_calls: None, keys: None, engines: 1, log: Box::new(|_| ()) }
     }
 }
 
@@ -55,9 +55,9 @@
     /// [`Builder::start`].
     pub fn file(mut self, path: impl AsRef<Path>) -> Result<Self, StartError> {
         let path = path.as_ref();
-        let bad = |error: String| StartError::Configuration(format!("{}: {error}", path.display()));
-        let text = std::fs::read_to_string(path).map_err(|error| bad(error.to_string()))?;
-        self.config = serde_json::from_str(&text).map_err(|error| bad(error.to_string()));
+        let invalid = |error: String| StartError::Configuration(format!("{}: {error}", path.display()));
+        let text = std::fs::read_to_string(path).map_err(|error| invalid(error.to_string()))?;
+        self.config = serde_json::from_str(&text).map_err(|error| invalid(error.to_string()));
         Ok(self)
     }
 
@@ -67,18 +67,18 @@
         self
     }
 
-    fn set(mut self, place: &[&str], value: Value) -> Self {
+    fn set(mut self, path: &[&str], value: Value) -> Self {
         if let Ok(config) = &mut self.config {
-            let mut at = config;
-            for key in place {
-                if at.is_null() {
-                    *at = json!({});
+            let mut target = config;
+            for key in path {
+                if target.is_null() {
+                    *target = json!({});
                 }
                 // A broken file is for the checks to find: nothing is put into what is no object.
-                let Some(object) = at.as_object_mut() else { return self };
-                at = object.entry(*key).or_insert(Value::Null);
+                let Some(object) = target.as_object_mut() else { return self };
+                target = object.entry(*key).or_insert(Value::Null);
             }
-            *at = value;
+            *target = value;
         }
         self
     }
@@ -94,30 +94,30 @@
     }
 
     /// Most descriptors that this fleet may hold, 64 or more. No other fleet's count.
-    pub fn sockets(self, most: usize) -> Self {
-        self.set(&["limits", "sockets"], most.into())
+    pub fn sockets(self, max: usize) -> Self {
+        self.set(&["limits", "sockets"], max.into())
     }
 
     /// How many proxies send to these hosts, this one included, and its number among them, from 0.
-    pub fn proxies(self, count: u32, me: u32) -> Self {
-        self.set(&["settings", "balancers"], count.into()).set(&["settings", "me"], me.into())
+    pub fn proxies(self, count: u32, index: u32) -> Self {
+        self.set(&["settings", "balancers"], count.into()).set(&["settings", "me"], index.into())
     }
 
     /// Most attempts for a call.
-    pub fn attempts(self, most: u32) -> Self {
-        self.set(&["settings", "limits", "max_attempts"], most.into())
+    pub fn attempts(self, max: u32) -> Self {
+        self.set(&["settings", "limits", "max_attempts"], max.into())
     }
 
     /// Adds a class: answers are wanted within `aim`, and no client waits longer than `deadline`.
-    pub fn class(mut self, name: &str, kind: ClassKind, aim: Duration, deadline: Duration) -> Self {
-        let (word, window) = match kind {
+    pub fn class(mut self, name: &str, kind: ClassKind, objective: Duration, deadline: Duration) -> Self {
+        let (idempotency, window) = match kind {
             ClassKind::Free => ("free", Duration::ZERO),
             ClassKind::Keyed { window } => ("guarded", window),
             ClassKind::Unsafe => ("single_shot", Duration::ZERO),
         };
         let micros = |time: Duration| u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-        let class = json!({"name": name, "objective_us": micros(aim), "deadline_us": micros(deadline), "worth": 1.0,
-                           "idempotency": word, "dedup_scope": "cell", "repeat_window_us": micros(window)});
+        let class = json!({"name": name, "objective_us": micros(objective), "deadline_us": micros(deadline), "worth": 1.0,
+                           "idempotency": idempotency, "dedup_scope": "cell", "repeat_window_us": micros(window)});
         if let Ok(config) = &mut self.config {
             if let Some(classes) = config["settings"]["classes"].as_array_mut() {
                 classes.push(class);
@@ -134,8 +134,8 @@
 
     /// Most calls that may be open; the default is a third of the descriptors, as the daemon's clients have it. One
     /// more is refused at once, and a [`tower_service::Service`] is not ready.
-    pub fn calls(mut self, most: usize) -> Self {
-        self.calls = Some(most);
+    pub fn calls(mut self, max: usize) -> Self {
+        self.max_calls = Some(max);
         self
     }
 
@@ -161,10 +161,10 @@
         if let Some(keys) = &self.keys {
             config = config.with_keys(keys).map_err(StartError::Configuration)?;
         }
-        let calls = self.calls.or(config.max_calls).unwrap_or(config.max_descriptors / 3);
+        let max_calls = self.max_calls.or(config.max_calls).unwrap_or(config.max_descriptors / 3);
         if !(1..=MAX_SHARDS).contains(&self.engines) {
             return Err(StartError::Configuration(format!("{} cores: 1 to {MAX_SHARDS}", self.engines)));
         }
-        Fleet::start(config, calls, self.engines, self.log)
+        Fleet::start(config, max_calls, self.engines, self.log)
     }
 }
--- a/library/src/context.rs
+++ b/library/src/context.rs
@@ -7,7 +7,7 @@
 const CLASS: HeaderName = HeaderName::from_static("x-call-class");
 const TENANT: HeaderName = HeaderName::from_static("x-caller");
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-const AGAIN: HeaderName = HeaderName::from_static("x-again");
+const RESENT: HeaderName = HeaderName::from_static("x-again");
 
 /// What an incoming request says of itself. [`crate::FleetLayer`] puts it among the request's extensions, with the
 /// time counted from the request's arrival; in an axum handler it is an extractor. Among an outgoing request's
@@ -26,18 +26,18 @@
 impl CallContext {
     /// What these headers say of a request that came at `arrived`.
     pub fn from_headers(headers: &HeaderMap, arrived: Instant) -> CallContext {
-        let one = |name: &HeaderName| {
+        let single = |name: &HeaderName| {
             let mut values = headers.get_all(name).iter();
             values.next().filter(|_| values.next().is_none()).cloned()
         };
-        let budget = one(&HeaderName::from_static("x-budget-ms"));
+        let budget = single(&HeaderName::from_static("x-budget-ms"));
         let budget = budget.as_ref().and_then(|value| value.to_str().ok()?.parse::<u32>().ok());
         CallContext {
-            class: one(&CLASS),
-            tenant: one(&TENANT),
-            key: one(&KEY),
+            class: single(&CLASS),
+            tenant: single(&TENANT),
+            key: single(&KEY),
             deadline: budget.map(|ms| arrived + Duration::from_millis(ms.into())),
-            resent: one(&AGAIN).is_some_and(|value| value == "1"),
+            resent: single(&RESENT).is_some_and(|value| value == "1"),
         }
     }
 
@@ -101,8 +101,8 @@
     /// Headers that the request lacks. A key goes to a POST that belongs to a keyed class only as the checks have it:
     /// it is filled in as it came, and a request that does not fit its class is turned away.
     pub(crate) fn fill_in(&self, headers: &mut HeaderMap) {
-        let again = self.resent.then(|| HeaderValue::from_static("1"));
-        let values = [(CLASS, &self.class), (TENANT, &self.tenant), (KEY, &self.key), (AGAIN, &again)];
+        let resent = self.resent.then(|| HeaderValue::from_static("1"));
+        let values = [(CLASS, &self.class), (TENANT, &self.tenant), (KEY, &self.key), (RESENT, &resent)];
         for (name, value) in values {
             if let Some(value) = value {
                 headers.entry(name).or_insert_with(|| value.clone());
@@ -128,20 +128,20 @@
 mod tests {
     use super::*;
 
-    fn headers(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
+    fn header_map(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
         pairs.iter().map(|&(n, v)| (HeaderName::from_static(n), HeaderValue::from_static(v))).collect()
     }
 
     #[tokio::test(start_paused = true)]
-    async fn what_a_request_says_is_read_once_and_its_time_runs_from_its_arrival() {
-        let said = headers(&[
+    async fn headers_are_read_and_the_budget_runs_from_the_arrival() {
+        let headers = header_map(&[
             ("x-call-class", "door"),
             ("x-caller", "acme"),
             ("idempotency-key", "k"),
             ("x-budget-ms", "400"),
             ("x-again", "1"),
         ]);
-        let context = CallContext::from_headers(&said, Instant::now());
+        let context = CallContext::from_headers(&headers, Instant::now());
         assert_eq!(
             (context.class(), context.tenant(), context.key()),
             (Some("door"), Some("acme"), Some("k"))
@@ -154,23 +154,23 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn what_is_said_twice_or_unreadably_is_unsaid() {
-        let mut said = headers(&[("x-call-class", "door"), ("x-budget-ms", "-4")]);
-        said.append(CLASS, HeaderValue::from_static("other"));
-        assert_eq!(CallContext::from_headers(&said, Instant::now()), CallContext::default());
+    async fn repeated_or_invalid_headers_are_ignored() {
+        let mut headers = header_map(&[("x-call-class", "door"), ("x-budget-ms", "-4")]);
+        headers.append(CLASS, HeaderValue::from_static("other"));
+        assert_eq!(CallContext::from_headers(&headers, Instant::now()), CallContext::default());
     }
 
     #[test]
-    fn a_context_stands_in_for_what_a_request_lacks() {
-        let said = headers(&[("x-call-class", "door"), ("idempotency-key", "k")]);
-        let context = CallContext::from_headers(&said, Instant::now());
-        let mut own = headers(&[("x-call-class", "own")]);
-        context.clone().for_step("charge").expect("a key").fill_in(&mut own);
+    fn a_context_adds_the_headers_that_a_request_lacks() {
+        let headers = header_map(&[("x-call-class", "door"), ("idempotency-key", "k")]);
+        let context = CallContext::from_headers(&headers, Instant::now());
+        let mut outgoing = header_map(&[("x-call-class", "own")]);
+        context.clone().for_step("charge").expect("a key").fill_in(&mut outgoing);
         assert_eq!(
-            (&own["x-call-class"], &own["idempotency-key"]),
+            (&outgoing["x-call-class"], &outgoing["idempotency-key"]),
             (&"own".parse().expect("a value"), &"k/charge".parse().expect("a value"))
         );
-        assert!(!own.contains_key("x-caller") && !own.contains_key("x-again"));
+        assert!(!outgoing.contains_key("x-caller") && !outgoing.contains_key("x-again"));
         assert!(context.for_step("bad\nstep").is_err());
     }
 }
--- a/library/src/fleet.rs
+++ b/library/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::context::CallContext;
 use crate::error::{Error, StartError, Unfinished};
 use crate::state::State;
-use crate::thread::{self, Command, Ended, Ticket};
+use crate::thread::{self, Command, EndReceiver, SharedCallId};
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Request, Response};
 use nettleworks::cores::Shards;
@@ -28,7 +28,7 @@
 use tokio::time::Instant;
 
 /// When to come again after a refusal for want of a place among the open calls: one is free within an answer's time.
-const PLACE_ADVICE: Duration = Duration::from_millis(50);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// A fleet of hosts, and the engine that spreads calls over it. Clones are the same fleet.
 ///
@@ -40,14 +40,14 @@
 
 struct Inner {
     /// Where each engine takes its commands.
-    shards: Vec<mpsc::UnboundedSender<Command>>,
+    engines: Vec<mpsc::UnboundedSender<Command>>,
     peers: Option<Shards>,
     /// Which takes the next call without a key.
-    turn: AtomicUsize,
+    next_shard: AtomicUsize,
     config: Config,
     state: watch::Receiver<State>,
-    ended: Ended,
-    places: Arc<Semaphore>,
+    end: EndReceiver,
+    permits: Arc<Semaphore>,
     next_id: AtomicU64,
 }
 
@@ -75,16 +75,16 @@
         let started = thread::start(config.clone(), engines, log)?;
         // Ids must differ between the processes of a fleet, and after a restart.
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        let first = mix(config.seed ^ mix(now.as_nanos() as u64) ^ u64::from(std::process::id()));
+        let first_id = mix64(config.seed ^ mix64(now.as_nanos() as u64) ^ u64::from(std::process::id()));
         Ok(Fleet(Arc::new(Inner {
-            shards: started.shards,
+            engines: started.commands,
             peers: started.peers,
-            turn: AtomicUsize::new(0),
+            next_shard: AtomicUsize::new(0),
             config,
             state: started.state,
-            ended: started.ended,
-            places: Arc::new(Semaphore::new(calls)),
-            next_id: AtomicU64::new(first),
+            end: started.end,
+            permits: Arc::new(Semaphore::new(calls)),
+            next_id: AtomicU64::new(first_id),
         })))
     }
 
@@ -105,64 +105,66 @@
     ) -> impl Future<Output = Result<Response<Bytes>, Error>> + Send + 'static {
         let (fleet, until) = (self.clone(), Instant::now() + deadline);
         async move {
-            let place = fleet.place()?;
-            fleet.send(request, until, place)?.await
+            let permit = fleet.acquire_permit()?;
+            fleet.send(request, until, permit)?.await
         }
     }
 
     /// A place for one more call.
-    pub(crate) fn place(&self) -> Result<OwnedSemaphorePermit, Error> {
-        self.0.places.clone().try_acquire_owned().map_err(|error| match error {
+    pub(crate) fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, Error> {
+        self.0.permits.clone().try_acquire_owned().map_err(|error| match error {
             tokio::sync::TryAcquireError::Closed => Error::Closed,
-            tokio::sync::TryAcquireError::NoPermits => self.full(),
+            tokio::sync::TryAcquireError::NoPermits => self.refusal(),
         })
     }
 
-    pub(crate) fn places(&self) -> &Arc<Semaphore> {
-        &self.0.places
+    pub(crate) fn permits(&self) -> &Arc<Semaphore> {
+        &self.0.permits
     }
 
     pub(crate) fn config(&self) -> &Config {
         &self.0.config
     }
 
-    fn full(&self) -> Error {
-        let most = Duration::from_micros(self.0.config.settings.limits.max_retry_after);
-        Error::Refused { retry_after: if most.is_zero() { PLACE_ADVICE } else { most.min(PLACE_ADVICE) } }
+    fn refusal(&self) -> Error {
+        let max = Duration::from_micros(self.0.config.settings.limits.max_retry_after);
+        Error::Refused {
+            retry_after: if max.is_zero() { FULL_RETRY_AFTER } else { max.min(FULL_RETRY_AFTER) },
+        }
     }
 
     /// Checks a request and sends it. It must be answered at `until`.
     pub(crate) fn send(
         &self,
         request: Request<Bytes>,
-        until: Instant,
-        place: OwnedSemaphorePermit,
+        deadline: Instant,
+        permit: OwnedSemaphorePermit,
     ) -> Result<Call, Error> {
         let (mut head, body) = request.into_parts();
         if body.len() > MAX_BODY_BYTES {
             return Err(Error::Unusable(http::StatusCode::PAYLOAD_TOO_LARGE));
         }
         let context = head.extensions.get::<CallContext>().cloned().unwrap_or_default();
-        let until = context.deadline().map_or(until, |deadline| deadline.min(until));
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let deadline = context.deadline().map_or(deadline, |own| own.min(deadline));
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             // In its time there is no answer but this one; it never ran.
-            return Err(self.full());
+            return Err(self.refusal());
         }
         context.fill_in(&mut head.headers);
-        self.fill_in(&mut head.headers, left);
-        let (mut ask, budget) =
+        self.add_default_headers(&mut head.headers, remaining);
+        let (mut info, budget) =
             requests::parse_head(self.config(), &head.method, &head.headers, body.is_empty())
                 .map_err(Error::Unusable)?;
-        ask.deadline = until.min(Instant::now() + budget);
-        let forward = requests::forwarded_request(self.config(), &ask, head, body);
-        self.take_in(ask, forward, place)
+        info.deadline = deadline.min(Instant::now() + budget);
+        let forwarded = requests::forwarded_request(self.config(), &info, head, body);
+        self.submit(info, forwarded, permit)
     }
 
     /// An id and a time where the application has said none.
-    fn fill_in(&self, headers: &mut HeaderMap, left: Duration) {
+    fn add_default_headers(&self, headers: &mut HeaderMap, remaining: Duration) {
         if !headers.contains_key("x-call-id") {
-            let id = mix(self.0.next_id.fetch_add(1, Ordering::Relaxed));
+            let id = mix64(self.0.next_id.fetch_add(1, Ordering::Relaxed));
             headers.extend(
                 HeaderValue::try_from(format!("{id:016x}"))
                     .ok()
@@ -170,46 +172,49 @@
             );
         }
         if !headers.contains_key("x-budget-ms") {
-            let left = u32::try_from(left.as_millis()).unwrap_or(u32::MAX).max(1);
-            headers.insert("x-budget-ms", HeaderValue::from(left));
+            let remaining = u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX).max(1);
+            headers.insert("x-budget-ms", HeaderValue::from(remaining));
         }
     }
 
     /// Hands a request to the engine.
-    pub(crate) fn take_in(
+    pub(crate) fn submit(
         &self,
-        ask: RequestInfo<HeaderValue>,
-        forward: ForwardedRequest,
-        place: OwnedSemaphorePermit,
+        info: RequestInfo<HeaderValue>,
+        request: ForwardedRequest,
+        permit: OwnedSemaphorePermit,
     ) -> Result<Call, Error> {
         let (sender, reply) = oneshot::channel();
-        let caller = Caller { reply: sender, permit: Some(place) };
-        let ticket = Ticket::default();
-        let first = self.shard_for(&ask);
-        let mut command = Command::Call { ask, forward, caller, ticket: ticket.clone() };
-        let all = self.0.shards.len();
-        for shard in (0..all).map(|step| (first + step) % all) {
+        let caller = Caller { reply: sender, permit: Some(permit) };
+        let call_id = SharedCallId::default();
+        let first = self.shard_for(&info);
+        let mut command = Command::Call { info, request, caller, call_id: call_id.clone() };
+        let count = self.0.engines.len();
+        for shard in (0..count).map(|offset| (first + offset) % count) {
             // One that has ended takes nothing; another may.
-            match self.0.shards[shard].send(command) {
-                Ok(()) => return Ok(Call { fleet: self.clone(), shard, reply: Some(reply), ticket }),
-                Err(mpsc::error::SendError(back)) => command = back,
+            match self.0.engines[shard].send(command) {
+                Ok(()) => return Ok(Call { fleet: self.clone(), shard, reply: Some(reply), call_id }),
+                Err(mpsc::error::SendError(unsent)) => command = unsent,
             }
         }
         Err(Error::Closed)
     }
 
     /// Which engine is to take a call: the one that its key belongs to, else each in turn; not one that does not answer.
-    fn shard_for(&self, ask: &RequestInfo<HeaderValue>) -> usize {
+    fn shard_for(&self, info: &RequestInfo<HeaderValue>) -> usize {
         let Some(peers) = &self.0.peers else { return 0 };
-        let all = self.0.shards.len();
-        let next = || self.0.turn.fetch_add(1, Ordering::Relaxed) % all;
-        let first = peers.key_owner(ask).unwrap_or_else(next);
-        (0..all).map(|step| (first + step) % all).find(|&shard| peers.is_responsive(shard)).unwrap_or(first)
+        let count = self.0.engines.len();
+        let round_robin = || self.0.next_shard.fetch_add(1, Ordering::Relaxed) % count;
+        let first = peers.key_owner(info).unwrap_or_else(round_robin);
+        (0..count)
+            .map(|offset| (first + offset) % count)
+            .find(|&shard| peers.is_responsive(shard))
+            .unwrap_or(first)
     }
 
     /// Tells all engines; whether any has heard it.
-    fn tell(&self, command: impl Fn() -> Command) -> bool {
-        self.0.shards.iter().filter(|shard| shard.send(command()).is_ok()).count() > 0
+    fn broadcast(&self, command: impl Fn() -> Command) -> bool {
+        self.0.engines.iter().filter(|engine| engine.send(command()).is_ok()).count() > 0
     }
 
     /// Serves clients on a listener as the daemon does, on the engine's thread, until the returned handle stops it or
@@ -222,13 +227,13 @@
         listener.set_nonblocking(true)?;
         let (mut stops, mut ends) = (Vec::new(), Vec::new());
         // All accept from the one: whoever is free does.
-        for shard in &self.0.shards {
+        for engine in &self.0.engines {
             let (stop, stopped) = oneshot::channel();
-            let (done, is_done) = oneshot::channel();
+            let (done, end) = oneshot::channel();
             let command = Command::Serve { listener: listener.try_clone()?, stop: stopped, done };
-            if shard.send(command).is_ok() {
+            if engine.send(command).is_ok() {
                 stops.push(stop);
-                ends.push(is_done);
+                ends.push(end);
             }
         }
         if ends.is_empty() {
@@ -248,17 +253,17 @@
     /// # Errors
     /// The fleet has ended.
     pub async fn is_ready(&self) -> Result<bool, Error> {
-        let (mut ready, mut any) = (true, false);
-        for shard in &self.0.shards {
+        let (mut all_ready, mut any) = (true, false);
+        for engine in &self.0.engines {
             let (sender, answer) = oneshot::channel();
-            if shard.send(Command::Ready(sender)).is_ok() {
-                if let Ok(one) = answer.await {
-                    (ready, any) = (ready && one, true);
+            if engine.send(Command::IsReady(sender)).is_ok() {
+                if let Ok(ready) = answer.await {
+                    (all_ready, any) = (all_ready && ready, true);
                 }
             }
         }
         if any {
-            Ok(ready)
+            Ok(all_ready)
         } else {
             Err(Error::Closed)
         }
@@ -279,11 +284,11 @@
     /// # Errors
     /// A configuration that the daemon would not take, which changes nothing; or the fleet has ended.
     pub fn reload(&self, text: &str) -> Result<(), StartError> {
-        self.reload_as(Config::parse(text).map_err(StartError::Configuration)?)
+        self.reload_config(Config::parse(text).map_err(StartError::Configuration)?)
     }
 
-    fn reload_as(&self, config: Config) -> Result<(), StartError> {
-        match self.tell(|| Command::Reload(Box::new(config.clone()))) {
+    fn reload_config(&self, config: Config) -> Result<(), StartError> {
+        match self.broadcast(|| Command::Reload(Box::new(config.clone()))) {
             true => Ok(()),
             false => Err(StartError::Configuration(Error::Closed.to_string())),
         }
@@ -295,7 +300,7 @@
     /// As there.
     pub fn reload_with_keys(&self, text: &str, keys: &str) -> Result<(), StartError> {
         let config = Config::parse(text).and_then(|config| config.with_keys(keys));
-        self.reload_as(config.map_err(StartError::Configuration)?)
+        self.reload_config(config.map_err(StartError::Configuration)?)
     }
 
     /// As [`Fleet::reload`], from a file.
@@ -304,8 +309,8 @@
     /// As there; or the file cannot be read.
     pub fn reload_file(&self, path: impl AsRef<Path>) -> Result<(), StartError> {
         let path = path.as_ref();
-        let bad = |e: &dyn fmt::Display| StartError::Configuration(format!("{}: {e}", path.display()));
-        self.reload(&std::fs::read_to_string(path).map_err(|e| bad(&e))?)
+        let invalid = |e: &dyn fmt::Display| StartError::Configuration(format!("{}: {e}", path.display()));
+        self.reload(&std::fs::read_to_string(path).map_err(|e| invalid(&e))?)
     }
 
     /// Takes no more calls, finishes those that are open, closes fronts in order, and ends the engine, within
@@ -315,13 +320,13 @@
     /// # Errors
     /// [`Unfinished`] when the time was up with calls still open; they fail.
     pub async fn shutdown(&self, deadline: Duration) -> Result<(), Unfinished> {
-        self.0.places.close();
+        self.0.permits.close();
         // One that has ended is shut down.
-        self.tell(|| Command::Shutdown(deadline));
-        let mut ended = self.0.ended.clone();
-        let how = ended.wait_for(Option::is_some).await.ok().and_then(|how| *how);
+        self.broadcast(|| Command::Shutdown(deadline));
+        let mut end = self.0.end.clone();
+        let result = end.wait_for(Option::is_some).await.ok().and_then(|result| *result);
         // A thread that has ended without saying how has dropped all that was open.
-        how.unwrap_or(Ok(()))
+        result.unwrap_or(Ok(()))
     }
 }
 
@@ -347,7 +352,7 @@
 }
 
 /// A well-spread number for each number (SplitMix64's last steps); no two get the same.
-fn mix(number: u64) -> u64 {
+fn mix64(number: u64) -> u64 {
     let mut z = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -363,7 +368,7 @@
     shard: usize,
     /// `None`: it has been answered.
     reply: Option<oneshot::Receiver<Reply<Response<Bytes>>>>,
-    ticket: Ticket,
+    call_id: SharedCallId,
 }
 
 impl Future for Call {
@@ -374,18 +379,18 @@
         let Poll::Ready(reply) = Pin::new(reply).poll(context) else { return Poll::Pending };
         self.reply = None;
         Poll::Ready(match reply {
-            Ok(Reply::Served(answer)) => Ok(requests::strip_connection_headers(answer)),
+            Ok(Reply::Served(response)) => Ok(requests::strip_connection_headers(response)),
             Ok(Reply::Refused(retry_after)) => Err(Error::Refused { retry_after }),
             Ok(Reply::Failed) => Err(Error::Failed),
-            Ok(Reply::Unsure(doubt)) => {
-                let state = KeyState::named(doubt.state).unwrap_or(KeyState::Unsure);
-                Err(Error::Unsure { state, age: doubt.age })
+            Ok(Reply::Unsure(status)) => {
+                let state = KeyState::named(status.state).unwrap_or(KeyState::Unsure);
+                Err(Error::Unsure { state, age: status.age })
             }
             Ok(Reply::DuplicateId) => Err(Error::Unusable(http::StatusCode::CONFLICT)),
             Ok(Reply::KeyReused) => Err(Error::Unusable(http::StatusCode::UNPROCESSABLE_ENTITY)),
             Ok(Reply::InvalidKey) => Err(Error::Unusable(http::StatusCode::BAD_REQUEST)),
             // The engine has ended: it never took the call, or it may have run.
-            Err(_) if self.ticket.load(Ordering::Acquire) == 0 => Err(Error::Closed),
+            Err(_) if self.call_id.load(Ordering::Acquire) == 0 => Err(Error::Closed),
             Err(_) => Err(Error::Failed),
         })
     }
@@ -401,7 +406,7 @@
             // The queue must hold no place for a call that is over: its receiver goes first.
             self.reply = None;
             // An engine that has ended has no use for it.
-            let _ = self.fleet.0.shards[self.shard].send(Command::Gone(self.ticket.clone()));
+            let _ = self.fleet.0.engines[self.shard].send(Command::Cancel(self.call_id.clone()));
         }
     }
 }
@@ -431,8 +436,8 @@
         let Serving { ends, failed, .. } = &mut *self;
         ends.retain_mut(|end| match Pin::new(end).poll(context) {
             // Dropped with the fleet, it has ended too.
-            Poll::Ready(done) => {
-                *failed = failed.take().or(done.unwrap_or(Ok(())).err());
+            Poll::Ready(result) => {
+                *failed = failed.take().or(result.unwrap_or(Ok(())).err());
                 false
             }
             Poll::Pending => true,
--- a/library/src/layer.rs
+++ b/library/src/layer.rs
@@ -90,7 +90,9 @@
         let arrived = Instant::now();
         let (fleet, path) = (self.layer.fleet.clone(), request.uri().path());
         if *path == *self.layer.path {
-            return Box::pin(async move { Ok(pass_on(fleet, request, arrived).await.map(Either::Left)) });
+            return Box::pin(
+                async move { Ok(send_over_fleet(fleet, request, arrived).await.map(Either::Left)) },
+            );
         }
         if self.layer.health.as_deref() == Some(path) {
             return Box::pin(async move {
@@ -101,38 +103,38 @@
         }
         let context = CallContext::from_headers(request.headers(), arrived);
         request.extensions_mut().insert(context);
-        let answer = self.inner.call(request);
-        Box::pin(async move { Ok(answer.await?.map(Either::Right)) })
+        let response = self.inner.call(request);
+        Box::pin(async move { Ok(response.await?.map(Either::Right)) })
     }
 }
 
 /// What the daemon does with a request.
-async fn pass_on<B>(fleet: Fleet, request: Request<B>, arrived: Instant) -> ClientResponse
+async fn send_over_fleet<B>(fleet: Fleet, request: Request<B>, arrived: Instant) -> ClientResponse
 where
     B: Body<Data = Bytes> + Send + 'static,
     B::Error: Into<BoxError>,
 {
     match requests::read_request(fleet.config(), request, arrived + REQUEST_READ_TIMEOUT, Instant::now).await
     {
-        Ok((ask, forward)) => {
-            let call = fleet.place().and_then(|place| fleet.take_in(ask, forward, place));
-            let answer = match call {
+        Ok((info, forwarded)) => {
+            let call = fleet.acquire_permit().and_then(|permit| fleet.submit(info, forwarded, permit));
+            let response = match call {
                 Ok(call) => call.await,
                 Err(error) => Err(error),
             };
-            answer.map_or_else(Error::into_answer, |answer| answer.map(Full::new))
+            response.map_or_else(Error::into_answer, |response| response.map(Full::new))
         }
-        Err(turned) => {
-            if let Some(rest) = turned.unread_body {
-                tokio::spawn(requests::drain(rest));
+        Err(rejected) => {
+            if let Some(body) = rejected.unread_body {
+                tokio::spawn(requests::drain(body));
             }
-            requests::closing_response(turned.status)
+            requests::closing_response(rejected.status)
         }
     }
 }
 
 /// A body, whole and within bounds by `until`; else the daemon's status for it.
-pub(crate) async fn read_whole<B>(body: B, until: Instant) -> Result<Bytes, StatusCode>
+pub(crate) async fn read_body<B>(body: B, deadline: Instant) -> Result<Bytes, StatusCode>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<BoxError>,
@@ -140,7 +142,7 @@
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    match timeout_at(until, Limited::new(body, MAX_BODY_BYTES).collect()).await {
+    match timeout_at(deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(StatusCode::PAYLOAD_TOO_LARGE),
         Ok(Err(_)) => Err(StatusCode::BAD_REQUEST),
--- a/library/src/service.rs
+++ b/library/src/service.rs
@@ -2,7 +2,7 @@
 
 use crate::error::Error;
 use crate::fleet::Fleet;
-use crate::layer::read_whole;
+use crate::layer::read_body;
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body::Body;
@@ -19,28 +19,28 @@
 
 /// Calls over a fleet as a service: what [`Fleet::call`] does, with one deadline for all.
 ///
-/// It is ready when there is a place among the open calls, and holds that place from then on: a call after
-/// `poll_ready` is never refused for want of one. A call without `poll_ready` takes a place if there is one. What the
+/// It is ready when there is a permit among the open calls, and holds that permit from then on: a call after
+/// `poll_ready` is never refused for want of one. A call without `poll_ready` takes a permit if there is one. What the
 /// module refuses, because hosts are full or away, is an [`Error::Refused`] at once and not a service that is not
 /// ready: only the module knows, and only for a given call.
 #[derive(Debug)]
 pub struct FleetService {
     fleet: Fleet,
     deadline: Duration,
-    places: PollSemaphore,
-    place: Option<OwnedSemaphorePermit>,
+    permits: PollSemaphore,
+    permit: Option<OwnedSemaphorePermit>,
 }
 
 impl FleetService {
     /// Calls that are answered within `deadline`, or the time that they say themselves.
     pub fn new(fleet: Fleet, deadline: Duration) -> FleetService {
-        let places = PollSemaphore::new(fleet.places().clone());
-        FleetService { fleet, deadline, places, place: None }
+        let permits = PollSemaphore::new(fleet.permits().clone());
+        FleetService { fleet, deadline, permits, permit: None }
     }
 }
 
 impl Clone for FleetService {
-    /// The place that a ready service holds stays its own.
+    /// The permit that a ready service holds stays its own.
     fn clone(&self) -> Self {
         FleetService::new(self.fleet.clone(), self.deadline)
     }
@@ -56,21 +56,21 @@
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Error>> + Send>>;
 
     fn poll_ready(&mut self, context: &mut Context<'_>) -> Poll<Result<(), Error>> {
-        if self.place.is_none() {
-            self.place = Some(ready!(self.places.poll_acquire(context)).ok_or(Error::Closed)?);
+        if self.permit.is_none() {
+            self.permit = Some(ready!(self.permits.poll_acquire(context)).ok_or(Error::Closed)?);
         }
         Poll::Ready(Ok(()))
     }
 
     fn call(&mut self, request: Request<B>) -> Self::Future {
-        let place = self.place.take().map_or_else(|| self.fleet.place(), Ok);
-        let (fleet, until) = (self.fleet.clone(), Instant::now() + self.deadline);
+        let permit = self.permit.take().map_or_else(|| self.fleet.acquire_permit(), Ok);
+        let (fleet, deadline) = (self.fleet.clone(), Instant::now() + self.deadline);
         Box::pin(async move {
-            let place = place?;
+            let permit = permit?;
             let (head, body) = request.into_parts();
-            let body = read_whole(body, until).await.map_err(Error::Unusable)?;
-            let answer = fleet.send(Request::from_parts(head, body), until, place)?.await?;
-            Ok(answer.map(Full::new))
+            let body = read_body(body, deadline).await.map_err(Error::Unusable)?;
+            let response = fleet.send(Request::from_parts(head, body), deadline, permit)?.await?;
+            Ok(response.map(Full::new))
         })
     }
 }
--- a/library/src/state.rs
+++ b/library/src/state.rs
@@ -60,109 +60,110 @@
 
 impl State {
     /// Of several engines that serve as one.
-    fn of_all(parts: &[State]) -> State {
-        let Some((first, rest)) = parts.split_first() else { return State::default() };
-        let mut all = first.clone();
-        for part in rest {
+    fn merge(states: &[State]) -> State {
+        let Some((first, rest)) = states.split_first() else { return State::default() };
+        let mut merged = first.clone();
+        for state in rest {
             // Each has all hosts, but for those that it has not heard of yet.
-            all.ready &= part.ready;
-            all.version = all.version.min(part.version);
-            for host in &part.hosts {
-                match all.hosts.iter_mut().find(|known| known.name == host.name) {
+            merged.ready &= state.ready;
+            merged.version = merged.version.min(state.version);
+            for host in &state.hosts {
+                match merged.hosts.iter_mut().find(|known| known.name == host.name) {
                     Some(known) => known.attempts += host.attempts,
-                    None => all.hosts.push(host.clone()),
+                    None => merged.hosts.push(host.clone()),
                 }
             }
-            all.calls += part.calls;
-            all.lingering += part.lingering;
-            all.ids += part.ids;
-            let (sum, more) = (&mut all.connections, part.connections);
-            sum.open += more.open;
-            sum.idle += more.idle;
-            sum.opened += more.opened;
-            sum.open_failed += more.open_failed;
-            sum.broken_reuse += more.broken_reuse;
-            all.requests += part.requests;
-            all.attempts += part.attempts;
-            all.keys = match (all.keys, part.keys) {
-                (Some((a, held, bytes)), Some((b, more, others))) => {
-                    Some((a + b, held + more, bytes + others))
+            merged.calls += state.calls;
+            merged.lingering += state.lingering;
+            merged.ids += state.ids;
+            let (total, more) = (&mut merged.connections, state.connections);
+            total.open += more.open;
+            total.idle += more.idle;
+            total.opened += more.opened;
+            total.open_failed += more.open_failed;
+            total.broken_reuse += more.broken_reuse;
+            merged.requests += state.requests;
+            merged.attempts += state.attempts;
+            merged.keys = match (merged.keys, state.keys) {
+                (Some((counts, held, bytes)), Some((more_counts, more_held, more_bytes))) => {
+                    Some((counts + more_counts, held + more_held, bytes + more_bytes))
                 }
-                (own, other) => own.or(other),
+                (left, right) => left.or(right),
             };
-            for (outcome, count) in &part.outcomes {
-                *all.outcomes.entry(*outcome).or_default() += count;
+            for (outcome, count) in &state.outcomes {
+                *merged.outcomes.entry(*outcome).or_default() += count;
             }
         }
-        all.hosts.sort_unstable_by(|a, b| a.name.cmp(&b.name));
-        all
+        merged.hosts.sort_unstable_by(|a, b| a.name.cmp(&b.name));
+        merged
     }
 }
 
 /// What all engines of a fleet show. Figures of moments that lie apart would not fit together, so one engine says when,
 /// and the others show theirs at once.
-pub(crate) struct Combined {
+pub(crate) struct StateAggregator {
     round: Mutex<Round>,
-    shown: watch::Sender<State>,
+    published: watch::Sender<State>,
     peers: Option<Shards>,
 }
 
 struct Round {
-    parts: Vec<State>,
+    states: Vec<State>,
     /// Who has not shown its part yet.
     missing: Vec<bool>,
 }
 
-impl Combined {
-    pub fn new(engines: usize, peers: Option<Shards>, shown: watch::Sender<State>) -> Combined {
-        let round = Round { parts: vec![State::default(); engines], missing: vec![false; engines] };
-        Combined { round: Mutex::new(round), shown, peers }
+impl StateAggregator {
+    pub fn new(engines: usize, peers: Option<Shards>, published: watch::Sender<State>) -> StateAggregator {
+        let round = Round { states: vec![State::default(); engines], missing: vec![false; engines] };
+        StateAggregator { round: Mutex::new(round), published, peers }
     }
 
     /// Whether this engine says when: the first that answers.
-    fn leads(&self, me: usize) -> bool {
+    fn starts_rounds(&self, shard: usize) -> bool {
         self.peers
             .as_ref()
-            .is_none_or(|peers| (0..peers.count()).find(|&at| peers.is_responsive(at)) == Some(me))
+            .is_none_or(|peers| (0..peers.count()).find(|&other| peers.is_responsive(other)) == Some(shard))
     }
 }
 
 /// Shows one engine's state to the application.
-pub(crate) struct Shown {
-    pub all: Arc<Combined>,
-    pub me: usize,
+pub(crate) struct StateObserver {
+    pub aggregator: Arc<StateAggregator>,
+    pub shard: usize,
 }
 
-impl Observer for Shown {
+impl Observer for StateObserver {
     fn wants_state(&self) -> bool {
-        self.all.shown.receiver_count() > 0 && self.all.leads(self.me)
+        self.aggregator.published.receiver_count() > 0 && self.aggregator.starts_rounds(self.shard)
     }
 
     fn on_state(&self, state: engine::State) {
         // Whole whoever panicked: it is only replaced.
-        let mut round = self.all.round.lock().unwrap_or_else(PoisonError::into_inner);
-        round.parts[self.me] = State::from(state);
-        if let Some(peers) = self.all.peers.as_ref().filter(|_| !round.missing[self.me]) {
+        let mut round = self.aggregator.round.lock().unwrap_or_else(PoisonError::into_inner);
+        round.states[self.shard] = State::from(state);
+        if let Some(peers) = self.aggregator.peers.as_ref().filter(|_| !round.missing[self.shard]) {
             // It has not been asked: a new round. What the last still lacks is as it was.
-            for other in (0..peers.count()).filter(|&other| other != self.me && peers.is_responsive(other)) {
+            for other in (0..peers.count()).filter(|&other| other != self.shard && peers.is_responsive(other))
+            {
                 if !std::mem::replace(&mut round.missing[other], true) {
                     peers.submit(other, Handle::notify_observer);
                 }
             }
         }
-        round.missing[self.me] = false;
+        round.missing[self.shard] = false;
         // Whoever does not answer keeps nothing from being shown.
         for (other, missing) in round.missing.iter_mut().enumerate() {
-            *missing &= self.all.peers.as_ref().is_some_and(|peers| peers.is_responsive(other));
+            *missing &= self.aggregator.peers.as_ref().is_some_and(|peers| peers.is_responsive(other));
         }
         if round.missing.iter().any(|missing| *missing) {
             return;
         }
-        let state = State::of_all(&round.parts);
+        let state = State::merge(&round.states);
         // Under the lock, so that the newest is shown last.
-        self.all.shown.send_if_modified(|shown| {
-            let differs = *shown != state;
-            *shown = state;
+        self.aggregator.published.send_if_modified(|published| {
+            let differs = *published != state;
+            *published = state;
             differs
         });
     }
