--- a/library/src/builder.rs
+++ b/library/src/builder.rs
@@ -1,5 +1,5 @@
-//! A fleet's configuration, from a file or in code. Both go through the daemon's checks: what is built in code is put
-//! into the daemon's own form first.
+//! A fleet's configuration, from a file or from code. Both are validated as the daemon's configuration is: settings
+//! made in code are first converted to the daemon's format.
 
 use crate::error::StartError;
 use crate::fleet::Fleet;
@@ -11,17 +11,18 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Whether a call of a class may run again.
+/// Whether a call of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClassKind {
-    /// Harmless: a GET.
+    /// It may run any number of times: a GET.
     Free,
-    /// Harmless within one pod of hosts and this time from the first try: a POST with an `Idempotency-Key`.
+    /// It may be repeated within one pod of hosts and within this time since the first attempt, as the pod drops the
+    /// duplicates: a POST with an `Idempotency-Key`.
     Keyed {
-        /// For how long pods drop repeats.
+        /// How long pods drop duplicates.
         window: Duration,
     },
-    /// Never: a POST without a key.
+    /// It must not be repeated: a POST without a key.
     Unsafe,
 }
 
@@ -35,7 +36,8 @@
 }
 
 impl Default for Builder {
-    /// One proxy that asks for its list of hosts, with no class yet. It writes no log.
+    /// The configuration of the only proxy of a fleet, which requests the server list from discovery. It has no
+    /// classes and no log.
     fn default() -> Self {
         let config = json!({
             "listen": "127.0.0.1:0", "seed": "1", "limits": {"sockets": 1_024},
@@ -50,8 +52,8 @@
 }
 
 impl Builder {
-    /// Takes the configuration from a file of the daemon's form (`docs/configuration.md`). Its `listen` says nothing
-    /// here: [`Fleet::serve`] is given a listener. A file that cannot be read is an error at once, a broken one at
+    /// Takes the configuration from a file in the daemon's format (`docs/configuration.md`). Its `listen` is ignored,
+    /// as [`Fleet::serve`] is given a listener. A file that cannot be read is an error at once, an invalid one at
     /// [`Builder::start`].
     pub fn file(mut self, path: impl AsRef<Path>) -> Result<Self, StartError> {
         let path = path.as_ref();
@@ -61,12 +63,13 @@
         Ok(self)
     }
 
-    /// Takes the configuration from a text of the daemon's form.
+    /// Takes the configuration from text in the daemon's format.
     pub fn text(mut self, text: &str) -> Self {
         self.config = serde_json::from_str(text).map_err(|e| StartError::Configuration(e.to_string()));
         self
     }
 
+    /// Sets the value at this path of keys, and adds the objects that are missing on it.
     fn set(mut self, path: &[&str], value: Value) -> Self {
         if let Ok(config) = &mut self.config {
             let mut target = config;
@@ -74,7 +77,7 @@
                 if target.is_null() {
                     *target = json!({});
                 }
-                // A broken file is for the checks to find: nothing is put into what is no object.
+                // The validation will report an invalid file: nothing can be set in a value that is no object.
                 let Some(object) = target.as_object_mut() else { return self };
                 target = object.entry(*key).or_insert(Value::Null);
             }
@@ -83,32 +86,32 @@
         self
     }
 
-    /// Where discovery answers.
+    /// The address of discovery.
     pub fn discovery(self, address: SocketAddr) -> Self {
         self.set(&["discovery"], address.to_string().into())
     }
 
-    /// The seed of all random choices; the default is 1. Proxies of one fleet should differ.
+    /// The seed of all random choices; the default is 1. The proxies of a fleet should have different seeds.
     pub fn seed(self, seed: u64) -> Self {
         self.set(&["seed"], format!("{seed:x}").into())
     }
 
-    /// Most descriptors that this fleet may hold, 64 or more. No other fleet's count.
+    /// The limit of file descriptors of this fleet, at least 64. Those of other fleets in the process do not count.
     pub fn sockets(self, max: usize) -> Self {
         self.set(&["limits", "sockets"], max.into())
     }
 
-    /// How many proxies send to these hosts, this one included, and its number among them, from 0.
+    /// The number of proxies that send to these hosts, including this one, and the index of this one, from 0.
     pub fn proxies(self, count: u32, index: u32) -> Self {
         self.set(&["settings", "balancers"], count.into()).set(&["settings", "me"], index.into())
     }
 
-    /// Most attempts for a call.
+    /// The maximum number of attempts of a call.
     pub fn attempts(self, max: u32) -> Self {
         self.set(&["settings", "limits", "max_attempts"], max.into())
     }
 
-    /// Adds a class: answers are wanted within `aim`, and no client waits longer than `deadline`.
+    /// Adds a class: calls should be answered within `objective`, and must be answered within `deadline`.
     pub fn class(mut self, name: &str, kind: ClassKind, objective: Duration, deadline: Duration) -> Self {
         let (idempotency, window) = match kind {
             ClassKind::Free => ("free", Duration::ZERO),
@@ -126,35 +129,36 @@
         self
     }
 
-    /// Turns the store of idempotency keys on, as this text says (`docs/configuration.md`).
+    /// Enables the store of idempotency keys with this configuration (`docs/configuration.md`).
     pub fn keys(mut self, text: &str) -> Self {
         self.keys = Some(text.to_owned());
         self
     }
 
-    /// Most calls that may be open; the default is a third of the descriptors, as the daemon's clients have it. One
-    /// more is refused at once, and a [`tower_service::Service`] is not ready.
+    /// The limit of open calls; the default is a third of the file descriptors, the share that clients of the daemon
+    /// have. A call beyond it is refused at once, and a [`tower_service::Service`] is not ready.
     pub fn calls(mut self, max: usize) -> Self {
         self.max_calls = Some(max);
         self
     }
 
-    /// Serves with so many engines, a thread each, that serve as one (`docs/operating-cores.md`); the default is 1.
+    /// The number of engines that serve as one, each on its own thread (`docs/operating-cores.md`); the default is 1.
     pub fn cores(mut self, engines: usize) -> Self {
         self.engines = engines;
         self
     }
 
-    /// Takes the lines of this fleet's log, on its own threads, one at a time: it must not block.
+    /// Sets the function that receives the lines of this fleet's log. It is called on the fleet's threads, for one
+    /// line at a time, and must not block.
     pub fn log(mut self, log: impl Fn(&str) + Send + 'static) -> Self {
         self.log = Box::new(log);
         self
     }
 
-    /// Starts the engine on its thread. It asks for its list of hosts at once; [`Fleet::ready`] waits for it.
+    /// Starts the engines on their threads. They request the server list at once; [`Fleet::ready`] waits for it.
     ///
     /// # Errors
-    /// A configuration that the daemon would not start with, or no thread to be had.
+    /// The daemon would reject the configuration, or a thread could not be started.
     pub fn start(self) -> Result<Fleet, StartError> {
         let text = self.config?.to_string();
         let mut config = Config::parse(&text).map_err(StartError::Configuration)?;
--- a/library/src/context.rs
+++ b/library/src/context.rs
@@ -1,4 +1,4 @@
-//! What an incoming request says of its time, class, tenant and key, for the calls that its handler makes.
+//! The time budget, class, tenant and key of an incoming request, for the calls that its handler makes.
 
 use http::{HeaderMap, HeaderName, HeaderValue, Request};
 use std::time::Duration;
@@ -9,11 +9,11 @@
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const RESENT: HeaderName = HeaderName::from_static("x-again");
 
-/// What an incoming request says of itself. [`crate::FleetLayer`] puts it among the request's extensions, with the
-/// time counted from the request's arrival; in an axum handler it is an extractor. Among an outgoing request's
-/// extensions it stands in for the headers that the request lacks.
+/// The metadata of an incoming request. [`crate::FleetLayer`] adds it to the request's extensions, with a deadline
+/// that counts from the request's arrival; axum handlers can use it as an extractor. In the extensions of an outgoing
+/// request it provides the headers that the request lacks.
 ///
-/// What a request says twice or in no readable form counts as unsaid: a call without a class is then turned away.
+/// A header that is repeated or unreadable counts as absent. A call without a class is rejected.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallContext {
     class: Option<HeaderValue>,
@@ -24,7 +24,7 @@
 }
 
 impl CallContext {
-    /// What these headers say of a request that came at `arrived`.
+    /// Reads the headers of a request that arrived at `arrived`.
     pub fn from_headers(headers: &HeaderMap, arrived: Instant) -> CallContext {
         let single = |name: &HeaderName| {
             let mut values = headers.get_all(name).iter();
@@ -41,50 +41,52 @@
         }
     }
 
-    /// The class, if it is said and readable.
+    /// The class, if it is present and valid text.
     pub fn class(&self) -> Option<&str> {
         self.class.as_ref()?.to_str().ok()
     }
 
-    /// The tenant, likewise.
+    /// The tenant, if it is present and valid text.
     pub fn tenant(&self) -> Option<&str> {
         self.tenant.as_ref()?.to_str().ok()
     }
 
-    /// The idempotency key, likewise.
+    /// The idempotency key, if it is present and valid text.
     pub fn key(&self) -> Option<&str> {
         self.key.as_ref()?.to_str().ok()
     }
 
-    /// When the request's client no longer waits.
+    /// When the request's client stops waiting for the response.
     pub fn deadline(&self) -> Option<Instant> {
         self.deadline
     }
 
-    /// How long its client still waits; `None`: it has not said. An answer needs time for its way back.
+    /// How long the client will still wait; `None` if the request has no time budget. Part of that time is needed to
+    /// send the response back.
     pub fn remaining(&self) -> Option<Duration> {
         self.deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()))
     }
 
-    /// Whether its client says that it has tried before.
+    /// Whether the client marks the request as a repeat (`x-again: 1`).
     pub fn is_again(&self) -> bool {
         self.resent
     }
 
-    /// The same for a call of another class.
+    /// This context with another class.
     ///
     /// # Errors
-    /// The name cannot be a header's value.
+    /// The name is not valid as the value of a header.
     pub fn with_class(mut self, class: &str) -> Result<CallContext, http::header::InvalidHeaderValue> {
         self.class = Some(HeaderValue::try_from(class)?);
         Ok(self)
     }
 
-    /// The same for one of several calls that a handler makes for one keyed request: hosts would take two calls with
-    /// one key for one. The key is the same whenever the request comes again. Without a key there is still none.
+    /// This context for one of several calls that a handler makes for one keyed request: hosts would take two calls
+    /// with the same key for repeats of one call. The name of the step is appended to the key, so that a repeat of
+    /// the request yields the same keys. A context without a key remains without one.
     ///
     /// # Errors
-    /// The step's name cannot be part of a header's value.
+    /// The step's name is not valid in the value of a header.
     pub fn for_step(mut self, step: &str) -> Result<CallContext, http::header::InvalidHeaderValue> {
         if let Some(key) = &self.key {
             let bytes = [key.as_bytes(), b"/", step.as_bytes()].concat();
@@ -93,13 +95,13 @@
         Ok(self)
     }
 
-    /// An outgoing request in this context.
+    /// Adds this context to an outgoing request.
     pub fn apply<B>(self, request: &mut Request<B>) {
         request.extensions_mut().insert(self);
     }
 
-    /// Headers that the request lacks. A key goes to a POST that belongs to a keyed class only as the checks have it:
-    /// it is filled in as it came, and a request that does not fit its class is turned away.
+    /// Adds the headers that the request lacks. The key is added whatever the class and method are; the validation
+    /// that follows rejects a request whose key does not fit its class.
     pub(crate) fn fill_in(&self, headers: &mut HeaderMap) {
         let resent = self.resent.then(|| HeaderValue::from_static("1"));
         let values = [(CLASS, &self.class), (TENANT, &self.tenant), (KEY, &self.key), (RESENT, &resent)];
@@ -116,7 +118,7 @@
     type Rejection = std::convert::Infallible;
 
     async fn from_request_parts(parts: &mut http::request::Parts, _: &S) -> Result<Self, Self::Rejection> {
-        // Without the layer its time runs from here: what came before is not known.
+        // Without the layer the arrival is unknown, and the time budget is counted from now.
         Ok(match parts.extensions.get::<CallContext>() {
             Some(context) => context.clone(),
             None => CallContext::from_headers(&parts.headers, Instant::now()),
--- a/library/src/error.rs
+++ b/library/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call has no answer, and above all whether it may have run.
+//! Errors of calls, of the start and of the shutdown. For a call they say above all whether it may have run.
 
 use http::StatusCode;
 use nettleworks::requests::{self, ClientResponse};
@@ -8,40 +8,41 @@
 use std::io;
 use std::time::Duration;
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Error {
-    /// Turned away: it surely never ran, and may come again after this time.
+    /// The call was refused. It surely never ran, and may be retried.
     Refused {
-        /// How long to stay away.
+        /// How long to wait before a retry.
         retry_after: Duration,
     },
-    /// It failed: it may have run. Nothing tells whether a request that is unsafe to repeat took effect.
+    /// The call failed and may have run. Whether a request that is unsafe to repeat took effect is unknown.
     Failed,
-    /// It may have run and there is no answer, and this is what is known of its idempotency key. Nothing is sent for
-    /// the key as long as the store remembers it.
+    /// The request with this idempotency key may have run, and there is no response to return. Nothing is sent for
+    /// the key for as long as the store remembers it.
     Unsure {
-        /// What the key is at. `Running`: its answer may still come, and who asks again with the key gets it then.
+        /// The state of the key. If it is `Running`, the answer may still arrive, and a retry with the key then gets
+        /// it.
         state: KeyState,
-        /// How long ago the key's first request came.
+        /// The time since the key's first request arrived.
         age: Duration,
     },
-    /// It cannot be used, with the status that the daemon gives for it: 400 for a class, id, time or key that is
-    /// missing, double or does not fit; 408 for a body that did not come in time; 409 for an id that is open; 411 for
-    /// a framing that may hide a request; 413 for more than 64 KiB. It never ran.
+    /// The request is invalid, with the status that the daemon responds with: 400 for a class, id, time budget or key
+    /// that is missing, repeated or does not fit; 408 for a body that did not arrive in time; 409 for an id that is
+    /// open; 411 for a framing that may hide another request; 413 for a body of more than 64 KiB. It never ran.
     Unusable(StatusCode),
-    /// The fleet has been shut down, or has ended. It never ran.
+    /// The fleet has been shut down or has ended. The call never ran.
     Closed,
 }
 
 impl Error {
-    /// Whether the call may have taken effect. `false` is a promise.
+    /// Whether the call may have taken effect. `false` is guaranteed to be correct.
     pub fn may_have_run(&self) -> bool {
         matches!(self, Error::Failed | Error::Unsure { .. })
     }
 
-    /// When to come again, for one that was turned away.
+    /// How long to wait before a retry, if the call was refused.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Error::Refused { retry_after } => Some(*retry_after),
@@ -49,14 +50,14 @@
         }
     }
 
-    /// What the daemon answers in this case.
+    /// The response that the daemon gives in this case.
     pub fn into_answer(self) -> ClientResponse {
         match self {
             Error::Refused { retry_after } => requests::refused_response(retry_after),
             Error::Failed => requests::status_response(StatusCode::BAD_GATEWAY),
             Error::Unsure { state, age } => requests::unsure_response(KeyStatus { state: state.name(), age }),
             Error::Unusable(status) => requests::closing_response(status),
-            // It never ran, as with any refusal; another process may serve it.
+            // It never ran, as with any refusal; another process may be able to serve it.
             Error::Closed => requests::refused_response(Duration::from_secs(1)),
         }
     }
@@ -65,12 +66,12 @@
 impl fmt::Display for Error {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Refused { retry_after } => write!(out, "turned away, come again in {retry_after:?}"),
+            Error::Refused { retry_after } => write!(out, "refused, retry after {retry_after:?}"),
             Error::Failed => out.write_str("failed, and may have run"),
             Error::Unsure { state, age } => {
-                write!(out, "no answer for a key that is {} and came {age:?} ago", state.name())
+                write!(out, "no answer for a key in state {}, first used {age:?} ago", state.name())
             }
-            Error::Unusable(status) => write!(out, "cannot be used: {status}"),
+            Error::Unusable(status) => write!(out, "invalid request: {status}"),
             Error::Closed => out.write_str("the fleet has been shut down"),
         }
     }
@@ -82,9 +83,9 @@
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum StartError {
-    /// The configuration is missing or broken; the text says what and where.
+    /// The configuration is incomplete or invalid; the text names the error and its place.
     Configuration(String),
-    /// No thread or event queue could be had.
+    /// The operating system could not create a thread or an event queue.
     System(io::Error),
 }
 
@@ -106,16 +107,16 @@
     }
 }
 
-/// A shutdown whose time was up before all that was taken was answered.
+/// A shutdown reached its deadline before all calls had been answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unfinished {
-    /// Calls that were given up; each may have run.
+    /// Number of calls that were aborted; each of them may have run.
     pub calls: usize,
 }
 
 impl fmt::Display for Unfinished {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{} calls were open when the time was up", self.calls)
+        write!(out, "{} calls were still open at the deadline of the shutdown", self.calls)
     }
 }
 
--- a/library/src/fleet.rs
+++ b/library/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The application's handle of an engine, and the calls that it makes.
+//! The application's handle of its engines, and the calls that it makes.
 
 use crate::builder::Builder;
 use crate::context::CallContext;
@@ -27,22 +27,24 @@
 use tokio::sync::{mpsc, oneshot, watch, OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
-/// When to come again after a refusal for want of a place among the open calls: one is free within an answer's time.
+/// Retry delay for calls refused at the limit of open calls: a permit becomes free within the time of a response.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// A fleet of hosts, and the engine that spreads calls over it. Clones are the same fleet.
+/// A fleet of hosts, and the engine that distributes calls over it. All clones refer to the same fleet.
 ///
-/// The engine ends when it is told to ([`Fleet::shutdown`]) or when the last clone, [`Call`], [`Serving`] and service
-/// is gone. Either way it first finishes what it has taken: open calls get their answers, and a front closes in
-/// order. Dropping does not wait for that; it goes on in the background for as long as the process runs.
+/// The engine ends on [`Fleet::shutdown`], or when the last clone, [`Call`], [`Serving`] and service is dropped. In
+/// both cases it first completes what it has accepted: open calls get their responses, and the connections of a front
+/// are closed gracefully. A drop does not wait for that; the engine completes it in the background while the process
+/// runs.
 #[derive(Clone)]
 pub struct Fleet(Arc<Inner>);
 
 struct Inner {
-    /// Where each engine takes its commands.
+    /// The command queue of each engine.
     engines: Vec<mpsc::UnboundedSender<Command>>,
+    /// The shards of the process; `None` if there is one engine only.
     peers: Option<Shards>,
-    /// Which takes the next call without a key.
+    /// Counts the calls without a key; modulo the number of engines it is the engine for the next one.
     next_shard: AtomicUsize,
     config: Config,
     state: watch::Receiver<State>,
@@ -58,7 +60,7 @@
 }
 
 impl Fleet {
-    /// Builds a fleet, from a file or in code.
+    /// A builder, which takes the configuration from a file or from code.
     pub fn builder() -> Builder {
         Builder::default()
     }
@@ -73,7 +75,7 @@
             return Err(StartError::Configuration(format!("{calls} open calls are too few or too many")));
         }
         let started = thread::start(config.clone(), engines, log)?;
-        // Ids must differ between the processes of a fleet, and after a restart.
+        // Call ids must differ between the processes of a fleet, and between two runs of one process.
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let first_id = mix64(config.seed ^ mix64(now.as_nanos() as u64) ^ u64::from(std::process::id()));
         Ok(Fleet(Arc::new(Inner {
@@ -88,16 +90,17 @@
         })))
     }
 
-    /// Sends a request over the fleet and gives its one answer, within `deadline` from now.
+    /// Sends a request to a host of the fleet and returns its response, within `deadline` from now.
     ///
-    /// Its class, tenant and key are those of the headers that the daemon's clients send (`x-call-class`, `x-caller`,
-    /// `idempotency-key`), or else of a [`CallContext`] among its extensions. So is its time: the least of `deadline`,
-    /// `x-budget-ms`, the context's and the class's. Without an `x-call-id` it gets one of its own. Nothing is sent
-    /// before the future is polled; dropping it tells the module that the client has gone.
+    /// The class, tenant and idempotency key are taken from the headers that clients of the daemon send
+    /// (`x-call-class`, `x-caller`, `idempotency-key`), or else from a [`CallContext`] in the request's extensions.
+    /// The effective deadline is the earliest of `deadline`, `x-budget-ms`, that of the context, and that of the
+    /// class. A request without `x-call-id` is assigned an id. Nothing is sent before the future is first polled;
+    /// dropping the future cancels the call.
     ///
     /// # Errors
-    /// [`Error`] says whether it may have run. A fleet with as many open calls as it may have refuses one more at
-    /// once.
+    /// [`Error::may_have_run`] says whether the request may have run. A call beyond the limit of open calls is
+    /// refused at once.
     pub fn call(
         &self,
         request: Request<Bytes>,
@@ -110,7 +113,7 @@
         }
     }
 
-    /// A place for one more call.
+    /// A permit for one more open call. Fails at once if there is none.
     pub(crate) fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, Error> {
         self.0.permits.clone().try_acquire_owned().map_err(|error| match error {
             tokio::sync::TryAcquireError::Closed => Error::Closed,
@@ -126,6 +129,7 @@
         &self.0.config
     }
 
+    /// The error for a call that never ran, with a retry delay within the configured maximum.
     fn refusal(&self) -> Error {
         let max = Duration::from_micros(self.0.config.settings.limits.max_retry_after);
         Error::Refused {
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Checks a request and sends it. It must be answered at `until`.
+    /// Validates a request and submits it, to be answered by `deadline`.
     pub(crate) fn send(
         &self,
         request: Request<Bytes>,
@@ -148,7 +152,7 @@
         let deadline = context.deadline().map_or(deadline, |own| own.min(deadline));
         let remaining = deadline.saturating_duration_since(Instant::now());
         if remaining.is_zero() {
-            // In its time there is no answer but this one; it never ran.
+            // No response can arrive in time. The request never ran.
             return Err(self.refusal());
         }
         context.fill_in(&mut head.headers);
@@ -161,7 +165,7 @@
         self.submit(info, forwarded, permit)
     }
 
-    /// An id and a time where the application has said none.
+    /// Adds a call id and a time budget, unless the application has set them.
     fn add_default_headers(&self, headers: &mut HeaderMap, remaining: Duration) {
         if !headers.contains_key("x-call-id") {
             let id = mix64(self.0.next_id.fetch_add(1, Ordering::Relaxed));
@@ -177,7 +181,7 @@
         }
     }
 
-    /// Hands a request to the engine.
+    /// Puts a validated request on the command queue of an engine.
     pub(crate) fn submit(
         &self,
         info: RequestInfo<HeaderValue>,
@@ -191,7 +195,7 @@
         let mut command = Command::Call { info, request, caller, call_id: call_id.clone() };
         let count = self.0.engines.len();
         for shard in (0..count).map(|offset| (first + offset) % count) {
-            // One that has ended takes nothing; another may.
+            // An engine that has ended does not receive commands; another one may.
             match self.0.engines[shard].send(command) {
                 Ok(()) => return Ok(Call { fleet: self.clone(), shard, reply: Some(reply), call_id }),
                 Err(mpsc::error::SendError(unsent)) => command = unsent,
@@ -200,7 +204,8 @@
         Err(Error::Closed)
     }
 
-    /// Which engine is to take a call: the one that its key belongs to, else each in turn; not one that does not answer.
+    /// The engine for a call: the owner of its idempotency key, or the next one by round robin if it has none. An
+    /// engine that is not responsive is passed over.
     fn shard_for(&self, info: &RequestInfo<HeaderValue>) -> usize {
         let Some(peers) = &self.0.peers else { return 0 };
         let count = self.0.engines.len();
@@ -212,21 +217,21 @@
             .unwrap_or(first)
     }
 
-    /// Tells all engines; whether any has heard it.
+    /// Sends a command to all engines; returns whether any of them still runs.
     fn broadcast(&self, command: impl Fn() -> Command) -> bool {
         self.0.engines.iter().filter(|engine| engine.send(command()).is_ok()).count() > 0
     }
 
-    /// Serves clients on a listener as the daemon does, on the engine's thread, until the returned handle stops it or
-    /// is dropped, or the fleet is shut down. Make the listener with [`crate::listen`] or as any other.
+    /// Serves clients on a listener as the daemon does, on the engine's thread, until the returned handle is stopped
+    /// or dropped, or the fleet is shut down. The listener can be created by [`crate::listen`] or in any other way.
     ///
     /// # Errors
-    /// The listener cannot be made non-blocking, or the fleet has ended.
+    /// The listener cannot be made non-blocking or be duplicated, or the fleet has ended.
     pub fn serve(&self, listener: impl IntoStd) -> io::Result<Serving> {
         let listener = listener.into_std()?;
         listener.set_nonblocking(true)?;
         let (mut stops, mut ends) = (Vec::new(), Vec::new());
-        // All accept from the one: whoever is free does.
+        // All engines accept from the same socket, so each connection goes to an engine that is free to accept it.
         for engine in &self.0.engines {
             let (stop, stopped) = oneshot::channel();
             let (done, end) = oneshot::channel();
@@ -242,13 +247,13 @@
         Ok(Serving { _fleet: self.clone(), stops, ends, failed: None })
     }
 
-    /// What the engine shows of itself; it changes with the list of hosts, and once a second. It costs the engine a
-    /// walk over what is open each time.
+    /// Snapshots of the fleet's state, updated when the server list changes and once a second. Each snapshot costs
+    /// the engine a pass over its open calls.
     pub fn watch(&self) -> watch::Receiver<State> {
         self.0.state.clone()
     }
 
-    /// Whether a list of hosts is in hand, as of every call that was sent before.
+    /// Whether there is a server list. The answer comes in order with the calls and commands sent before.
     ///
     /// # Errors
     /// The fleet has ended.
@@ -269,7 +274,8 @@
         }
     }
 
-    /// Waits until a list of hosts is in hand. Calls made before that wait or are refused by the module's rules.
+    /// Waits until there is a server list. Calls made before that wait or are refused, as the decision module
+    /// determines.
     ///
     /// # Errors
     /// The fleet has ended.
@@ -278,11 +284,12 @@
         state.wait_for(|state| state.ready).await.map(|_| ()).map_err(|_| Error::Closed)
     }
 
-    /// Goes on under a new configuration, as the daemon does on SIGHUP: discovery, descriptors and connection times
-    /// are taken over, the rest takes a new fleet; the log says so.
+    /// Applies a new configuration, as the daemon does on SIGHUP: the discovery address, the limit of file
+    /// descriptors and the time limits of connections change. Other changes require a new fleet, and are reported in
+    /// the log.
     ///
     /// # Errors
-    /// A configuration that the daemon would not take, which changes nothing; or the fleet has ended.
+    /// The daemon would reject the configuration, in which case nothing changes; or the fleet has ended.
     pub fn reload(&self, text: &str) -> Result<(), StartError> {
         self.reload_config(Config::parse(text).map_err(StartError::Configuration)?)
     }
@@ -294,48 +301,50 @@
         }
     }
 
-    /// As [`Fleet::reload`], with other bounds and retentions for the store of keys, which keeps what it holds.
+    /// As [`Fleet::reload`], and also changes the bounds and retention times of the store of keys, which keeps its
+    /// entries.
     ///
     /// # Errors
-    /// As there.
+    /// As for [`Fleet::reload`].
     pub fn reload_with_keys(&self, text: &str, keys: &str) -> Result<(), StartError> {
         let config = Config::parse(text).and_then(|config| config.with_keys(keys));
         self.reload_config(config.map_err(StartError::Configuration)?)
     }
 
-    /// As [`Fleet::reload`], from a file.
+    /// As [`Fleet::reload`], with the configuration from a file.
     ///
     /// # Errors
-    /// As there; or the file cannot be read.
+    /// As for [`Fleet::reload`]; or the file cannot be read.
     pub fn reload_file(&self, path: impl AsRef<Path>) -> Result<(), StartError> {
         let path = path.as_ref();
         let invalid = |e: &dyn fmt::Display| StartError::Configuration(format!("{}: {e}", path.display()));
         self.reload(&std::fs::read_to_string(path).map_err(|e| invalid(&e))?)
     }
 
-    /// Takes no more calls, finishes those that are open, closes fronts in order, and ends the engine, within
-    /// `deadline`. Fronts take new connections for half a second yet, as clients come until they know. Calling it
-    /// again waits for the same end; calls after it get [`Error::Closed`].
+    /// Accepts no more calls, completes the open ones, closes the connections of fronts gracefully, and ends the
+    /// engine, all within `deadline`. Fronts still accept new connections for half a second, since clients keep
+    /// opening them until they learn of the shutdown. A second `shutdown` waits for the same end. Later calls get
+    /// [`Error::Closed`].
     ///
     /// # Errors
-    /// [`Unfinished`] when the time was up with calls still open; they fail.
+    /// [`Unfinished`] if calls are still open at the deadline. These calls fail.
     pub async fn shutdown(&self, deadline: Duration) -> Result<(), Unfinished> {
         self.0.permits.close();
-        // One that has ended is shut down.
+        // An engine that has already ended does not receive the command, and need not.
         self.broadcast(|| Command::Shutdown(deadline));
         let mut end = self.0.end.clone();
         let result = end.wait_for(Option::is_some).await.ok().and_then(|result| *result);
-        // A thread that has ended without saying how has dropped all that was open.
+        // Engines that ended without a result have dropped all their calls.
         result.unwrap_or(Ok(()))
     }
 }
 
 /// A listener of the standard library or of any tokio runtime.
 pub trait IntoStd {
-    /// The listener, free of its runtime.
+    /// The listener as one of the standard library, no longer registered with a runtime.
     ///
     /// # Errors
-    /// Its runtime does not let it go.
+    /// The listener cannot be removed from its runtime.
     fn into_std(self) -> io::Result<TcpListener>;
 }
 
@@ -351,7 +360,7 @@
     }
 }
 
-/// A well-spread number for each number (SplitMix64's last steps); no two get the same.
+/// Maps numbers to well-distributed numbers, without collisions (one step of SplitMix64).
 fn mix64(number: u64) -> u64 {
     let mut z = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -359,14 +368,14 @@
     z ^ (z >> 31)
 }
 
-/// A call that is out. It goes on whether this is polled or not, and holds no more than its answer when it is not;
-/// dropped before its answer, it tells the module that its client has gone.
+/// A submitted call. It proceeds whether or not this future is polled; once it has ended, only its response is held
+/// until the next poll. Dropping the future before the response has arrived cancels the call.
 #[derive(Debug)]
 pub struct Call {
     fleet: Fleet,
-    /// Which engine has it.
+    /// The engine that it was submitted to.
     shard: usize,
-    /// `None`: it has been answered.
+    /// `None` once the result has been returned.
     reply: Option<oneshot::Receiver<Reply<Response<Bytes>>>>,
     call_id: SharedCallId,
 }
@@ -389,7 +398,7 @@
             Ok(Reply::DuplicateId) => Err(Error::Unusable(http::StatusCode::CONFLICT)),
             Ok(Reply::KeyReused) => Err(Error::Unusable(http::StatusCode::UNPROCESSABLE_ENTITY)),
             Ok(Reply::InvalidKey) => Err(Error::Unusable(http::StatusCode::BAD_REQUEST)),
-            // The engine has ended: it never took the call, or it may have run.
+            // The engine has ended. Without an id the call was never submitted; otherwise it may have run.
             Err(_) if self.call_id.load(Ordering::Acquire) == 0 => Err(Error::Closed),
             Err(_) => Err(Error::Failed),
         })
@@ -398,21 +407,22 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        // An answer that is there already has ended the call.
+        // If the reply has arrived, the call has ended.
         let answered = |reply: &mut oneshot::Receiver<_>| {
             !matches!(reply.try_recv(), Err(oneshot::error::TryRecvError::Empty))
         };
         if self.reply.as_mut().is_some_and(|reply| !answered(reply)) {
-            // The queue must hold no place for a call that is over: its receiver goes first.
+            // The receiver is dropped before the cancel is queued, so that a call still in the queue is skipped and
+            // releases its permit.
             self.reply = None;
-            // An engine that has ended has no use for it.
+            // Fails only if the engine has ended, and with it the call.
             let _ = self.fleet.0.engines[self.shard].send(Command::Cancel(self.call_id.clone()));
         }
     }
 }
 
-/// A front that serves. It ends when it is stopped, dropped, or its fleet is shut down, and first answers what it has
-/// taken. As a future it is ready when it has ended.
+/// A running front. It ends when it is stopped or dropped, or when its fleet is shut down, after it has answered the
+/// requests that it has accepted. The future completes when the front has ended.
 #[derive(Debug)]
 pub struct Serving {
     _fleet: Fleet,
@@ -422,8 +432,8 @@
 }
 
 impl Serving {
-    /// Stops it as SIGTERM stops the daemon: new connections are taken for half a second yet, then connections close
-    /// between requests, and after 3 s more the rest.
+    /// Stops it as SIGTERM stops the daemon: new connections are accepted for another half second, connections are
+    /// closed between requests, and after 3 s more the remaining ones are closed.
     pub fn stop(&mut self) {
         self.stops.clear();
     }
@@ -435,7 +445,7 @@
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Self::Output> {
         let Serving { ends, failed, .. } = &mut *self;
         ends.retain_mut(|end| match Pin::new(end).poll(context) {
-            // Dropped with the fleet, it has ended too.
+            // A sender that was dropped together with the engine also means that the front has ended.
             Poll::Ready(result) => {
                 *failed = failed.take().or(result.unwrap_or(Ok(())).err());
                 false
--- a/library/src/layer.rs
+++ b/library/src/layer.rs
@@ -1,4 +1,4 @@
-//! The daemon's front inside an application: a middleware for `tower`, and so for axum.
+//! The daemon's front as a middleware for `tower`, and thereby for axum.
 
 use crate::context::CallContext;
 use crate::error::Error;
@@ -18,15 +18,15 @@
 use tower_layer::Layer;
 use tower_service::Service;
 
-/// The body of an answer: the fleet's, or the application's.
+/// The body of a response: of the fleet (left) or of the application (right).
 pub type MiddlewareBody<B> = Either<Full<Bytes>, B>;
 
-/// Puts the daemon's front before an application: a request to one path goes over the fleet and gets the answer that
-/// the daemon gives, status, `Retry-After` and all; every other one goes on to the application, with its
-/// [`CallContext`].
+/// Places the daemon's front before an application: a request to one path is sent over the fleet and gets the
+/// response that the daemon would give, including status and `Retry-After`; all other requests are passed on to the
+/// application, with their [`CallContext`].
 ///
-/// Connections are the application's server's: its limits on slow, silent and idle clients, not the daemon's. It
-/// needs a tokio runtime with time.
+/// Connections belong to the application's server, so its limits on slow, silent and idle clients apply, and not
+/// those of the daemon. A tokio runtime with timers enabled is required.
 #[derive(Clone, Debug)]
 pub struct FleetLayer {
     fleet: Fleet,
@@ -35,18 +35,18 @@
 }
 
 impl FleetLayer {
-    /// Takes over `/api`.
+    /// A layer that sends requests to `/api` over the fleet.
     pub fn new(fleet: Fleet) -> FleetLayer {
         FleetLayer { fleet, path: "/api".into(), health: None }
     }
 
-    /// Takes over this path, and no longer the one before.
+    /// Sets the path whose requests are sent over the fleet, in place of the previous one.
     pub fn path(mut self, path: &str) -> FleetLayer {
         self.path = path.into();
         self
     }
 
-    /// Answers at this path 200 when a list of hosts is in hand, and 503 until then.
+    /// Adds a health check at this path: 200 if there is a server list, and 503 otherwise.
     pub fn health(mut self, path: &str) -> FleetLayer {
         self.health = Some(path.into());
         self
@@ -61,7 +61,7 @@
     }
 }
 
-/// What [`FleetLayer`] makes of an application.
+/// The service that [`FleetLayer`] wraps around an application.
 #[derive(Clone, Debug)]
 pub struct FleetMiddleware<S> {
     layer: FleetLayer,
@@ -80,8 +80,8 @@
     type Error = S::Error;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, S::Error>> + Send>>;
 
-    /// Ready when the application is. Whether the fleet has a place is for one path's requests only, which are
-    /// refused at once when it has none.
+    /// Ready when the application is. The limit of open calls concerns only the requests to one path, which are
+    /// refused at once when it is reached.
     fn poll_ready(&mut self, context: &mut Context<'_>) -> Poll<Result<(), S::Error>> {
         self.inner.poll_ready(context)
     }
@@ -108,7 +108,7 @@
     }
 }
 
-/// What the daemon does with a request.
+/// Validates a request, sends it over the fleet and returns its response, as the daemon does.
 async fn send_over_fleet<B>(fleet: Fleet, request: Request<B>, arrived: Instant) -> ClientResponse
 where
     B: Body<Data = Bytes> + Send + 'static,
@@ -133,7 +133,8 @@
     }
 }
 
-/// A body, whole and within bounds by `until`; else the daemon's status for it.
+/// Reads a whole body of at most [`MAX_BODY_BYTES`] bytes, by `deadline`. The error is the status that the daemon
+/// would respond with.
 pub(crate) async fn read_body<B>(body: B, deadline: Instant) -> Result<Bytes, StatusCode>
 where
     B: Body<Data = Bytes>,
--- a/library/src/lib.rs
+++ b/library/src/lib.rs
@@ -1,9 +1,9 @@
-//! The nettleworks client proxy inside an application.
+//! The nettleworks client proxy as a library inside an application.
 //!
-//! A [`Fleet`] runs the daemon's engine on a thread and single-thread runtime of its own. What the application does
-//! to its own threads, a panic, a blocked worker, a runtime that ends, does not reach it: drains are kept, time-outs
-//! fire, and discovery is followed all the while. The decisions, the checks and the four rules are the daemon's; so
-//! is the code.
+//! A [`Fleet`] runs the daemon's engine on a thread and single-threaded runtime of its own. What happens to the
+//! application's threads (a panic, a blocked worker, a runtime that ends) does not affect it: draining hosts get no
+//! new requests, timeouts fire, and changes of the server list are applied throughout. The decisions, the validation
+//! of requests and the invariants are those of the daemon, by the same code.
 //!
 //! ```no_run
 //! use nettleworks_client::{Error, Fleet};
@@ -16,8 +16,8 @@
 //!     .body(bytes::Bytes::from_static(b"{}"))?;
 //! match fleet.call(request, Duration::from_millis(800)).await {
 //!     Ok(answer) => println!("{} bytes", answer.body().len()),
-//!     Err(Error::Refused { retry_after }) => println!("it never ran; come again in {retry_after:?}"),
-//!     Err(error) if error.may_have_run() => println!("nobody knows: {error}"),
+//!     Err(Error::Refused { retry_after }) => println!("it never ran; retry after {retry_after:?}"),
+//!     Err(error) if error.may_have_run() => println!("it may have run: {error}"),
 //!     Err(error) => println!("it never ran: {error}"),
 //! }
 //! fleet.shutdown(Duration::from_secs(3)).await?;
@@ -26,14 +26,14 @@
 //! ```
 //!
 //! - [`Fleet::call`] sends one request; [`FleetService`] is the same as a [`tower_service::Service`].
-//! - [`FleetLayer`] puts the daemon's front into an application's own: what comes to `/api` goes to the fleet.
-//! - [`CallContext`] is what an incoming request says of its time, class, tenant and key, for the calls that its
+//! - [`FleetLayer`] adds the daemon's front to an application's server: requests to `/api` are sent over the fleet.
+//! - [`CallContext`] holds the time budget, class, tenant and key of an incoming request, for the calls that its
 //!   handler makes.
-//! - [`Fleet::serve`] is the daemon's own front on the application's listener.
-//! - [`Fleet::watch`], [`Fleet::reload`] and [`Fleet::shutdown`] do what the daemon's signals do.
+//! - [`Fleet::serve`] runs the daemon's front on a listener of the application.
+//! - [`Fleet::watch`], [`Fleet::reload`] and [`Fleet::shutdown`] correspond to the daemon's signals.
 //!
-//! Nothing here is for the whole process: no signal handler, no global logger, no registry. Two fleets, or two
-//! copies of this library, share nothing; each keeps to the cap on descriptors in its own configuration.
+//! Nothing here is global to the process: no signal handler, no global logger, no registry. Two fleets, or two copies
+//! of this library, share no state; each observes the limit of file descriptors in its own configuration.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/library/src/service.rs
+++ b/library/src/service.rs
@@ -17,12 +17,13 @@
 use tokio_util::sync::PollSemaphore;
 use tower_service::Service;
 
-/// Calls over a fleet as a service: what [`Fleet::call`] does, with one deadline for all.
+/// Sends requests over a fleet as [`Fleet::call`] does, with one deadline for all calls.
 ///
-/// It is ready when there is a permit among the open calls, and holds that permit from then on: a call after
-/// `poll_ready` is never refused for want of one. A call without `poll_ready` takes a permit if there is one. What the
-/// module refuses, because hosts are full or away, is an [`Error::Refused`] at once and not a service that is not
-/// ready: only the module knows, and only for a given call.
+/// The service is ready when the number of open calls is below its limit, and holds a permit from then on: a call
+/// after `poll_ready` is never refused because of the limit. A call without `poll_ready` acquires a permit if one is
+/// free. A refusal by the decision module, because hosts are full or unavailable, is reported at once as
+/// [`Error::Refused`] and not as a service that is not ready: whether a call can be served is only known for a given
+/// call, and only by the decision module.
 #[derive(Debug)]
 pub struct FleetService {
     fleet: Fleet,
@@ -32,7 +33,8 @@
 }
 
 impl FleetService {
-    /// Calls that are answered within `deadline`, or the time that they say themselves.
+    /// A service whose calls get a response within `deadline`, or within the time budget of their request if that is
+    /// shorter.
     pub fn new(fleet: Fleet, deadline: Duration) -> FleetService {
         let permits = PollSemaphore::new(fleet.permits().clone());
         FleetService { fleet, deadline, permits, permit: None }
@@ -40,7 +42,7 @@
 }
 
 impl Clone for FleetService {
-    /// The permit that a ready service holds stays its own.
+    /// A permit that this service holds is not passed on to the clone.
     fn clone(&self) -> Self {
         FleetService::new(self.fleet.clone(), self.deadline)
     }
--- a/library/src/state.rs
+++ b/library/src/state.rs
@@ -1,4 +1,4 @@
-//! What a fleet shows of itself.
+//! Snapshots of a fleet's state.
 
 use nettleworks::cores::Shards;
 use nettleworks_engine::driver::Handle;
@@ -11,30 +11,31 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::watch;
 
-/// A fleet at one moment.
+/// A snapshot of a fleet's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
-    /// Whether a list of hosts is in hand.
+    /// Whether there is a server list.
     pub ready: bool,
     /// Version of that list.
     pub version: Option<u64>,
-    /// Its hosts, in the order of their names.
+    /// Its hosts, sorted by name.
     pub hosts: Vec<HostState>,
-    /// Calls that are open, or over with an attempt still out.
+    /// Number of calls that are open, or answered with an attempt still in flight.
     pub calls: usize,
-    /// Those of them that go on though nobody waits for them.
+    /// Number of detached calls among them: those that continue although no client waits for them.
     pub lingering: usize,
-    /// Ids that no new call may have.
+    /// Number of open ids; new calls must not use them.
     pub ids: usize,
     /// Connections to hosts.
     pub connections: Connections,
-    /// Calls taken so far.
+    /// Number of requests accepted since the start.
     pub requests: u64,
-    /// Attempts sent so far.
+    /// Number of attempts sent since the start.
     pub attempts: u64,
-    /// What the store of keys has done so far, where there is one, and how many keys and bytes of answers it holds.
+    /// The counters of the store of keys since the start, the number of keys that it holds, and the size of the
+    /// answers that it holds in bytes. `None` if there is no store.
     pub keys: Option<(Counts, usize, usize)>,
-    /// How attempts have ended so far.
+    /// Number of attempts by outcome since the start.
     pub outcomes: BTreeMap<Outcome, u64>,
 }
 
@@ -59,12 +60,12 @@
 }
 
 impl State {
-    /// Of several engines that serve as one.
+    /// Merges the states of several engines that serve as one.
     fn merge(states: &[State]) -> State {
         let Some((first, rest)) = states.split_first() else { return State::default() };
         let mut merged = first.clone();
         for state in rest {
-            // Each has all hosts, but for those that it has not heard of yet.
+            // Each engine lists all hosts, except those of list changes that it has not received yet.
             merged.ready &= state.ready;
             merged.version = merged.version.min(state.version);
             for host in &state.hosts {
@@ -99,17 +100,19 @@
     }
 }
 
-/// What all engines of a fleet show. Figures of moments that lie apart would not fit together, so one engine says when,
-/// and the others show theirs at once.
+/// Merges the state snapshots of all engines of a fleet and publishes the result. Snapshots of different moments
+/// would be inconsistent with each other, so one engine starts each round, and the others contribute theirs at once.
 pub(crate) struct StateAggregator {
     round: Mutex<Round>,
     published: watch::Sender<State>,
     peers: Option<Shards>,
 }
 
+/// One collection of the engines' snapshots.
 struct Round {
+    /// The latest snapshot of each engine.
     states: Vec<State>,
-    /// Who has not shown its part yet.
+    /// By engine: whether its snapshot for this round has been requested and is still missing.
     missing: Vec<bool>,
 }
 
@@ -119,7 +122,7 @@
         StateAggregator { round: Mutex::new(round), published, peers }
     }
 
-    /// Whether this engine says when: the first that answers.
+    /// Whether this engine starts the rounds: the first one that is responsive does.
     fn starts_rounds(&self, shard: usize) -> bool {
         self.peers
             .as_ref()
@@ -127,7 +130,7 @@
     }
 }
 
-/// Shows one engine's state to the application.
+/// Receives the state snapshots of one engine.
 pub(crate) struct StateObserver {
     pub aggregator: Arc<StateAggregator>,
     pub shard: usize,
@@ -139,11 +142,12 @@
     }
 
     fn on_state(&self, state: engine::State) {
-        // Whole whoever panicked: it is only replaced.
+        // A panic of another holder of the lock leaves no partial state: entries are only ever replaced as a whole.
         let mut round = self.aggregator.round.lock().unwrap_or_else(PoisonError::into_inner);
         round.states[self.shard] = State::from(state);
         if let Some(peers) = self.aggregator.peers.as_ref().filter(|_| !round.missing[self.shard]) {
-            // It has not been asked: a new round. What the last still lacks is as it was.
+            // This snapshot was not requested, so it starts a new round. Engines that still owe one for the last
+            // round are not asked again.
             for other in (0..peers.count()).filter(|&other| other != self.shard && peers.is_responsive(other))
             {
                 if !std::mem::replace(&mut round.missing[other], true) {
@@ -152,7 +156,7 @@
             }
         }
         round.missing[self.shard] = false;
-        // Whoever does not answer keeps nothing from being shown.
+        // An unresponsive engine must not delay publication.
         for (other, missing) in round.missing.iter_mut().enumerate() {
             *missing &= self.aggregator.peers.as_ref().is_some_and(|peers| peers.is_responsive(other));
         }
@@ -160,7 +164,7 @@
             return;
         }
         let state = State::merge(&round.states);
-        // Under the lock, so that the newest is shown last.
+        // Published under the lock, so that the newest state is published last.
         self.aggregator.published.send_if_modified(|published| {
             let differs = *published != state;
             *published = state;
--- a/library/src/thread.rs
+++ b/library/src/thread.rs
@@ -1,4 +1,5 @@
-//! The engines' threads: each takes commands in, in their order, and ends when all is answered.
+//! The engines' threads. Each thread executes the application's commands in their order, and ends when all calls have
+//! been answered.
 
 use crate::error::{StartError, Unfinished};
 use crate::state::{State, StateAggregator, StateObserver};
@@ -24,60 +25,61 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{sleep, Instant};
 
-/// How many commands are taken in before other tasks of the thread run.
+/// Most commands that are executed before other tasks of the thread run.
 const COMMAND_BATCH: usize = 64;
-/// How often a shutdown looks whether all is answered.
+/// How often a shutdown checks whether all calls have been answered.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Longest that a front takes to stop: the time in which it takes new connections, and the longest deadline.
+/// Longest time that a front takes to stop: the time in which it still accepts new connections, and the longest
+/// deadline.
 const FRONT_STOP_TIMEOUT: Duration = Duration::from_millis(3_600);
 
-/// The number of a call once the engine has taken it, 0 before: it tells a call that surely never ran from one that
-/// may have, and names it when its caller has gone.
+/// The engine's id of a call; 0 until the call has been submitted to the engine. It distinguishes a call that surely
+/// never ran from one that may have run, and identifies the call in a cancellation.
 pub(crate) type SharedCallId = Arc<AtomicU64>;
 
-/// What the application asks of the engine.
+/// A command of the application to an engine.
 #[expect(clippy::large_enum_variant, reason = "nearly all commands are calls")]
 pub(crate) enum Command {
-    /// A call. Its place among the open ones comes with it, so that the queue is bounded by their number.
+    /// Submit a call. The caller holds its permit as an open call, so the limit of open calls also bounds the queue.
     Call {
         info: RequestInfo<HeaderValue>,
         request: ForwardedRequest,
         caller: Caller<Response<Bytes>>,
         call_id: SharedCallId,
     },
-    /// Its caller has gone. There is one at most for each call that came before it in the queue.
+    /// Cancel a call, whose caller no longer waits. Queued at most once for each call, and after the call itself.
     Cancel(SharedCallId),
-    /// A listener for the daemon's front, until `stop` is told or dropped.
+    /// Serve clients on a listener until the sender of `stop` sends or is dropped. `done` receives the result.
     Serve { listener: TcpListener, stop: oneshot::Receiver<()>, done: oneshot::Sender<io::Result<()>> },
-    /// Another configuration.
+    /// Apply a new configuration.
     Reload(Box<Config>),
-    /// Whether a list of hosts is in hand, as of all commands before this one.
+    /// Report whether there is a server list, after all commands before this one have been executed.
     IsReady(oneshot::Sender<bool>),
-    /// Take no more in, and end when all is answered, or after this time.
+    /// Accept nothing more, and end when all calls have been answered, or after this time.
     Shutdown(Duration),
 }
 
-/// How the engine has ended; `None` while it runs.
+/// The result of all engines of the fleet; `None` while any of them runs.
 pub(crate) type EndReceiver = watch::Receiver<Option<Result<(), Unfinished>>>;
 
-/// What the application holds of the engines.
+/// The application's handles of the started engines.
 pub(crate) struct StartedEngines {
-    /// Where each takes its commands.
+    /// The command queue of each engine.
     pub commands: Vec<mpsc::UnboundedSender<Command>>,
-    /// All of them, where there are several.
+    /// The shards of the process; `None` if there is one engine only.
     pub peers: Option<Shards>,
     pub state: watch::Receiver<State>,
     pub end: EndReceiver,
 }
 
-/// Who takes the lines of the log.
+/// The application's receiver of log lines.
 type LogSink = Box<dyn Fn(&str) + Send>;
 
-/// Most lines that wait for their sink; further ones are dropped, and counted.
+/// Most log lines that wait for the sink; further ones are dropped and counted.
 const MAX_QUEUED_LINES: usize = 1_024;
 
-/// The log of all engines. One engine writes it itself; several must not wait for each other's lines, and have a thread
-/// that does.
+/// The log of all engines. A single engine calls the sink itself. Several engines must not wait for each other's
+/// lines, so a separate thread calls the sink for them.
 #[derive(Clone)]
 enum EngineLog {
     Direct(Arc<Mutex<LogSink>>),
@@ -101,14 +103,14 @@
                 sink(&line);
             }
         };
-        // Without it the lines are dropped, which is no reason not to serve.
+        // Without this thread all lines are dropped, which does not prevent the engines from serving.
         let _ = std::thread::Builder::new().name("nettleworks-log".to_owned()).spawn(write_lines);
         EngineLog::Queued { lines, dropped }
     }
 
     fn write(&self, shard: usize, line: &str) {
         match self {
-            // Whoever takes the lines may panic: the next line is his all the same.
+            // The sink may have panicked at an earlier line; it still gets the next one.
             EngineLog::Direct(sink) => sink.lock().unwrap_or_else(PoisonError::into_inner)(line),
             EngineLog::Queued { lines, dropped } => {
                 if lines.try_send(format!("shard {shard}: {line}")).is_err() {
@@ -119,15 +121,16 @@
     }
 }
 
-/// What the engines tell the application together.
+/// The combined state and result of all engines, for the application.
 struct FleetStatus {
     state_aggregator: Arc<StateAggregator>,
+    /// The result of each engine; `None` while it runs.
     ends: Mutex<Vec<Option<Result<(), Unfinished>>>>,
     end: watch::Sender<Option<Result<(), Unfinished>>>,
 }
 
 impl FleetStatus {
-    /// One has ended so; the fleet has when all have.
+    /// Records the result of an engine that has ended. The fleet has ended when all its engines have.
     fn record_end(&self, shard: usize, result: Result<(), Unfinished>) {
         let mut ends = self.ends.lock().unwrap_or_else(PoisonError::into_inner);
         ends[shard] = Some(result);
@@ -139,7 +142,7 @@
     }
 }
 
-/// Says how an engine has ended when its thread does, if nothing else has.
+/// Records the end of an engine when its thread ends, for instance by a panic, unless a result has been recorded.
 struct EndGuard(Arc<FleetStatus>, usize);
 
 impl Drop for EndGuard {
@@ -151,7 +154,7 @@
     }
 }
 
-/// Starts so many engines on threads of their own, and returns when they run.
+/// Starts this number of engines, each on a thread of its own, and returns when all of them run.
 pub(crate) fn start(config: Config, engines: usize, log: LogSink) -> Result<StartedEngines, StartError> {
     let (end, end_receiver) = watch::channel(None);
     let (published, state) = watch::channel(State::default());
@@ -185,14 +188,14 @@
             Ok(Ok(())) => {}
             Ok(Err(error)) => return Err(StartError::System(error)),
             Err(_) => {
-                return Err(StartError::System(io::Error::other("an engine's thread ended at its start")))
+                return Err(StartError::System(io::Error::other("an engine's thread ended during startup")))
             }
         }
     }
     Ok(StartedEngines { commands, peers, state, end: end_receiver })
 }
 
-/// Runs one engine on the thread that this is called on.
+/// Runs one engine on the current thread. `ready` receives whether it could be started.
 fn run_engine(
     shard: usize,
     prepared: Option<PreparedShard<Http1>>,
@@ -205,7 +208,7 @@
     let end_guard = EndGuard(status.clone(), shard);
     let report_started = |driver: &Handle<Http1>| {
         driver.observe(StateObserver { aggregator: status.state_aggregator.clone(), shard });
-        // Whoever starts it waits for this, and is there.
+        // `start` waits for this message; if it has returned an error of another engine, nobody needs it.
         let _ = ready.send(Ok(()));
     };
     let result = match prepared {
@@ -223,7 +226,7 @@
                 let _operators = nettleworks::operators::start(&driver);
                 run_commands(driver, queue, None).await
             });
-            // Before its end is told: what still holds descriptors goes first.
+            // File descriptors that are still held must be closed before the end is reported.
             drop(local);
             drop(runtime);
             Some(result)
@@ -233,7 +236,7 @@
                 let running = cores::start_shard(prepared, config, log);
                 let (driver, peers) = (running.driver.clone(), running.peers.clone());
                 report_started(&driver);
-                // One socket for all.
+                // The process has one operators' socket.
                 let _operators = (shard == 0)
                     .then(|| nettleworks::operators::start_for_shards(&driver, Some(peers.clone())));
                 tokio::select! {
@@ -253,6 +256,8 @@
     drop(end_guard);
 }
 
+/// Executes commands until a shutdown is ordered or all handles of the fleet have been dropped, and then waits for
+/// the open calls and the fronts. `peer_shards` holds the shards of the process and this engine's number among them.
 async fn run_commands(
     driver: Handle<Http1>,
     mut queue: mpsc::UnboundedReceiver<Command>,
@@ -261,8 +266,8 @@
     let (stop_fronts, stopped) = watch::channel(false);
     let mut fronts = JoinSet::new();
     let mut batch = Vec::with_capacity(COMMAND_BATCH);
-    // Without a handle left nobody can ask for more, and nobody says how long the rest may take: each call has
-    // its deadline, and each front its time to stop.
+    // If all handles are dropped, no shutdown sets a time limit. The longest deadline of a call and the time that a
+    // front takes to stop are the limit then.
     let longest_deadline =
         driver.config().settings.classes.iter().map(|class| Duration::from_micros(class.deadline)).max();
     let mut timeout = longest_deadline.unwrap_or_default() + FRONT_STOP_TIMEOUT;
@@ -274,13 +279,13 @@
             }
             execute(&driver, command, &mut fronts, &stopped, peer_shards.as_ref());
         }
-        // What has ended is not kept.
+        // Removes the tasks of fronts that have ended.
         while fronts.try_join_next().is_some() {}
     }
     let deadline = Instant::now() + timeout;
     stop_fronts.send_replace(true);
-    // No more comes in; what came before the close is dropped unseen, and its callers see that it never ran. Those
-    // that go are still heard.
+    // No more commands are accepted. Calls that are still queued are dropped without being submitted, and their
+    // callers see that they never ran. Queued cancellations are still executed.
     queue.close();
     let drained = async {
         let all_answered = async {
@@ -290,7 +295,7 @@
                         execute(&driver, command, &mut JoinSet::new(), &stopped, None);
                     }
                 }
-                // Those that nobody waits for may end too, but nobody is told of them.
+                // Detached calls are waited for as well, but do not count as unfinished.
                 if driver.waiting() == 0 && driver.detached() == 0 {
                     break;
                 }
@@ -298,10 +303,10 @@
             }
         };
         let fronts_stopped = async { while fronts.join_next().await.is_some() {} };
-        // What a front has not closed in its time is closed with it.
+        // Connections that a front has not closed within the time limit are closed when its task is dropped.
         let _ = tokio::join!(all_answered, tokio::time::timeout(FRONT_STOP_TIMEOUT, fronts_stopped));
         if let Some((peers, shard)) = &peer_shards {
-            // Until none has anything open, another may need what this one knows.
+            // As long as another shard has open calls, it may need the state of this one.
             peers.wait_until_all_drained(*shard).await;
         }
     };
@@ -314,6 +319,7 @@
     }
 }
 
+/// Executes one command. A shutdown is handled by [`run_commands`].
 fn execute(
     driver: &Handle<Http1>,
     command: Command,
@@ -323,7 +329,7 @@
 ) {
     match command {
         Command::Call { info, request, caller, call_id } => {
-            // Gone before it was taken in: nothing is sent for it.
+            // Cancelled before it was submitted: nothing is sent for it.
             if caller.reply.is_closed() {
                 return;
             }
@@ -350,7 +356,7 @@
                     }
                     Err(error) => Err(error),
                 };
-                // Nobody may wait for it.
+                // The handle of the front may have been dropped.
                 let _ = done.send(served);
             });
         }
