--- a/library/tests/application.rs
+++ b/library/tests/application.rs
@@ -1,4 +1,4 @@
-//! What the application around the library may do: panic, drop, block its threads, end its runtime, never poll.
+//! What the application_runtime around the library may do: panic, drop, block its threads, end its runtime, never poll.
 
 use bytes::Bytes;
 use http::Request;
@@ -20,9 +20,9 @@
 use tower::{Service, ServiceExt};
 
 /// Far longer than any test takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn application(threads: usize) -> Runtime {
+fn application_runtime(threads: usize) -> Runtime {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
         .enable_all()
@@ -30,21 +30,21 @@
         .expect("a runtime")
 }
 
-fn fault(fault: Fault) -> Plan {
+fn failing_plan(fault: Fault) -> Plan {
     Plan { faults: vec![(fault, 1.0)], ..Plan::default() }
 }
 
-fn fleet(site: &Site) -> Fleet {
-    fleet_with(site, |_| ())
+fn start_fleet(site: &Site) -> Fleet {
+    start_fleet_with(site, |_| ())
 }
 
-fn fleet_with(site: &Site, change: impl FnOnce(&mut serde_json::Value)) -> Fleet {
+fn start_fleet_with(site: &Site, change: impl FnOnce(&mut serde_json::Value)) -> Fleet {
     Fleet::builder().text(&site.configuration(change)).start().expect("it starts")
 }
 
 /// A fleet whose unsafe calls wait longer than any test: what ends one is not its time.
-fn patient_fleet(site: &Site) -> Fleet {
-    fleet_with(site, |config| {
+fn start_fleet_with_long_deadlines(site: &Site) -> Fleet {
+    start_fleet_with(site, |config| {
         for time in ["objective_us", "deadline_us"] {
             config["settings"]["classes"][2][time] = 600_000_000.into();
         }
@@ -62,30 +62,30 @@
     Request::get("/api").header("x-call-class", "free").body(Bytes::new()).expect("a request")
 }
 
-async fn shown(fleet: &Fleet, what: &str, met: impl FnMut(&State) -> bool) -> State {
+async fn wait_for_state(fleet: &Fleet, what: &str, condition: impl FnMut(&State) -> bool) -> State {
     let mut state = fleet.watch();
-    let shown = tokio::time::timeout(PATIENCE, state.wait_for(met)).await;
-    let state = shown.unwrap_or_else(|_| panic!("never: {what}")).expect("it runs").clone();
+    let reached = tokio::time::timeout(TEST_TIMEOUT, state.wait_for(condition)).await;
+    let state = reached.unwrap_or_else(|_| panic!("never: {what}")).expect("it runs").clone();
     state
 }
 
 /// Nothing is left of any call, nor of a connection that one has used.
-async fn nothing_left(fleet: &Fleet) {
-    shown(fleet, "no call, id or connection is left", |state| {
+async fn wait_until_idle(fleet: &Fleet) {
+    wait_for_state(fleet, "no call, id or connection is left", |state| {
         (state.calls, state.ids, state.connections.open) == (0, 0, state.connections.idle)
     })
     .await;
 }
 
 /// Polls a future once, and says whether it is pending.
-async fn begun<F: Future + Unpin>(future: &mut F) -> bool {
+async fn poll_is_pending<F: Future + Unpin>(future: &mut F) -> bool {
     poll_fn(|context| Poll::Ready(pin!(&mut *future).poll(context).is_pending())).await
 }
 
-async fn until(what: &str, mut condition: impl FnMut() -> bool) {
+async fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < PATIENCE, "never: {what}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "never: {what}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
@@ -93,59 +93,59 @@
 /// A handler that panics drops its call as one that is given up does: the module hears that the client has gone, the
 /// attempt's connection closes, and nothing goes out again.
 #[test]
-fn a_handler_that_panics_or_is_dropped_leaves_nothing_behind() {
-    let site = Site::start(vec![fault(Fault::Stall), fault(Fault::Stall)]);
-    application(2).block_on(async {
-        let fleet = patient_fleet(&site);
+fn a_panicking_or_dropped_handler_cancels_its_call() {
+    let site = Site::start(vec![failing_plan(Fault::Stall), failing_plan(Fault::Stall)]);
+    application_runtime(2).block_on(async {
+        let fleet = start_fleet_with_long_deadlines(&site);
         fleet.ready().await.expect("it runs");
         let panics = {
             let fleet = fleet.clone();
             tokio::spawn(async move {
                 let mut call = Box::pin(fleet.call(post("unsafe"), Duration::from_secs(600)));
-                assert!(begun(&mut call).await);
-                until_sent(&fleet, 1).await;
-                panic!("the handler's own");
+                assert!(poll_is_pending(&mut call).await);
+                wait_for_attempts(&fleet, 1).await;
+                panic!("panic of the handler");
             })
         };
         assert!(panics.await.expect_err("it panics").is_panic());
-        nothing_left(&fleet).await;
+        wait_until_idle(&fleet).await;
         let mut dropped = Box::pin(fleet.call(post("unsafe"), Duration::from_secs(600)));
-        assert!(begun(&mut dropped).await);
-        until_sent(&fleet, 2).await;
+        assert!(poll_is_pending(&mut dropped).await);
+        wait_for_attempts(&fleet, 2).await;
         drop(dropped);
-        nothing_left(&fleet).await;
-        let open = site.with(|inside| inside.hosts.iter().map(|host| host.open.get()).sum::<usize>());
+        wait_until_idle(&fleet).await;
+        let open = site.with(|stand_ins| stand_ins.hosts.iter().map(|host| host.open.get()).sum::<usize>());
         assert_eq!(open, 0, "the attempts' connections are closed");
         assert_eq!(site.counts().iter().sum::<usize>(), 2, "no unsafe call went out again");
         assert_eq!(fleet.watch().borrow().attempts, 2);
     });
 }
 
-async fn ready(service: &mut FleetService) -> Result<(), Error> {
+async fn service_ready(service: &mut FleetService) -> Result<(), Error> {
     ServiceExt::<Request<Full<Bytes>>>::ready(service).await.map(|_| ())
 }
 
 /// Waits until hosts have read so many requests in all.
-async fn until_sent(fleet: &Fleet, count: u64) {
-    shown(fleet, "it is sent", |state| state.attempts >= count).await;
+async fn wait_for_attempts(fleet: &Fleet, count: u64) {
+    wait_for_state(fleet, "it is sent", |state| state.attempts >= count).await;
 }
 
-/// With all of the application's threads blocked, a drain is kept, a time-out fires, clients of the front are served,
-/// discovery is followed, and answers are there when the application wakes.
+/// With all of the application_runtime's threads blocked, a drain is kept, a time-out fires, clients of the front are served,
+/// discovery is followed, and answers are there when the application_runtime wakes.
 #[test]
-fn blocked_worker_threads_do_not_reach_the_engine() {
+fn blocked_worker_threads_do_not_affect_the_engine() {
     const BLOCKED: Duration = Duration::from_secs(2);
-    let mut stalls = Plan { service: Duration::from_millis(5), ..Plan::default() };
-    // Of many, some stall: a call of the application will time out while its threads are blocked.
-    stalls.faults = vec![(Fault::Stall, 0.02)];
-    let site = Site::start(vec![stalls.clone(), stalls.clone(), Plan::default()]);
-    let runtime = application(2);
-    let fleet = fleet(&site);
+    let mut stalling_plan = Plan { service: Duration::from_millis(5), ..Plan::default() };
+    // Of many, some stall: a call of the application_runtime will time out while its threads are blocked.
+    stalling_plan.faults = vec![(Fault::Stall, 0.02)];
+    let site = Site::start(vec![stalling_plan.clone(), stalling_plan.clone(), Plan::default()]);
+    let runtime = application_runtime(2);
+    let fleet = start_fleet(&site);
     runtime.block_on(fleet.ready()).expect("it runs");
     let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
     let address = listener.local_addr().expect("an address");
     let _serving = fleet.serve(listener).expect("it serves");
-    // The clients' thread is not the application's.
+    // The clients' thread is not the application_runtime's.
     let clients = std::thread::spawn(move || {
         nettleworks_standins::run(async {
             let tally = Rc::new(RefCell::new(Tally::default()));
@@ -163,40 +163,42 @@
         let (fleet, answers) = (fleet.clone(), answers.clone());
         runtime.spawn(async move {
             let mut call = Box::pin(fleet.call(get(), Duration::from_millis(700)));
-            assert!(begun(&mut call).await, "worker {worker} has one out");
+            assert!(poll_is_pending(&mut call).await, "worker {worker} has one out");
             std::thread::sleep(BLOCKED);
-            let woken = Instant::now();
+            let unblocked_at = Instant::now();
             let answer = call.await;
-            answers.lock().expect("no panic").push((answer.is_ok(), woken.elapsed()));
+            answers.lock().expect("no panic").push((answer.is_ok(), unblocked_at.elapsed()));
         });
     }
     std::thread::sleep(BLOCKED / 4);
-    let drained = site.with(|inside| {
-        inside.list(0, "Terminating");
+    let drained_at = site.with(|stand_ins| {
+        stand_ins.list(0, "Terminating");
         tokio::time::Instant::now()
     });
     let tally = clients.join().expect("clients end well");
-    let (last, watches) = site.with(|inside| (inside.hosts[0].read.get().1, inside.registry.watches.get()));
-    let after = last.map_or(Duration::ZERO, |last| last.saturating_duration_since(drained));
-    assert!(after < Duration::from_secs(1), "the drained host got a request {after:?} later");
-    let later = site.with(move |inside| inside.hosts[1].read.get().1.is_some_and(|last| last > drained));
-    assert!(later, "the others were asked all the while");
+    let (last, watches) =
+        site.with(|stand_ins| (stand_ins.hosts[0].read.get().1, stand_ins.registry.watches.get()));
+    let delay = last.map_or(Duration::ZERO, |last| last.saturating_duration_since(drained_at));
+    assert!(delay < Duration::from_secs(1), "the drained host got a request {delay:?} later");
+    let others_used =
+        site.with(move |stand_ins| stand_ins.hosts[1].read.get().1.is_some_and(|last| last > drained_at));
+    assert!(others_used, "the others were asked all the while");
     assert_eq!(watches, 1, "discovery was never lost");
     assert_eq!(tally.lost, 0, "{tally:?}");
     assert!(tally.served > 50 && tally.failed > 0, "served {}, timed out {}", tally.served, tally.failed);
-    runtime.block_on(until("both have woken", || answers.lock().expect("no panic").len() == 2));
+    runtime.block_on(eventually("both have woken", || answers.lock().expect("no panic").len() == 2));
     for (served, took) in answers.lock().expect("no panic").iter() {
-        // Far under what a new exchange, or its deadline, would take were it only now begun.
+        // Far under what a new exchange, or its deadline, would take were it only now poll_is_pending.
         assert!(*took < Duration::from_millis(500), "served {served}, after {took:?}");
     }
 }
 
-/// The engine outlives the application's runtime; its calls end with it.
+/// The engine outlives the application_runtime's runtime; its calls end with it.
 #[test]
-fn the_application_may_end_its_runtime_first() {
-    let site = Site::start(vec![fault(Fault::Stall)]);
-    let first = application(2);
-    let fleet = patient_fleet(&site);
+fn the_engine_outlasts_the_applications_runtime() {
+    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    let first = application_runtime(2);
+    let fleet = start_fleet_with_long_deadlines(&site);
     first.block_on(async {
         fleet.ready().await.expect("it runs");
         let (call, mut state) = (fleet.call(post("unsafe"), Duration::from_secs(600)), fleet.watch());
@@ -204,60 +206,60 @@
         state.wait_for(|state| state.attempts == 1).await.expect("it runs");
     });
     first.shutdown_background();
-    application(1).block_on(async {
-        nothing_left(&fleet).await;
-        fleet.shutdown(PATIENCE).await.expect("nothing is open");
-        fleet.shutdown(PATIENCE).await.expect("nor the second time");
+    application_runtime(1).block_on(async {
+        wait_until_idle(&fleet).await;
+        fleet.shutdown(TEST_TIMEOUT).await.expect("nothing is open");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("nor the second time");
         let started = Instant::now();
-        assert_eq!(fleet.call(post("unsafe"), PATIENCE).await.err(), Some(Error::Closed));
+        assert_eq!(fleet.call(post("unsafe"), TEST_TIMEOUT).await.err(), Some(Error::Closed));
         assert_eq!(fleet.is_ready().await, Err(Error::Closed));
         assert!(fleet
             .serve(listen("127.0.0.1:0".parse().expect("an address")).expect("it listens"))
             .is_err());
-        let mut service = FleetService::new(fleet.clone(), PATIENCE);
-        assert_eq!(ready(&mut service).await, Err(Error::Closed));
-        assert!(started.elapsed() < PATIENCE / 2, "at once");
+        let mut service = FleetService::new(fleet.clone(), TEST_TIMEOUT);
+        assert_eq!(service_ready(&mut service).await, Err(Error::Closed));
+        assert!(started.elapsed() < TEST_TIMEOUT / 2, "at once");
     });
     assert_eq!(site.counts(), [1]);
 }
 
 /// A shutdown finishes what was taken, and takes nothing more.
 #[test]
-fn a_shutdown_answers_what_was_taken() {
+fn a_shutdown_answers_accepted_calls() {
     let slow = Plan { service: Duration::from_millis(150), ..Plan::default() };
     let site = Site::start(vec![slow.clone(), slow]);
-    application(2).block_on(async {
-        let fleet = fleet(&site);
+    application_runtime(2).block_on(async {
+        let fleet = start_fleet(&site);
         fleet.ready().await.expect("it runs");
         let mut calls = JoinSet::new();
         for _ in 0..8 {
             calls.spawn(fleet.call(post("unsafe"), Duration::from_secs(8)));
         }
-        until_sent(&fleet, 1).await;
+        wait_for_attempts(&fleet, 1).await;
         // All eight are in the queue or out: a call hands itself over when it is first polled.
-        shown(&fleet, "all are taken", |state| state.requests == 8).await;
-        let shut = tokio::spawn({
+        wait_for_state(&fleet, "all are taken", |state| state.requests == 8).await;
+        let shutdown = tokio::spawn({
             let fleet = fleet.clone();
-            async move { fleet.shutdown(PATIENCE).await }
+            async move { fleet.shutdown(TEST_TIMEOUT).await }
         });
         while let Some(answer) = calls.join_next().await {
             assert!(answer.expect("no panic").is_ok());
         }
-        assert_eq!(shut.await.expect("no panic"), Ok(()));
-        assert_eq!(fleet.call(get(), PATIENCE).await.err(), Some(Error::Closed));
+        assert_eq!(shutdown.await.expect("no panic"), Ok(()));
+        assert_eq!(fleet.call(get(), TEST_TIMEOUT).await.err(), Some(Error::Closed));
     });
     assert_eq!(site.counts().iter().sum::<usize>(), 8);
 }
 
 /// A shutdown whose time is up says so, and the calls that were open may have run.
 #[test]
-fn a_shutdown_ends_in_its_time() {
-    let site = Site::start(vec![fault(Fault::Stall)]);
-    application(2).block_on(async {
-        let fleet = fleet(&site);
+fn a_shutdown_ends_by_its_deadline() {
+    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    application_runtime(2).block_on(async {
+        let fleet = start_fleet(&site);
         fleet.ready().await.expect("it runs");
         let call = tokio::spawn(fleet.call(post("unsafe"), Duration::from_secs(8)));
-        until_sent(&fleet, 1).await;
+        wait_for_attempts(&fleet, 1).await;
         let unfinished = fleet.shutdown(Duration::from_millis(50)).await.expect_err("one is open");
         assert_eq!(unfinished.calls, 1);
         assert_eq!(call.await.expect("no panic").err(), Some(Error::Failed));
@@ -266,20 +268,20 @@
 
 /// A plain drop finishes what was taken too: a call keeps its engine, and a client of the front gets its answer.
 #[test]
-fn a_plain_drop_answers_what_was_taken() {
+fn a_drop_answers_accepted_calls() {
     let slow = Plan { service: Duration::from_millis(150), ..Plan::default() };
     let site = Site::start(vec![slow]);
-    application(2).block_on(async {
-        let fleet = fleet(&site);
+    application_runtime(2).block_on(async {
+        let fleet = start_fleet(&site);
         fleet.ready().await.expect("it runs");
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
         let mut client =
             Reader::new(TcpStream::connect(listener.local_addr().expect("one")).await.expect("up"));
         let serving = fleet.serve(listener).expect("it serves");
         let mut call = Box::pin(fleet.call(get(), Duration::from_secs(8)));
-        assert!(begun(&mut call).await);
+        assert!(poll_is_pending(&mut call).await);
         client.send(&request("unsafe", "", "")).await;
-        shown(&fleet, "both are taken", |state| state.requests == 2).await;
+        wait_for_state(&fleet, "both are taken", |state| state.requests == 2).await;
         drop((fleet, serving));
         assert_eq!(client.message().await.expect("an answer").status(), 200);
         assert!(call.await.is_ok());
@@ -288,10 +290,10 @@
 
 /// Nor does it cut a front short whose classes have shorter deadlines than a stop takes: clients come until they know.
 #[test]
-fn a_plain_drop_leaves_a_front_its_time_to_stop() {
+fn after_a_drop_a_front_still_accepts_new_connections() {
     let site = Site::start(vec![Plan::default()]);
-    application(2).block_on(async {
-        let fleet = fleet_with(&site, |config| {
+    application_runtime(2).block_on(async {
+        let fleet = start_fleet_with(&site, |config| {
             for class in 0..3 {
                 config["settings"]["classes"][class]["deadline_us"] = 1_000.into();
             }
@@ -303,21 +305,22 @@
         drop((fleet, serving));
         // Long past those deadlines, and well within the half second for which new connections are taken.
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let mut late = Reader::new(TcpStream::connect(address).await.expect("it still accepts"));
-        assert_eq!(late.ask(nettleworks_standins::HEALTH).await.status(), 200);
+        let mut new_client = Reader::new(TcpStream::connect(address).await.expect("it still accepts"));
+        assert_eq!(new_client.ask(nettleworks_standins::HEALTH).await.status(), 200);
     });
 }
 
 /// An answer that nobody polls for is all that is held: its call is over, its place free, its connection idle.
 #[test]
-fn a_caller_that_never_polls_holds_its_answer_alone() {
+fn a_call_that_is_not_polled_holds_only_its_response() {
     let site = Site::start(vec![Plan { answer: 64 << 10, ..Plan::default() }]);
-    application(2).block_on(async {
+    application_runtime(2).block_on(async {
         let fleet = Fleet::builder().text(&site.configuration(|_| ())).calls(1).start().expect("it starts");
         fleet.ready().await.expect("it runs");
         let mut unread = Box::pin(fleet.call(get(), Duration::from_secs(8)));
-        assert!(begun(&mut unread).await);
-        let state = shown(&fleet, "it is over", |state| state.requests == 1 && state.calls == 0).await;
+        assert!(poll_is_pending(&mut unread).await);
+        let state =
+            wait_for_state(&fleet, "it is over", |state| state.requests == 1 && state.calls == 0).await;
         assert_eq!((state.ids, state.connections.open, state.connections.idle), (0, 1, 1));
         assert!(
             fleet.call(get(), Duration::from_secs(8)).await.is_ok(),
@@ -331,68 +334,71 @@
 /// A service is ready while there is a place, and holds the place that it was promised; without one it is not ready,
 /// and a call all the same is refused at once, with its time.
 #[test]
-fn a_service_is_not_ready_without_a_place() {
-    let site = Site::start(vec![fault(Fault::Stall)]);
-    application(2).block_on(async {
+fn a_service_is_not_ready_without_a_permit() {
+    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    application_runtime(2).block_on(async {
         let fleet = Fleet::builder().text(&site.configuration(|_| ())).calls(1).start().expect("it starts");
         fleet.ready().await.expect("it runs");
         let mut service = FleetService::new(fleet.clone(), Duration::from_secs(8));
         let mut other = service.clone();
-        ready(&mut service).await.expect("there is a place");
+        service_ready(&mut service).await.expect("there is a place");
         let refused = fleet.call(get(), Duration::from_secs(8)).await.expect_err("it is promised");
         assert!(!refused.may_have_run());
         assert!(refused.retry_after().is_some_and(|after| !after.is_zero()), "{refused:?}");
         let call = service.call(get().map(Full::new));
         {
-            let mut waits = Box::pin(ready(&mut other));
-            assert!(begun(&mut waits).await, "not ready");
+            let mut waiting = Box::pin(service_ready(&mut other));
+            assert!(poll_is_pending(&mut waiting).await, "not ready");
             drop(call);
-            tokio::time::timeout(PATIENCE, waits).await.expect("in time").expect("ready once it is gone");
+            tokio::time::timeout(TEST_TIMEOUT, waiting)
+                .await
+                .expect("in time")
+                .expect("ready once it is gone");
         }
     });
     assert_eq!(site.counts(), [0], "never polled, never sent");
 }
 
-/// What the application says wrongly is turned away with the daemon's status, and reaches no host.
+/// What the application_runtime says wrongly is turned away with the daemon's status, and reaches no host.
 #[test]
-fn what_cannot_be_used_is_a_typed_error() {
+fn invalid_requests_are_typed_errors() {
     let site = Site::start(vec![Plan::default()]);
-    application(2).block_on(async {
-        let fleet = fleet(&site);
+    application_runtime(2).block_on(async {
+        let fleet = start_fleet(&site);
         fleet.ready().await.expect("it runs");
-        let large = Request::post("/api").header("x-call-class", "unsafe");
+        let too_large = Request::post("/api").header("x-call-class", "unsafe");
         let cases = [
             (Request::get("/api").body(Bytes::new()).expect("a request"), 400),
             (post("unheard-of"), 400),
             (post("keyed"), 400),
             (post("free"), 400),
-            (large.body(Bytes::from(vec![0; (64 << 10) + 1])).expect("a request"), 413),
+            (too_large.body(Bytes::from(vec![0; (64 << 10) + 1])).expect("a request"), 413),
         ];
         for (request, status) in cases {
             let error = fleet.call(request, Duration::from_secs(8)).await.expect_err("unusable");
             assert!(matches!(error, Error::Unusable(s) if s == status), "{error:?}");
             assert_eq!((error.may_have_run(), error.into_answer().status().as_u16()), (false, status));
         }
-        let late = fleet.call(get(), Duration::ZERO).await.expect_err("no time");
-        assert!(late.retry_after().is_some());
-        let twice = || post("unsafe").map(|_| Bytes::from(vec![0; 64 << 10]));
-        assert!(fleet.call(twice(), Duration::from_secs(8)).await.is_ok(), "64 KiB go through");
+        let expired = fleet.call(get(), Duration::ZERO).await.expect_err("no time");
+        assert!(expired.retry_after().is_some());
+        let largest = || post("unsafe").map(|_| Bytes::from(vec![0; 64 << 10]));
+        assert!(fleet.call(largest(), Duration::from_secs(8)).await.is_ok(), "64 KiB go through");
     });
     assert_eq!(site.counts(), [1]);
 }
 
 /// A moved discovery is watched at once, and a broken configuration changes nothing.
 #[test]
-fn a_reload_moves_the_watch() {
+fn a_reload_changes_the_discovery_address() {
     let (old, new) =
         (Site::start(vec![Plan::default()]), Site::start(vec![Plan::default(), Plan::default()]));
-    application(2).block_on(async {
-        let fleet = fleet(&old);
+    application_runtime(2).block_on(async {
+        let fleet = start_fleet(&old);
         fleet.ready().await.expect("it runs");
         assert!(fleet.reload("{").is_err());
         assert!(fleet.call(get(), Duration::from_secs(8)).await.is_ok());
         fleet.reload(&new.configuration(|_| ())).expect("a good one");
-        shown(&fleet, "the new list", |state| state.hosts.len() == 2).await;
+        wait_for_state(&fleet, "the new list", |state| state.hosts.len() == 2).await;
         for _ in 0..20 {
             assert!(fleet.call(get(), Duration::from_secs(8)).await.is_ok());
         }
@@ -409,11 +415,11 @@
 /// Two fleets, and two copies of the library compiled apart, share nothing: neither signals, nor logs, nor the count
 /// of descriptors, nor their lists and classes.
 #[test]
-fn two_fleets_and_two_copies_share_nothing() {
+fn fleets_and_copies_of_the_library_share_no_state() {
     use nettleworks_client_second as second;
     let slow = Plan { service: Duration::from_millis(100), ..Plan::default() };
     let sites = [Site::start(vec![slow.clone()]), Site::start(vec![slow.clone()]), Site::start(vec![slow])];
-    let runtime = application(2);
+    let runtime = application_runtime(2);
     let before = handled_signals();
     let logs: [Arc<Mutex<Vec<String>>>; 3] = Default::default();
     let log = |number: usize| {
@@ -421,10 +427,10 @@
         move |line: &str| log.lock().expect("no panic").push(line.to_owned())
     };
     // The first may hold two fifths of 32 descriptors to hosts; the others far more.
-    let few = sites[0].configuration(|config| config["limits"]["sockets"] = 64.into());
-    let one = Fleet::builder().text(&few).log(log(0)).start().expect("it starts");
+    let low_limit = sites[0].configuration(|config| config["limits"]["sockets"] = 64.into());
+    let one = Fleet::builder().text(&low_limit).log(log(0)).start().expect("it starts");
     let other_classes =
-        sites[1].configuration(|config| config["settings"]["classes"][0]["name"] = "door".into());
+        sites[1].configuration(|config| config["settings"]["classes"][0]["name"] = "query".into());
     let two = Fleet::builder().text(&other_classes).log(log(1)).start().expect("it starts");
     let copy =
         second::Fleet::builder().text(&sites[2].configuration(|_| ())).log(log(2)).start().expect("starts");
@@ -434,13 +440,13 @@
         two.ready().await.expect("it runs");
         copy.ready().await.expect("it runs");
         let mut calls = JoinSet::new();
-        let door =
-            || Request::get("/api").header("x-call-class", "door").body(Bytes::new()).expect("a request");
+        let query =
+            || Request::get("/api").header("x-call-class", "query").body(Bytes::new()).expect("a request");
         for _ in 0..20 {
-            let (a, b, c) = (one.clone(), two.clone(), copy.clone());
-            calls.spawn(async move { ("one", a.call(get(), Duration::from_secs(8)).await.is_ok()) });
-            calls.spawn(async move { ("two", b.call(door(), Duration::from_secs(8)).await.is_ok()) });
-            calls.spawn(async move { ("copy", c.call(get(), Duration::from_secs(8)).await.is_ok()) });
+            let (one, two, copy) = (one.clone(), two.clone(), copy.clone());
+            calls.spawn(async move { ("one", one.call(get(), Duration::from_secs(8)).await.is_ok()) });
+            calls.spawn(async move { ("two", two.call(query(), Duration::from_secs(8)).await.is_ok()) });
+            calls.spawn(async move { ("copy", copy.call(get(), Duration::from_secs(8)).await.is_ok()) });
         }
         let mut served: BTreeMap<&str, usize> = BTreeMap::new();
         while let Some(call) = calls.join_next().await {
@@ -448,26 +454,26 @@
             *served.entry(name).or_default() += usize::from(ok);
         }
         assert_eq!((served["two"], served["copy"]), (20, 20));
-        assert!(two.call(get(), PATIENCE).await.is_err(), "its classes are its own");
-        let most = sites[0].with(|inside| inside.hosts[0].opened.get());
-        assert!(most <= 12, "{most}");
-        one.shutdown(PATIENCE).await.expect("all is answered");
+        assert!(two.call(get(), TEST_TIMEOUT).await.is_err(), "its classes are its own");
+        let opened = sites[0].with(|stand_ins| stand_ins.hosts[0].opened.get());
+        assert!(opened <= 12, "{opened}");
+        one.shutdown(TEST_TIMEOUT).await.expect("all is answered");
         assert!(copy.call(get(), Duration::from_secs(8)).await.is_ok(), "the others go on");
-        assert!(two.call(door(), Duration::from_secs(8)).await.is_ok());
+        assert!(two.call(query(), Duration::from_secs(8)).await.is_ok());
     });
     assert_eq!(handled_signals(), before);
     for (log, site) in logs.iter().zip(&sites) {
         let log = log.lock().expect("no panic");
-        let address = site.with(|inside| inside.hosts[0].address).to_string();
-        let named: Vec<_> = log.iter().filter(|line| line.contains(" is node-0 at ")).collect();
-        assert!(named.len() == 1 && named[0].ends_with(&address), "{log:?}");
+        let address = site.with(|stand_ins| stand_ins.hosts[0].address).to_string();
+        let host_lines: Vec<_> = log.iter().filter(|line| line.contains(" is node-0 at ")).collect();
+        assert!(host_lines.len() == 1 && host_lines[0].ends_with(&address), "{log:?}");
     }
 }
 
 /// 10,000 calls whose handlers panic at 5%: each of the others has one final answer, no unsafe effect is had twice,
 /// and nothing is left.
 #[test]
-fn ten_thousand_calls_with_panicking_handlers() {
+fn ten_thousand_calls_with_panicking_handlers_end_once_each() {
     const CALLS: usize = 10_000;
     let plan = Plan {
         service: Duration::from_millis(1),
@@ -484,8 +490,8 @@
     };
     let site = Site::start(vec![plan.clone(), plan.clone(), plan.clone(), plan]);
     let (mut answers, mut panics) = ([0_usize; 4], 0);
-    application(2).block_on(async {
-        let fleet = fleet(&site);
+    application_runtime(2).block_on(async {
+        let fleet = start_fleet(&site);
         fleet.ready().await.expect("it runs");
         let mut handlers = JoinSet::new();
         let mut next = 0;
@@ -503,10 +509,10 @@
                 handlers.spawn(async move {
                     let mut call = Box::pin(fleet.call(call, Duration::from_secs(4)));
                     if dice.happens(0.05) {
-                        let _ = begun(&mut call).await;
+                        let _ = poll_is_pending(&mut call).await;
                         tokio::time::sleep(dice.time(Duration::from_millis(1))).await;
                         // The hook would write 500 traces.
-                        std::panic::resume_unwind(Box::new("the handler's own"));
+                        std::panic::resume_unwind(Box::new("panic of the handler"));
                     }
                     call.await
                 });
@@ -523,12 +529,12 @@
         }
         // The state is shown once a second: what is shown now may be from before the calls. One that is dropped before
         // the engine took it is never taken.
-        let taken = |state: &State| usize::try_from(state.requests).expect("a count");
-        shown(&fleet, "all are taken", |state| taken(state) + panics >= CALLS).await;
-        nothing_left(&fleet).await;
-        let taken = taken(&fleet.watch().borrow());
-        assert!(taken <= CALLS, "{taken} taken, {panics} panics");
-        fleet.shutdown(PATIENCE).await.expect("nothing is open");
+        let accepted = |state: &State| usize::try_from(state.requests).expect("a count");
+        wait_for_state(&fleet, "all are taken", |state| accepted(state) + panics >= CALLS).await;
+        wait_until_idle(&fleet).await;
+        let accepted = accepted(&fleet.watch().borrow());
+        assert!(accepted <= CALLS, "{accepted} accepted, {panics} panics");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("nothing is open");
     });
     let [served, refused, failed, other] = answers;
     assert_eq!(served + refused + failed + other + panics, CALLS, "one end each");
@@ -540,41 +546,41 @@
 
 /// What a fleet is built from in code meets the daemon's checks.
 #[test]
-fn a_configuration_in_code_is_checked_as_a_file_is() {
+fn a_configuration_in_code_is_validated_like_a_file() {
     use nettleworks_client::{ClassKind, StartError};
     let site = Site::start(vec![Plan::default()]);
     let seconds = Duration::from_secs;
-    let built = || {
+    let valid_builder = || {
         Fleet::builder()
             .discovery(site.discovery)
-            .class("door", ClassKind::Keyed { window: seconds(1) }, seconds(1), seconds(2))
+            .class("query", ClassKind::Keyed { window: seconds(1) }, seconds(1), seconds(2))
             .class("charge", ClassKind::Unsafe, seconds(1), seconds(2))
     };
-    let bad = [
+    let invalid = [
         (Fleet::builder().start(), "discovery"),
-        (built().sockets(12).start(), "sockets"),
-        (built().text("{").start(), "EOF"),
-        (built().text("[]").seed(4).start(), ""),
-        (built().calls(0).start(), "0 open calls"),
+        (valid_builder().sockets(12).start(), "sockets"),
+        (valid_builder().text("{").start(), "EOF"),
+        (valid_builder().text("[]").seed(4).start(), ""),
+        (valid_builder().calls(0).start(), "0 open calls"),
     ];
-    for (start, reason) in bad {
+    for (start, reason) in invalid {
         let Err(StartError::Configuration(text)) = start else { panic!("{reason}: {start:?}") };
         assert!(text.contains(reason), "{text}");
     }
     assert!(Fleet::builder().file("/no/such/file").is_err());
-    application(1).block_on(async {
-        let fleet = built().start().expect("a good one");
+    application_runtime(1).block_on(async {
+        let fleet = valid_builder().start().expect("a good one");
         fleet.ready().await.expect("it runs");
         assert!(fleet.call(post("charge"), seconds(2)).await.is_ok());
     });
 }
 
-/// A front on a listener of the application's runtime.
+/// A front on a listener of the application_runtime's runtime.
 #[test]
-fn a_listener_may_come_from_another_runtime() {
+fn a_front_accepts_a_tokio_listener() {
     let site = Site::start(vec![Plan::default()]);
-    application(1).block_on(async {
-        let fleet = fleet(&site);
+    application_runtime(1).block_on(async {
+        let fleet = start_fleet(&site);
         fleet.ready().await.expect("it runs");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
--- a/library/tests/layer.rs
+++ b/library/tests/layer.rs
@@ -16,13 +16,13 @@
 use tokio::task::spawn_local;
 
 /// An application with a fleet before it and behind it.
-async fn start(site: &Site) -> (Fleet, SocketAddr) {
+async fn start_application(site: &Site) -> (Fleet, SocketAddr) {
     let fleet = Fleet::builder().text(&site.configuration(|_| ())).start().expect("it starts");
     fleet.ready().await.expect("it runs");
     let app = Router::new()
         .route("/echo", post(|body: Body| async { Response::new(body) }))
-        .route("/said", get(said))
-        .route("/onward", post(onward))
+        .route("/context", get(describe_context))
+        .route("/forward", post(forward))
         .with_state(fleet.clone())
         .layer(FleetLayer::new(fleet.clone()));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -31,18 +31,18 @@
     (fleet, address)
 }
 
-async fn client(address: SocketAddr) -> Client {
+async fn connect(address: SocketAddr) -> Client {
     Reader::new(TcpStream::connect(address).await.expect("it accepts"))
 }
 
 /// What the extractor hands on.
-async fn said(context: CallContext) -> String {
-    let remaining = context.remaining().map(|left| left.as_millis());
+async fn describe_context(context: CallContext) -> String {
+    let remaining = context.remaining().map(|remaining| remaining.as_millis());
     format!("{:?} {:?} {:?} {:?}", context.class(), context.tenant(), context.key(), remaining)
 }
 
 /// A handler that makes a call of its own in its caller's context.
-async fn onward(State(fleet): State<Fleet>, context: CallContext, body: Bytes) -> Response {
+async fn forward(State(fleet): State<Fleet>, context: CallContext, body: Bytes) -> Response {
     let mut call = Request::post("/api?from=handler").body(body).expect("a request");
     context.apply(&mut call);
     match fleet.call(call, Duration::from_secs(5)).await {
@@ -52,51 +52,51 @@
     }
 }
 
-fn one() -> Site {
+fn single_host_site() -> Site {
     Site::start(vec![Plan::default()])
 }
 
 /// A body that streams through the application is none of the fleet's: it is neither held nor bounded.
 #[test]
-fn bodies_stream_through_to_the_application() {
+fn bodies_are_streamed_to_the_application() {
     run(async {
-        let site = one();
-        let (_fleet, address) = start(&site).await;
-        let mut client = client(address).await;
+        let site = single_host_site();
+        let (_fleet, address) = start_application(&site).await;
+        let mut client = connect(address).await;
         client.send("POST /echo HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n").await;
         // The first piece comes back before the last is sent.
-        let mut seen = Vec::new();
-        while !seen.windows(3).any(|window| window == b"one") {
-            tokio::io::AsyncReadExt::read_buf(&mut client.stream, &mut seen).await.expect("read");
+        let mut received = Vec::new();
+        while !received.windows(3).any(|window| window == b"one") {
+            tokio::io::AsyncReadExt::read_buf(&mut client.stream, &mut received).await.expect("read");
         }
         let large = 70 << 10;
         let rest = format!("{large:x}\r\n{}\r\n0\r\n\r\n", "x".repeat(large));
         let (mut read, mut write) = client.stream.split();
-        let written = async { write.write_all(rest.as_bytes()).await.expect("written") };
-        let back = async {
-            while !seen.ends_with(b"0\r\n\r\n") {
-                tokio::io::AsyncReadExt::read_buf(&mut read, &mut seen).await.expect("read");
+        let write_rest = async { write.write_all(rest.as_bytes()).await.expect("written") };
+        let read_echo = async {
+            while !received.ends_with(b"0\r\n\r\n") {
+                tokio::io::AsyncReadExt::read_buf(&mut read, &mut received).await.expect("read");
             }
         };
-        tokio::join!(written, back);
-        assert!(seen.len() > large);
+        tokio::join!(write_rest, read_echo);
+        assert!(received.len() > large);
         assert_eq!(site.counts(), [0]);
     });
 }
 
 /// What goes over the fleet is bounded as the daemon has it: 64 KiB pass, one byte more does not, and no host sees it.
 #[test]
-fn a_body_of_one_byte_too_many_is_turned_away() {
+fn a_body_above_the_limit_is_rejected() {
     run(async {
-        let site = one();
-        let (_fleet, address) = start(&site).await;
-        let exact = request("unsafe", "", &"x".repeat(64 << 10));
-        assert_eq!(client(address).await.ask(&exact).await.status(), 200);
-        let over = request("unsafe", "", &"x".repeat((64 << 10) + 1));
-        assert_eq!(client(address).await.ask(&over).await.status(), 413);
+        let site = single_host_site();
+        let (_fleet, address) = start_application(&site).await;
+        let largest = request("unsafe", "", &"x".repeat(64 << 10));
+        assert_eq!(connect(address).await.ask(&largest).await.status(), 200);
+        let too_large = request("unsafe", "", &"x".repeat((64 << 10) + 1));
+        assert_eq!(connect(address).await.ask(&too_large).await.status(), 413);
         // The handler's own call too, though its body came to the application.
-        let onward = over.replace("/api", "/onward");
-        let answer = client(address).await.ask(&onward).await;
+        let forwarded = too_large.replace("/api", "/forward");
+        let answer = connect(address).await.ask(&forwarded).await;
         assert_eq!((answer.status(), answer.body.as_slice()), (418, &b"413 Payload Too Large"[..]));
         assert_eq!(site.counts(), [1]);
     });
@@ -104,18 +104,18 @@
 
 /// A client that waits to be told to go on is told so, and only once its head can be used.
 #[test]
-fn an_expectation_is_met_once_the_head_is_usable() {
+fn an_expectation_is_met_after_the_head_is_validated() {
     run(async {
-        let site = one();
-        let (_fleet, address) = start(&site).await;
+        let site = single_host_site();
+        let (_fleet, address) = start_application(&site).await;
         let text = request("unsafe", "Expect: 100-continue\r\n", "the body");
         let (head, body) = text.split_at(text.len() - 8);
-        let mut good = client(address).await;
+        let mut good = connect(address).await;
         good.send(head).await;
         assert_eq!(good.message().await.expect("told to go on").status(), 100);
         good.send(body).await;
         assert_eq!(good.message().await.expect("an answer").status(), 200);
-        let mut large = client(address).await;
+        let mut large = connect(address).await;
         large.send(&head.replace("Content-Length: 8", "Content-Length: 80000")).await;
         // hyper tells it to go on when what comes is read on to be thrown away; its answer is the same.
         let mut answer = large.message().await.expect("an answer");
@@ -129,11 +129,11 @@
 
 /// A body that does not come in time has its answer within the daemon's time for it.
 #[test]
-fn a_body_that_does_not_come_is_given_up() {
+fn a_body_that_does_not_arrive_times_out() {
     run(async {
-        let site = one();
-        let (_fleet, address) = start(&site).await;
-        let mut slow = client(address).await;
+        let site = single_host_site();
+        let (_fleet, address) = start_application(&site).await;
+        let mut slow = connect(address).await;
         let text = request("unsafe", "", "the body");
         slow.send(&text[..text.len() - 1]).await;
         assert_eq!(slow.message().await.expect("an answer").status(), 408);
@@ -144,57 +144,57 @@
 /// What a request says of itself reaches its handler, with its time running from its arrival; what it does not say is
 /// not made up, and a call without a class is turned away.
 #[test]
-fn the_extractor_hands_on_what_is_said() {
+fn the_extractor_provides_the_requests_headers() {
     run(async {
-        let site = one();
-        let (_fleet, address) = start(&site).await;
-        let said = "GET /said HTTP/1.1\r\nHost: a\r\nX-Call-Class: keyed\r\nX-Caller: acme\r\n\
+        let site = single_host_site();
+        let (_fleet, address) = start_application(&site).await;
+        let with_headers = "GET /context HTTP/1.1\r\nHost: a\r\nX-Call-Class: keyed\r\nX-Caller: acme\r\n\
                     Idempotency-Key: k1\r\nX-Budget-Ms: 60000\r\n\r\n";
-        let answer = String::from_utf8(client(address).await.ask(said).await.body).expect("text");
-        let left = answer.strip_prefix("Some(\"keyed\") Some(\"acme\") Some(\"k1\") Some(");
-        let left: u64 = left.and_then(|rest| rest.strip_suffix(')')?.parse().ok()).expect("a time");
-        assert!((50_000..60_000).contains(&left), "{answer}");
-        let unsaid = client(address).await.ask("GET /said HTTP/1.1\r\nHost: a\r\n\r\n").await;
-        assert_eq!(unsaid.body, b"None None None None");
-        let mut client = client(address).await;
-        let unset = "POST /onward HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
-        let answer = client.ask(unset).await;
+        let answer = String::from_utf8(connect(address).await.ask(with_headers).await.body).expect("text");
+        let budget = answer.strip_prefix("Some(\"keyed\") Some(\"acme\") Some(\"k1\") Some(");
+        let budget: u64 = budget.and_then(|rest| rest.strip_suffix(')')?.parse().ok()).expect("a time");
+        assert!((50_000..60_000).contains(&budget), "{answer}");
+        let without_headers = connect(address).await.ask("GET /context HTTP/1.1\r\nHost: a\r\n\r\n").await;
+        assert_eq!(without_headers.body, b"None None None None");
+        let mut client = connect(address).await;
+        let without_class = "POST /forward HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
+        let answer = client.ask(without_class).await;
         assert_eq!((answer.status(), answer.body.as_slice()), (418, &b"400 Bad Request"[..]));
         assert_eq!(site.counts(), [0], "a class is not made up");
-        let onward = request("keyed", "", "x").replace("/api", "/onward");
-        assert_eq!(client.ask(&onward).await.status(), 200);
+        let forwarded = request("keyed", "", "x").replace("/api", "/forward");
+        assert_eq!(client.ask(&forwarded).await.status(), 200);
         let effect = site.ledger.effects().pop().expect("it ran");
-        let key = onward.lines().find_map(|line| line.strip_prefix("Idempotency-Key: "));
+        let key = forwarded.lines().find_map(|line| line.strip_prefix("Idempotency-Key: "));
         assert_eq!(effect.key.as_deref(), key);
         assert_ne!(
             Some(effect.call.as_str()),
-            onward.lines().find_map(|line| line.strip_prefix("X-Call-Id: "))
+            forwarded.lines().find_map(|line| line.strip_prefix("X-Call-Id: "))
         );
     });
 }
 
 /// The layer takes over the one path that it is told, and its refusals carry advice.
 #[test]
-fn other_paths_are_the_applications() {
+fn other_paths_are_passed_to_the_application() {
     run(async {
-        let site = one();
+        let site = single_host_site();
         let fleet = Fleet::builder().text(&site.configuration(|_| ())).start().expect("it starts");
         fleet.ready().await.expect("it runs");
         let inner = tower::service_fn(|_: Request<Body>| async {
             Ok::<_, Infallible>(Response::builder().status(418).body(Body::empty()).expect("an answer"))
         });
-        let mut app = tower::Layer::layer(&FleetLayer::new(fleet.clone()).path("/doors"), inner);
-        let mut ask = async |path: &str| {
+        let mut app = tower::Layer::layer(&FleetLayer::new(fleet.clone()).path("/fleet"), inner);
+        let mut send = async |path: &str| {
             let request = Request::get(path).header("x-call-id", "1").header("x-call-class", "free");
             let request = request.header("x-budget-ms", "5000").body(Body::empty()).expect("a request");
             let answer = tower::Service::call(&mut app, request).await.expect("infallible");
             (answer.status().as_u16(), answer.headers().contains_key("retry-after"))
         };
-        assert_eq!(ask("/doors").await, (200, false));
-        assert_eq!(ask("/api").await, (418, false));
-        assert_eq!(ask("/doors/1").await, (418, false));
+        assert_eq!(send("/fleet").await, (200, false));
+        assert_eq!(send("/api").await, (418, false));
+        assert_eq!(send("/fleet/1").await, (418, false));
         fleet.shutdown(Duration::from_secs(5)).await.expect("nothing is open");
-        assert_eq!(ask("/doors").await, (503, true));
-        assert_eq!(ask("/api").await, (418, false), "the application goes on");
+        assert_eq!(send("/fleet").await, (503, true));
+        assert_eq!(send("/api").await, (418, false), "the application goes on");
     });
 }
--- a/library/tests/serve.rs
+++ b/library/tests/serve.rs
@@ -2,7 +2,7 @@
 
 const CORES: usize = 1;
 
-#[path = "suite/served.rs"]
+#[path = "suite/harness.rs"]
 mod harness;
 #[path = "../../proxy/tests/suite/listening.rs"]
 mod listening;
--- a/library/tests/suite/served.rs
+++ b/library/tests/suite/harness.rs
@@ -11,9 +11,9 @@
 /// Engines that serve as one.
 pub const ENGINES: usize = crate::CORES;
 
-pub struct Served;
+pub struct FleetServe;
 
-impl Form for Served {
+impl Form for FleetServe {
     async fn start(setup: Setup, stop: oneshot::Receiver<()>) -> (SocketAddr, JoinHandle<()>) {
         let builder = Fleet::builder().text(&setup.config).cores(crate::CORES);
         let builder = setup.keys.iter().fold(builder, |builder, keys| builder.keys(keys));
@@ -31,4 +31,4 @@
     }
 }
 
-pub type Proxy = nettleworks_standins::Proxy<Served>;
+pub type Proxy = nettleworks_standins::Proxy<FleetServe>;
--- a/library/tests/suite/keys.rs
+++ b/library/tests/suite/keys.rs
@@ -10,30 +10,30 @@
 use tokio::runtime::Runtime;
 use tokio::task::JoinSet;
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const SECONDS: Duration = Duration::from_secs(8);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+const CALL_DEADLINE: Duration = Duration::from_secs(8);
 /// Hosts get the keys of charges here, so that their ledger counts runs by key.
-const KEYS: &str = r#"{"classes": {"unsafe": {"forward": true}}}"#;
+const FORWARDED_KEYS: &str = r#"{"classes": {"unsafe": {"forward": true}}}"#;
 
-fn application() -> Runtime {
+fn runtime() -> Runtime {
     tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("a runtime")
 }
 
-fn run<T>(test: impl Future<Output = T>) -> T {
-    application()
-        .block_on(async { tokio::time::timeout(PATIENCE, test).await.expect("the test ends in time") })
+fn run_test<T>(test: impl Future<Output = T>) -> T {
+    runtime()
+        .block_on(async { tokio::time::timeout(TEST_TIMEOUT, test).await.expect("the test ends in time") })
 }
 
-fn builder() -> Builder {
+fn fleet_builder() -> Builder {
     Fleet::builder().cores(crate::harness::CORES)
 }
 
-async fn fleet(site: &Site, keys: &str) -> Fleet {
-    fleet_with(site, keys, |_| ()).await
+async fn start_fleet(site: &Site, keys: &str) -> Fleet {
+    start_fleet_with(site, keys, |_| ()).await
 }
 
-async fn fleet_with(site: &Site, keys: &str, change: impl FnOnce(&mut serde_json::Value)) -> Fleet {
-    let fleet = builder().text(&site.configuration(change)).keys(keys).start().expect("it starts");
+async fn start_fleet_with(site: &Site, keys: &str, change: impl FnOnce(&mut serde_json::Value)) -> Fleet {
+    let fleet = fleet_builder().text(&site.configuration(change)).keys(keys).start().expect("it starts");
     fleet.ready().await.expect("it runs");
     fleet
 }
@@ -48,85 +48,89 @@
     answer.headers().get("idempotency-replayed").is_some_and(|value| value == "true")
 }
 
-async fn shown(fleet: &Fleet, what: &str, met: impl FnMut(&State) -> bool) -> State {
+async fn wait_for_state(fleet: &Fleet, what: &str, condition: impl FnMut(&State) -> bool) -> State {
     let mut state = fleet.watch();
-    let shown = tokio::time::timeout(PATIENCE, state.wait_for(met)).await;
-    let state = shown.unwrap_or_else(|_| panic!("never: {what}")).expect("it runs").clone();
+    let reached = tokio::time::timeout(TEST_TIMEOUT, state.wait_for(condition)).await;
+    let state = reached.unwrap_or_else(|_| panic!("never: {what}")).expect("it runs").clone();
     state
 }
 
-async fn joined(fleet: &Fleet, count: u64) {
-    shown(fleet, "they wait", |state| state.keys.is_some_and(|(counts, ..)| counts.joined == count)).await;
+async fn wait_for_joined(fleet: &Fleet, count: u64) {
+    wait_for_state(fleet, "they wait", |state| state.keys.is_some_and(|(counts, ..)| counts.joined == count))
+        .await;
 }
 
 /// There is no answer, and the key is at this.
-fn is(answer: Result<Response<Bytes>, Error>, state: KeyState) {
+fn assert_unsure(answer: Result<Response<Bytes>, Error>, state: KeyState) {
     let error = answer.expect_err("no answer");
-    assert!(matches!(error, Error::Unsure { state: at, .. } if at == state), "{error:?}, not {state:?}");
+    assert!(
+        matches!(error, Error::Unsure { state: actual, .. } if actual == state),
+        "{error:?}, not {state:?}"
+    );
     assert!(error.may_have_run());
 }
 
-fn echoing(service: Duration) -> Plan {
+fn echo_plan(service: Duration) -> Plan {
     Plan { service, echo: true, ..Plan::default() }
 }
 
-fn fault(fault: Fault) -> Plan {
+fn failing_plan(fault: Fault) -> Plan {
     Plan { faults: vec![(fault, 1.0)], echo: true, ..Plan::default() }
 }
 
 /// Repeats that come while the first runs wait with it, later ones get what is kept; each gets the first's answer,
 /// byte for byte, and the host has run it once. Another request under the key gets neither.
 #[test]
-fn a_repeat_gets_the_firsts_answer() {
-    let site = Site::start(vec![echoing(Duration::from_millis(300))]);
-    run(async {
-        let fleet = fleet(&site, KEYS).await;
+fn a_repeat_gets_the_answer_of_the_first_request() {
+    let site = Site::start(vec![echo_plan(Duration::from_millis(300))]);
+    run_test(async {
+        let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let mut calls = JoinSet::new();
         for _ in 0..5 {
-            calls.spawn(fleet.call(post("unsafe", "k1"), SECONDS));
+            calls.spawn(fleet.call(post("unsafe", "k1"), CALL_DEADLINE));
         }
         let mut bodies = Vec::new();
-        let mut marked = 0;
+        let mut replays = 0;
         while let Some(answer) = calls.join_next().await {
             let answer = answer.expect("no panic").expect("served");
-            marked += usize::from(replayed(&answer));
+            replays += usize::from(replayed(&answer));
             bodies.push(answer.into_body());
         }
-        let later = fleet.call(post("unsafe", "k1"), SECONDS).await.expect("served");
+        let later = fleet.call(post("unsafe", "k1"), CALL_DEADLINE).await.expect("served");
         assert!(replayed(&later));
         bodies.push(later.into_body());
         assert!(bodies.iter().all(|body| *body == bodies[0] && !body.is_empty()), "{bodies:?}");
-        assert_eq!(marked, 4, "all but the first's");
+        assert_eq!(replays, 4, "all but the first's");
         let other = post("unsafe", "k1").map(|_| Bytes::from_static(b"pays more"));
-        let error = fleet.call(other, SECONDS).await.expect_err("another request");
+        let error = fleet.call(other, CALL_DEADLINE).await.expect_err("another request");
         assert_eq!(error, Error::Unusable(StatusCode::UNPROCESSABLE_ENTITY));
         // The same key of another class is another key.
-        assert!(!replayed(&fleet.call(post("keyed", "k1"), SECONDS).await.expect("served")));
+        assert!(!replayed(&fleet.call(post("keyed", "k1"), CALL_DEADLINE).await.expect("served")));
         // The state is shown once a second: what is shown now may be from while they were open.
-        shown(&fleet, "all were taken, and their ids are free", |state| {
+        wait_for_state(&fleet, "all were taken, and their ids are free", |state| {
             state.requests == 8 && state.ids <= 1
         })
         .await;
-        fleet.shutdown(PATIENCE).await.expect("nothing is open");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("nothing is open");
     });
     assert_eq!(site.ledger.len(), 2);
 }
 
 /// After an end of which nobody knows, a repeat gets the failure and there is no new attempt; those who waited too.
 #[test]
-fn after_an_unsure_end_nothing_goes_again() {
+fn after_an_unknown_outcome_nothing_is_sent_again() {
     for faulty in [Fault::ResetAfter, Fault::Garble, Fault::Cut, Fault::Error] {
-        let site = Site::start(vec![fault(faulty), fault(faulty)]);
-        run(async {
-            let fleet = fleet(&site, KEYS).await;
+        let site = Site::start(vec![failing_plan(faulty), failing_plan(faulty)]);
+        run_test(async {
+            let fleet = start_fleet(&site, FORWARDED_KEYS).await;
             let mut calls = JoinSet::new();
             for _ in 0..4 {
-                calls.spawn(fleet.call(post("unsafe", "k"), SECONDS));
+                calls.spawn(fleet.call(post("unsafe", "k"), CALL_DEADLINE));
             }
             while let Some(answer) = calls.join_next().await {
-                is(answer.expect("no panic"), KeyState::Unsure);
+                assert_unsure(answer.expect("no panic"), KeyState::Unsure);
             }
-            is(fleet.call(post("unsafe", "k"), SECONDS).await, KeyState::Unsure);
+            assert_unsure(fleet.call(post("unsafe", "k"), CALL_DEADLINE).await, KeyState::Unsure);
         });
         assert_eq!(site.ledger.len(), 1, "{faulty:?}");
     }
@@ -134,62 +138,62 @@
 
 /// After an end that surely never ran, one that waits becomes the first, and each is told that it never ran.
 #[test]
-fn after_one_that_never_ran_a_repeat_is_the_first() {
-    let site = Site::start(vec![fault(Fault::TurnAway)]);
-    run(async {
-        let fleet = fleet(&site, KEYS).await;
+fn after_a_refusal_a_repeat_is_sent_as_the_first_request() {
+    let site = Site::start(vec![failing_plan(Fault::TurnAway)]);
+    run_test(async {
+        let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         for _ in 0..2 {
             let mut calls = JoinSet::new();
             for _ in 0..3 {
-                calls.spawn(fleet.call(post("unsafe", "k"), SECONDS));
+                calls.spawn(fleet.call(post("unsafe", "k"), CALL_DEADLINE));
             }
             while let Some(answer) = calls.join_next().await {
                 let error = answer.expect("no panic").expect_err("turned away");
                 assert!(!error.may_have_run() && error.retry_after().is_some(), "{error:?}");
             }
         }
-        site.with(|inside| *inside.hosts[0].plan.borrow_mut() = Some(echoing(Duration::ZERO)));
+        site.with(|stand_ins| *stand_ins.hosts[0].plan.borrow_mut() = Some(echo_plan(Duration::ZERO)));
         // The host is set aside for a while.
         loop {
-            match fleet.call(post("unsafe", "k"), SECONDS).await {
+            match fleet.call(post("unsafe", "k"), CALL_DEADLINE).await {
                 Ok(answer) => break assert!(!replayed(&answer)),
                 Err(error) => tokio::time::sleep(error.retry_after().expect("it never ran")).await,
             }
         }
-        assert!(replayed(&fleet.call(post("unsafe", "k"), SECONDS).await.expect("served")));
+        assert!(replayed(&fleet.call(post("unsafe", "k"), CALL_DEADLINE).await.expect("served")));
     });
     assert_eq!(site.ledger.len(), 1);
 }
 
-/// The first's client goes, and the repeat that waits gets the answer; both go, and the attempt is called off.
+/// The first's client goes, and the repeat that waits gets the answer; both go, and the attempt is called without_detaching.
 #[test]
-fn a_call_goes_on_until_the_last_who_waits_has_gone() {
-    let site = Site::start(vec![fault(Fault::Stall)]);
-    run(async {
+fn a_call_continues_until_its_last_waiter_cancels() {
+    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    run_test(async {
         // Without lingering: what that changes is tests/lingering.rs.
-        let fleet = fleet_with(&site, r#"{"lingering": 0}"#, |config| {
+        let fleet = start_fleet_with(&site, r#"{"lingering": 0}"#, |config| {
             for time in ["objective_us", "deadline_us"] {
                 config["settings"]["classes"][2][time] = 600_000_000.into();
             }
         })
         .await;
-        let long = Duration::from_secs(600);
-        let first = tokio::spawn(fleet.call(post("unsafe", "k1"), long));
-        shown(&fleet, "it is sent", |state| state.attempts == 1).await;
-        let repeat = tokio::spawn(fleet.call(post("unsafe", "k1"), long));
-        joined(&fleet, 1).await;
+        let long_deadline = Duration::from_secs(600);
+        let first = tokio::spawn(fleet.call(post("unsafe", "k1"), long_deadline));
+        wait_for_state(&fleet, "it is sent", |state| state.attempts == 1).await;
+        let repeat = tokio::spawn(fleet.call(post("unsafe", "k1"), long_deadline));
+        wait_for_joined(&fleet, 1).await;
         first.abort();
         assert!(first.await.is_err());
-        site.with(|inside| inside.hosts[0].release.notify_one());
+        site.with(|stand_ins| stand_ins.hosts[0].release.notify_one());
         let answer = repeat.await.expect("no panic").expect("served");
         assert_eq!(&answer.body()[..], b"released");
-        let both = [0, 1].map(|_| tokio::spawn(fleet.call(post("unsafe", "k2"), long)));
-        joined(&fleet, 2).await;
-        shown(&fleet, "it is sent", |state| state.attempts == 2).await;
+        let both = [0, 1].map(|_| tokio::spawn(fleet.call(post("unsafe", "k2"), long_deadline)));
+        wait_for_joined(&fleet, 2).await;
+        wait_for_state(&fleet, "it is sent", |state| state.attempts == 2).await;
         both.iter().for_each(|call| call.abort());
-        shown(&fleet, "nothing is left", |state| (state.calls, state.ids) == (0, 0)).await;
-        let again = fleet.call(post("unsafe", "k2"), long).await;
-        is(again, KeyState::Unsure);
+        wait_for_state(&fleet, "nothing is left", |state| (state.calls, state.ids) == (0, 0)).await;
+        let again = fleet.call(post("unsafe", "k2"), long_deadline).await;
+        assert_unsure(again, KeyState::Unsure);
     });
     assert_eq!(site.counts(), [2]);
 }
@@ -197,19 +201,19 @@
 /// The first's time runs out while a repeat waits longer: the first gets its failure in its time, the call goes on,
 /// and the repeat gets the answer. A repeat with less time gets its failure first.
 #[test]
-fn each_who_waits_has_its_own_deadline() {
-    let site = Site::start(vec![fault(Fault::Stall)]);
-    run(async {
-        let fleet = fleet(&site, KEYS).await;
+fn each_waiter_has_its_own_deadline() {
+    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    run_test(async {
+        let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let first = tokio::spawn(fleet.call(post("unsafe", "k"), Duration::from_millis(1_500)));
-        shown(&fleet, "it is sent", |state| state.attempts == 1).await;
-        let long = tokio::spawn(fleet.call(post("unsafe", "k"), SECONDS));
+        wait_for_state(&fleet, "it is sent", |state| state.attempts == 1).await;
+        let long = tokio::spawn(fleet.call(post("unsafe", "k"), CALL_DEADLINE));
         let short = tokio::spawn(fleet.call(post("unsafe", "k"), Duration::from_millis(50)));
-        is(short.await.expect("no panic"), KeyState::Running);
+        assert_unsure(short.await.expect("no panic"), KeyState::Running);
         assert!(!first.is_finished(), "the others wait on");
-        is(first.await.expect("no panic"), KeyState::Running);
+        assert_unsure(first.await.expect("no panic"), KeyState::Running);
         assert!(!long.is_finished(), "it waits on");
-        site.with(|inside| inside.hosts[0].release.notify_one());
+        site.with(|stand_ins| stand_ins.hosts[0].release.notify_one());
         assert_eq!(&long.await.expect("no panic").expect("served").body()[..], b"released");
     });
     assert_eq!(site.counts(), [1], "one attempt for all");
@@ -217,29 +221,39 @@
 
 /// A store without room refuses an unsafe request, which never ran, and passes a keyed one; another tenant keeps its.
 #[test]
-fn without_room_an_unsafe_request_is_refused() {
-    let site = Site::start(vec![fault(Fault::Stall)]);
-    run(async {
+fn a_full_store_refuses_unsafe_requests() {
+    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    run_test(async {
         let keys = r#"{"entries": 3, "entries_a_tenant": 2}"#;
         let tenants = |config: &mut serde_json::Value| {
             config["settings"]["tenants"] = serde_json::json!([{"name": "a"}, {"name": "b"}]);
         };
-        let fleet = fleet_with(&site, keys, tenants).await;
-        let of = |tenant: &str, key: &str| {
+        let fleet = start_fleet_with(&site, keys, tenants).await;
+        let tenant_post = |tenant: &str, key: &str| {
             let mut request = post("unsafe", key);
             request.headers_mut().insert("x-caller", tenant.parse().expect("a value"));
             request
         };
-        let running: Vec<_> = ["1", "2"].map(|key| tokio::spawn(fleet.call(of("a", key), SECONDS))).into();
-        shown(&fleet, "both are held", |state| state.keys.is_some_and(|(_, held, _)| held == 2)).await;
-        let refused = fleet.call(of("a", "3"), SECONDS).await.expect_err("its tenant has too many");
+        let running: Vec<_> =
+            ["1", "2"].map(|key| tokio::spawn(fleet.call(tenant_post("a", key), CALL_DEADLINE))).into();
+        wait_for_state(&fleet, "both are held", |state| state.keys.is_some_and(|(_, held, _)| held == 2))
+            .await;
+        let refused =
+            fleet.call(tenant_post("a", "3"), CALL_DEADLINE).await.expect_err("its tenant has too many");
         assert!(refused.retry_after().is_some(), "{refused:?}");
-        let other = tokio::spawn(fleet.call(of("b", "1"), SECONDS));
-        shown(&fleet, "another's is held", |state| state.keys.is_some_and(|(_, held, _)| held == 3)).await;
-        assert!(fleet.call(of("b", "2"), SECONDS).await.expect_err("no room").retry_after().is_some());
-        let passed = tokio::spawn(fleet.call(post("keyed", "k"), SECONDS));
+        let other = tokio::spawn(fleet.call(tenant_post("b", "1"), CALL_DEADLINE));
+        wait_for_state(&fleet, "another's is held", |state| state.keys.is_some_and(|(_, held, _)| held == 3))
+            .await;
+        assert!(fleet
+            .call(tenant_post("b", "2"), CALL_DEADLINE)
+            .await
+            .expect_err("no room")
+            .retry_after()
+            .is_some());
+        let passed = tokio::spawn(fleet.call(post("keyed", "k"), CALL_DEADLINE));
         let state =
-            shown(&fleet, "it passes", |state| state.keys.is_some_and(|(c, ..)| c.passed[0] == 1)).await;
+            wait_for_state(&fleet, "it passes", |state| state.keys.is_some_and(|(c, ..)| c.passed[0] == 1))
+                .await;
         assert_eq!(state.keys.map(|(counts, ..)| counts.refused), Some([1, 1, 0]));
         running.iter().chain([&other, &passed]).for_each(|call| call.abort());
     });
@@ -247,10 +261,10 @@
 
 /// What cannot be a key is turned away by the front as by the library, and a reload keeps what is held.
 #[test]
-fn the_front_holds_keys_too() {
-    let site = Site::start(vec![echoing(Duration::ZERO)]);
-    run(async {
-        let fleet = fleet(&site, KEYS).await;
+fn the_front_uses_the_store_of_keys() {
+    let site = Site::start(vec![echo_plan(Duration::ZERO)]);
+    run_test(async {
+        let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
         let address = listener.local_addr().expect("an address");
         let _serving = fleet.serve(listener).expect("it serves");
@@ -275,25 +289,27 @@
         }
         let keys = r#"{"waiters": 1, "classes": {"unsafe": {"answered_ms": 5}}}"#;
         fleet.reload_with_keys(&site.configuration(|_| ()), keys).expect("a good one");
-        assert!(replayed(&fleet.call(post_as("unsafe", "k", "body"), SECONDS).await.expect("served")));
+        assert!(replayed(
+            &fleet.call(post_with_body("unsafe", "k", "body"), CALL_DEADLINE).await.expect("served")
+        ));
         assert!(fleet.reload_with_keys(&site.configuration(|_| ()), r#"{"waiter": 1}"#).is_err());
     });
     assert_eq!(site.ledger.len(), 1);
 }
 
-fn post_as(class: &str, key: &str, body: &'static str) -> Request<Bytes> {
+fn post_with_body(class: &str, key: &str, body: &'static str) -> Request<Bytes> {
     post(class, key).map(|_| Bytes::from_static(body.as_bytes()))
 }
 
 /// A key that hosts are not to know stays at the edge.
 #[test]
-fn an_unsafe_key_is_not_sent_unless_configured() {
+fn an_unsafe_key_is_not_forwarded_unless_configured() {
     let site = Site::start(vec![Plan::default()]);
-    run(async {
-        let fleet = fleet(&site, "{}").await;
-        assert!(fleet.call(post("unsafe", "k"), SECONDS).await.is_ok());
-        assert!(fleet.call(post("unsafe", "k"), SECONDS).await.is_ok());
-        assert!(fleet.call(post("keyed", "k"), SECONDS).await.is_ok());
+    run_test(async {
+        let fleet = start_fleet(&site, "{}").await;
+        assert!(fleet.call(post("unsafe", "k"), CALL_DEADLINE).await.is_ok());
+        assert!(fleet.call(post("unsafe", "k"), CALL_DEADLINE).await.is_ok());
+        assert!(fleet.call(post("keyed", "k"), CALL_DEADLINE).await.is_ok());
     });
     let keys: Vec<_> = site.ledger.effects().into_iter().map(|effect| effect.key).collect();
     assert_eq!(keys, [None, Some("k".to_owned())]);
@@ -301,7 +317,7 @@
 
 /// A configuration of keys that cannot be used is an error that names its place.
 #[test]
-fn a_broken_configuration_of_keys_names_its_place() {
+fn an_invalid_key_configuration_names_the_place() {
     let site = Site::start(vec![]);
     for (keys, reason) in [
         ("{", "EOF"),
@@ -322,45 +338,62 @@
 /// to a key is one answer, and an answer that a host has given is replayed. Without the store the same load runs keys
 /// again; without lingering it loses answers.
 #[test]
-fn no_charge_runs_twice_however_often_it_comes() {
-    let on = storm(Some(KEYS));
-    assert_eq!((on.charges_twice, on.entries_twice, on.two_answers), (0, 0, 0), "{on:?}");
-    assert!(on.answerable > 300 && on.replayed * 100 >= on.answerable * 99, "{on:?}");
-    let off = storm(Some(r#"{"lingering": 0, "classes": {"unsafe": {"forward": true}}}"#));
-    assert_eq!((off.charges_twice, off.entries_twice, off.two_answers), (0, 0, 0), "{off:?}");
-    assert!(off.replayed < off.answerable, "lingering is what does it: {off:?}");
-    let none = storm(None);
-    assert!(none.entries_twice > 10 && none.two_answers > 10, "the store is what does it: {none:?}");
+fn repeated_charges_run_once() {
+    let with_store = run_storm(Some(FORWARDED_KEYS));
+    assert_eq!(
+        (with_store.charges_twice, with_store.entries_twice, with_store.two_answers),
+        (0, 0, 0),
+        "{with_store:?}"
+    );
+    assert!(
+        with_store.answerable > 300 && with_store.replayed * 100 >= with_store.answerable * 99,
+        "{with_store:?}"
+    );
+    let without_detaching = run_storm(Some(r#"{"lingering": 0, "classes": {"unsafe": {"forward": true}}}"#));
+    assert_eq!(
+        (without_detaching.charges_twice, without_detaching.entries_twice, without_detaching.two_answers),
+        (0, 0, 0),
+        "{without_detaching:?}"
+    );
+    assert!(
+        without_detaching.replayed < without_detaching.answerable,
+        "lingering is what does it: {without_detaching:?}"
+    );
+    let without_store = run_storm(None);
+    assert!(
+        without_store.entries_twice > 10 && without_store.two_answers > 10,
+        "the store is what does it: {without_store:?}"
+    );
 }
 
-fn storm(keys: Option<&str>) -> Aftermath {
+fn run_storm(keys: Option<&str>) -> Aftermath {
     // Without the store an unsafe class carries no key: entries alone are compared.
     let classes = if keys.is_some() { vec!["unsafe", "keyed"] } else { vec!["keyed"] };
     let storm = Storm { keys: 400, classes, ..Storm::default() };
     let site = storm.site(4);
     let text = storm.configuration(&site);
-    let builder = builder().text(&text);
+    let builder = fleet_builder().text(&text);
     let fleet = keys.into_iter().fold(builder, Builder::keys).start().expect("it starts");
-    application().block_on(async {
+    runtime().block_on(async {
         fleet.ready().await.expect("it runs");
         let halfway = storm.keys / 2;
         let kill = |number| {
             if number == halfway {
-                site.with(|inside| inside.hosts[1].kill());
+                site.with(|stand_ins| stand_ins.hosts[1].kill());
             }
         };
         let caller = fleet.clone();
-        let call = move |class, key: String, patience| {
-            let call = caller.call(post(class, &key), patience);
-            async move { got(call.await) }
+        let call = move |class, key: String, deadline| {
+            let call = caller.call(post(class, &key), deadline);
+            async move { classify(call.await) }
         };
         let aftermath = storm.run(&site.ledger, Duration::from_secs(9), call, kill).await;
-        fleet.shutdown(PATIENCE).await.expect("nothing is open");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("nothing is open");
         aftermath
     })
 }
 
-fn got(answer: Result<Response<Bytes>, Error>) -> Got {
+fn classify(answer: Result<Response<Bytes>, Error>) -> Got {
     match answer {
         Ok(answer) => Got::Answer { replayed: replayed(&answer), body: answer.into_body().into() },
         Err(Error::Refused { retry_after }) => Got::Refused(retry_after),
@@ -371,22 +404,23 @@
 
 /// The host that a first went to is drained, and one is killed, before its repeat comes: it makes no difference.
 #[test]
-fn a_drain_between_first_and_repeat_changes_nothing() {
-    let site = Site::start(vec![echoing(Duration::ZERO), echoing(Duration::ZERO)]);
-    run(async {
-        let fleet = fleet(&site, KEYS).await;
-        let first = fleet.call(post("unsafe", "k"), SECONDS).await.expect("served");
-        let ran = site.ledger.effects()[0].host.clone();
-        site.with(move |inside| {
-            let at = inside.hosts.iter().position(|host: &Host| host.name == ran).expect("it ran");
-            inside.list(at, "Terminating");
-            inside.hosts[at].kill();
+fn a_drain_does_not_affect_a_repeat() {
+    let site = Site::start(vec![echo_plan(Duration::ZERO), echo_plan(Duration::ZERO)]);
+    run_test(async {
+        let fleet = start_fleet(&site, FORWARDED_KEYS).await;
+        let first = fleet.call(post("unsafe", "k"), CALL_DEADLINE).await.expect("served");
+        let host_name = site.ledger.effects()[0].host.clone();
+        site.with(move |stand_ins| {
+            let index =
+                stand_ins.hosts.iter().position(|host: &Host| host.name == host_name).expect("it ran");
+            stand_ins.list(index, "Terminating");
+            stand_ins.hosts[index].kill();
         });
-        shown(&fleet, "it is told", |state| {
+        wait_for_state(&fleet, "it is told", |state| {
             state.hosts.iter().any(|host| host.health != nettleworks_client::Health::Ready)
         })
         .await;
-        let again = fleet.call(post("unsafe", "k"), SECONDS).await.expect("served");
+        let again = fleet.call(post("unsafe", "k"), CALL_DEADLINE).await.expect("served");
         assert_eq!(first.body(), again.body());
     });
     assert_eq!(site.ledger.len(), 1);
@@ -395,32 +429,32 @@
 /// An answer of 64 KiB for many who wait: each gets all of it, and one copy is held. Where it is more than may be
 /// held, a marker stays: a later repeat gets the failure, and no new attempt.
 #[test]
-fn a_large_answer_for_many_is_held_once_or_not_at_all() {
+fn a_large_answer_is_kept_once_or_not_at_all() {
     const WAITERS: usize = 40;
-    for (most, held) in [(100_000, true), (60_000, false)] {
+    for (max_bytes, is_kept) in [(100_000, true), (60_000, false)] {
         let slow = Plan { service: Duration::from_millis(300), answer: 64 << 10, ..Plan::default() };
         let site = Site::start(vec![slow]);
-        run(async {
-            let fleet = fleet(&site, &format!(r#"{{"answer_bytes": {most}}}"#)).await;
+        run_test(async {
+            let fleet = start_fleet(&site, &format!(r#"{{"answer_bytes": {max_bytes}}}"#)).await;
             let mut calls = JoinSet::new();
             for _ in 0..WAITERS {
-                calls.spawn(fleet.call(post("unsafe", "k"), SECONDS));
+                calls.spawn(fleet.call(post("unsafe", "k"), CALL_DEADLINE));
             }
             while let Some(answer) = calls.join_next().await {
                 assert_eq!(answer.expect("no panic").expect("served").body().len(), 64 << 10);
             }
-            let state = shown(&fleet, "it has ended", |state| {
+            let state = wait_for_state(&fleet, "it has ended", |state| {
                 state.calls == 0 && state.keys.is_some_and(|(counts, ..)| counts.joined == WAITERS as u64 - 1)
             })
             .await;
             let (_, _, bytes) = state.keys.expect("a store");
-            assert_eq!(bytes >= 64 << 10, held, "{bytes}");
-            assert!(bytes <= most, "{bytes}");
-            let later = fleet.call(post("unsafe", "k"), SECONDS).await;
-            if held {
+            assert_eq!(bytes >= 64 << 10, is_kept, "{bytes}");
+            assert!(bytes <= max_bytes, "{bytes}");
+            let later = fleet.call(post("unsafe", "k"), CALL_DEADLINE).await;
+            if is_kept {
                 assert!(replayed(&later.expect("kept")));
             } else {
-                is(later, KeyState::Forgotten);
+                assert_unsure(later, KeyState::Forgotten);
             }
         });
         assert_eq!(site.ledger.len(), 1);
@@ -429,10 +463,10 @@
 
 /// A client that does not read its answer keeps no repeat waiting.
 #[test]
-fn a_repeat_does_not_wait_for_the_firsts_client_to_read() {
+fn a_repeat_does_not_wait_until_the_first_client_reads() {
     let site = Site::start(vec![Plan { answer: 64 << 10, ..Plan::default() }]);
-    run(async {
-        let fleet = fleet(&site, KEYS).await;
+    run_test(async {
+        let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
         let address = listener.local_addr().expect("an address");
         let _serving = fleet.serve(listener).expect("it serves");
@@ -450,10 +484,10 @@
 
 /// A stop answers the first and all who wait with it.
 #[test]
-fn a_stop_answers_all_who_wait() {
-    let site = Site::start(vec![echoing(Duration::from_millis(700))]);
-    run(async {
-        let fleet = fleet(&site, KEYS).await;
+fn a_stop_answers_all_waiters() {
+    let site = Site::start(vec![echo_plan(Duration::from_millis(700))]);
+    run_test(async {
+        let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
         let address = listener.local_addr().expect("an address");
         let mut serving = fleet.serve(listener).expect("it serves");
@@ -463,7 +497,7 @@
             client.send(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
             clients.push(client);
         }
-        joined(&fleet, 3).await;
+        wait_for_joined(&fleet, 3).await;
         serving.stop();
         let mut bodies = Vec::new();
         for client in &mut clients {
@@ -473,30 +507,30 @@
         }
         assert!(bodies.iter().all(|body| *body == bodies[0]));
         serving.await.expect("it served");
-        fleet.shutdown(PATIENCE).await.expect("nothing is open");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("nothing is open");
     });
     assert_eq!(site.ledger.len(), 1);
 }
 
 /// Calls that linger keep their places in a store that is full; a new charge is refused until one of them has ended.
 #[test]
-fn a_lingering_call_is_never_evicted() {
-    let site = Site::start(vec![fault(Fault::Stall)]);
-    run(async {
-        let fleet = fleet(&site, r#"{"entries": 2, "classes": {"unsafe": {"forward": true}}}"#).await;
+fn a_detached_call_is_never_evicted() {
+    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    run_test(async {
+        let fleet = start_fleet(&site, r#"{"entries": 2, "classes": {"unsafe": {"forward": true}}}"#).await;
         for key in ["k1", "k2"] {
-            let call = tokio::spawn(fleet.call(post("unsafe", key), SECONDS));
+            let call = tokio::spawn(fleet.call(post("unsafe", key), CALL_DEADLINE));
             let sent = |state: &State| state.attempts == u64::from(key == "k2") + 1;
-            shown(&fleet, "it is sent", sent).await;
+            wait_for_state(&fleet, "it is sent", sent).await;
             call.abort();
         }
-        shown(&fleet, "both linger", |state| state.lingering == 2).await;
-        let refused = fleet.call(post("unsafe", "k3"), SECONDS).await.expect_err("no room");
+        wait_for_state(&fleet, "both linger", |state| state.lingering == 2).await;
+        let refused = fleet.call(post("unsafe", "k3"), CALL_DEADLINE).await.expect_err("no room");
         assert!(refused.retry_after().is_some() && !refused.may_have_run(), "{refused:?}");
-        site.with(|inside| inside.hosts[0].release.notify_one());
-        shown(&fleet, "one has ended", |state| state.lingering == 1).await;
-        let third = tokio::spawn(fleet.call(post("unsafe", "k3"), SECONDS));
-        shown(&fleet, "it has room", |state| state.attempts == 3).await;
+        site.with(|stand_ins| stand_ins.hosts[0].release.notify_one());
+        wait_for_state(&fleet, "one has ended", |state| state.lingering == 1).await;
+        let third = tokio::spawn(fleet.call(post("unsafe", "k3"), CALL_DEADLINE));
+        wait_for_state(&fleet, "it has room", |state| state.attempts == 3).await;
         third.abort();
     });
     assert_eq!(site.ledger.len(), 3);
@@ -505,38 +539,38 @@
 /// A reload with a shorter time is for calls that begin to linger from then on; one with lower bounds calls none off
 /// before there is need.
 #[test]
-fn a_reload_changes_how_long_calls_linger() {
-    let site = Site::start(vec![fault(Fault::Stall)]);
-    run(async {
-        let patient = |config: &mut serde_json::Value| {
+fn a_reload_changes_how_long_calls_stay_detached() {
+    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    run_test(async {
+        let long_deadlines = |config: &mut serde_json::Value| {
             for time in ["objective_us", "deadline_us"] {
                 config["settings"]["classes"][2][time] = 600_000_000.into();
             }
         };
-        let fleet = fleet_with(&site, KEYS, patient).await;
-        let go = async |key: &'static str, attempts: u64| {
-            let call = tokio::spawn(fleet.call(post("unsafe", key), SECONDS));
-            shown(&fleet, "it is sent", |state| state.attempts == attempts).await;
+        let fleet = start_fleet_with(&site, FORWARDED_KEYS, long_deadlines).await;
+        let cancel_when_sent = async |key: &'static str, attempts: u64| {
+            let call = tokio::spawn(fleet.call(post("unsafe", key), CALL_DEADLINE));
+            wait_for_state(&fleet, "it is sent", |state| state.attempts == attempts).await;
             call.abort();
         };
-        go("k1", 1).await;
-        go("k2", 2).await;
-        shown(&fleet, "both linger", |state| state.lingering == 2).await;
+        cancel_when_sent("k1", 1).await;
+        cancel_when_sent("k2", 2).await;
+        wait_for_state(&fleet, "both linger", |state| state.lingering == 2).await;
         let keys = r#"{"lingering": 2, "classes": {"unsafe": {"linger_ms": 50}}}"#;
-        fleet.reload_with_keys(&site.configuration(patient), keys).expect("a good one");
-        go("k3", 3).await;
-        // The oldest made room for it, and it has lingered for its time; the second goes on.
-        let state = shown(&fleet, "one is left", |state| state.lingering == 1).await;
+        fleet.reload_with_keys(&site.configuration(long_deadlines), keys).expect("a good one");
+        cancel_when_sent("k3", 3).await;
+        // The oldest made room for it, and it has lingered for its time; the second goes with_store.
+        let state = wait_for_state(&fleet, "one is left", |state| state.lingering == 1).await;
         assert_eq!(state.keys.map(|(counts, ..)| (counts.lingered, counts.called_off)), Some((3, 1)));
-        is(fleet.call(post("unsafe", "k1"), SECONDS).await, KeyState::Unsure);
-        is(fleet.call(post("unsafe", "k3"), SECONDS).await, KeyState::Unsure);
-        let again = tokio::spawn(fleet.call(post("unsafe", "k2"), PATIENCE));
-        joined(&fleet, 1).await;
-        // Its host has noticed that the others were called off.
-        while site.with(|inside| inside.hosts[0].open.get()) > 1 {
+        assert_unsure(fleet.call(post("unsafe", "k1"), CALL_DEADLINE).await, KeyState::Unsure);
+        assert_unsure(fleet.call(post("unsafe", "k3"), CALL_DEADLINE).await, KeyState::Unsure);
+        let again = tokio::spawn(fleet.call(post("unsafe", "k2"), TEST_TIMEOUT));
+        wait_for_joined(&fleet, 1).await;
+        // Its host has noticed that the others were called without_detaching.
+        while site.with(|stand_ins| stand_ins.hosts[0].open.get()) > 1 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        site.with(|inside| inside.hosts[0].release.notify_one());
+        site.with(|stand_ins| stand_ins.hosts[0].release.notify_one());
         assert!(replayed(&again.await.expect("no panic").expect("served")));
     });
     assert_eq!(site.ledger.len(), 3);
