--- a/library/tests/application.rs
+++ b/library/tests/application.rs
@@ -1,4 +1,5 @@
-//! What the application_runtime around the library may do: panic, drop, block its threads, end its runtime, never poll.
+//! Behavior of the library when the application around it panics, drops handles, blocks its threads, ends its runtime
+//! or never polls a call.
 
 use bytes::Bytes;
 use http::Request;
@@ -39,10 +40,10 @@
 }
 
 fn start_fleet_with(site: &Site, change: impl FnOnce(&mut serde_json::Value)) -> Fleet {
-    Fleet::builder().text(&site.configuration(change)).start().expect("it starts")
+    Fleet::builder().text(&site.configuration(change)).start().expect("the fleet starts")
 }
 
-/// A fleet whose unsafe calls wait longer than any test: what ends one is not its time.
+/// Starts a fleet whose unsafe calls have a deadline beyond the end of the test, so that it cannot end them.
 fn start_fleet_with_long_deadlines(site: &Site) -> Fleet {
     start_fleet_with(site, |config| {
         for time in ["objective_us", "deadline_us"] {
@@ -65,19 +66,20 @@
 async fn wait_for_state(fleet: &Fleet, what: &str, condition: impl FnMut(&State) -> bool) -> State {
     let mut state = fleet.watch();
     let reached = tokio::time::timeout(TEST_TIMEOUT, state.wait_for(condition)).await;
-    let state = reached.unwrap_or_else(|_| panic!("never: {what}")).expect("it runs").clone();
+    let state =
+        reached.unwrap_or_else(|_| panic!("timed out waiting for: {what}")).expect("the fleet runs").clone();
     state
 }
 
-/// Nothing is left of any call, nor of a connection that one has used.
+/// Waits until no call and no id is open, and all connections are idle.
 async fn wait_until_idle(fleet: &Fleet) {
-    wait_for_state(fleet, "no call, id or connection is left", |state| {
+    wait_for_state(fleet, "no open call or id, and idle connections only", |state| {
         (state.calls, state.ids, state.connections.open) == (0, 0, state.connections.idle)
     })
     .await;
 }
 
-/// Polls a future once, and says whether it is pending.
+/// Polls a future once and returns whether it is pending.
 async fn poll_is_pending<F: Future + Unpin>(future: &mut F) -> bool {
     poll_fn(|context| Poll::Ready(pin!(&mut *future).poll(context).is_pending())).await
 }
@@ -85,19 +87,19 @@
 async fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < TEST_TIMEOUT, "never: {what}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "timed out waiting for: {what}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// A handler that panics drops its call as one that is given up does: the module hears that the client has gone, the
-/// attempt's connection closes, and nothing goes out again.
+/// A handler that panics drops its call, as one that is aborted does. This must cancel the call: the connection of
+/// its attempt is closed, and nothing is sent again.
 #[test]
 fn a_panicking_or_dropped_handler_cancels_its_call() {
     let site = Site::start(vec![failing_plan(Fault::Stall), failing_plan(Fault::Stall)]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet_with_long_deadlines(&site);
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet runs");
         let panics = {
             let fleet = fleet.clone();
             tokio::spawn(async move {
@@ -107,7 +109,7 @@
                 panic!("panic of the handler");
             })
         };
-        assert!(panics.await.expect_err("it panics").is_panic());
+        assert!(panics.await.expect_err("the handler panics").is_panic());
         wait_until_idle(&fleet).await;
         let mut dropped = Box::pin(fleet.call(post("unsafe"), Duration::from_secs(600)));
         assert!(poll_is_pending(&mut dropped).await);
@@ -125,27 +127,28 @@
     ServiceExt::<Request<Full<Bytes>>>::ready(service).await.map(|_| ())
 }
 
-/// Waits until hosts have read so many requests in all.
+/// Waits until at least this number of attempts has been sent.
 async fn wait_for_attempts(fleet: &Fleet, count: u64) {
-    wait_for_state(fleet, "it is sent", |state| state.attempts >= count).await;
+    wait_for_state(fleet, "the attempts are sent", |state| state.attempts >= count).await;
 }
 
-/// With all of the application_runtime's threads blocked, a drain is kept, a time-out fires, clients of the front are served,
-/// discovery is followed, and answers are there when the application_runtime wakes.
+/// While all threads of the application are blocked, the engine must still keep a drained host free of requests, time
+/// calls out, serve the clients of its front and watch discovery. Answers that arrive meanwhile are available as soon
+/// as the application's threads run again.
 #[test]
 fn blocked_worker_threads_do_not_affect_the_engine() {
     const BLOCKED: Duration = Duration::from_secs(2);
     let mut stalling_plan = Plan { service: Duration::from_millis(5), ..Plan::default() };
-    // Of many, some stall: a call of the application_runtime will time out while its threads are blocked.
+    // Some requests stall, so that calls time out while the threads are blocked.
     stalling_plan.faults = vec![(Fault::Stall, 0.02)];
     let site = Site::start(vec![stalling_plan.clone(), stalling_plan.clone(), Plan::default()]);
     let runtime = application_runtime(2);
     let fleet = start_fleet(&site);
-    runtime.block_on(fleet.ready()).expect("it runs");
-    let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
+    runtime.block_on(fleet.ready()).expect("the fleet runs");
+    let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("the address can be bound");
     let address = listener.local_addr().expect("an address");
-    let _serving = fleet.serve(listener).expect("it serves");
-    // The clients' thread is not the application_runtime's.
+    let _serving = fleet.serve(listener).expect("the front starts");
+    // The clients run on a thread of their own.
     let clients = std::thread::spawn(move || {
         nettleworks_standins::run(async {
             let tally = Rc::new(RefCell::new(Tally::default()));
@@ -157,13 +160,13 @@
             tally
         })
     });
-    // A call whose time is up, and one whose answer comes, while all threads are blocked.
+    // Each worker thread makes a call and then blocks; the call ends meanwhile, by its answer or its deadline.
     let answers = Arc::new(Mutex::new(Vec::new()));
     for worker in 0..2 {
         let (fleet, answers) = (fleet.clone(), answers.clone());
         runtime.spawn(async move {
             let mut call = Box::pin(fleet.call(get(), Duration::from_millis(700)));
-            assert!(poll_is_pending(&mut call).await, "worker {worker} has one out");
+            assert!(poll_is_pending(&mut call).await, "the call of worker {worker} is open");
             std::thread::sleep(BLOCKED);
             let unblocked_at = Instant::now();
             let answer = call.await;
@@ -175,69 +178,69 @@
         stand_ins.list(0, "Terminating");
         tokio::time::Instant::now()
     });
-    let tally = clients.join().expect("clients end well");
+    let tally = clients.join().expect("the clients do not panic");
     let (last, watches) =
         site.with(|stand_ins| (stand_ins.hosts[0].read.get().1, stand_ins.registry.watches.get()));
     let delay = last.map_or(Duration::ZERO, |last| last.saturating_duration_since(drained_at));
     assert!(delay < Duration::from_secs(1), "the drained host got a request {delay:?} later");
     let others_used =
         site.with(move |stand_ins| stand_ins.hosts[1].read.get().1.is_some_and(|last| last > drained_at));
-    assert!(others_used, "the others were asked all the while");
-    assert_eq!(watches, 1, "discovery was never lost");
+    assert!(others_used, "other hosts still get requests after the drain");
+    assert_eq!(watches, 1, "the first watch is still open");
     assert_eq!(tally.lost, 0, "{tally:?}");
     assert!(tally.served > 50 && tally.failed > 0, "served {}, timed out {}", tally.served, tally.failed);
-    runtime.block_on(eventually("both have woken", || answers.lock().expect("no panic").len() == 2));
+    runtime.block_on(eventually("both workers continue", || answers.lock().expect("no panic").len() == 2));
     for (served, took) in answers.lock().expect("no panic").iter() {
-        // Far under what a new exchange, or its deadline, would take were it only now poll_is_pending.
+        // Far less than the call would take if the engine had waited for the application.
         assert!(*took < Duration::from_millis(500), "served {served}, after {took:?}");
     }
 }
 
-/// The engine outlives the application_runtime's runtime; its calls end with it.
+/// The engine outlasts the application's runtime; the calls of that runtime are cancelled when it ends.
 #[test]
 fn the_engine_outlasts_the_applications_runtime() {
     let site = Site::start(vec![failing_plan(Fault::Stall)]);
     let first = application_runtime(2);
     let fleet = start_fleet_with_long_deadlines(&site);
     first.block_on(async {
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet runs");
         let (call, mut state) = (fleet.call(post("unsafe"), Duration::from_secs(600)), fleet.watch());
         tokio::spawn(call);
-        state.wait_for(|state| state.attempts == 1).await.expect("it runs");
+        state.wait_for(|state| state.attempts == 1).await.expect("the fleet runs");
     });
     first.shutdown_background();
     application_runtime(1).block_on(async {
         wait_until_idle(&fleet).await;
-        fleet.shutdown(TEST_TIMEOUT).await.expect("nothing is open");
-        fleet.shutdown(TEST_TIMEOUT).await.expect("nor the second time");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("no call is open");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("a second shutdown succeeds too");
         let started = Instant::now();
         assert_eq!(fleet.call(post("unsafe"), TEST_TIMEOUT).await.err(), Some(Error::Closed));
         assert_eq!(fleet.is_ready().await, Err(Error::Closed));
         assert!(fleet
-            .serve(listen("127.0.0.1:0".parse().expect("an address")).expect("it listens"))
+            .serve(listen("127.0.0.1:0".parse().expect("an address")).expect("the address can be bound"))
             .is_err());
         let mut service = FleetService::new(fleet.clone(), TEST_TIMEOUT);
         assert_eq!(service_ready(&mut service).await, Err(Error::Closed));
-        assert!(started.elapsed() < TEST_TIMEOUT / 2, "at once");
+        assert!(started.elapsed() < TEST_TIMEOUT / 2, "the errors are returned at once");
     });
     assert_eq!(site.counts(), [1]);
 }
 
-/// A shutdown finishes what was taken, and takes nothing more.
+/// A shutdown completes the accepted calls and accepts no more.
 #[test]
 fn a_shutdown_answers_accepted_calls() {
     let slow = Plan { service: Duration::from_millis(150), ..Plan::default() };
     let site = Site::start(vec![slow.clone(), slow]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&site);
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet runs");
         let mut calls = JoinSet::new();
         for _ in 0..8 {
             calls.spawn(fleet.call(post("unsafe"), Duration::from_secs(8)));
         }
         wait_for_attempts(&fleet, 1).await;
-        // All eight are in the queue or out: a call hands itself over when it is first polled.
-        wait_for_state(&fleet, "all are taken", |state| state.requests == 8).await;
+        // A call is queued when it is first polled, so all eight have been by then.
+        wait_for_state(&fleet, "all calls are accepted", |state| state.requests == 8).await;
         let shutdown = tokio::spawn({
             let fleet = fleet.clone();
             async move { fleet.shutdown(TEST_TIMEOUT).await }
@@ -251,44 +254,49 @@
     assert_eq!(site.counts().iter().sum::<usize>(), 8);
 }
 
-/// A shutdown whose time is up says so, and the calls that were open may have run.
+/// A shutdown that reaches its deadline reports the open calls. These calls fail and may have run.
 #[test]
 fn a_shutdown_ends_by_its_deadline() {
     let site = Site::start(vec![failing_plan(Fault::Stall)]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&site);
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet runs");
         let call = tokio::spawn(fleet.call(post("unsafe"), Duration::from_secs(8)));
         wait_for_attempts(&fleet, 1).await;
-        let unfinished = fleet.shutdown(Duration::from_millis(50)).await.expect_err("one is open");
+        let unfinished = fleet.shutdown(Duration::from_millis(50)).await.expect_err("a call is open");
         assert_eq!(unfinished.calls, 1);
         assert_eq!(call.await.expect("no panic").err(), Some(Error::Failed));
     });
 }
 
-/// A plain drop finishes what was taken too: a call keeps its engine, and a client of the front gets its answer.
+/// Dropping all handles completes the accepted calls too: an open call keeps its engine running, and a client of the
+/// front gets its response.
 #[test]
 fn a_drop_answers_accepted_calls() {
     let slow = Plan { service: Duration::from_millis(150), ..Plan::default() };
     let site = Site::start(vec![slow]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&site);
-        fleet.ready().await.expect("it runs");
-        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
-        let mut client =
-            Reader::new(TcpStream::connect(listener.local_addr().expect("one")).await.expect("up"));
-        let serving = fleet.serve(listener).expect("it serves");
+        fleet.ready().await.expect("the fleet runs");
+        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("the address can be bound");
+        let mut client = Reader::new(
+            TcpStream::connect(listener.local_addr().expect("an address"))
+                .await
+                .expect("the connection is accepted"),
+        );
+        let serving = fleet.serve(listener).expect("the front starts");
         let mut call = Box::pin(fleet.call(get(), Duration::from_secs(8)));
         assert!(poll_is_pending(&mut call).await);
         client.send(&request("unsafe", "", "")).await;
-        wait_for_state(&fleet, "both are taken", |state| state.requests == 2).await;
+        wait_for_state(&fleet, "both calls are accepted", |state| state.requests == 2).await;
         drop((fleet, serving));
         assert_eq!(client.message().await.expect("an answer").status(), 200);
         assert!(call.await.is_ok());
     });
 }
 
-/// Nor does it cut a front short whose classes have shorter deadlines than a stop takes: clients come until they know.
+/// After all handles are dropped, a front still accepts new connections for as long as it takes to stop, even if the
+/// deadlines of its classes are shorter: clients keep connecting until they learn of the shutdown.
 #[test]
 fn after_a_drop_a_front_still_accepts_new_connections() {
     let site = Site::start(vec![Plan::default()]);
@@ -298,51 +306,56 @@
                 config["settings"]["classes"][class]["deadline_us"] = 1_000.into();
             }
         });
-        fleet.ready().await.expect("it runs");
-        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
+        fleet.ready().await.expect("the fleet runs");
+        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("the address can be bound");
         let address = listener.local_addr().expect("an address");
-        let serving = fleet.serve(listener).expect("it serves");
+        let serving = fleet.serve(listener).expect("the front starts");
         drop((fleet, serving));
-        // Long past those deadlines, and well within the half second for which new connections are taken.
+        // Far past those deadlines, and within the half second in which new connections are accepted.
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let mut new_client = Reader::new(TcpStream::connect(address).await.expect("it still accepts"));
+        let mut new_client = Reader::new(TcpStream::connect(address).await.expect("the front still accepts"));
         assert_eq!(new_client.ask(nettleworks_standins::HEALTH).await.status(), 200);
     });
 }
 
-/// An answer that nobody polls for is all that is held: its call is over, its place free, its connection idle.
+/// A call that is not polled ends all the same: only its response is held, its permit is free, and its connection is
+/// idle.
 #[test]
 fn a_call_that_is_not_polled_holds_only_its_response() {
     let site = Site::start(vec![Plan { answer: 64 << 10, ..Plan::default() }]);
     application_runtime(2).block_on(async {
-        let fleet = Fleet::builder().text(&site.configuration(|_| ())).calls(1).start().expect("it starts");
-        fleet.ready().await.expect("it runs");
+        let fleet =
+            Fleet::builder().text(&site.configuration(|_| ())).calls(1).start().expect("the fleet starts");
+        fleet.ready().await.expect("the fleet runs");
         let mut unread = Box::pin(fleet.call(get(), Duration::from_secs(8)));
         assert!(poll_is_pending(&mut unread).await);
         let state =
-            wait_for_state(&fleet, "it is over", |state| state.requests == 1 && state.calls == 0).await;
+            wait_for_state(&fleet, "the call has ended", |state| state.requests == 1 && state.calls == 0)
+                .await;
         assert_eq!((state.ids, state.connections.open, state.connections.idle), (0, 1, 1));
         assert!(
             fleet.call(get(), Duration::from_secs(8)).await.is_ok(),
-            "its place and connection serve the next"
+            "the next call uses its permit and connection"
         );
         assert_eq!(fleet.watch().borrow().connections.opened, 1);
         assert_eq!(unread.await.expect("an answer").body().len(), 64 << 10);
     });
 }
 
-/// A service is ready while there is a place, and holds the place that it was promised; without one it is not ready,
-/// and a call all the same is refused at once, with its time.
+/// A service is ready while a permit is free, and then holds it. Without a permit it is not ready, and a call without
+/// `poll_ready` is refused at once, with a retry delay.
 #[test]
 fn a_service_is_not_ready_without_a_permit() {
     let site = Site::start(vec![failing_plan(Fault::Stall)]);
     application_runtime(2).block_on(async {
-        let fleet = Fleet::builder().text(&site.configuration(|_| ())).calls(1).start().expect("it starts");
-        fleet.ready().await.expect("it runs");
+        let fleet =
+            Fleet::builder().text(&site.configuration(|_| ())).calls(1).start().expect("the fleet starts");
+        fleet.ready().await.expect("the fleet runs");
         let mut service = FleetService::new(fleet.clone(), Duration::from_secs(8));
         let mut other = service.clone();
-        service_ready(&mut service).await.expect("there is a place");
-        let refused = fleet.call(get(), Duration::from_secs(8)).await.expect_err("it is promised");
+        service_ready(&mut service).await.expect("a permit is free");
+        let refused =
+            fleet.call(get(), Duration::from_secs(8)).await.expect_err("the service holds the only permit");
         assert!(!refused.may_have_run());
         assert!(refused.retry_after().is_some_and(|after| !after.is_zero()), "{refused:?}");
         let call = service.call(get().map(Full::new));
@@ -353,51 +366,51 @@
             tokio::time::timeout(TEST_TIMEOUT, waiting)
                 .await
                 .expect("in time")
-                .expect("ready once it is gone");
+                .expect("ready after the drop");
         }
     });
-    assert_eq!(site.counts(), [0], "never polled, never sent");
+    assert_eq!(site.counts(), [0], "a call that was never polled is not sent");
 }
 
-/// What the application_runtime says wrongly is turned away with the daemon's status, and reaches no host.
+/// Invalid requests of the application get the status of the daemon as an error, and reach no host.
 #[test]
 fn invalid_requests_are_typed_errors() {
     let site = Site::start(vec![Plan::default()]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&site);
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet runs");
         let too_large = Request::post("/api").header("x-call-class", "unsafe");
         let cases = [
             (Request::get("/api").body(Bytes::new()).expect("a request"), 400),
-            (post("unheard-of"), 400),
+            (post("unknown-class"), 400),
             (post("keyed"), 400),
             (post("free"), 400),
             (too_large.body(Bytes::from(vec![0; (64 << 10) + 1])).expect("a request"), 413),
         ];
         for (request, status) in cases {
-            let error = fleet.call(request, Duration::from_secs(8)).await.expect_err("unusable");
+            let error = fleet.call(request, Duration::from_secs(8)).await.expect_err("an invalid request");
             assert!(matches!(error, Error::Unusable(s) if s == status), "{error:?}");
             assert_eq!((error.may_have_run(), error.into_answer().status().as_u16()), (false, status));
         }
-        let expired = fleet.call(get(), Duration::ZERO).await.expect_err("no time");
+        let expired = fleet.call(get(), Duration::ZERO).await.expect_err("the deadline has passed");
         assert!(expired.retry_after().is_some());
         let largest = || post("unsafe").map(|_| Bytes::from(vec![0; 64 << 10]));
-        assert!(fleet.call(largest(), Duration::from_secs(8)).await.is_ok(), "64 KiB go through");
+        assert!(fleet.call(largest(), Duration::from_secs(8)).await.is_ok(), "a body of 64 KiB is accepted");
     });
     assert_eq!(site.counts(), [1]);
 }
 
-/// A moved discovery is watched at once, and a broken configuration changes nothing.
+/// After a reload the new discovery address is watched at once; an invalid configuration changes nothing.
 #[test]
 fn a_reload_changes_the_discovery_address() {
     let (old, new) =
         (Site::start(vec![Plan::default()]), Site::start(vec![Plan::default(), Plan::default()]));
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&old);
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet runs");
         assert!(fleet.reload("{").is_err());
         assert!(fleet.call(get(), Duration::from_secs(8)).await.is_ok());
-        fleet.reload(&new.configuration(|_| ())).expect("a good one");
+        fleet.reload(&new.configuration(|_| ())).expect("a valid configuration");
         wait_for_state(&fleet, "the new list", |state| state.hosts.len() == 2).await;
         for _ in 0..20 {
             assert!(fleet.call(get(), Duration::from_secs(8)).await.is_ok());
@@ -406,14 +419,14 @@
     });
 }
 
-/// Signals that this process handles; a library must add none.
+/// The signals that this process handles; a library must not add any.
 fn handled_signals() -> String {
     let status = std::fs::read_to_string("/proc/self/status").expect("a status");
     status.lines().find(|line| line.starts_with("SigCgt")).expect("handled signals").to_owned()
 }
 
-/// Two fleets, and two copies of the library compiled apart, share nothing: neither signals, nor logs, nor the count
-/// of descriptors, nor their lists and classes.
+/// Two fleets, and two separately compiled copies of the library, share no state: no signal handlers, logs, counts of
+/// file descriptors, server lists or classes.
 #[test]
 fn fleets_and_copies_of_the_library_share_no_state() {
     use nettleworks_client_second as second;
@@ -426,19 +439,22 @@
         let log = logs[number].clone();
         move |line: &str| log.lock().expect("no panic").push(line.to_owned())
     };
-    // The first may hold two fifths of 32 descriptors to hosts; the others far more.
+    // The first fleet may use two fifths of 32 file descriptors for hosts; the others may use far more.
     let low_limit = sites[0].configuration(|config| config["limits"]["sockets"] = 64.into());
-    let one = Fleet::builder().text(&low_limit).log(log(0)).start().expect("it starts");
+    let one = Fleet::builder().text(&low_limit).log(log(0)).start().expect("the fleet starts");
     let other_classes =
         sites[1].configuration(|config| config["settings"]["classes"][0]["name"] = "query".into());
-    let two = Fleet::builder().text(&other_classes).log(log(1)).start().expect("it starts");
-    let copy =
-        second::Fleet::builder().text(&sites[2].configuration(|_| ())).log(log(2)).start().expect("starts");
+    let two = Fleet::builder().text(&other_classes).log(log(1)).start().expect("the fleet starts");
+    let copy = second::Fleet::builder()
+        .text(&sites[2].configuration(|_| ()))
+        .log(log(2))
+        .start()
+        .expect("the fleet starts");
     assert_ne!(std::any::TypeId::of::<Fleet>(), std::any::TypeId::of::<second::Fleet>(), "two copies");
     runtime.block_on(async {
-        one.ready().await.expect("it runs");
-        two.ready().await.expect("it runs");
-        copy.ready().await.expect("it runs");
+        one.ready().await.expect("the fleet runs");
+        two.ready().await.expect("the fleet runs");
+        copy.ready().await.expect("the fleet runs");
         let mut calls = JoinSet::new();
         let query =
             || Request::get("/api").header("x-call-class", "query").body(Bytes::new()).expect("a request");
@@ -454,11 +470,11 @@
             *served.entry(name).or_default() += usize::from(ok);
         }
         assert_eq!((served["two"], served["copy"]), (20, 20));
-        assert!(two.call(get(), TEST_TIMEOUT).await.is_err(), "its classes are its own");
+        assert!(two.call(get(), TEST_TIMEOUT).await.is_err(), "the fleet has its own classes");
         let opened = sites[0].with(|stand_ins| stand_ins.hosts[0].opened.get());
         assert!(opened <= 12, "{opened}");
-        one.shutdown(TEST_TIMEOUT).await.expect("all is answered");
-        assert!(copy.call(get(), Duration::from_secs(8)).await.is_ok(), "the others go on");
+        one.shutdown(TEST_TIMEOUT).await.expect("all calls are answered");
+        assert!(copy.call(get(), Duration::from_secs(8)).await.is_ok(), "the other fleets still serve");
         assert!(two.call(query(), Duration::from_secs(8)).await.is_ok());
     });
     assert_eq!(handled_signals(), before);
@@ -470,8 +486,8 @@
     }
 }
 
-/// 10,000 calls whose handlers panic at 5%: each of the others has one final answer, no unsafe effect is had twice,
-/// and nothing is left.
+/// 10,000 calls, of which 5% have a handler that panics: each of the others ends exactly once, no unsafe request
+/// takes effect twice, and no call, id or busy connection is left.
 #[test]
 fn ten_thousand_calls_with_panicking_handlers_end_once_each() {
     const CALLS: usize = 10_000;
@@ -492,7 +508,7 @@
     let (mut answers, mut panics) = ([0_usize; 4], 0);
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&site);
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet runs");
         let mut handlers = JoinSet::new();
         let mut next = 0;
         loop {
@@ -511,7 +527,7 @@
                     if dice.happens(0.05) {
                         let _ = poll_is_pending(&mut call).await;
                         tokio::time::sleep(dice.time(Duration::from_millis(1))).await;
-                        // The hook would write 500 traces.
+                        // Skips the panic hook, which would print 500 backtraces.
                         std::panic::resume_unwind(Box::new("panic of the handler"));
                     }
                     call.await
@@ -527,24 +543,24 @@
                 Err(_) => panics += 1,
             }
         }
-        // The state is shown once a second: what is shown now may be from before the calls. One that is dropped before
-        // the engine took it is never taken.
-        let accepted = |state: &State| usize::try_from(state.requests).expect("a count");
-        wait_for_state(&fleet, "all are taken", |state| accepted(state) + panics >= CALLS).await;
+        // The state is updated once a second, so it may still be from before the calls. A call that is dropped before
+        // it was submitted is never accepted.
+        let accepted = |state: &State| usize::try_from(state.requests).expect("it fits into usize");
+        wait_for_state(&fleet, "all calls are accepted", |state| accepted(state) + panics >= CALLS).await;
         wait_until_idle(&fleet).await;
         let accepted = accepted(&fleet.watch().borrow());
         assert!(accepted <= CALLS, "{accepted} accepted, {panics} panics");
-        fleet.shutdown(TEST_TIMEOUT).await.expect("nothing is open");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("no call is open");
     });
     let [served, refused, failed, other] = answers;
-    assert_eq!(served + refused + failed + other + panics, CALLS, "one end each");
+    assert_eq!(served + refused + failed + other + panics, CALLS, "each call ends exactly once");
     assert_eq!(other, 0);
     assert!((400..600).contains(&panics), "{panics}");
     assert!(served > CALLS * 85 / 100, "served {served}, refused {refused}, failed {failed}");
     assert_eq!(site.ledger.twice(Duration::from_secs(9)), []);
 }
 
-/// What a fleet is built from in code meets the daemon's checks.
+/// A configuration that is built in code is validated as the daemon's configuration is.
 #[test]
 fn a_configuration_in_code_is_validated_like_a_file() {
     use nettleworks_client::{ClassKind, StartError};
@@ -569,23 +585,23 @@
     }
     assert!(Fleet::builder().file("/no/such/file").is_err());
     application_runtime(1).block_on(async {
-        let fleet = valid_builder().start().expect("a good one");
-        fleet.ready().await.expect("it runs");
+        let fleet = valid_builder().start().expect("a valid configuration");
+        fleet.ready().await.expect("the fleet runs");
         assert!(fleet.call(post("charge"), seconds(2)).await.is_ok());
     });
 }
 
-/// A front on a listener of the application_runtime's runtime.
+/// A front can serve on a listener that belongs to the application's runtime.
 #[test]
 fn a_front_accepts_a_tokio_listener() {
     let site = Site::start(vec![Plan::default()]);
     application_runtime(1).block_on(async {
         let fleet = start_fleet(&site);
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet runs");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let _serving = fleet.serve(listener).expect("it serves");
-        let mut client = Reader::new(TcpStream::connect(address).await.expect("it accepts"));
+        let _serving = fleet.serve(listener).expect("the front starts");
+        let mut client = Reader::new(TcpStream::connect(address).await.expect("the connection is accepted"));
         client.stream.write_all(request("unsafe", "", "").as_bytes()).await.expect("written");
         assert_eq!(client.message().await.expect("an answer").status(), 200);
     });
--- a/library/tests/keys.rs
+++ b/library/tests/keys.rs
@@ -1,4 +1,4 @@
-//! The store of keys' tests, by one engine.
+//! The tests of the store of keys, with one engine.
 
 mod harness {
     pub const CORES: usize = 1;
--- a/library/tests/keys_4.rs
+++ b/library/tests/keys_4.rs
@@ -1,4 +1,4 @@
-//! The store of keys' tests, by four engines that serve as one.
+//! The tests of the store of keys, with four engines that serve as one.
 
 mod harness {
     pub const CORES: usize = 4;
--- a/library/tests/layer.rs
+++ b/library/tests/layer.rs
@@ -1,4 +1,5 @@
-//! The middleware around an application: what is the fleet's, what is the application's, and bodies of every kind.
+//! The middleware around an application: which requests go to the fleet and which to the application, and how bodies
+//! of all sizes are handled.
 
 use axum::body::{Body, Bytes};
 use axum::extract::State;
@@ -15,10 +16,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// An application with a fleet before it and behind it.
+/// Starts an application with the middleware in front of it and a handler that makes calls of its own.
 async fn start_application(site: &Site) -> (Fleet, SocketAddr) {
-    let fleet = Fleet::builder().text(&site.configuration(|_| ())).start().expect("it starts");
-    fleet.ready().await.expect("it runs");
+    let fleet = Fleet::builder().text(&site.configuration(|_| ())).start().expect("the fleet starts");
+    fleet.ready().await.expect("the fleet runs");
     let app = Router::new()
         .route("/echo", post(|body: Body| async { Response::new(body) }))
         .route("/context", get(describe_context))
@@ -32,16 +33,16 @@
 }
 
 async fn connect(address: SocketAddr) -> Client {
-    Reader::new(TcpStream::connect(address).await.expect("it accepts"))
+    Reader::new(TcpStream::connect(address).await.expect("the connection is accepted"))
 }
 
-/// What the extractor hands on.
+/// Responds with the values that the extractor provides.
 async fn describe_context(context: CallContext) -> String {
     let remaining = context.remaining().map(|remaining| remaining.as_millis());
     format!("{:?} {:?} {:?} {:?}", context.class(), context.tenant(), context.key(), remaining)
 }
 
-/// A handler that makes a call of its own in its caller's context.
+/// Makes a call of its own in the context of its request.
 async fn forward(State(fleet): State<Fleet>, context: CallContext, body: Bytes) -> Response {
     let mut call = Request::post("/api?from=handler").body(body).expect("a request");
     context.apply(&mut call);
@@ -56,7 +57,7 @@
     Site::start(vec![Plan::default()])
 }
 
-/// A body that streams through the application is none of the fleet's: it is neither held nor bounded.
+/// The middleware neither buffers nor limits the bodies of requests that go to the application.
 #[test]
 fn bodies_are_streamed_to_the_application() {
     run(async {
@@ -64,7 +65,7 @@
         let (_fleet, address) = start_application(&site).await;
         let mut client = connect(address).await;
         client.send("POST /echo HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n").await;
-        // The first piece comes back before the last is sent.
+        // The first chunk is echoed before the last one is sent.
         let mut received = Vec::new();
         while !received.windows(3).any(|window| window == b"one") {
             tokio::io::AsyncReadExt::read_buf(&mut client.stream, &mut received).await.expect("read");
@@ -84,7 +85,8 @@
     });
 }
 
-/// What goes over the fleet is bounded as the daemon has it: 64 KiB pass, one byte more does not, and no host sees it.
+/// Requests that go over the fleet have the limit of the daemon: a body of 64 KiB is accepted, and one byte more is
+/// rejected before any host gets it.
 #[test]
 fn a_body_above_the_limit_is_rejected() {
     run(async {
@@ -94,7 +96,7 @@
         assert_eq!(connect(address).await.ask(&largest).await.status(), 200);
         let too_large = request("unsafe", "", &"x".repeat((64 << 10) + 1));
         assert_eq!(connect(address).await.ask(&too_large).await.status(), 413);
-        // The handler's own call too, though its body came to the application.
+        // The limit also applies to the handler's own call, although the application accepted its body.
         let forwarded = too_large.replace("/api", "/forward");
         let answer = connect(address).await.ask(&forwarded).await;
         assert_eq!((answer.status(), answer.body.as_slice()), (418, &b"413 Payload Too Large"[..]));
@@ -102,7 +104,7 @@
     });
 }
 
-/// A client that waits to be told to go on is told so, and only once its head can be used.
+/// A client that sends `Expect: 100-continue` gets the interim response only after its head has been validated.
 #[test]
 fn an_expectation_is_met_after_the_head_is_validated() {
     run(async {
@@ -112,12 +114,12 @@
         let (head, body) = text.split_at(text.len() - 8);
         let mut good = connect(address).await;
         good.send(head).await;
-        assert_eq!(good.message().await.expect("told to go on").status(), 100);
+        assert_eq!(good.message().await.expect("an interim response").status(), 100);
         good.send(body).await;
         assert_eq!(good.message().await.expect("an answer").status(), 200);
         let mut large = connect(address).await;
         large.send(&head.replace("Content-Length: 8", "Content-Length: 80000")).await;
-        // hyper tells it to go on when what comes is read on to be thrown away; its answer is the same.
+        // hyper sends 100 when the body is read in order to discard it; the final response is the same.
         let mut answer = large.message().await.expect("an answer");
         if answer.status() == 100 {
             answer = large.message().await.expect("an answer");
@@ -127,7 +129,7 @@
     });
 }
 
-/// A body that does not come in time has its answer within the daemon's time for it.
+/// A request whose body does not arrive in time gets a response within the read timeout of the daemon.
 #[test]
 fn a_body_that_does_not_arrive_times_out() {
     run(async {
@@ -141,8 +143,8 @@
     });
 }
 
-/// What a request says of itself reaches its handler, with its time running from its arrival; what it does not say is
-/// not made up, and a call without a class is turned away.
+/// The class, tenant, key and remaining time of a request reach its handler, with the time counted from the arrival.
+/// Absent headers are not invented: a call without a class is rejected.
 #[test]
 fn the_extractor_provides_the_requests_headers() {
     run(async {
@@ -152,7 +154,8 @@
                     Idempotency-Key: k1\r\nX-Budget-Ms: 60000\r\n\r\n";
         let answer = String::from_utf8(connect(address).await.ask(with_headers).await.body).expect("text");
         let budget = answer.strip_prefix("Some(\"keyed\") Some(\"acme\") Some(\"k1\") Some(");
-        let budget: u64 = budget.and_then(|rest| rest.strip_suffix(')')?.parse().ok()).expect("a time");
+        let budget: u64 =
+            budget.and_then(|rest| rest.strip_suffix(')')?.parse().ok()).expect("a time in milliseconds");
         assert!((50_000..60_000).contains(&budget), "{answer}");
         let without_headers = connect(address).await.ask("GET /context HTTP/1.1\r\nHost: a\r\n\r\n").await;
         assert_eq!(without_headers.body, b"None None None None");
@@ -160,10 +163,10 @@
         let without_class = "POST /forward HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
         let answer = client.ask(without_class).await;
         assert_eq!((answer.status(), answer.body.as_slice()), (418, &b"400 Bad Request"[..]));
-        assert_eq!(site.counts(), [0], "a class is not made up");
+        assert_eq!(site.counts(), [0], "no class is invented");
         let forwarded = request("keyed", "", "x").replace("/api", "/forward");
         assert_eq!(client.ask(&forwarded).await.status(), 200);
-        let effect = site.ledger.effects().pop().expect("it ran");
+        let effect = site.ledger.effects().pop().expect("the request ran");
         let key = forwarded.lines().find_map(|line| line.strip_prefix("Idempotency-Key: "));
         assert_eq!(effect.key.as_deref(), key);
         assert_ne!(
@@ -173,13 +176,13 @@
     });
 }
 
-/// The layer takes over the one path that it is told, and its refusals carry advice.
+/// Only requests to the configured path go over the fleet, and refusals carry `Retry-After`.
 #[test]
 fn other_paths_are_passed_to_the_application() {
     run(async {
         let site = single_host_site();
-        let fleet = Fleet::builder().text(&site.configuration(|_| ())).start().expect("it starts");
-        fleet.ready().await.expect("it runs");
+        let fleet = Fleet::builder().text(&site.configuration(|_| ())).start().expect("the fleet starts");
+        fleet.ready().await.expect("the fleet runs");
         let inner = tower::service_fn(|_: Request<Body>| async {
             Ok::<_, Infallible>(Response::builder().status(418).body(Body::empty()).expect("an answer"))
         });
@@ -193,8 +196,8 @@
         assert_eq!(send("/fleet").await, (200, false));
         assert_eq!(send("/api").await, (418, false));
         assert_eq!(send("/fleet/1").await, (418, false));
-        fleet.shutdown(Duration::from_secs(5)).await.expect("nothing is open");
+        fleet.shutdown(Duration::from_secs(5)).await.expect("no call is open");
         assert_eq!(send("/fleet").await, (503, true));
-        assert_eq!(send("/api").await, (418, false), "the application goes on");
+        assert_eq!(send("/api").await, (418, false), "the application still serves");
     });
 }
--- a/library/tests/middleware.rs
+++ b/library/tests/middleware.rs
@@ -1,5 +1,6 @@
-//! The daemon's suite against the axum middleware. What belongs to the listening side (`suite/listening.rs`) is not
-//! here: slow, silent and idle connections, their limits, and the stop are axum's server's, not the layer's.
+//! The shared test suite against the axum middleware. The tests of the listening side (`suite/listening.rs`) are left
+//! out: slow, silent and idle connections, their limits, and the stop are handled by the server of axum and not by
+//! the layer.
 
 mod harness {
     use axum::http::{header, StatusCode};
@@ -13,7 +14,7 @@
 
     pub use nettleworks_standins::*;
 
-    /// Engines that serve as one.
+    /// Number of engines that serve as one.
     pub const ENGINES: usize = 1;
 
     pub struct Middleware;
@@ -22,10 +23,10 @@
         async fn start(setup: Setup, stop: oneshot::Receiver<()>) -> (SocketAddr, JoinHandle<()>) {
             let builder = Fleet::builder().text(&setup.config);
             let builder = setup.keys.iter().fold(builder, |builder, keys| builder.keys(keys));
-            let fleet = builder.start().expect("a good configuration");
+            let fleet = builder.start().expect("a valid configuration");
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = listener.local_addr().expect("an address");
-            // What the daemon says to any other path; here the application does.
+            // The daemon responds like this to any other path; here the application does.
             let other = || async { (StatusCode::NOT_FOUND, [(header::CONNECTION, "close")]) };
             let layer = FleetLayer::new(fleet.clone()).health("/_health");
             let app = Router::new().fallback(other).layer(layer);
@@ -34,8 +35,8 @@
                     let _ = stop.await;
                 };
                 let served = axum::serve(listener, app).with_graceful_shutdown(stop).await;
-                served.expect("it served");
-                fleet.shutdown(Duration::from_secs(1)).await.expect("all is answered");
+                served.expect("the server ends without an error");
+                fleet.shutdown(Duration::from_secs(1)).await.expect("all calls are answered");
             });
             (address, task)
         }
--- a/library/tests/serve.rs
+++ b/library/tests/serve.rs
@@ -1,4 +1,4 @@
-//! The daemon's suite against `fleet.serve`: the daemon's own front, on the library's engine.
+//! The shared test suite against `Fleet::serve`: the front of the daemon on the engine of the library.
 
 const CORES: usize = 1;
 
--- a/library/tests/serve_4.rs
+++ b/library/tests/serve_4.rs
@@ -1,4 +1,4 @@
-//! The daemon's suite against `fleet.serve` with four engines that serve as one.
+//! The shared test suite against `Fleet::serve` with four engines that serve as one.
 
 const CORES: usize = 4;
 
--- a/library/tests/suite/keys.rs
+++ b/library/tests/suite/keys.rs
@@ -1,4 +1,4 @@
-//! The store of keys on sockets: a repeat gets the first request's answer, and a charge never runs twice.
+//! The store of keys over real sockets: a repeat gets the answer of the first request, and no charge runs twice.
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
@@ -12,7 +12,7 @@
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 const CALL_DEADLINE: Duration = Duration::from_secs(8);
-/// Hosts get the keys of charges here, so that their ledger counts runs by key.
+/// Forwards the keys of unsafe requests to hosts, so that their ledger can count the runs of each key.
 const FORWARDED_KEYS: &str = r#"{"classes": {"unsafe": {"forward": true}}}"#;
 
 fn runtime() -> Runtime {
@@ -33,8 +33,9 @@
 }
 
 async fn start_fleet_with(site: &Site, keys: &str, change: impl FnOnce(&mut serde_json::Value)) -> Fleet {
-    let fleet = fleet_builder().text(&site.configuration(change)).keys(keys).start().expect("it starts");
-    fleet.ready().await.expect("it runs");
+    let fleet =
+        fleet_builder().text(&site.configuration(change)).keys(keys).start().expect("the fleet starts");
+    fleet.ready().await.expect("the fleet runs");
     fleet
 }
 
@@ -51,16 +52,19 @@
 async fn wait_for_state(fleet: &Fleet, what: &str, condition: impl FnMut(&State) -> bool) -> State {
     let mut state = fleet.watch();
     let reached = tokio::time::timeout(TEST_TIMEOUT, state.wait_for(condition)).await;
-    let state = reached.unwrap_or_else(|_| panic!("never: {what}")).expect("it runs").clone();
+    let state =
+        reached.unwrap_or_else(|_| panic!("timed out waiting for: {what}")).expect("the fleet runs").clone();
     state
 }
 
 async fn wait_for_joined(fleet: &Fleet, count: u64) {
-    wait_for_state(fleet, "they wait", |state| state.keys.is_some_and(|(counts, ..)| counts.joined == count))
-        .await;
+    wait_for_state(fleet, "the repeats have joined the first request", |state| {
+        state.keys.is_some_and(|(counts, ..)| counts.joined == count)
+    })
+    .await;
 }
 
-/// There is no answer, and the key is at this.
+/// Asserts that there is no answer because the key is in this state, and that the request may have run.
 fn assert_unsure(answer: Result<Response<Bytes>, Error>, state: KeyState) {
     let error = answer.expect_err("no answer");
     assert!(
@@ -78,8 +82,8 @@
     Plan { faults: vec![(fault, 1.0)], echo: true, ..Plan::default() }
 }
 
-/// Repeats that come while the first runs wait with it, later ones get what is kept; each gets the first's answer,
-/// byte for byte, and the host has run it once. Another request under the key gets neither.
+/// Repeats that arrive while the first request runs wait for its answer, and later ones get the kept answer: the same
+/// bytes each, from a single run at a host. A different request with the same key is rejected.
 #[test]
 fn a_repeat_gets_the_answer_of_the_first_request() {
     let site = Site::start(vec![echo_plan(Duration::from_millis(300))]);
@@ -100,23 +104,24 @@
         assert!(replayed(&later));
         bodies.push(later.into_body());
         assert!(bodies.iter().all(|body| *body == bodies[0] && !body.is_empty()), "{bodies:?}");
-        assert_eq!(replays, 4, "all but the first's");
+        assert_eq!(replays, 4, "all but the first request are marked as replays");
         let other = post("unsafe", "k1").map(|_| Bytes::from_static(b"pays more"));
         let error = fleet.call(other, CALL_DEADLINE).await.expect_err("another request");
         assert_eq!(error, Error::Unusable(StatusCode::UNPROCESSABLE_ENTITY));
-        // The same key of another class is another key.
+        // Keys of different classes are independent.
         assert!(!replayed(&fleet.call(post("keyed", "k1"), CALL_DEADLINE).await.expect("served")));
-        // The state is shown once a second: what is shown now may be from while they were open.
-        wait_for_state(&fleet, "all were taken, and their ids are free", |state| {
+        // The state is updated once a second, so it may still be from while the calls were open.
+        wait_for_state(&fleet, "all requests are accepted and their ids free", |state| {
             state.requests == 8 && state.ids <= 1
         })
         .await;
-        fleet.shutdown(TEST_TIMEOUT).await.expect("nothing is open");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("no call is open");
     });
     assert_eq!(site.ledger.len(), 2);
 }
 
-/// After an end of which nobody knows, a repeat gets the failure and there is no new attempt; those who waited too.
+/// After an attempt with an unknown outcome, repeats get the failure, as do those that wait, and nothing is sent
+/// again.
 #[test]
 fn after_an_unknown_outcome_nothing_is_sent_again() {
     for faulty in [Fault::ResetAfter, Fault::Garble, Fault::Cut, Fault::Error] {
@@ -136,7 +141,8 @@
     }
 }
 
-/// After an end that surely never ran, one that waits becomes the first, and each is told that it never ran.
+/// After a refusal by the host, which never ran the request, a waiting repeat is sent as the first request. Each of
+/// them gets an error that says that it never ran.
 #[test]
 fn after_a_refusal_a_repeat_is_sent_as_the_first_request() {
     let site = Site::start(vec![failing_plan(Fault::TurnAway)]);
@@ -148,16 +154,16 @@
                 calls.spawn(fleet.call(post("unsafe", "k"), CALL_DEADLINE));
             }
             while let Some(answer) = calls.join_next().await {
-                let error = answer.expect("no panic").expect_err("turned away");
+                let error = answer.expect("no panic").expect_err("the host refuses the request");
                 assert!(!error.may_have_run() && error.retry_after().is_some(), "{error:?}");
             }
         }
         site.with(|stand_ins| *stand_ins.hosts[0].plan.borrow_mut() = Some(echo_plan(Duration::ZERO)));
-        // The host is set aside for a while.
+        // The host gets no requests for a while after its refusals.
         loop {
             match fleet.call(post("unsafe", "k"), CALL_DEADLINE).await {
                 Ok(answer) => break assert!(!replayed(&answer)),
-                Err(error) => tokio::time::sleep(error.retry_after().expect("it never ran")).await,
+                Err(error) => tokio::time::sleep(error.retry_after().expect("the request never ran")).await,
             }
         }
         assert!(replayed(&fleet.call(post("unsafe", "k"), CALL_DEADLINE).await.expect("served")));
@@ -165,12 +171,13 @@
     assert_eq!(site.ledger.len(), 1);
 }
 
-/// The first's client goes, and the repeat that waits gets the answer; both go, and the attempt is called without_detaching.
+/// If the first client cancels, a waiting repeat still gets the answer. If all of them cancel, the attempt is
+/// cancelled.
 #[test]
 fn a_call_continues_until_its_last_waiter_cancels() {
     let site = Site::start(vec![failing_plan(Fault::Stall)]);
     run_test(async {
-        // Without lingering: what that changes is tests/lingering.rs.
+        // Without detached calls, whose effect is tested in proxy/tests/suite/detached_calls.rs.
         let fleet = start_fleet_with(&site, r#"{"lingering": 0}"#, |config| {
             for time in ["objective_us", "deadline_us"] {
                 config["settings"]["classes"][2][time] = 600_000_000.into();
@@ -179,7 +186,7 @@
         .await;
         let long_deadline = Duration::from_secs(600);
         let first = tokio::spawn(fleet.call(post("unsafe", "k1"), long_deadline));
-        wait_for_state(&fleet, "it is sent", |state| state.attempts == 1).await;
+        wait_for_state(&fleet, "the attempt is sent", |state| state.attempts == 1).await;
         let repeat = tokio::spawn(fleet.call(post("unsafe", "k1"), long_deadline));
         wait_for_joined(&fleet, 1).await;
         first.abort();
@@ -189,37 +196,38 @@
         assert_eq!(&answer.body()[..], b"released");
         let both = [0, 1].map(|_| tokio::spawn(fleet.call(post("unsafe", "k2"), long_deadline)));
         wait_for_joined(&fleet, 2).await;
-        wait_for_state(&fleet, "it is sent", |state| state.attempts == 2).await;
+        wait_for_state(&fleet, "the attempt is sent", |state| state.attempts == 2).await;
         both.iter().for_each(|call| call.abort());
-        wait_for_state(&fleet, "nothing is left", |state| (state.calls, state.ids) == (0, 0)).await;
+        wait_for_state(&fleet, "no call and no id is open", |state| (state.calls, state.ids) == (0, 0)).await;
         let again = fleet.call(post("unsafe", "k2"), long_deadline).await;
         assert_unsure(again, KeyState::Unsure);
     });
     assert_eq!(site.counts(), [2]);
 }
 
-/// The first's time runs out while a repeat waits longer: the first gets its failure in its time, the call goes on,
-/// and the repeat gets the answer. A repeat with less time gets its failure first.
+/// If the deadline of the first request passes while a repeat still waits, the first gets its failure, the call
+/// continues, and the repeat gets the answer. A repeat with a shorter deadline gets its failure earlier.
 #[test]
 fn each_waiter_has_its_own_deadline() {
     let site = Site::start(vec![failing_plan(Fault::Stall)]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let first = tokio::spawn(fleet.call(post("unsafe", "k"), Duration::from_millis(1_500)));
-        wait_for_state(&fleet, "it is sent", |state| state.attempts == 1).await;
+        wait_for_state(&fleet, "the attempt is sent", |state| state.attempts == 1).await;
         let long = tokio::spawn(fleet.call(post("unsafe", "k"), CALL_DEADLINE));
         let short = tokio::spawn(fleet.call(post("unsafe", "k"), Duration::from_millis(50)));
         assert_unsure(short.await.expect("no panic"), KeyState::Running);
-        assert!(!first.is_finished(), "the others wait on");
+        assert!(!first.is_finished(), "the first request still waits");
         assert_unsure(first.await.expect("no panic"), KeyState::Running);
-        assert!(!long.is_finished(), "it waits on");
+        assert!(!long.is_finished(), "the repeat still waits");
         site.with(|stand_ins| stand_ins.hosts[0].release.notify_one());
         assert_eq!(&long.await.expect("no panic").expect("served").body()[..], b"released");
     });
-    assert_eq!(site.counts(), [1], "one attempt for all");
+    assert_eq!(site.counts(), [1], "all share one attempt");
 }
 
-/// A store without room refuses an unsafe request, which never ran, and passes a keyed one; another tenant keeps its.
+/// A full store refuses an unsafe request, which then never ran, and forwards a keyed one without storing it. A
+/// tenant at its own bound does not affect another tenant.
 #[test]
 fn a_full_store_refuses_unsafe_requests() {
     let site = Site::start(vec![failing_plan(Fault::Stall)]);
@@ -236,39 +244,45 @@
         };
         let running: Vec<_> =
             ["1", "2"].map(|key| tokio::spawn(fleet.call(tenant_post("a", key), CALL_DEADLINE))).into();
-        wait_for_state(&fleet, "both are held", |state| state.keys.is_some_and(|(_, held, _)| held == 2))
-            .await;
+        wait_for_state(&fleet, "both keys are stored", |state| {
+            state.keys.is_some_and(|(_, held, _)| held == 2)
+        })
+        .await;
         let refused =
-            fleet.call(tenant_post("a", "3"), CALL_DEADLINE).await.expect_err("its tenant has too many");
+            fleet.call(tenant_post("a", "3"), CALL_DEADLINE).await.expect_err("the tenant is at its bound");
         assert!(refused.retry_after().is_some(), "{refused:?}");
         let other = tokio::spawn(fleet.call(tenant_post("b", "1"), CALL_DEADLINE));
-        wait_for_state(&fleet, "another's is held", |state| state.keys.is_some_and(|(_, held, _)| held == 3))
-            .await;
+        wait_for_state(&fleet, "the key of the other tenant is stored", |state| {
+            state.keys.is_some_and(|(_, held, _)| held == 3)
+        })
+        .await;
         assert!(fleet
             .call(tenant_post("b", "2"), CALL_DEADLINE)
             .await
-            .expect_err("no room")
+            .expect_err("the store is full")
             .retry_after()
             .is_some());
         let passed = tokio::spawn(fleet.call(post("keyed", "k"), CALL_DEADLINE));
-        let state =
-            wait_for_state(&fleet, "it passes", |state| state.keys.is_some_and(|(c, ..)| c.passed[0] == 1))
-                .await;
+        let state = wait_for_state(&fleet, "the keyed request is forwarded", |state| {
+            state.keys.is_some_and(|(c, ..)| c.passed[0] == 1)
+        })
+        .await;
         assert_eq!(state.keys.map(|(counts, ..)| counts.refused), Some([1, 1, 0]));
         running.iter().chain([&other, &passed]).for_each(|call| call.abort());
     });
 }
 
-/// What cannot be a key is turned away by the front as by the library, and a reload keeps what is held.
+/// The front rejects invalid keys as the library does, and a reload keeps the stored entries.
 #[test]
 fn the_front_uses_the_store_of_keys() {
     let site = Site::start(vec![echo_plan(Duration::ZERO)]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
-        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
+        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("the address can be bound");
         let address = listener.local_addr().expect("an address");
-        let _serving = fleet.serve(listener).expect("it serves");
-        let mut client: Client = Reader::new(TcpStream::connect(address).await.expect("it accepts"));
+        let _serving = fleet.serve(listener).expect("the front starts");
+        let mut client: Client =
+            Reader::new(TcpStream::connect(address).await.expect("the connection is accepted"));
         let first = client.ask(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
         let again = client.ask(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
         assert_eq!((first.status(), &first.body), (200, &again.body));
@@ -284,11 +298,12 @@
             "Idempotency-Key: a\r\nIdempotency-Key: a\r\n",
             "Idempotency-Key: é\r\n",
         ] {
-            let mut client: Client = Reader::new(TcpStream::connect(address).await.expect("it accepts"));
+            let mut client: Client =
+                Reader::new(TcpStream::connect(address).await.expect("the connection is accepted"));
             assert_eq!(client.ask(&request("unsafe", bad, "body")).await.status(), 400, "{bad}");
         }
         let keys = r#"{"waiters": 1, "classes": {"unsafe": {"answered_ms": 5}}}"#;
-        fleet.reload_with_keys(&site.configuration(|_| ()), keys).expect("a good one");
+        fleet.reload_with_keys(&site.configuration(|_| ()), keys).expect("a valid configuration");
         assert!(replayed(
             &fleet.call(post_with_body("unsafe", "k", "body"), CALL_DEADLINE).await.expect("served")
         ));
@@ -301,7 +316,7 @@
     post(class, key).map(|_| Bytes::from_static(body.as_bytes()))
 }
 
-/// A key that hosts are not to know stays at the edge.
+/// Keys of unsafe requests are not sent to hosts unless that is configured.
 #[test]
 fn an_unsafe_key_is_not_forwarded_unless_configured() {
     let site = Site::start(vec![Plan::default()]);
@@ -315,7 +330,7 @@
     assert_eq!(keys, [None, Some("k".to_owned())]);
 }
 
-/// A configuration of keys that cannot be used is an error that names its place.
+/// An invalid configuration of the store of keys is an error that names the place.
 #[test]
 fn an_invalid_key_configuration_names_the_place() {
     let site = Site::start(vec![]);
@@ -327,16 +342,19 @@
         (r#"{"classes": {"unsafe": {"unsure_ms": -1}}}"#, "classes.unsafe.unsure_ms"),
         ("{} {}", "trailing"),
     ] {
-        let error =
-            Fleet::builder().text(&site.configuration(|_| ())).keys(keys).start().expect_err("broken");
+        let error = Fleet::builder()
+            .text(&site.configuration(|_| ()))
+            .keys(keys)
+            .start()
+            .expect_err("an invalid configuration");
         assert!(error.to_string().contains(reason), "{keys}: {error}");
     }
 }
 
-/// Charges and entries, each sent up to 4 times at drawn moments by clients of which some leave early, with stalls,
-/// resets, garbled answers and a host that is killed: no charge runs twice and no entry outside its pod, every answer
-/// to a key is one answer, and an answer that a host has given is replayed. Without the store the same load runs keys
-/// again; without lingering it loses answers.
+/// Charges (unsafe) and entries (keyed) are each sent up to 4 times at random moments by clients of which some cancel
+/// early, while hosts stall, reset connections and corrupt answers, and one host is killed. No charge may run twice,
+/// and no entry twice outside its pod; each key has a single answer, and an answer that a host has given is replayed.
+/// Without the store the same load runs keys repeatedly; without detached calls it loses answers.
 #[test]
 fn repeated_charges_run_once() {
     let with_store = run_storm(Some(FORWARDED_KEYS));
@@ -357,25 +375,25 @@
     );
     assert!(
         without_detaching.replayed < without_detaching.answerable,
-        "lingering is what does it: {without_detaching:?}"
+        "without detached calls answers are lost: {without_detaching:?}"
     );
     let without_store = run_storm(None);
     assert!(
         without_store.entries_twice > 10 && without_store.two_answers > 10,
-        "the store is what does it: {without_store:?}"
+        "without the store keys run repeatedly: {without_store:?}"
     );
 }
 
 fn run_storm(keys: Option<&str>) -> Aftermath {
-    // Without the store an unsafe class carries no key: entries alone are compared.
+    // Without the store a request of an unsafe class must not have a key, so only entries are compared.
     let classes = if keys.is_some() { vec!["unsafe", "keyed"] } else { vec!["keyed"] };
     let storm = Storm { keys: 400, classes, ..Storm::default() };
     let site = storm.site(4);
     let text = storm.configuration(&site);
     let builder = fleet_builder().text(&text);
-    let fleet = keys.into_iter().fold(builder, Builder::keys).start().expect("it starts");
+    let fleet = keys.into_iter().fold(builder, Builder::keys).start().expect("the fleet starts");
     runtime().block_on(async {
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet runs");
         let halfway = storm.keys / 2;
         let kill = |number| {
             if number == halfway {
@@ -388,7 +406,7 @@
             async move { classify(call.await) }
         };
         let aftermath = storm.run(&site.ledger, Duration::from_secs(9), call, kill).await;
-        fleet.shutdown(TEST_TIMEOUT).await.expect("nothing is open");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("no call is open");
         aftermath
     })
 }
@@ -402,7 +420,7 @@
     }
 }
 
-/// The host that a first went to is drained, and one is killed, before its repeat comes: it makes no difference.
+/// A repeat gets the kept answer even if the host of the first request has been drained and killed meanwhile.
 #[test]
 fn a_drain_does_not_affect_a_repeat() {
     let site = Site::start(vec![echo_plan(Duration::ZERO), echo_plan(Duration::ZERO)]);
@@ -411,12 +429,15 @@
         let first = fleet.call(post("unsafe", "k"), CALL_DEADLINE).await.expect("served");
         let host_name = site.ledger.effects()[0].host.clone();
         site.with(move |stand_ins| {
-            let index =
-                stand_ins.hosts.iter().position(|host: &Host| host.name == host_name).expect("it ran");
+            let index = stand_ins
+                .hosts
+                .iter()
+                .position(|host: &Host| host.name == host_name)
+                .expect("a host ran the request");
             stand_ins.list(index, "Terminating");
             stand_ins.hosts[index].kill();
         });
-        wait_for_state(&fleet, "it is told", |state| {
+        wait_for_state(&fleet, "the drain is known", |state| {
             state.hosts.iter().any(|host| host.health != nettleworks_client::Health::Ready)
         })
         .await;
@@ -426,8 +447,8 @@
     assert_eq!(site.ledger.len(), 1);
 }
 
-/// An answer of 64 KiB for many who wait: each gets all of it, and one copy is held. Where it is more than may be
-/// held, a marker stays: a later repeat gets the failure, and no new attempt.
+/// Many waiting requests each get the whole answer of 64 KiB, and one copy of it is stored. If it exceeds the bound
+/// of the store, only a marker is kept: a later repeat gets the failure, and nothing is sent again.
 #[test]
 fn a_large_answer_is_kept_once_or_not_at_all() {
     const WAITERS: usize = 40;
@@ -443,7 +464,7 @@
             while let Some(answer) = calls.join_next().await {
                 assert_eq!(answer.expect("no panic").expect("served").body().len(), 64 << 10);
             }
-            let state = wait_for_state(&fleet, "it has ended", |state| {
+            let state = wait_for_state(&fleet, "the call has ended", |state| {
                 state.calls == 0 && state.keys.is_some_and(|(counts, ..)| counts.joined == WAITERS as u64 - 1)
             })
             .await;
@@ -452,7 +473,7 @@
             assert!(bytes <= max_bytes, "{bytes}");
             let later = fleet.call(post("unsafe", "k"), CALL_DEADLINE).await;
             if is_kept {
-                assert!(replayed(&later.expect("kept")));
+                assert!(replayed(&later.expect("the answer is kept")));
             } else {
                 assert_unsure(later, KeyState::Forgotten);
             }
@@ -461,20 +482,21 @@
     }
 }
 
-/// A client that does not read its answer keeps no repeat waiting.
+/// A client that does not read its response does not delay a repeat.
 #[test]
 fn a_repeat_does_not_wait_until_the_first_client_reads() {
     let site = Site::start(vec![Plan { answer: 64 << 10, ..Plan::default() }]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
-        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
+        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("the address can be bound");
         let address = listener.local_addr().expect("an address");
-        let _serving = fleet.serve(listener).expect("it serves");
-        let client =
-            async || -> Client { Reader::new(TcpStream::connect(address).await.expect("it accepts")) };
+        let _serving = fleet.serve(listener).expect("the front starts");
+        let client = async || -> Client {
+            Reader::new(TcpStream::connect(address).await.expect("the connection is accepted"))
+        };
         let mut unread = client().await;
         unread.send(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
-        unread.stream.readable().await.expect("its answer begins");
+        unread.stream.readable().await.expect("the response begins");
         let repeat = client().await.ask(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
         assert_eq!((repeat.status(), repeat.header("idempotency-replayed")), (200, Some("true")));
         assert_eq!(unread.message().await.expect("an answer").body, repeat.body);
@@ -482,18 +504,19 @@
     assert_eq!(site.ledger.len(), 1);
 }
 
-/// A stop answers the first and all who wait with it.
+/// A stop of the front answers the first request and all repeats that wait for it.
 #[test]
 fn a_stop_answers_all_waiters() {
     let site = Site::start(vec![echo_plan(Duration::from_millis(700))]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
-        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("it listens");
+        let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("the address can be bound");
         let address = listener.local_addr().expect("an address");
-        let mut serving = fleet.serve(listener).expect("it serves");
+        let mut serving = fleet.serve(listener).expect("the front starts");
         let mut clients: Vec<Client> = Vec::new();
         for _ in 0..4 {
-            let mut client: Client = Reader::new(TcpStream::connect(address).await.expect("it accepts"));
+            let mut client: Client =
+                Reader::new(TcpStream::connect(address).await.expect("the connection is accepted"));
             client.send(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
             clients.push(client);
         }
@@ -506,13 +529,13 @@
             bodies.push(answer.body);
         }
         assert!(bodies.iter().all(|body| *body == bodies[0]));
-        serving.await.expect("it served");
-        fleet.shutdown(TEST_TIMEOUT).await.expect("nothing is open");
+        serving.await.expect("the front ends without an error");
+        fleet.shutdown(TEST_TIMEOUT).await.expect("no call is open");
     });
     assert_eq!(site.ledger.len(), 1);
 }
 
-/// Calls that linger keep their places in a store that is full; a new charge is refused until one of them has ended.
+/// Detached calls keep their entries in a full store; a new charge is refused until one of them has ended.
 #[test]
 fn a_detached_call_is_never_evicted() {
     let site = Site::start(vec![failing_plan(Fault::Stall)]);
@@ -521,23 +544,23 @@
         for key in ["k1", "k2"] {
             let call = tokio::spawn(fleet.call(post("unsafe", key), CALL_DEADLINE));
             let sent = |state: &State| state.attempts == u64::from(key == "k2") + 1;
-            wait_for_state(&fleet, "it is sent", sent).await;
+            wait_for_state(&fleet, "the attempt is sent", sent).await;
             call.abort();
         }
-        wait_for_state(&fleet, "both linger", |state| state.lingering == 2).await;
-        let refused = fleet.call(post("unsafe", "k3"), CALL_DEADLINE).await.expect_err("no room");
+        wait_for_state(&fleet, "both calls are detached", |state| state.lingering == 2).await;
+        let refused = fleet.call(post("unsafe", "k3"), CALL_DEADLINE).await.expect_err("the store is full");
         assert!(refused.retry_after().is_some() && !refused.may_have_run(), "{refused:?}");
         site.with(|stand_ins| stand_ins.hosts[0].release.notify_one());
-        wait_for_state(&fleet, "one has ended", |state| state.lingering == 1).await;
+        wait_for_state(&fleet, "one of them has ended", |state| state.lingering == 1).await;
         let third = tokio::spawn(fleet.call(post("unsafe", "k3"), CALL_DEADLINE));
-        wait_for_state(&fleet, "it has room", |state| state.attempts == 3).await;
+        wait_for_state(&fleet, "the third request is sent", |state| state.attempts == 3).await;
         third.abort();
     });
     assert_eq!(site.ledger.len(), 3);
 }
 
-/// A reload with a shorter time is for calls that begin to linger from then on; one with lower bounds calls none off
-/// before there is need.
+/// A shorter retention of detached calls applies to calls that are detached after the reload. A lower bound on their
+/// number cancels calls only when another call is detached.
 #[test]
 fn a_reload_changes_how_long_calls_stay_detached() {
     let site = Site::start(vec![failing_plan(Fault::Stall)]);
@@ -550,23 +573,23 @@
         let fleet = start_fleet_with(&site, FORWARDED_KEYS, long_deadlines).await;
         let cancel_when_sent = async |key: &'static str, attempts: u64| {
             let call = tokio::spawn(fleet.call(post("unsafe", key), CALL_DEADLINE));
-            wait_for_state(&fleet, "it is sent", |state| state.attempts == attempts).await;
+            wait_for_state(&fleet, "the attempt is sent", |state| state.attempts == attempts).await;
             call.abort();
         };
         cancel_when_sent("k1", 1).await;
         cancel_when_sent("k2", 2).await;
-        wait_for_state(&fleet, "both linger", |state| state.lingering == 2).await;
+        wait_for_state(&fleet, "both calls are detached", |state| state.lingering == 2).await;
         let keys = r#"{"lingering": 2, "classes": {"unsafe": {"linger_ms": 50}}}"#;
-        fleet.reload_with_keys(&site.configuration(long_deadlines), keys).expect("a good one");
+        fleet.reload_with_keys(&site.configuration(long_deadlines), keys).expect("a valid configuration");
         cancel_when_sent("k3", 3).await;
-        // The oldest made room for it, and it has lingered for its time; the second goes with_store.
-        let state = wait_for_state(&fleet, "one is left", |state| state.lingering == 1).await;
+        // The oldest call was cancelled to make room for the third, which then expired; the second continues.
+        let state = wait_for_state(&fleet, "one detached call is left", |state| state.lingering == 1).await;
         assert_eq!(state.keys.map(|(counts, ..)| (counts.lingered, counts.called_off)), Some((3, 1)));
         assert_unsure(fleet.call(post("unsafe", "k1"), CALL_DEADLINE).await, KeyState::Unsure);
         assert_unsure(fleet.call(post("unsafe", "k3"), CALL_DEADLINE).await, KeyState::Unsure);
         let again = tokio::spawn(fleet.call(post("unsafe", "k2"), TEST_TIMEOUT));
         wait_for_joined(&fleet, 1).await;
-        // Its host has noticed that the others were called without_detaching.
+        // Waits until the host has noticed that the other calls were cancelled.
         while site.with(|stand_ins| stand_ins.hosts[0].open.get()) > 1 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
