--- a/library/tests/application.rs
+++ b/library/tests/application.rs
@@ -186,7 +186,7 @@
     let others_used =
         site.with(move |stand_ins| stand_ins.hosts[1].read.get().1.is_some_and(|last| last > drained_at));
     assert!(others_used, "other hosts still get requests after the drain");
-    assert_eq!(watches, 1, "the first watch is still open");
+    assert_eq!(watches, 1, "the watch was opened only once");
     assert_eq!(tally.lost, 0, "{tally:?}");
     assert!(tally.served > 50 && tally.failed > 0, "served {}, timed out {}", tally.served, tally.failed);
     runtime.block_on(eventually("both workers continue", || answers.lock().expect("no panic").len() == 2));
