--- a/library/src/state.rs
+++ b/library/src/state.rs
@@ -1,4 +1,4 @@
-//! What a fleet shows of itself.
+//! Snapshots of a fleet's state.
 
 use nettleworks::cores::Shards;
 use nettleworks_engine::driver::Handle;
@@ -11,30 +11,31 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::watch;
 
-/// A fleet at one moment.
+/// A snapshot of a fleet's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
-    /// Whether a list of hosts is in hand.
+    /// Whether there is a server list.
     pub ready: bool,
     /// Version of that list.
     pub version: Option<u64>,
-    /// Its hosts, in the order of their names.
+    /// Its hosts, sorted by name.
     pub hosts: Vec<HostState>,
-    /// Calls that are open, or over with an attempt still out.
+    /// Number of calls that are open, or answered with an attempt still in flight.
     pub calls: usize,
-    /// Those of them that go on though nobody waits for them.
+    /// Number of detached calls among them: those that continue although no client waits for them.
     pub lingering: usize,
-    /// Ids that no new call may have.
+    /// Number of open ids; new calls must not use them.
     pub ids: usize,
     /// Connections to hosts.
     pub connections: Connections,
-    /// Calls taken so far.
+    /// Number of requests accepted since the start.
     pub requests: u64,
-    /// Attempts sent so far.
+    /// Number of attempts sent since the start.
     pub attempts: u64,
-    /// What the store of keys has done so far, where there is one, and how many keys and bytes of answers it holds.
+    /// The counters of the store of keys since the start, the number of keys that it holds, and the size of the
+    /// answers that it holds in bytes. `None` if there is no store.
     pub keys: Option<(Counts, usize, usize)>,
-    /// How attempts have ended so far.
+    /// Number of attempts by outcome since the start.
     pub outcomes: BTreeMap<Outcome, u64>,
 }
 
@@ -59,110 +60,114 @@
 }
 
 impl State {
-    /// Of several engines that serve as one.
-    fn of_all(parts: &[State]) -> State {
-        let Some((first, rest)) = parts.split_first() else { return State::default() };
-        let mut all = first.clone();
-        for part in rest {
-            // Each has all hosts, but for those that it has not heard of yet.
-            all.ready &= part.ready;
-            all.version = all.version.min(part.version);
-            for host in &part.hosts {
-                match all.hosts.iter_mut().find(|known| known.name == host.name) {
+    /// Merges the states of several engines that serve as one.
+    fn merge(states: &[State]) -> State {
+        let Some((first, rest)) = states.split_first() else { return State::default() };
+        let mut merged = first.clone();
+        for state in rest {
+            // Each engine lists all hosts, except those of list changes that it has not received yet.
+            merged.ready &= state.ready;
+            merged.version = merged.version.min(state.version);
+            for host in &state.hosts {
+                match merged.hosts.iter_mut().find(|known| known.name == host.name) {
                     Some(known) => known.attempts += host.attempts,
-                    None => all.hosts.push(host.clone()),
+                    None => merged.hosts.push(host.clone()),
                 }
             }
-            all.calls += part.calls;
-            all.lingering += part.lingering;
-            all.ids += part.ids;
-            let (sum, more) = (&mut all.connections, part.connections);
-            sum.open += more.open;
-            sum.idle += more.idle;
-            sum.opened += more.opened;
-            sum.open_failed += more.open_failed;
-            sum.broken_reuse += more.broken_reuse;
-            all.requests += part.requests;
-            all.attempts += part.attempts;
-            all.keys = match (all.keys, part.keys) {
-                (Some((a, held, bytes)), Some((b, more, others))) => {
-                    Some((a + b, held + more, bytes + others))
+            merged.calls += state.calls;
+            merged.lingering += state.lingering;
+            merged.ids += state.ids;
+            let (total, more) = (&mut merged.connections, state.connections);
+            total.open += more.open;
+            total.idle += more.idle;
+            total.opened += more.opened;
+            total.open_failed += more.open_failed;
+            total.broken_reuse += more.broken_reuse;
+            merged.requests += state.requests;
+            merged.attempts += state.attempts;
+            merged.keys = match (merged.keys, state.keys) {
+                (Some((counts, held, bytes)), Some((more_counts, more_held, more_bytes))) => {
+                    Some((counts + more_counts, held + more_held, bytes + more_bytes))
                 }
-                (own, other) => own.or(other),
+                (left, right) => left.or(right),
             };
-            for (outcome, count) in &part.outcomes {
-                *all.outcomes.entry(*outcome).or_default() += count;
+            for (outcome, count) in &state.outcomes {
+                *merged.outcomes.entry(*outcome).or_default() += count;
             }
         }
-        all.hosts.sort_unstable_by(|a, b| a.name.cmp(&b.name));
-        all
+        merged.hosts.sort_unstable_by(|a, b| a.name.cmp(&b.name));
+        merged
     }
 }
 
-/// What all engines of a fleet show. Figures of moments that lie apart would not fit together, so one engine says when,
-/// and the others show theirs at once.
-pub(crate) struct Combined {
+/// Merges the state snapshots of all engines of a fleet and publishes the result. Snapshots of different moments
+/// would be inconsistent with each other, so one engine starts each round, and the others contribute theirs at once.
+pub(crate) struct StateAggregator {
     round: Mutex<Round>,
-    shown: watch::Sender<State>,
+    published: watch::Sender<State>,
     peers: Option<Shards>,
 }
 
+/// One collection of the engines' snapshots.
 struct Round {
-    parts: Vec<State>,
-    /// Who has not shown its part yet.
+    /// The latest snapshot of each engine.
+    states: Vec<State>,
+    /// By engine: whether its snapshot for this round has been requested and is still missing.
     missing: Vec<bool>,
 }
 
-impl Combined {
-    pub fn new(engines: usize, peers: Option<Shards>, shown: watch::Sender<State>) -> Combined {
-        let round = Round { parts: vec![State::default(); engines], missing: vec![false; engines] };
-        Combined { round: Mutex::new(round), shown, peers }
+impl StateAggregator {
+    pub fn new(engines: usize, peers: Option<Shards>, published: watch::Sender<State>) -> StateAggregator {
+        let round = Round { states: vec![State::default(); engines], missing: vec![false; engines] };
+        StateAggregator { round: Mutex::new(round), published, peers }
     }
 
-    /// Whether this engine says when: the first that answers.
-    fn leads(&self, me: usize) -> bool {
+    /// Whether this engine starts the rounds: the first one that is responsive does.
+    fn starts_rounds(&self, shard: usize) -> bool {
         self.peers
             .as_ref()
-            .is_none_or(|peers| (0..peers.count()).find(|&at| peers.is_responsive(at)) == Some(me))
+            .is_none_or(|peers| (0..peers.count()).find(|&other| peers.is_responsive(other)) == Some(shard))
     }
 }
 
-/// Shows one engine's state to the application.
-pub(crate) struct Shown {
-    pub all: Arc<Combined>,
-    pub me: usize,
+/// Receives the state snapshots of one engine.
+pub(crate) struct StateObserver {
+    pub aggregator: Arc<StateAggregator>,
+    pub shard: usize,
 }
 
-impl Observer for Shown {
+impl Observer for StateObserver {
     fn wants_state(&self) -> bool {
-        self.all.shown.receiver_count() > 0 && self.all.leads(self.me)
+        self.aggregator.published.receiver_count() > 0 && self.aggregator.starts_rounds(self.shard)
     }
 
     fn on_state(&self, state: engine::State) {
-        // Whole whoever panicked: it is only replaced.
-        let mut round = self.all.round.lock().unwrap_or_else(PoisonError::into_inner);
-        round.parts[self.me] = State::from(state);
-        if let Some(peers) = self.all.peers.as_ref().filter(|_| !round.missing[self.me]) {
-            // It has not been asked: a new round. What the last still lacks is as it was.
-            for other in (0..peers.count()).filter(|&other| other != self.me && peers.is_responsive(other)) {
+        // A panic of another holder of the lock leaves no partial state: entries are only ever replaced as a whole.
+        let mut round = self.aggregator.round.lock().unwrap_or_else(PoisonError::into_inner);
+        round.states[self.shard] = State::from(state);
+        if let Some(peers) = self.aggregator.peers.as_ref().filter(|_| !round.missing[self.shard]) {
+            // This snapshot was not requested, so it starts a new round. Engines that still owe one for the last
+            // round are not asked again.
+            for other in (0..peers.count()).filter(|&other| other != self.shard && peers.is_responsive(other))
+            {
                 if !std::mem::replace(&mut round.missing[other], true) {
                     peers.submit(other, Handle::notify_observer);
                 }
             }
         }
-        round.missing[self.me] = false;
-        // Whoever does not answer keeps nothing from being shown.
+        round.missing[self.shard] = false;
+        // An unresponsive engine must not delay publication.
         for (other, missing) in round.missing.iter_mut().enumerate() {
-            *missing &= self.all.peers.as_ref().is_some_and(|peers| peers.is_responsive(other));
+            *missing &= self.aggregator.peers.as_ref().is_some_and(|peers| peers.is_responsive(other));
         }
         if round.missing.iter().any(|missing| *missing) {
             return;
         }
-        let state = State::of_all(&round.parts);
-        // Under the lock, so that the newest is shown last.
-        self.all.shown.send_if_modified(|shown| {
-            let differs = *shown != state;
-            *shown = state;
+        let state = State::merge(&round.states);
+        // Published under the lock, so that the newest state is published last.
+        self.aggregator.published.send_if_modified(|published| {
+            let differs = *published != state;
+            *published = state;
             differs
         });
     }
--- a/library/tests/serve.rs
+++ b/library/tests/serve.rs
@@ -1,8 +1,8 @@
-//! The daemon's suite against `fleet.serve`: the daemon's own front, on the library's engine.
+//! The shared test suite against `Fleet::serve`: the front of the daemon on the engine of the library.
 
 const CORES: usize = 1;
 
-#[path = "suite/served.rs"]
+#[path = "suite/harness.rs"]
 mod harness;
 #[path = "../../proxy/tests/suite/listening.rs"]
 mod listening;
--- a/library/tests/serve_4.rs
+++ b/library/tests/serve_4.rs
@@ -1,8 +1,8 @@
-//! The daemon's suite against `fleet.serve` with four engines that serve as one.
+//! The shared test suite against `Fleet::serve` with four engines that serve as one.
 
 const CORES: usize = 4;
 
-#[path = "suite/served.rs"]
+#[path = "suite/harness.rs"]
 mod harness;
 #[path = "../../proxy/tests/suite/listening.rs"]
 mod listening;
