--- a/policy/src/api.rs
+++ b/policy/src/api.rs
@@ -265,7 +265,7 @@
         /// When the watch last showed that it was alive.
         since: Micros,
     },
-    /// Discovery ended the watch in an orderly way. Changes that it did not deliver count as notified soon after.
+    /// Discovery ended the watch gracefully. Changes that it did not deliver count as notified soon after.
     Ended {
         /// When the watch ended.
         at: Micros,
@@ -518,7 +518,7 @@
         /// Why it is not served.
         reason: FailureReason,
     },
-    /// End the call with an error that does not say whether it was executed.
+    /// End the call with an error that leaves open whether it was executed.
     Fail {
         /// The call.
         call: CallId,
--- a/policy/src/balance.rs
+++ b/policy/src/balance.rs
@@ -32,8 +32,8 @@
 const FIRST_BACKOFF_SHARE: f64 = 0.25;
 /// New calls are refused once the head of the queue has waited for this share of their latency target.
 const QUEUE_WAIT_SHARE: f64 = 0.1;
-/// Number of usual response times that must remain before the latency target: for a hedge, and for a
-/// protected call to be queued.
+/// Number of usual response times that must remain before the latency target: for a hedge, and for a call of
+/// high value to be queued.
 const SPARE_LATENCIES: f64 = 2.0;
 /// Retry tokens (for retries and hedges) that each call adds, and the maximum that accumulates.
 const RETRY_TOKENS_PER_CALL: f64 = 0.2;
@@ -46,7 +46,7 @@
 /// The more expensive of two servers is chosen less often, by the ratio of their costs to this power.
 const COST_EXPONENT: i32 = 6;
 /// Doublings of a zone's backoff until it is as long as the first backoff of a server. It starts low, as one
-/// failed connection says little about a zone.
+/// failed connection is weak evidence about a zone.
 const ZONE_BACKOFF_DOUBLINGS: u32 = 3;
 
 type Actions = Vec<Action>;
@@ -428,6 +428,8 @@
         limit.min(target - usual_latency).max(0.0) as Micros
     }
 
+    /// Whether the value per work of the call's class, relative to the mean over all calls, is so high that
+    /// it outweighs the weight of the worst class in the score.
     fn is_protected(&self, call: &Call) -> bool {
         let all = self.latencies.iter().zip(&self.settings.classes);
         let (value, work) =
@@ -723,7 +725,7 @@
         // slow.
         let hedge_at =
             (target_at as f64 - SPARE_LATENCIES * usual_latency).max(arrived as f64 + 1.5 * usual_latency);
-        // A shared limit says nothing about a single server, so a hedge would only add load.
+        // A shared limit holds no information on a single server, so a hedge would only add load.
         let hedgeable = attempts == 1 && self.settings.limits.hedging && self.shared_limit.is_none();
         let hedges = hedgeable && hedge_at + usual_latency <= target_at as f64;
         self.set_wake(id, if hedges { (hedge_at as Micros).max(now + 1) } else { 0 });
--- a/policy/src/balance/outcomes.rs
+++ b/policy/src/balance/outcomes.rs
@@ -11,10 +11,11 @@
 /// A response shows overload beyond this many times its class's unloaded response time, which corresponds to
 /// about two calls per core.
 const OVERLOAD_LATENCY_FACTOR: f64 = 3.0;
-/// ... or beyond this share of its latency target, whichever is shorter.
+/// A response also shows overload beyond this share of its latency target, if that is shorter than the bound
+/// by [`OVERLOAD_LATENCY_FACTOR`].
 const OVERLOAD_TARGET_SHARE: f64 = 0.33;
 /// Replaces `OVERLOAD_LATENCY_FACTOR` where the limit is shared: if each of a hundred balancers waits for
-/// clear signs of overload, they jam the server.
+/// clear signs of overload, their calls together overload the server.
 const SHARED_OVERLOAD_LATENCY_FACTOR: f64 = 2.0;
 /// Doublings of the cooldown (in rounds of own calls) of a server that times out; and the maximum number of
 /// further doublings by repeated time-outs.
@@ -196,7 +197,7 @@
             server.not_before = server.not_before.max(now + ended.longest_usual_latency as Micros);
         } else if server.overload > 1.0 && server.has_settled(now, ended.longest_usual_latency) {
             server.limit.reduce(1.0 / server.overload, server.overload > DEEP_CUT_OVERLOAD);
-            // The cut has dealt with part of the overload, so one jam is not cut for twice.
+            // The cut has dealt with part of the overload, so only the rest counts towards a further cut.
             server.overload = server.overload.sqrt();
             (server.responses_since_change, server.limit_changed_at) = (0, now);
         }
--- a/policy/src/balance/slow_start.rs
+++ b/policy/src/balance/slow_start.rs
@@ -55,8 +55,8 @@
 impl Balancer {
     /// Draws the random number by which a call selects cold servers, and the fraction of their warmth that
     /// they get. Used where the limit is shared, as no balancer then has enough responses to space calls to
-    /// single servers. Cold servers get the same fraction as accepts calls among the warm ones, not what
-    /// those leave.
+    /// single servers. The fraction is at most that of the warm servers' capacity that accepts calls: cold
+    /// servers do not take over the calls that warm servers cannot accept.
     pub(super) fn cold_draw(&mut self, now: Micros) -> Option<(f64, f64)> {
         let capacity = self.capacity(now);
         let applies = self.shared_limit.is_some() && capacity.available >= capacity.total * MIN_WARM_SHARE;
--- a/policy/src/balance/subscription.rs
+++ b/policy/src/balance/subscription.rs
@@ -19,7 +19,7 @@
 /// until there is a new list.
 const EXPIRED_PAUSE_DIVISOR: u64 = 2;
 /// Maximum pause (us) after the watch went silent or broke while a list was being received. Changes in that
-/// list already count as notified, so only the grace of drains remains.
+/// list already count as notified, so the present list may be used only until their drain grace ends.
 const MAX_PAUSE_AFTER_SILENCE: Micros = 300_000;
 
 impl Balancer {
@@ -64,7 +64,7 @@
 
     /// Time over which balancers that subscribe at the same moment are spread. It has to be short while the
     /// lease runs out, however many they are. Once the lease has expired, no calls depend on the list, and
-    /// discovery is spared.
+    /// longer pauses limit the load on discovery.
     fn subscribe_pause(&self, now: Micros) -> Micros {
         let interval = self.settings.rules.list_refresh_interval;
         let rounds = u64::from(self.settings.balancers / CONCURRENT_SUBSCRIBERS).max(1);
--- a/policy/src/balance/subset.rs
+++ b/policy/src/balance/subset.rs
@@ -17,7 +17,8 @@
 /// Time constant (us) of refused connections: about as long as an idle connection is kept.
 const REDUCTION_TIME_CONSTANT: f64 = 20e6;
 
-/// Number of servers by which failed connections have reduced the minimum, as of the last failure.
+/// Number of servers by which failed connections have reduced the subset's minimum size. `servers` is the
+/// value at the last failure, at `updated_at`; it decays from then on.
 #[derive(Debug, Default)]
 pub(super) struct SubsetReduction {
     servers: f64,
--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -5,10 +5,11 @@
 
 /// Maximum steps of a limit: the default of gRPC proposal A105 for its connections.
 const MAX_STEPS: u32 = 10;
-/// Calls in flight at a server with a few cores, over all balancers: the initial value, when all balancers
-/// may start at once and an overload would last; and the value that moderate overload leads to, from above or
-/// below.
+/// Initial number of calls in flight at a server with a few cores, over all balancers. All balancers may
+/// start at once, and an overload would last.
 const INITIAL_CONCURRENCY: f64 = 7.0;
+/// Number of calls in flight at a server with a few cores, over all balancers, to which moderate overload
+/// leads: a higher limit is cut down to it, and a lower one grows up to it.
 const FLOOR_CONCURRENCY: f64 = 12.0;
 /// Minimum factor of one reduction of the concurrency, as in TCP.
 pub(crate) const MIN_CUT_FACTOR: f64 = 0.5;
--- a/policy/src/list_lease.rs
+++ b/policy/src/list_lease.rs
@@ -2,9 +2,9 @@
 //!
 //! The list is held under a lease. While a watch is open and alive, every change arrives, and the lease has
 //! no end. When the watch breaks or goes silent, changes may be missed; a missed change counts as notified a
-//! fixed time later, whether it has arrived or not. If discovery ends the watch in an orderly way, as a long
-//! poll ends, that time is shorter. The lease ends early enough that no request reaches a server after the
-//! drain grace that follows this time. From then on no new attempt is sent until a list arrives. A single
+//! fixed time later, whether it has arrived or not. If discovery ends the watch gracefully, as a long poll
+//! ends, that time is shorter. The lease ends early enough that no request reaches a server after the drain
+//! grace that follows this time. From then on no new attempt is sent until a list arrives. A single
 //! deadline covers everything in between: noticing the loss, pauses, connections, responses and their retries
 //! have bounds of their own, but their sum is what counts.
 
@@ -13,9 +13,9 @@
 /// A change that a broken or silent watch missed, or that was made while no watch was open, counts as
 /// notified at most this long after the watch was lost.
 const NOTIFIED_WITHIN: Micros = 6_000_000;
-/// The same after discovery ended the watch in an orderly way, counted from its end.
+/// As [`NOTIFIED_WITHIN`], after discovery ended the watch gracefully, counted from its end.
 const NOTIFIED_WITHIN_AFTER_END: Micros = 2_000_000;
-/// The same after the configuration named another discovery service.
+/// As [`NOTIFIED_WITHIN`], after the configuration named another discovery service.
 const NOTIFIED_WITHIN_AFTER_CHANGE: Micros = 4_000_000;
 /// After a failed request the list remains usable for this many list refresh intervals.
 const FAILED_CALL_INTERVALS: Micros = 4;
@@ -33,12 +33,13 @@
     /// When the lease ends because of changes that may have been missed. `None` while a watch is open and
     /// alive, or if the list is pushed.
     missed_at: Option<Micros>,
-    /// When it ends instead, because discovery was down in the meantime. Not earlier than `missed_at`.
+    /// The end that replaces `missed_at` because discovery was down in the meantime, so that changes count as
+    /// notified later. Not earlier than `missed_at`.
     extended_at: Option<Micros>,
-    /// When it ends because of a list that was being received. Its changes have been sent, so nothing extends
-    /// this.
+    /// When the lease ends because a list was received only in part. Discovery has already sent the changes
+    /// in that list, so an outage of discovery does not extend this time.
     incomplete_at: Option<Micros>,
-    /// Whether discovery ended the watch in an orderly way.
+    /// Whether discovery ended the watch gracefully.
     watch_ended: bool,
 }
 
@@ -117,7 +118,7 @@
     }
 
     /// Longest time over which requests for the list are spread while the lease runs out, such that one of
-    /// them and a retry are answered before the end; after an orderly end of the watch, one request.
+    /// them and a retry are answered before the end; after a graceful end of the watch, one request.
     pub fn renewal_window(&self) -> Micros {
         let longest = self.refresh_interval.min(NOTIFIED_WITHIN) * 3 / 8;
         if self.watch_ended {
--- a/policy/src/shared_limit.rs
+++ b/policy/src/shared_limit.rs
@@ -20,17 +20,20 @@
 const FLOOR_SHARE: f64 = 0.05;
 /// The limit grows up to this multiple of the mean number in flight, so that bursts are bounded.
 const MAX_LIMIT_PER_USE: f64 = 1.5;
-/// Position of the response time between the unloaded time (0) and the overload threshold (1): up to the
-/// first the limit may grow, beyond the second it is cut.
+/// Position of the response time between the unloaded time (0) and the overload threshold (1) up to which the
+/// limit may grow.
 const GROW_UNTIL: f64 = 0.4;
+/// Position of the response time, on the scale of [`GROW_UNTIL`], beyond which the limit is cut.
 const CUT_FROM: f64 = 0.6;
 /// A call is late beyond this multiple of the overload threshold.
 pub(crate) const LATE_FACTOR: f64 = 1.5;
-/// Share of late responses below which none of about the last twenty was late.
+/// Threshold of the moving average of the share of late responses. If the average is below it, none of about
+/// the last twenty responses was late.
 const LATE_SHARE_THRESHOLD: f64 = 0.012;
-/// Bound on the wait that a small limit causes: no longer than with this share of the initial limit, and at
-/// most this many calls in flight.
+/// Bounds the pause between calls that a small limit causes: it is no longer than with this share of the
+/// initial limit.
 const PAUSE_LIMIT_SHARE: f64 = 0.25;
+/// Maximum limit, in calls in flight, that is assumed for the longest pause between calls.
 const PAUSE_MAX_CALLS: f64 = 0.5;
 
 /// A response, as input to the limit.
--- a/policy/tests/fleet.rs
+++ b/policy/tests/fleet.rs
@@ -335,9 +335,10 @@
     assert!(burst <= 20, "{burst} in flight, while eight calls used a tenth of each second");
 }
 
-/// A balancer, one of a hundred in front of sixty servers, gets twice as many calls as the servers handle,
-/// which is `capacity` of its calls at a time, each in 40 ms; further calls wait there. Returns the mean
-/// number of its calls in flight over ten seconds.
+/// Runs one of a hundred balancers in front of sixty servers. The servers handle `capacity` of its calls at a
+/// time, each in 40 ms; further calls wait there. It gets calls at half the rate that the servers can handle
+/// for ten seconds, and at twice that rate afterwards. Returns the mean number of its calls in flight over
+/// the last ten of forty seconds.
 fn mean_in_flight_with_capacity(capacity: usize) -> f64 {
     let mut proxy = Proxy::new(Settings { balancers: 100, ..settings(Idempotency::SingleShot) }, 60);
     let mut free_at = vec![0; capacity];
--- a/policy/tests/freshness.rs
+++ b/policy/tests/freshness.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Discovery has ended the watch in an orderly way: the next request comes early enough to be answered, and
+/// Discovery has ended the watch gracefully: the next request comes early enough to be answered, and
 /// nothing is sent past the drain grace of changes that the watch did not deliver.
 #[test]
 fn after_an_orderly_end_the_watch_is_renewed_in_time_and_nothing_is_sent_past_the_grace() {
