--- a/engine/src/calls/mod.rs
+++ b/engine/src/calls/mod.rs
@@ -165,7 +165,6 @@
 
 impl<P: Protocol> fmt::Debug for IncomingRequest<P> {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The debug output keeps the former name of this type.
-        out.debug_struct("Guest").field("number", &self.number).finish_non_exhaustive()
+        out.debug_struct("IncomingRequest").field("number", &self.number).finish_non_exhaustive()
     }
 }
--- a/engine/src/discovery/mod.rs
+++ b/engine/src/discovery/mod.rs
@@ -39,7 +39,7 @@
     Unanswered(Vec<FailedCall>),
     /// The watch was open and its connection broke.
     Failed(BoxError),
-    /// The watch was open and discovery closed it in order, with no list incomplete.
+    /// The watch was open and discovery closed it gracefully, with no list incomplete.
     Ended {
         /// The earliest time at which the end may have arrived.
         at: Instant,
@@ -133,7 +133,7 @@
     causes(error).map(ToString::to_string).collect::<Vec<_>>().join(": ")
 }
 
-/// Whether the peer closed the connection in order but within the body of its response.
+/// Whether the peer closed the connection gracefully but within the body of its response.
 fn is_end_of_file(error: &(dyn Error + 'static)) -> bool {
     let is_eof = |cause: &io::Error| cause.kind() == io::ErrorKind::UnexpectedEof;
     causes(error).any(|cause| cause.downcast_ref::<io::Error>().is_some_and(is_eof))
--- a/engine/src/driver/watch.rs
+++ b/engine/src/driver/watch.rs
@@ -11,12 +11,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Delay before a watch that has ended is opened again, where the list is pushed (the decision module never asks for
-/// it then). It doubles with each watch in a row that brought no list, up to the maximum. Opening a watch costs
-/// nothing there, since what the agent has counts as known to the proxy whether or not a watch is open. A watch that
-/// fell silent is opened again at once. Together with the timeout for a response this stays well within the grace
-/// period for what the agent has.
+/// Delay before a watch that has ended is opened again, where the list is pushed (the decision module never requests
+/// it then). It doubles with each watch in a row that brought no list, up to the maximum. Opening a watch costs nothing
+/// there: changes that the agent has received count as notified, whether or not a watch is open. A watch that fell
+/// silent is opened again at once. Together with the timeout for a response this stays well within the grace period for
+/// those changes.
 const PUSH_RETRY: Duration = Duration::from_millis(50);
+/// Maximum number of doublings of [`PUSH_RETRY`].
 const PUSH_RETRY_MAX_DOUBLINGS: u32 = 1;
 /// Number of heartbeats after which a watch that has brought no list proves that the list is unchanged. The first
 /// heartbeat may have been written before the watch's list.
--- a/engine/src/http1/connection.rs
+++ b/engine/src/http1/connection.rs
@@ -12,7 +12,7 @@
 /// Why a connection to a host was not established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// A local resource was exhausted, which says nothing about the host.
+    /// A local resource was exhausted, which proves nothing about the host.
     Local,
     /// The host or the network failed.
     Remote,
--- a/engine/src/interceptor.rs
+++ b/engine/src/interceptor.rs
@@ -183,7 +183,7 @@
     }
 
     /// Holds a request for its client and returns a copy that goes on in its place. The interceptor owns the call
-    /// that the copy becomes, and is notified of its end. `detach` says how the call may continue when no client
+    /// that the copy becomes, and is notified of its end. `detach` states how the call may continue when no client
     /// waits for it; by default it may until the deadline of the request.
     pub fn intercept(
         &self,
@@ -285,8 +285,8 @@
         (until > Instant::now() && !servers.is_empty()).then_some((servers, until))
     }
 
-    /// An attempt that is fully written needs nothing more to be sent. A partly written one would be cancelled, where
-    /// the settings allow that.
+    /// Whether an attempt continues after its call is detached. A fully written one does, since nothing more has to be
+    /// sent; a partly written one does unless the settings allow cancelling it; an unwritten one does not.
     fn continues_detached(&self, in_flight: &Attempt) -> bool {
         in_flight.meter.is_fully_written()
             || !self.config.settings.limits.cancel && in_flight.meter.bytes() > 0
--- a/engine/src/protocol.rs
+++ b/engine/src/protocol.rs
@@ -1,5 +1,6 @@
-//! The interface between the driver and the protocol that hosts speak. The driver knows calls, attempts, hosts and
-//! times; a [`Protocol`] knows the payload of calls, performs exchanges and manages the connections for them.
+//! The interface between the driver and the protocol of the connections to hosts. The driver handles calls, attempts,
+//! hosts and times; a [`Protocol`] handles the payload of calls, performs exchanges and manages the connections for
+//! them.
 
 use crate::config::Config;
 use crate::meter::Meter;
--- a/engine/src/stall.rs
+++ b/engine/src/stall.rs
@@ -53,8 +53,8 @@
         self.poll_at
     }
 
-    /// When to poll the task if it also has something to do at `moment`: then, if that is earlier and the task is not
-    /// stalled.
+    /// When to poll a task that also has something to do at `moment`: at `moment` or [`Self::poll_at`], whichever is
+    /// earlier. While the task is stalled, `moment` is ignored.
     pub fn poll_at_or(&self, moment: Instant) -> Instant {
         if self.stalled {
             self.poll_at
