--- a/shards/cores/src/key_router.rs
+++ b/shards/cores/src/key_router.rs
@@ -27,14 +27,16 @@
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::time::Instant;
 
-/// Most requests of a shard that may be with other shards at a time; further ones are refused.
+/// Maximum number of a shard's requests that may be with other shards at a time; further ones are refused.
 const MAX_FORWARDED: usize = 4_096;
-/// How long after its deadline a request is given up here: the owner ends it at its deadline.
+/// How long after its deadline a forwarded request is given up here. The owner ends it at its deadline, and its reply
+/// needs time to arrive.
 const GRACE: Duration = Duration::from_millis(10);
 /// When a client may retry after a refusal, as far as the settings allow.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// The state of a key of which it is unknown here whether it ran, by the name that the store of keys has for it.
+/// The state of a key whose request may have run or not, as far as this shard can tell. The name is that of the store
+/// of keys.
 const UNSURE: &str = "unsure";
 
 /// A request that is with another shard.
@@ -195,7 +197,7 @@
             return RequestFlow::Continue(incoming);
         }
         if liveness == Liveness::Dead {
-            // Only the shard that has ended knew whether it ran.
+            // Only the shard that has ended had recorded whether it ran.
             context.answer(incoming, Reply::Unsure(KeyStatus { state: UNSURE, age: Duration::ZERO }));
             return RequestFlow::Handled;
         }
--- a/shards/cores/src/member.rs
+++ b/shards/cores/src/member.rs
@@ -21,13 +21,13 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Most units that are acquired for waiting calls at a time; the next event acquires more.
+/// Maximum number of units that are acquired for waiting calls at a time; the next event acquires more.
 const MAX_ACQUIRED: usize = 16;
 
 /// Number of hosts at which an idle shard keeps idle capacity.
 const KEPT_CHOICES: usize = 2;
 
-/// What a shard knows of a host.
+/// A shard's state for a host.
 struct KnownHost {
     name: Arc<str>,
     born_ms: u64,
@@ -66,7 +66,8 @@
     hosts: BTreeMap<ServerId, KnownHost>,
     /// The servers at which calls have ended since the last event, once per call.
     ended: Rc<RefCell<Vec<ServerId>>>,
-    /// The servers at which calls had ended before the last event: the decision module knows their outcomes by now.
+    /// The servers at which calls had ended before the last event: the decision module has received their outcomes by
+    /// now.
     processed: Vec<ServerId>,
     /// New hosts that the decision module has not received yet.
     new_hosts: Vec<ServerId>,
--- a/shards/cores/src/shard.rs
+++ b/shards/cores/src/shard.rs
@@ -28,11 +28,11 @@
 
 /// How often a shard advances its heartbeat and checks the others.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// Most requests that are accepted before the mailbox's other queues are read again.
+/// Maximum number of requests that are accepted before the mailbox's other queues are read again.
 const REQUEST_BATCH: usize = 32;
-/// Most jobs that wait in a shard's queue; a sender of one more waits.
+/// Maximum number of jobs that wait in a shard's queue; a sender of one more waits.
 const MAX_QUEUED_JOBS: usize = 16;
-/// How often a drained shard checks whether all are.
+/// How often a drained shard, which has no clients left, checks whether all shards are drained.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// After a panic has ended an engine, how long its open calls have to send their clients the outcome.
 const ABORT_GRACE: Duration = Duration::from_millis(200);
@@ -110,7 +110,7 @@
     }
 }
 
-/// By shard: the shard that accepts its new clients.
+/// By shard: the shard that accepts its new clients, which is another one while it is stalled or has ended.
 pub type StandIns = watch::Receiver<Vec<Shard>>;
 
 /// A shard whose engine is running.
--- a/shards/cores/src/shared.rs
+++ b/shards/cores/src/shared.rs
@@ -36,7 +36,7 @@
 pub struct ShardOptions {
     /// Number of shards: 1 to [`MAX_SHARDS`].
     pub shards: usize,
-    /// Most requests that wait in a shard's queue for it to accept them; further ones are refused.
+    /// Maximum number of requests that wait in a shard's queue for it to accept them; further ones are refused.
     pub queue: usize,
     /// A shard whose heartbeat does not advance for this long counts as stalled.
     pub stall_timeout: Duration,
@@ -64,7 +64,7 @@
 
 /// A message between shards that must not be lost, and is therefore sent over an unbounded queue. Each request that was
 /// handed over is answered once and abandoned at most once, so that the number of messages is bounded by that of the
-/// requests in flight; whoever sends [`Message::Run`] bounds how many.
+/// requests in flight; senders of [`Message::Run`] have to bound how many they send.
 pub(crate) enum Message<P: Protocol> {
     /// The reply to a request that was handed over.
     Reply { call: CallId, reply: Reply<P::Answer> },
@@ -88,7 +88,7 @@
     stalled: AtomicBool,
 }
 
-/// The server list as the process knows it.
+/// The server list as the process has received it.
 struct SharedList {
     changes: BroadcastLog<Arc<List>>,
     seq: u64,
@@ -107,7 +107,8 @@
 /// A job that one shard submits to another, which runs it on its own thread.
 pub(crate) type Job<P> = Box<dyn FnOnce(&Handle<P>) + Send>;
 
-/// State that all shards of a process share. The crate's documentation says how their threads access it.
+/// State that all shards of a process share. The crate's documentation describes how their threads
+/// access it.
 pub struct SharedState<P: Protocol> {
     pub(crate) options: ShardOptions,
     pub(crate) seed: u64,
@@ -237,8 +238,8 @@
         received
     }
 
-    /// The changes of the list that other shards have published since, and how many changes the process has received by
-    /// now.
+    /// The changes of the list that other shards have published since `cursor`, which is advanced, and how many changes
+    /// the process has received by now.
     pub(crate) fn read_list_changes(&self, me: Shard, cursor: &mut Cursor) -> (Vec<Arc<List>>, u64) {
         let list = lock(&self.list);
         let changes = match list.changes.read(me, self.now(), cursor) {
@@ -253,7 +254,7 @@
         lock(&self.observations).publish(me, self.now(), (host.clone(), observation));
     }
 
-    /// What other shards have observed since, with its age.
+    /// What other shards have observed since `cursor`, which is advanced; each observation with its age.
     pub(crate) fn read_observations(
         &self,
         me: Shard,
@@ -309,7 +310,7 @@
         })
     }
 
-    /// Records that a shard has no clients left and accepts no new ones.
+    /// Records that a shard is drained: it has no clients left and accepts no new ones.
     pub(crate) fn set_drained(&self, me: Shard) {
         self.mailboxes
             .iter()
--- a/shards/src/capacity.rs
+++ b/shards/src/capacity.rs
@@ -3,9 +3,9 @@
 //!
 //! Each shard's decision module has a concurrency limit of its own at the host, as one balancer among as many as there
 //! are shards. The capacity is the sum of these limits, rounded once. A unit of capacity is in one place at a time: free,
-//! leased to a shard, or allocation by the thread that moves it. A call in flight occupies a unit of its shard's lease. Leases
-//! move to the shards where calls wait: a shard that releases capacity grants it to the waiting shards in round-robin
-//! order, and only what no shard waits for becomes free.
+//! leased to a shard, or held by the thread that is moving it. A call in flight occupies a unit of its shard's lease.
+//! Leases move to the shards where calls wait: a shard that releases capacity grants it to the waiting shards in
+//! round-robin order, and only what no shard waits for becomes free.
 //!
 //! Nothing here takes a lock or blocks. Values that must change together share one word, so that no two writes can be
 //! ordered wrongly: the free capacity and the set of waiting shards, and a shard's lease and its calls in flight. The
@@ -16,10 +16,10 @@
 /// A shard of the process, from 0.
 pub type Shard = usize;
 
-/// Most shards of a process: the set of waiting shards is a word with a bit for each.
+/// Maximum number of shards of a process: the set of waiting shards is a word with a bit for each.
 pub const MAX_SHARDS: usize = 32;
 
-/// Fractions of a call in which shards state their modules' limits.
+/// The unit in which shards state the limits of their decision modules: this many parts are one call.
 pub const PARTS_PER_CALL: f64 = 1024.0;
 
 /// Shards that are to be woken since their lease may have grown, with a bit for each.
@@ -74,7 +74,7 @@
         flags | ((u64::from(self.lease) & LEASE) << 32) | u64::from(self.in_flight)
     }
 
-    /// Most calls that may be in flight.
+    /// Maximum number of calls in flight.
     fn max_in_flight(self) -> u32 {
         self.lease + u32::from(self.probe)
     }
@@ -108,7 +108,8 @@
 struct ShardState {
     /// The shard's [`ShardAllocation`].
     allocation: AtomicU64,
-    /// Its module's limit, in [`PARTS_PER_CALL`]. Only the shard itself writes it, except when it has ended.
+    /// The limit of the shard's decision module, in [`PARTS_PER_CALL`]. Only the shard itself writes it, except when it
+    /// has ended.
     limit: AtomicI64,
 }
 
@@ -117,7 +118,7 @@
 pub struct HostCapacity {
     /// A [`FreeState`].
     free: AtomicU64,
-    /// The sum of all modules' limits, in [`PARTS_PER_CALL`].
+    /// The sum of the limits of all shards' decision modules, in [`PARTS_PER_CALL`].
     limit_sum: AtomicI64,
     /// The number of the shard that holds the probe permission, plus one; 0: no shard does.
     probe_holder: AtomicU32,
--- a/shards/src/liveness.rs
+++ b/shards/src/liveness.rs
@@ -74,7 +74,8 @@
 
     /// Reads all shards' heartbeat counts and whether they have ended. Returns what has changed.
     ///
-    /// A shard that calls this late was stalled itself and can't judge the others: their time starts anew.
+    /// A shard that calls this late was stalled itself, so its observations of the others are outdated: the time
+    /// without a heartbeat is counted anew for each of them.
     pub fn update(&mut self, now: Micros, heartbeat: impl Fn(Shard) -> (u64, bool)) -> Vec<LivenessChange> {
         let late = now.saturating_sub(self.last_update) > self.stall_timeout / 2;
         self.last_update = now;
@@ -128,7 +129,7 @@
     }
 
     /// The shard that owns a key. A stalled shard keeps its keys, and so does a dead one for as long as it would have
-    /// remembered them, since no other shard knows whether they ran.
+    /// remembered them, since no other shard has recorded whether they ran.
     pub fn key_owner(&self, now: Micros, seed: u64, tenant: Option<u32>, class: u32, key: &[u8]) -> Shard {
         let is_forgotten = |shard: Shard| {
             let observed = &self.shards[shard];
--- a/shards/tests/threads.rs
+++ b/shards/tests/threads.rs
@@ -8,8 +8,8 @@
 use nettleworks_shards::capacity::{HostCapacity, WakeSet};
 use nettleworks_shards::handover::HandoverToken;
 
-/// Most preemptions per run: all interleavings with up to this many are checked. Without a bound these cases have
-/// millions.
+/// Maximum number of preemptions per run: all interleavings with up to this many are checked. Without a bound these
+/// cases have millions.
 const MAX_PREEMPTIONS: usize = 3;
 
 fn check(test: impl Fn() + Sync + Send + 'static) {
