--- a/keys/src/bounds.rs
+++ b/keys/src/bounds.rs
@@ -19,15 +19,15 @@
 /// Limits on what a store holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Most keys in total.
+    /// Maximum number of keys in total.
     pub entries: usize,
-    /// Most keys of one tenant. Requests without a tenant count as a tenant of their own.
+    /// Maximum number of keys of one tenant. Requests without a tenant count as a tenant of their own.
     pub entries_per_tenant: usize,
-    /// Most bytes of all kept answers together.
+    /// Maximum size of all kept answers together, in bytes.
     pub answer_bytes: usize,
-    /// Most requests that wait for one running call, including the first.
+    /// Maximum number of requests that wait for one running call, including the first.
     pub waiters: usize,
-    /// Most bytes of a key; a request with a longer one is rejected.
+    /// Maximum size of a key in bytes; a request with a longer one is rejected.
     pub key_bytes: usize,
     /// Retention by class; a class beyond the end of the list has the default.
     pub retention: Vec<Retention>,
--- a/keys/src/detached.rs
+++ b/keys/src/detached.rs
@@ -3,7 +3,7 @@
 //!
 //! It is common for a client to give up and retry. Whatever was already written of its call runs at the host whether or
 //! not the proxy keeps waiting for the answer, so waiting on costs a connection and gains an answer for the retry. The
-//! cost has to be limited: a client that sends requests and hangs up, again and again, would otherwise hold every
+//! cost has to be limited: a client that repeatedly sends requests and disconnects would otherwise hold every
 //! connection. So there is a limit in total, one per host and one per tenant, and when a limit is exceeded the oldest
 //! detached call is cancelled.
 //!
--- a/keys/src/store.rs
+++ b/keys/src/store.rs
@@ -25,7 +25,7 @@
 pub enum ClassKind {
     /// Hosts receive the key as well, and drop duplicates for some time.
     Keyed,
-    /// Only this store knows the key: nothing else prevents or undoes a second run.
+    /// Only this store has the key: nothing else prevents or undoes a second run.
     Unsafe,
 }
 
--- a/keys/station/src/lib.rs
+++ b/keys/station/src/lib.rs
@@ -27,9 +27,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after its deadline a waiting request times out, if its call can't be detached: the decision module ends the
-/// call at the deadline, and hosts must be blamed for the time-out instead of being excused as if the client had
-/// disconnected.
+/// How long after its deadline a waiting request times out, if its call can't be detached. The decision module ends the
+/// call at the deadline and records time-outs of the hosts; if the request timed out first, it would seem that the
+/// client had disconnected, and no time-out would be recorded.
 const GRACE: Duration = Duration::from_millis(5);
 /// When a client may retry after a refusal for lack of room.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -219,7 +219,8 @@
         });
         let Some((servers, limit, until)) = detachable else { return self.give_up(context, run_id) };
         context.detach(call);
-        // If the call ends at the limit of its class, its attempts are to time out first, so that their hosts are blamed.
+        // If the call ends at the limit of its class, its attempts have to time out first, so that time-outs of their
+        // hosts are recorded.
         let until = if until == limit { until + GRACE } else { until };
         let hosts: Vec<u32> = servers.iter().map(|server| server.0).collect();
         let cancelled =
