--- a/proxy/src/control.rs
+++ b/proxy/src/control.rs
@@ -18,7 +18,7 @@
 
 /// Longest line in bytes. The longest key and reason fit.
 const MAX_LINE_BYTES: u64 = 64 << 10;
-/// Most connections that are served at a time; a further one waits.
+/// Maximum number of connections that are served at a time; a further one waits.
 const MAX_CONNECTIONS: usize = 4;
 /// How long a connection may send nothing, or not read its response, before it is closed.
 const IO_TIMEOUT: Duration = Duration::from_secs(30);
--- a/proxy/src/cores.rs
+++ b/proxy/src/cores.rs
@@ -26,7 +26,7 @@
 /// Pause after a failed accept in place of a stalled shard.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A started shard that speaks HTTP/1.
+/// A started shard that uses HTTP/1.
 pub type RunningShard = nettleworks_cores::shard::RunningShard<Http1>;
 
 /// Prepares this number of shards of a process, each with its own configuration.
@@ -34,7 +34,8 @@
     prepare_shards_sized(config, ShardOptions::new(shards))
 }
 
-/// The same with these sizes; how long keys are remembered is taken from the configuration, if it says so.
+/// As [`prepare_shards`], with these sizes; how long keys are remembered is taken from the configuration, if it has a
+/// store of keys.
 pub fn prepare_shards_sized(config: &Config, sizes: ShardOptions) -> Vec<(PreparedShard<Http1>, Config)> {
     let shards = sizes.shards;
     let remembered = config.keys().map_or(sizes.key_retention, KeyStoreConfig::longest_retention);
--- a/proxy/src/operators.rs
+++ b/proxy/src/operators.rs
@@ -54,8 +54,8 @@
     start_for_shards(driver, None)
 }
 
-/// The same for all shards of a process, of which this engine is one. The id of a key is then prefixed with its shard's
-/// number: `2/12-345`.
+/// As [`start`], for all shards of a process, of which this engine is one. The id of a key is then prefixed with its
+/// shard's number: `2/12-345`.
 pub fn start_for_shards(driver: &Handle<Http1>, shards: Option<Shards>) -> Option<Task> {
     let path = driver.config().keys()?.socket.clone()?;
     let stores = Stores { driver: driver.clone(), shards };
--- a/proxy/src/requests.rs
+++ b/proxy/src/requests.rs
@@ -21,7 +21,7 @@
 
 /// Part of a client's time budget that is reserved for sending the response back.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
-/// Most bytes that are still read of the body of a rejected request.
+/// Maximum number of bytes that are still read of the body of a rejected request.
 const MAX_DRAINED_BYTES: usize = 1 << 20;
 /// How long the body of a rejected request is still read.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
@@ -192,6 +192,7 @@
     parse_valid(config, method, headers, empty).ok_or(StatusCode::BAD_REQUEST)
 }
 
+/// What the engine needs from the request's headers, and the time budget, which is at most the deadline of the class.
 /// `None` if the id, class or budget is missing, repeated or invalid, or if method, body and key do not fit the class.
 fn parse_valid(
     config: &Config,
@@ -203,7 +204,7 @@
     let id = headers.get("x-call-id")?.clone();
     let class = index_of(&config.classes, single(headers, "x-call-class")?)?;
     let spec = config.settings.classes.get(class)?;
-    // Hosts go by method and key: a keyed request without its key would run again on every retry.
+    // Hosts recognize a repeat by method and key: a keyed request without its key would run again on every retry.
     let keyed = headers.contains_key("idempotency-key");
     let fits = match spec.idempotency {
         Idempotency::Free => method == Method::GET && empty && !keyed,
--- a/proxy/src/server.rs
+++ b/proxy/src/server.rs
@@ -1,5 +1,5 @@
 //! The application's connections: they are accepted, served, closed when idle or too slow, evicted at the limit, and
-//! closed in order at a shutdown.
+//! closed gracefully at a shutdown.
 
 use crate::requests::{respond, Driver, RequestSource};
 use crate::shutdown::{ShutdownDeadline, ShutdownSchedule};
@@ -89,8 +89,8 @@
 
 /// Serves until `stop` completes, and then shuts down by the [`ShutdownSchedule`]:
 ///
-/// - Idle connections are closed at once while new ones are still accepted, so that a request that crosses such a close
-///   can be sent again; each response closes its connection.
+/// - Idle connections are closed at once while new ones are still accepted, so that a client whose request
+///   arrives during such a close can send it again over a new connection; each response closes its connection.
 /// - Then no new connection is accepted.
 /// - Calls without a reply when the process has to exit get a final response.
 ///
@@ -99,7 +99,8 @@
     serve_with_accepted(listener, None, driver, stop).await
 }
 
-/// The same; `accepted` yields connections that were accepted elsewhere, in place of a stalled shard.
+/// As [`serve`], with the addition that `accepted` yields connections that were accepted elsewhere, in place of a
+/// stalled shard.
 pub async fn serve_with_accepted(
     listener: impl Into<Listener>,
     mut accepted: Option<mpsc::Receiver<Stream>>,
--- a/proxy/tests/discovery_faults.rs
+++ b/proxy/tests/discovery_faults.rs
@@ -10,19 +10,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Incident 5521: discovery is up but overloaded. It lets one call wait before it refuses it, and refuses at once the
-/// calls that the process makes meanwhile.
+/// Discovery is up but overloaded. It lets one request of the process wait before it refuses it, and refuses at once
+/// the requests that the process makes meanwhile (incident 5521).
 #[test]
 fn a_refused_hedged_call_is_not_taken_for_an_outage() {
     run(async {
-        // The second call is made after 3.1 s.
+        // The second request is made after 3.1 s.
         let mut fleet = Fleet::start("crowd", 1, Duration::from_secs(14), |_| ()).await;
         overload_discovery(&mut fleet, Duration::from_millis(3_300)).await;
     });
 }
 
-/// The same with four processes: the call of one of them, in turns, waits and is refused, those of the others are
-/// refused at once.
+/// Discovery is up but overloaded, with four processes: the request of one of them, in turns, waits and is refused;
+/// those of the others are refused at once.
 #[test]
 fn a_call_that_waits_at_an_overloaded_discovery_is_not_taken_for_an_outage() {
     run(async {
@@ -31,7 +31,7 @@
     });
 }
 
-/// Discovery lets one call at a time wait for `delay` and refuses it, and refuses all others at once. Nothing may be
+/// Discovery lets one request at a time wait for `delay` and refuses it, and refuses all others at once. Nothing may be
 /// sent to the drained server after the grace.
 async fn overload_discovery(fleet: &mut Fleet, delay: Duration) {
     fleet.relay.arrivals(Arrival::Crowded(delay));
--- a/proxy/tests/fleet/mod.rs
+++ b/proxy/tests/fleet/mod.rs
@@ -12,15 +12,16 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, Instant};
 
-/// Time after which a change that a broken or silent watch hides counts as notified.
+/// Time after the loss of a watch, broken or silent, at which a change that it did not deliver counts as notified at
+/// the latest. From then on the proxy must act as if it had received the change.
 pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
-/// The same for a watch that discovery has closed in order.
+/// As [`NOTIFIED_AFTER`], for a watch that discovery has closed gracefully.
 pub const NOTIFIED_AFTER_CLOSE: Duration = Duration::from_secs(2);
 /// Time after the notification within which requests may still be begun.
 pub const GRACE: Duration = Duration::from_secs(1);
 /// Longest time from the moment a request is sent until it is in the ledger, on a busy machine.
 const TRANSIT_TIME: Duration = Duration::from_millis(250);
-/// Number of balancers in the settings: the program spreads its calls to discovery by it.
+/// Number of balancers in the settings: the program spreads its requests to discovery by it.
 const BALANCERS: usize = 300;
 
 /// Some proxy processes of a large fleet, their servers, and discovery behind a relay.
--- a/proxy/tests/freshness.rs
+++ b/proxy/tests/freshness.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, Instant};
 
 /// The watches of a large fleet are reset while the list with a drain is being transferred. Discovery answers the next
-/// call at once. This has happened in production.
+/// request at once. This has happened in production.
 #[test]
 fn a_drain_hidden_by_a_watch_reset_within_its_list_is_honored_in_time() {
     run(async {
@@ -29,7 +29,7 @@
     });
 }
 
-/// The same where the watches are reset just before the list is written to them.
+/// The watches of a large fleet are reset just before the list with a drain is written to them.
 #[test]
 fn a_drain_hidden_by_a_watch_reset_before_its_list_is_honored_in_time() {
     run(async {
@@ -43,8 +43,8 @@
     });
 }
 
-/// Incident 5521: discovery closes its watches in order instead of sending a drain, and answers no further call. The
-/// drain then counts as notified two seconds later, as at the end of a long poll.
+/// Discovery closes its watches gracefully instead of sending a drain, and answers no further request. The drain then
+/// counts as notified two seconds later, as at the end of a long poll (incident 5521).
 #[test]
 fn a_drain_hidden_by_a_closed_watch_is_honored_in_time() {
     run(async {
@@ -58,7 +58,8 @@
     });
 }
 
-/// The same where discovery answers the next calls: at most one request in a hundred may be refused.
+/// Discovery closes its watches gracefully instead of sending a drain, and answers the next requests: at most one of
+/// the clients' requests in a hundred may be refused.
 #[test]
 fn a_closed_watch_refuses_no_requests() {
     run(async {
@@ -72,8 +73,9 @@
     });
 }
 
-/// The same while discovery is overloaded and refuses each further call at once. A process that cannot get a list in
-/// time must stop sending by the one it has, and refuse its clients' requests.
+/// The watches are reset before a drain is written to them, while discovery is overloaded and refuses each further
+/// request at once. A process that cannot get a list in time must stop sending by the one it has, and refuse its
+/// clients' requests.
 #[test]
 fn a_drain_hidden_by_an_overloaded_discovery_is_honored_in_time() {
     run(async {
@@ -95,7 +97,8 @@
     });
 }
 
-/// The same where discovery accepts calls and does not answer them, as over a half-open connection.
+/// The watches are reset before a drain is written to them, and discovery accepts further requests without answering
+/// them, as over a half-open connection.
 #[test]
 fn a_drain_hidden_by_unanswered_calls_is_honored_in_time() {
     run(async {
--- a/proxy/tests/suite/hosts.rs
+++ b/proxy/tests/suite/hosts.rs
@@ -113,8 +113,8 @@
     });
 }
 
-/// A host whose connections are never established, as its listener's queue is queued; the queued connections and the
-/// listener.
+/// A host whose connections are never established, since its listener's queue is full; also returns the connections
+/// that fill the queue, and the listener.
 async fn unreachable_host() -> (Host, Vec<TcpStream>, TcpListener) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
