--- a/council/log/src/message.rs
+++ b/council/log/src/message.rs
@@ -77,13 +77,13 @@
     Append = MsgAppend,
     /// Whether the entries were appended.
     AppendResponse = MsgAppendResponse,
-    /// A candidate asks for a vote.
+    /// A candidate's request for a vote.
     RequestVote = MsgRequestVote,
     /// Grants or refuses the vote.
     RequestVoteResponse = MsgRequestVoteResponse,
-    /// Asks whether the replica would get votes, before it starts an election.
+    /// Requests a pre-vote: whether the replica would get votes, before it starts an election.
     RequestPreVote = MsgRequestPreVote,
-    /// The answer to that.
+    /// The answer to a pre-vote request.
     RequestPreVoteResponse = MsgRequestPreVoteResponse,
     /// A snapshot, for a replica that lacks entries which the leader has compacted.
     Snapshot = MsgSnapshot,
@@ -91,9 +91,9 @@
     Heartbeat = MsgHeartbeat,
     /// The answer to a heartbeat.
     HeartbeatResponse = MsgHeartbeatResponse,
-    /// Asks the leader to transfer leadership.
+    /// Requests the leader to transfer leadership.
     TransferLeader = MsgTransferLeader,
-    /// Tells a replica to start an election at once.
+    /// Instructs a replica to start an election at once.
     TimeoutNow = MsgTimeoutNow,
 }
 
--- a/council/log/src/replica.rs
+++ b/council/log/src/replica.rs
@@ -15,11 +15,12 @@
 const ELECTION_TICKS: usize = 10;
 /// Ticks between two heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Most bytes of entries in a message.
+/// Maximum size of the entries in a message, in bytes.
 const MAX_MESSAGE_BYTES: u64 = 256 << 10;
-/// Most append messages to one replica that are not yet answered.
+/// Maximum number of append messages to one replica that are not yet answered.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// Most bytes of commands that are proposed and not yet committed; a proposal beyond them is dropped.
+/// Maximum size of the commands that are proposed and not yet committed, in bytes; a proposal beyond it is
+/// dropped.
 const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
 
 /// When a replica compacts its log.
--- a/council/log/tests/voters.rs
+++ b/council/log/tests/voters.rs
@@ -24,6 +24,7 @@
     Role("charges".to_owned())
 }
 
+/// A simulated voter: its replica (`None` while it is stopped), its disk, its lease client and its clock.
 struct Node {
     replica: Option<Replica>,
     disk: DiskState,
--- a/council/src/state_machine.rs
+++ b/council/src/state_machine.rs
@@ -173,10 +173,10 @@
 /// Limits of the state's size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Bounds {
-    /// Most members.
+    /// Maximum number of members.
     #[serde(rename = "members")]
     pub max_members: usize,
-    /// Most roles that are leased at the same time.
+    /// Maximum number of roles that are leased at the same time.
     #[serde(rename = "roles")]
     pub max_leases: usize,
 }
--- a/council/tests/model.rs
+++ b/council/tests/model.rs
@@ -71,6 +71,7 @@
 }
 
 impl LeaseModel {
+    /// The reading of a process's clock, by its index; 2 is the leader's.
     fn now(&self, system: &System, which: usize) -> Micros {
         // The clocks do not start at the same reading.
         1_000_000 * (which as u64 + 1) + system.time * self.rates[which]
--- a/members/src/cluster_status.rs
+++ b/members/src/cluster_status.rs
@@ -2,8 +2,8 @@
 
 use crate::roster::{Condition, Roster};
 
-/// Status of the cluster by the local list of members. It is for operators and for expectations; decisions
-/// that need agreement must not rest on it.
+/// Status of the cluster by the local list of members. It informs operators and callers of what to
+/// expect; decisions that need agreement must not rely on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClusterStatus {
     /// All known members are alive.
--- a/members/src/membership.rs
+++ b/members/src/membership.rs
@@ -96,7 +96,7 @@
 }
 
 impl Membership {
-    /// Creates a member that starts at `now`, when the wall clock says `wall_ms` (milliseconds since 1970),
+    /// Creates a member that starts at `now`, when the wall clock reads `wall_ms` (milliseconds since 1970),
     /// and that joins through the members at `seeds`. Random numbers come from `seed`.
     ///
     /// # Errors
--- a/members/src/suspicion.rs
+++ b/members/src/suspicion.rs
@@ -67,7 +67,7 @@
         let name = |text| Name::new(text).expect("a name");
         let mut suspicion = Suspicion::new(100, name("a"), 1_000, 3_000, 3);
         assert_eq!(suspicion.ends_at(), 3_100);
-        assert!(!suspicion.confirm(&name("a")), "the accuser does not confirm its own suspicion");
+        assert!(!suspicion.confirm(&name("a")), "a member does not confirm its own suspicion");
         let mut before = suspicion.ends_at();
         for by in ["b", "c", "d"] {
             assert!(suspicion.confirm(&name(by)));
--- a/members/src/update.rs
+++ b/members/src/update.rs
@@ -7,11 +7,11 @@
 /// Maximum length of each text field of [`Metadata`], in bytes.
 const MAX_TEXT_BYTES: usize = 24;
 
-/// Highest round. No member reaches it by its own refutations: each refutation raises the round by one, and a
-/// call of the protocol refutes at most once.
+/// Highest round. No member reaches it by its own refutations: each refutation raises the round by one, and
+/// each call into the membership protocol makes at most one.
 const MAX_ROUND: u32 = 1 << 24;
 /// Maximum difference between the known and a received round of the same start. Each round is one refutation;
-/// a member that missed more than these learns of the other by its next start.
+/// a member that missed more than these accepts updates of the other again from its next start.
 const MAX_ROUND_GAP: u32 = 1 << 12;
 /// How far a start may lie ahead of the local wall clock, in milliseconds: one day. This accepts clocks that
 /// are wrong by hours, and rejects an incarnation so high that the owner of the name could never exceed it.
@@ -44,9 +44,10 @@
         }
     }
 
-    /// The incarnation that a member announces after it has received `received` under its own name. If `received`
-    /// has a later start than its own, it belongs to a previous process of this name and the wall clock was
-    /// set back since; the result then has a new start, so that the others see a restart.
+    /// The incarnation that a member announces after it has received an update on itself with the incarnation
+    /// `received`. If `received` has a later start than its own, it belongs to a previous process of this
+    /// name and the wall clock was set back since; the result then has a new start, so that the others see a
+    /// restart.
     #[must_use]
     pub(crate) fn next_above(self, received: Incarnation) -> Incarnation {
         match received.start > self.start {
--- a/members/tests/single.rs
+++ b/members/tests/single.rs
@@ -3,6 +3,7 @@
 use nettleworks_members::*;
 use std::net::SocketAddr;
 
+/// Wall clock at the start in milliseconds, on some day of 2023.
 const WALL: u64 = 1_700_000_000_000;
 const SECOND: Micros = 1_000_000;
 
--- a/members/wire/fuzz/fuzz_targets/datagrams.rs
+++ b/members/wire/fuzz/fuzz_targets/datagrams.rs
@@ -7,6 +7,7 @@
 use nettleworks_members::{Action, Config, Membership, Message, Metadata, Name};
 use nettleworks_members_wire::Codec;
 
+/// Wall clock at the start in milliseconds, on some day of 2023.
 const WALL: u64 = 1_700_000_000_000;
 
 fuzz_target!(|data: &[u8]| {
