--- a/library/src/error.rs
+++ b/library/src/error.rs
@@ -1,4 +1,5 @@
-//! Errors of calls, of the start and of the shutdown. For a call they say above all whether it may have run.
+//! Errors of calls, of the start and of the shutdown. The error of a call states above all whether it may
+//! have run.
 
 use http::StatusCode;
 use nettleworks::requests::{self, ClientResponse};
--- a/library/src/fleet.rs
+++ b/library/src/fleet.rs
@@ -99,7 +99,7 @@
     /// dropping the future cancels the call.
     ///
     /// # Errors
-    /// [`Error::may_have_run`] says whether the request may have run. A call beyond the limit of open calls is
+    /// [`Error::may_have_run`] returns whether the request may have run. A call beyond the limit of open calls is
     /// refused at once.
     pub fn call(
         &self,
--- a/library/src/thread.rs
+++ b/library/src/thread.rs
@@ -25,7 +25,7 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{sleep, Instant};
 
-/// Most commands that are executed before other tasks of the thread run.
+/// Maximum number of commands that are executed before other tasks of the thread run.
 const COMMAND_BATCH: usize = 64;
 /// How often a shutdown checks whether all calls have been answered.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -75,7 +75,7 @@
 /// The application's receiver of log lines.
 type LogSink = Box<dyn Fn(&str) + Send>;
 
-/// Most log lines that wait for the sink; further ones are dropped and counted.
+/// Maximum number of log lines that wait for the sink; further ones are dropped and counted.
 const MAX_QUEUED_LINES: usize = 1_024;
 
 /// The log of all engines. A single engine calls the sink itself. Several engines must not wait for each other's
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -168,7 +168,7 @@
             health_checks: limits.probes,
             hedging: limits.second_copies,
             max_attempts: limits.max_attempts,
-            // Read even where the settings say that clients ignore it: a refusal over HTTP always has a Retry-After.
+            // Read even if clients ignore it by the settings: a refusal over HTTP always has a Retry-After.
             max_retry_after: limits.max_retry_after_us,
         },
         rules: Rules {
