--- a/council/tests/model.rs
+++ b/council/tests/model.rs
@@ -66,15 +66,15 @@
     Role("charges".to_owned())
 }
 
-fn member(which: usize, start: u64) -> ProcessInstance {
-    ProcessInstance { name: Name::new(["a", "b"][which]).expect("valid name"), start }
+fn member(index: usize, start: u64) -> ProcessInstance {
+    ProcessInstance { name: Name::new(["a", "b"][index]).expect("valid name"), start }
 }
 
 impl LeaseModel {
     /// The reading of a process's clock, by its index; 2 is the leader's.
-    fn now(&self, system: &System, which: usize) -> Micros {
+    fn now(&self, system: &System, index: usize) -> Micros {
         // The clocks do not start at the same reading.
-        1_000_000 * (which as u64 + 1) + system.time * self.rates[which]
+        1_000_000 * (index as u64 + 1) + system.time * self.rates[index]
     }
 
     fn deliver(&self, system: &mut System, command: Command) {
@@ -89,8 +89,8 @@
 
     fn holder_count(&self, system: &System) -> usize {
         (0..2)
-            .filter(|which| {
-                system.processes[*which].lease_client.fencing_token(self.now(system, *which)).is_some()
+            .filter(|index| {
+                system.processes[*index].lease_client.fencing_token(self.now(system, *index)).is_some()
             })
             .count()
     }
@@ -103,11 +103,11 @@
     fn init_states(&self) -> Vec<System> {
         let mut leader_state = State::new(Bounds::default());
         let log: Vec<Command> = (0..2)
-            .map(|which| Command::AddMember { process: member(which, 1), zone: String::new() })
+            .map(|index| Command::AddMember { process: member(index, 1), zone: String::new() })
             .collect();
         log.iter().for_each(|command| drop(leader_state.apply(command)));
-        let process = |which| Process {
-            lease_client: LeaseClient::new(role(), member(which, 1), self.timing),
+        let process = |index| Process {
+            lease_client: LeaseClient::new(role(), member(index, 1), self.timing),
             start: 1,
             applied: log.len(),
             state: leader_state.clone(),
@@ -133,21 +133,21 @@
         if system.time < self.time {
             actions.push(SystemAction::PassTime);
         }
-        for which in 0..2 {
+        for index in 0..2 {
             if system.requests < self.requests && system.in_flight.len() < 2 {
-                actions.push(SystemAction::RequestLease(which));
+                actions.push(SystemAction::RequestLease(index));
             }
             if self.releases
-                && system.processes[which].lease_client.valid_until().is_some()
+                && system.processes[index].lease_client.valid_until().is_some()
                 && system.in_flight.len() < 2
             {
-                actions.push(SystemAction::Release(which));
+                actions.push(SystemAction::Release(index));
             }
-            if system.processes[which].applied < system.log.len() {
-                actions.push(SystemAction::ApplyNext(which));
+            if system.processes[index].applied < system.log.len() {
+                actions.push(SystemAction::ApplyNext(index));
             }
-            if which == 0 && system.restarts < self.restarts {
-                actions.push(SystemAction::Restart(which));
+            if index == 0 && system.restarts < self.restarts {
+                actions.push(SystemAction::Restart(index));
             }
         }
         for position in 0..system.in_flight.len() {
@@ -169,15 +169,15 @@
         let mut system = previous.clone();
         match action {
             SystemAction::PassTime => system.time += 1,
-            SystemAction::RequestLease(which) => {
-                let now = self.now(&system, which);
-                let process = &mut system.processes[which];
+            SystemAction::RequestLease(index) => {
+                let now = self.now(&system, index);
+                let process = &mut system.processes[index];
                 let command = process.lease_client.request_lease(now, &process.state)?;
                 system.in_flight.push(command);
                 system.requests += 1;
             }
-            SystemAction::Release(which) => {
-                let command = system.processes[which].lease_client.release()?;
+            SystemAction::Release(index) => {
+                let command = system.processes[index].lease_client.release()?;
                 system.in_flight.push(command);
             }
             SystemAction::Deliver(position) => {
@@ -190,20 +190,20 @@
                 self.deliver(&mut system, command);
             }
             SystemAction::Lose(position) => drop(system.in_flight.remove(position)),
-            SystemAction::ApplyNext(which) => {
-                let command = system.log[system.processes[which].applied].clone();
-                let process = &mut system.processes[which];
+            SystemAction::ApplyNext(index) => {
+                let command = system.log[system.processes[index].applied].clone();
+                let process = &mut system.processes[index];
                 process.applied += 1;
                 process.state.apply(&command);
                 process.lease_client.observe(&process.state);
             }
-            SystemAction::Restart(which) => {
+            SystemAction::Restart(index) => {
                 system.restarts += 1;
-                let process = &mut system.processes[which];
+                let process = &mut system.processes[index];
                 process.start += 1;
-                process.lease_client = LeaseClient::new(role(), member(which, process.start), self.timing);
+                process.lease_client = LeaseClient::new(role(), member(index, process.start), self.timing);
                 let add_member =
-                    Command::AddMember { process: member(which, process.start), zone: String::new() };
+                    Command::AddMember { process: member(index, process.start), zone: String::new() };
                 self.deliver(&mut system, add_member);
             }
             SystemAction::ChangeLeader => {
@@ -230,8 +230,8 @@
             Property::always(
                 "a later holder has a greater fencing token",
                 |model: &LeaseModel, system: &System| {
-                    let fencing_token = |which: usize| {
-                        system.processes[which].lease_client.fencing_token(model.now(system, which))
+                    let fencing_token = |index: usize| {
+                        system.processes[index].lease_client.fencing_token(model.now(system, index))
                     };
                     let granted = system
                         .leader_state
@@ -253,8 +253,8 @@
                 model.holder_count(system) == 1
             }),
             Property::sometimes("the lease passes to the other", |model: &LeaseModel, system: &System| {
-                let token = |which: usize| {
-                    system.processes[which].lease_client.fencing_token(model.now(system, which))
+                let token = |index: usize| {
+                    system.processes[index].lease_client.fencing_token(model.now(system, index))
                 };
                 system.log.iter().any(
                     |item| matches!(item, Command::Grant { holder, .. } if holder.name == member(0, 1).name),
--- a/keys/station/src/lib.rs
+++ b/keys/station/src/lib.rs
@@ -30,7 +30,7 @@
 /// How long after its deadline a waiting request times out, if its call can't be detached. The decision module ends the
 /// call at the deadline and records time-outs of the hosts; if the request timed out first, it would seem that the
 /// client had disconnected, and no time-out would be recorded.
-const GRACE: Duration = Duration::from_millis(5);
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(5);
 /// When a client may retry after a refusal for lack of room.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -126,7 +126,7 @@
         if self.max_detached_time(class).is_some() {
             deadline
         } else {
-            deadline + GRACE
+            deadline + TIMEOUT_MARGIN
         }
     }
 
@@ -221,7 +221,7 @@
         context.detach(call);
         // If the call ends at the limit of its class, its attempts have to time out first, so that time-outs of their
         // hosts are recorded.
-        let until = if until == limit { until + GRACE } else { until };
+        let until = if until == limit { until + TIMEOUT_MARGIN } else { until };
         let hosts: Vec<u32> = servers.iter().map(|server| server.0).collect();
         let cancelled =
             self.detached.add(run_id, self.store.tenant(run_id), &hosts, context.micros_at(until));
--- a/members/src/membership.rs
+++ b/members/src/membership.rs
@@ -282,7 +282,7 @@
             digest_matches: entry.digest.map(|digest| digest == self.roster.digest()),
             is_flapping: entry.flaps.is_flapping(now),
             suspected_by: match &entry.state {
-                State::Suspect(suspicion) => suspicion.accusers().to_vec(),
+                State::Suspect(suspicion) => suspicion.suspected_by().to_vec(),
                 _ => Vec::new(),
             },
         });
--- a/members/src/membership/updates.rs
+++ b/members/src/membership/updates.rs
@@ -31,11 +31,11 @@
             {
                 self.mark_left(now, &name, incarnation, out);
             }
-            (ReportedState::Suspect { by: accuser }, Some((known, _))) if incarnation == known => {
-                if self.failed.contains(&accuser) {
+            (ReportedState::Suspect { by: reporter }, Some((known, _))) if incarnation == known => {
+                if self.failed.contains(&reporter) {
                     self.counts.rejected_updates += 1;
                 } else {
-                    self.suspect(now, &name, &accuser, out);
+                    self.suspect(now, &name, &reporter, out);
                 }
             }
             // One member's report does not fail another: it counts as a confirmation of the suspicion.
--- a/members/src/roster.rs
+++ b/members/src/roster.rs
@@ -88,7 +88,7 @@
     pub fn to_update(&self, name: &Name) -> Update {
         let state = match &self.state {
             State::Alive => ReportedState::Alive(self.metadata.clone()),
-            State::Suspect(suspicion) => ReportedState::Suspect { by: suspicion.accusers()[0].clone() },
+            State::Suspect(suspicion) => ReportedState::Suspect { by: suspicion.suspected_by()[0].clone() },
             State::Failed => ReportedState::Failed,
             State::Left => ReportedState::Left,
         };
--- a/members/src/suspicion.rs
+++ b/members/src/suspicion.rs
@@ -12,22 +12,22 @@
     min: Micros,
     max: Micros,
     needed: usize,
-    accusers: Vec<Name>,
+    suspected_by: Vec<Name>,
 }
 
 impl Suspicion {
     /// Creates a suspicion by `by` that lasts from `min` (with `needed` confirmations) to `max` (without
     /// any).
     pub fn new(now: Micros, by: Name, min: Micros, max: Micros, needed: usize) -> Suspicion {
-        Suspicion { started_at: now, paused: 0, min, max, needed, accusers: vec![by] }
+        Suspicion { started_at: now, paused: 0, min, max, needed, suspected_by: vec![by] }
     }
 
     /// Adds a confirmation. Returns whether it counts: not a second one by the same member, and none beyond
     /// those needed.
     pub fn confirm(&mut self, by: &Name) -> bool {
-        let is_new = self.accusers.len() <= self.needed && !self.accusers.contains(by);
+        let is_new = self.suspected_by.len() <= self.needed && !self.suspected_by.contains(by);
         if is_new {
-            self.accusers.push(by.clone());
+            self.suspected_by.push(by.clone());
         }
         is_new
     }
@@ -36,8 +36,8 @@
         self.started_at
     }
 
-    pub fn accusers(&self) -> &[Name] {
-        &self.accusers
+    pub fn suspected_by(&self) -> &[Name] {
+        &self.suspected_by
     }
 
     /// Extends the suspicion by time in which this process did not run.
@@ -47,7 +47,7 @@
 
     /// When the suspicion times out. Each confirmation shortens it, on a logarithmic scale as in Lifeguard.
     pub fn ends_at(&self) -> Micros {
-        let confirmations = self.accusers.len() - 1;
+        let confirmations = self.suspected_by.len() - 1;
         let fraction = match self.needed {
             0 => 1.0,
             needed => ((confirmations + 1) as f64).ln() / ((needed + 1) as f64).ln(),
--- a/members/tests/common/mod.rs
+++ b/members/tests/common/mod.rs
@@ -10,7 +10,7 @@
 
 pub const SECOND: Micros = 1_000_000;
 /// Wall clock at the start in milliseconds, on some day of 2023.
-pub const WALL: u64 = 1_700_000_000_000;
+pub const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
 
 pub fn name(number: usize) -> Name {
     Name::new(&format!("m-{number}")).expect("a name")
@@ -66,7 +66,7 @@
     /// Starts this many members with the first three as seeds, and runs until all agree.
     pub fn converged(seed: u64, count: usize) -> Net {
         let mut net = Net::new(seed, Config::default());
-        (0..count).for_each(|number| net.start(number, WALL));
+        (0..count).for_each(|number| net.start(number, WALL_CLOCK_START_MS));
         let converged = |net: &Net| {
             net.nodes.values().all(|node| {
                 let view = node.members.view(net.now);
--- a/members/tests/protocol.rs
+++ b/members/tests/protocol.rs
@@ -38,7 +38,7 @@
         net.perform(address(number), out);
         net.run(SECOND);
         assert!(net.node(number).members.is_finished());
-        net.start(number, WALL);
+        net.start(number, WALL_CLOCK_START_MS);
         net.run(SECOND / 2);
     }
     let converged = |net: &Net| (0..24).all(|number| net.all_see(number, Condition::Alive));
@@ -54,7 +54,7 @@
         net.kill(7);
         net.run(SECOND / 10);
         // The wall clock may have been set back by an hour meanwhile.
-        net.start(7, WALL - set_back);
+        net.start(7, WALL_CLOCK_START_MS - set_back);
         let rejoined = |net: &Net| {
             let notified = net.nodes.values().filter(|node| {
                 node.events.iter().any(|(when, event)| {
@@ -77,7 +77,7 @@
     for _ in 0..10 {
         net.kill(5);
         net.run(3 * SECOND);
-        net.start(5, WALL);
+        net.start(5, WALL_CLOCK_START_MS);
         net.run(3 * SECOND);
     }
     let flapping = net.nodes.values().filter(|node| {
@@ -256,10 +256,10 @@
 #[test]
 fn a_single_member_is_alone_and_joins_when_a_seed_appears() {
     let mut net = Net::new(14, Config::default());
-    net.start(1, WALL);
+    net.start(1, WALL_CLOCK_START_MS);
     net.run(120 * SECOND);
     assert_eq!(net.node(1).members.cluster_status(), ClusterStatus::Alone);
-    net.start(0, WALL);
+    net.start(0, WALL_CLOCK_START_MS);
     assert!(net
         .run_until(40 * SECOND, |net| net.all_see(0, Condition::Alive) && net.all_see(1, Condition::Alive)));
     net.kill(0);
@@ -273,7 +273,7 @@
     let mut net = Net::converged(15, 8);
     net.run(5 * SECOND);
     let second = address(200);
-    net.start_at(3, second, WALL);
+    net.start_at(3, second, WALL_CLOCK_START_MS);
     let replaced = |net: &Net| net.nodes[&address(3)].members.cluster_status() == ClusterStatus::Replaced;
     assert!(net.run_until(20 * SECOND, replaced));
     net.run(20 * SECOND);
@@ -291,7 +291,7 @@
     let mut net = Net::converged(16, 8);
     net.kill(3);
     net.nodes.remove(&address(3));
-    net.start_at(3, address(200), WALL - 3_600_000);
+    net.start_at(3, address(200), WALL_CLOCK_START_MS - 3_600_000);
     let took_name = |net: &Net| {
         let mut others = net.nodes.values();
         others.all(|node| {
@@ -309,7 +309,7 @@
 
 /// A gossip message with the right key and false updates.
 fn forged_gossip(from: usize, updates: Vec<Update>) -> Message {
-    let incarnation = Incarnation::initial(WALL);
+    let incarnation = Incarnation::initial(WALL_CLOCK_START_MS);
     Message {
         from: Sender { name: name(from), incarnation, address: address(from) },
         kind: MessageKind::Gossip,
@@ -323,9 +323,9 @@
     let at = net.now;
     let incarnations = [
         Incarnation { start: u64::MAX, round: 0 },
-        Incarnation { start: WALL, round: u32::MAX },
-        Incarnation { start: WALL + 1, round: 0 },
-        Incarnation { start: WALL, round: 4_000 },
+        Incarnation { start: WALL_CLOCK_START_MS, round: u32::MAX },
+        Incarnation { start: WALL_CLOCK_START_MS + 1, round: 0 },
+        Incarnation { start: WALL_CLOCK_START_MS, round: 4_000 },
     ];
     for step in 0..600 {
         let incarnation = incarnations[step % incarnations.len()];
@@ -376,7 +376,7 @@
 #[test]
 fn a_full_member_list_rejects_joins_and_counts_them() {
     let mut net = Net::new(19, Config { max_members: 6, ..Config::default() });
-    (0..8).for_each(|number| net.start(number, WALL));
+    (0..8).for_each(|number| net.start(number, WALL_CLOCK_START_MS));
     net.run(30 * SECOND);
     assert!(net.nodes.values().all(|node| node.members.view(0).members.len() <= 6));
     assert!(net.nodes.values().any(|node| node.members.counts().rejected_members > 0));
--- a/members/tests/single.rs
+++ b/members/tests/single.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 /// Wall clock at the start in milliseconds, on some day of 2023.
-const WALL: u64 = 1_700_000_000_000;
+const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
 const SECOND: Micros = 1_000_000;
 
 fn name(text: &str) -> Name {
@@ -16,7 +16,7 @@
 }
 
 fn incarnation(round: u32) -> Incarnation {
-    Incarnation { start: WALL, round }
+    Incarnation { start: WALL_CLOCK_START_MS, round }
 }
 
 struct Fixture {
@@ -31,7 +31,8 @@
     fn with_members(others: &[&str]) -> Fixture {
         let metadata = Metadata::new(address("m"));
         let members =
-            Membership::new(Config::default(), name("me"), metadata, vec![], 1, 0, WALL).expect("good");
+            Membership::new(Config::default(), name("me"), metadata, vec![], 1, 0, WALL_CLOCK_START_MS)
+                .expect("good");
         let mut fixture = Fixture { members, now: 0, sent: Vec::new(), notified: Vec::new() };
         for other in others {
             fixture.receive(
@@ -172,7 +173,7 @@
 #[test]
 fn suspicions_from_a_superseded_start_are_rejected() {
     let mut fixture = Fixture::with_members(&["x", "y"]);
-    let restarted = Incarnation::initial(WALL + 5);
+    let restarted = Incarnation::initial(WALL_CLOCK_START_MS + 5);
     fixture.receive(
         "y",
         MessageKind::Gossip,
--- a/members/wire/fuzz/fuzz_targets/datagrams.rs
+++ b/members/wire/fuzz/fuzz_targets/datagrams.rs
@@ -8,7 +8,7 @@
 use nettleworks_members_wire::Codec;
 
 /// Wall clock at the start in milliseconds, on some day of 2023.
-const WALL: u64 = 1_700_000_000_000;
+const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
 
 fuzz_target!(|data: &[u8]| {
     let codec = Codec::new(b"a key of sixteen bytes").expect("a good key");
@@ -16,8 +16,8 @@
     let config = Config { max_members: 8, ..Config::default() };
     let name = Name::new("me").expect("a name");
     let metadata = Metadata::new(([10, 0, 0, 1], 7_000).into());
-    let mut membership =
-        Membership::new(config.clone(), name, metadata, vec![], 1, 0, WALL).expect("a valid configuration");
+    let mut membership = Membership::new(config.clone(), name, metadata, vec![], 1, 0, WALL_CLOCK_START_MS)
+        .expect("a valid configuration");
     let (mut now, mut rest, mut out) = (0, data, Vec::new());
     while let Ok((message, left)) = postcard::take_from_bytes::<Message>(rest) {
         membership.handle_message(now, message, &mut out);
--- a/policy/src/balance.rs
+++ b/policy/src/balance.rs
@@ -420,7 +420,7 @@
         let target = call.target_at().saturating_sub(call.arrived) as f64;
         let limit = match exceeds_share {
             true => target * QUEUE_WAIT_SHARE / 2.0,
-            false if self.is_protected(call) => {
+            false if self.is_high_value(call) => {
                 (target * QUEUE_WAIT_SHARE).max(target - SPARE_LATENCIES * usual_latency)
             }
             false => target * QUEUE_WAIT_SHARE,
@@ -430,7 +430,7 @@
 
     /// Whether the value per work of the call's class, relative to the mean over all calls, is so high that
     /// it outweighs the weight of the worst class in the score.
-    fn is_protected(&self, call: &Call) -> bool {
+    fn is_high_value(&self, call: &Call) -> bool {
         let all = self.latencies.iter().zip(&self.settings.classes);
         let (value, work) =
             all.fold((0.0, 0.0), |(w, t), (p, c)| (w + p.requests * c.value, t + p.requests * p.unloaded));
--- a/policy/src/list_lease.rs
+++ b/policy/src/list_lease.rs
@@ -18,7 +18,7 @@
 /// As [`NOTIFIED_WITHIN`], after the configuration named another discovery service.
 const NOTIFIED_WITHIN_AFTER_CHANGE: Micros = 4_000_000;
 /// After a failed request the list remains usable for this many list refresh intervals.
-const FAILED_CALL_INTERVALS: Micros = 4;
+const FAILED_REQUEST_INTERVALS: Micros = 4;
 /// Maximum delay between the decision on a request and writing it, as the process may be stalled in between.
 const MAX_WRITE_DELAY: Micros = 250_000;
 
@@ -78,7 +78,7 @@
             }
             Freshness::Unreachable { since } => {
                 let extension =
-                    self.refresh_interval.saturating_mul(FAILED_CALL_INTERVALS).min(NOTIFIED_WITHIN);
+                    self.refresh_interval.saturating_mul(FAILED_REQUEST_INTERVALS).min(NOTIFIED_WITHIN);
                 let extended = since.saturating_add(extension).saturating_add(self.slack);
                 self.watch_ended = false;
                 self.extended_at =
--- a/policy/tests/freshness.rs
+++ b/policy/tests/freshness.rs
@@ -63,7 +63,7 @@
 /// Discovery has ended the watch gracefully: the next request comes early enough to be answered, and
 /// nothing is sent past the drain grace of changes that the watch did not deliver.
 #[test]
-fn after_an_orderly_end_the_watch_is_renewed_in_time_and_nothing_is_sent_past_the_grace() {
+fn after_a_graceful_end_the_watch_is_renewed_in_time_and_nothing_is_sent_past_the_grace() {
     for balancers in [1, 30, 300, 5_000] {
         for balancer_index in 0..balancers.min(100) {
             let mut proxy = watching(balancers, balancer_index);
--- a/shards/cores/src/key_router.rs
+++ b/shards/cores/src/key_router.rs
@@ -31,7 +31,7 @@
 const MAX_FORWARDED: usize = 4_096;
 /// How long after its deadline a forwarded request is given up here. The owner ends it at its deadline, and its reply
 /// needs time to arrive.
-const GRACE: Duration = Duration::from_millis(10);
+const REPLY_MARGIN: Duration = Duration::from_millis(10);
 /// When a client may retry after a refusal, as far as the settings allow.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
 
@@ -207,7 +207,7 @@
         let Some(mailbox) = self.shared.mailboxes.get(owner) else { return self.refuse(context, incoming) };
         let (call, token) = (incoming.number(), Arc::new(HandoverToken::default()));
         let (request_info, request) = (request_info.clone(), incoming.request().clone());
-        let give_up_at = request_info.deadline + GRACE;
+        let give_up_at = request_info.deadline + REPLY_MARGIN;
         let handover = Handover { from: self.me, call, request_info, request, token: token.clone() };
         match mailbox.requests.try_send(handover) {
             Ok(()) => {}
