--- a/engine/src/discovery/mod.rs
+++ b/engine/src/discovery/mod.rs
@@ -1,18 +1,18 @@
 //! The watch: a long-lived response of discovery that streams changes of the server list.
 
-mod call;
 mod outage;
 mod received;
+mod request;
 mod splitter;
 
 use crate::dial::BoxError;
 use crate::list::List;
 use crate::stall::{LastPoll, StallDetector};
-pub use call::{CallFailure, FailedCall};
 pub use outage::{DiscoveryStatus, OutageDetector};
+pub use request::{FailedRequest, RequestFailure};
 
-use call::{call_hedged, PendingCalls, WatchResponse, AGENT_TIMEOUTS, DIRECT_TIMEOUTS};
 use http_body_util::BodyExt;
+use request::{request_hedged, PendingRequests, WatchResponse, AGENT_TIMEOUTS, DIRECT_TIMEOUTS};
 use splitter::JsonSplitter;
 use std::error::Error;
 use std::io;
@@ -35,8 +35,8 @@
 pub enum WatchEnd {
     /// The watch was open and brought nothing for too long. Since when it has missed changes is unknown.
     Silent,
-    /// The watch was never open: all its calls failed. They are in the order in which they were started.
-    Unanswered(Vec<FailedCall>),
+    /// The watch was never open: all its requests failed. They are in the order in which they were started.
+    Unanswered(Vec<FailedRequest>),
     /// The watch was open and its connection broke.
     Failed(BoxError),
     /// The watch was open and discovery closed it gracefully, with no list incomplete.
@@ -49,7 +49,7 @@
     /// The connection broke or ended within a list, or what arrived is not a valid list. What discovery has written
     /// counts as notified, whether or not it arrived.
     Truncated {
-        /// When the list began to arrive, or the call that requested it was answered.
+        /// When the list began to arrive, or the request for it was answered.
         since: Instant,
         /// A description for the log.
         reason: BoxError,
@@ -61,7 +61,9 @@
     pub fn incomplete_since(&self) -> Option<Instant> {
         match self {
             WatchEnd::Truncated { since, .. } => Some(*since),
-            WatchEnd::Unanswered(calls) => calls.iter().filter_map(|call| call.incomplete_since).min(),
+            WatchEnd::Unanswered(requests) => {
+                requests.iter().filter_map(|request| request.incomplete_since).min()
+            }
             WatchEnd::Silent | WatchEnd::Failed(_) | WatchEnd::Ended { .. } => None,
         }
     }
@@ -70,11 +72,11 @@
 /// An event of an open watch.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// The call was answered with 200; lists follow.
+    /// The request was answered with 200; lists follow.
     Answered,
     /// A complete line or list has arrived, so the watch is alive. For a list this follows [`WatchEvent::List`].
     Alive,
-    /// The same, but read late: this process was stalled, and the watch may have broken since.
+    /// As [`WatchEvent::Alive`], but read late: this process was stalled, and the watch may have broken since.
     AliveAfterStall,
     /// A list has arrived.
     List(List),
@@ -84,8 +86,8 @@
 
 /// Opens a watch of the list from version `since` on, reports its events to `on_event`, and returns how it ended.
 ///
-/// `pushed` means that discovery is an agent that pushes the list and never lets a call wait. `last_poll` records when
-/// this task was last polled in time.
+/// `pushed` means that discovery is an agent that pushes the list and never lets a request wait. `last_poll` records
+/// when this task was last polled in time.
 pub async fn watch(
     discovery: SocketAddr,
     pushed: bool,
@@ -94,12 +96,12 @@
     mut on_event: impl FnMut(WatchEvent),
 ) -> WatchEnd {
     let mut stall = StallDetector::new(Instant::now(), last_poll);
-    let (pending_calls, mut partial_reported) = (PendingCalls::default(), false);
-    let mut response = pin!(call_hedged(
+    let (pending_requests, mut partial_reported) = (PendingRequests::default(), false);
+    let mut response = pin!(request_hedged(
         discovery,
         since,
         if pushed { AGENT_TIMEOUTS } else { DIRECT_TIMEOUTS },
-        &pending_calls
+        &pending_requests
     ));
     let response = loop {
         if let Ok(response) = timeout_at(stall.poll_at(), &mut response).await {
@@ -107,7 +109,7 @@
         }
         let now = Instant::now();
         let polled_in_time = stall.record_idle(now);
-        let partial = pending_calls
+        let partial = pending_requests
             .partial_head_since()
             .filter(|since| polled_in_time && !partial_reported && now >= *since + PARTIAL_LIST_DELAY);
         if let Some(since) = partial {
@@ -117,7 +119,7 @@
     };
     let response = match response {
         Ok(response) => response,
-        Err(calls) => return WatchEnd::Unanswered(calls),
+        Err(requests) => return WatchEnd::Unanswered(requests),
     };
     on_event(WatchEvent::Answered);
     follow_lists(response, stall, &mut on_event).await
--- a/engine/src/driver/watch.rs
+++ b/engine/src/driver/watch.rs
@@ -2,7 +2,7 @@
 
 use super::hosts::ListSource;
 use super::{Driver, Handle};
-use crate::discovery::{self, DiscoveryStatus, FailedCall, OutageDetector, WatchEnd, WatchEvent};
+use crate::discovery::{self, DiscoveryStatus, FailedRequest, OutageDetector, WatchEnd, WatchEvent};
 use crate::group::Lease;
 use crate::list::{Health, List};
 use crate::protocol::Protocol;
@@ -37,9 +37,9 @@
     opened_at: Instant,
     /// When a watch last proved that the list was up to date; before the first proof, the start of the engine.
     verified_at: Instant,
-    /// What failed discovery calls have shown about an outage.
+    /// What failed discovery requests have shown about an outage.
     outage: OutageDetector,
-    /// When the last watch was opened whose calls proved that discovery is down.
+    /// When the last watch was opened whose requests proved that discovery is down.
     unreachable_since: Option<Instant>,
     /// Heartbeats of the current watch; a list counts as [`PROVING_HEARTBEATS`].
     heartbeats: u32,
@@ -94,8 +94,8 @@
     /// What the end of a watch proves about discovery. A truncated response proves nothing about an outage.
     fn assess(&mut self, end: &WatchEnd) -> DiscoveryStatus {
         match end {
-            WatchEnd::Unanswered(calls) if end.incomplete_since().is_none() => {
-                self.outage.assess(calls, Instant::now())
+            WatchEnd::Unanswered(requests) if end.incomplete_since().is_none() => {
+                self.outage.assess(requests, Instant::now())
             }
             _ => DiscoveryStatus::Unknown,
         }
@@ -331,20 +331,22 @@
 
 /// Describes the end of a watch for the log.
 fn describe(end: &WatchEnd) -> String {
-    let each = |calls: &[FailedCall]| calls.iter().map(FailedCall::to_string).collect::<Vec<_>>().join("; ");
+    let each = |requests: &[FailedRequest]| {
+        requests.iter().map(FailedRequest::to_string).collect::<Vec<_>>().join("; ")
+    };
     match end {
         WatchEnd::Silent => "fell silent".to_owned(),
-        WatchEnd::Unanswered(calls) if end.incomplete_since().is_some() => {
-            format!("incomplete answer: {}", each(calls))
+        WatchEnd::Unanswered(requests) if end.incomplete_since().is_some() => {
+            format!("incomplete answer: {}", each(requests))
         }
-        WatchEnd::Unanswered(calls) => format!("not answered: {}", each(calls)),
+        WatchEnd::Unanswered(requests) => format!("not answered: {}", each(requests)),
         WatchEnd::Failed(reason) => format!("failed: {reason}"),
         WatchEnd::Ended { reason, .. } => format!("ended: {reason}"),
         WatchEnd::Truncated { reason, .. } => format!("failed within a list: {reason}"),
     }
 }
 
-/// Describes what the calls of a watch have proven, as a suffix to [`describe`].
+/// Describes what the requests of a watch have proven, as a suffix to [`describe`].
 fn describe_status(status: DiscoveryStatus) -> &'static str {
     match status {
         DiscoveryStatus::Unknown => "",
