--- a/keys/station/src/lib.rs
+++ b/keys/station/src/lib.rs
@@ -27,10 +27,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after its deadline a waiting request times out, if its call can't be detached: the decision module ends the
-/// call at the deadline, and hosts must be blamed for the time-out instead of being excused as if the client had
-/// disconnected.
-const GRACE: Duration = Duration::from_millis(5);
+/// How long after its deadline a waiting request times out, if its call can't be detached. The decision module ends the
+/// call at the deadline and records time-outs of the hosts; if the request timed out first, it would seem that the
+/// client had disconnected, and no time-out would be recorded.
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(5);
 /// When a client may retry after a refusal for lack of room.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -126,7 +126,7 @@
         if self.max_detached_time(class).is_some() {
             deadline
         } else {
-            deadline + GRACE
+            deadline + TIMEOUT_MARGIN
         }
     }
 
@@ -219,8 +219,9 @@
         });
         let Some((servers, limit, until)) = detachable else { return self.give_up(context, run_id) };
         context.detach(call);
-        // If the call ends at the limit of its class, its attempts are to time out first, so that their hosts are blamed.
-        let until = if until == limit { until + GRACE } else { until };
+        // If the call ends at the limit of its class, its attempts have to time out first, so that time-outs of their
+        // hosts are recorded.
+        let until = if until == limit { until + TIMEOUT_MARGIN } else { until };
         let hosts: Vec<u32> = servers.iter().map(|server| server.0).collect();
         let cancelled =
             self.detached.add(run_id, self.store.tenant(run_id), &hosts, context.micros_at(until));
--- a/members/src/membership.rs
+++ b/members/src/membership.rs
@@ -96,7 +96,7 @@
 }
 
 impl Membership {
-    /// Creates a member that starts at `now`, when the wall clock says `wall_ms` (milliseconds since 1970),
+    /// Creates a member that starts at `now`, when the wall clock reads `wall_ms` (milliseconds since 1970),
     /// and that joins through the members at `seeds`. Random numbers come from `seed`.
     ///
     /// # Errors
@@ -282,7 +282,7 @@
             digest_matches: entry.digest.map(|digest| digest == self.roster.digest()),
             is_flapping: entry.flaps.is_flapping(now),
             suspected_by: match &entry.state {
-                State::Suspect(suspicion) => suspicion.accusers().to_vec(),
+                State::Suspect(suspicion) => suspicion.suspected_by().to_vec(),
                 _ => Vec::new(),
             },
         });
