--- a/crew/src/crew.rs
+++ b/crew/src/crew.rs
@@ -3,7 +3,7 @@
 use crate::history::{Event, History};
 use crate::process::Process;
 use crate::relay::{Link, Relays};
-use nettleworks_standins::Site;
+use nettleworks_standins::StandInFleet;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fs;
@@ -64,7 +64,7 @@
 
 impl Crew {
     /// Starts all, in front of a site's hosts.
-    pub fn start(plan: Plan, site: &Site) -> Crew {
+    pub fn start(plan: Plan, site: &StandInFleet) -> Crew {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         // The path of a socket must be short.
         let unique = format!("nwc{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
--- a/library/tests/application.rs
+++ b/library/tests/application.rs
@@ -5,7 +5,9 @@
 use http::Request;
 use http_body_util::Full;
 use nettleworks_client::{listen, Error, Fleet, FleetService, State};
-use nettleworks_standins::{request, Dice, Fault, Load, Plan, Reader, Site, Tally};
+use nettleworks_standins::{
+    request, Fault, HostBehavior, Load, LoadMetrics, RandomStream, Reader, StandInFleet,
+};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::{poll_fn, Future};
@@ -31,20 +33,20 @@
         .expect("a runtime")
 }
 
-fn failing_plan(fault: Fault) -> Plan {
-    Plan { faults: vec![(fault, 1.0)], ..Plan::default() }
+fn failing_plan(fault: Fault) -> HostBehavior {
+    HostBehavior { faults: vec![(fault, 1.0)], ..HostBehavior::default() }
 }
 
-fn start_fleet(site: &Site) -> Fleet {
+fn start_fleet(site: &StandInFleet) -> Fleet {
     start_fleet_with(site, |_| ())
 }
 
-fn start_fleet_with(site: &Site, change: impl FnOnce(&mut serde_json::Value)) -> Fleet {
+fn start_fleet_with(site: &StandInFleet, change: impl FnOnce(&mut serde_json::Value)) -> Fleet {
     Fleet::builder().text(&site.configuration(change)).start().expect("the fleet starts")
 }
 
 /// Starts a fleet whose unsafe calls have a deadline beyond the end of the test, so that it cannot end them.
-fn start_fleet_with_long_deadlines(site: &Site) -> Fleet {
+fn start_fleet_with_long_deadlines(site: &StandInFleet) -> Fleet {
     start_fleet_with(site, |config| {
         for time in ["objective_us", "deadline_us"] {
             config["settings"]["classes"][2][time] = 600_000_000.into();
@@ -96,7 +98,7 @@
 /// its attempt is closed, and nothing is sent again.
 #[test]
 fn a_panicking_or_dropped_handler_cancels_its_call() {
-    let site = Site::start(vec![failing_plan(Fault::Stall), failing_plan(Fault::Stall)]);
+    let site = StandInFleet::start(vec![failing_plan(Fault::Stall), failing_plan(Fault::Stall)]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet_with_long_deadlines(&site);
         fleet.ready().await.expect("the fleet runs");
@@ -116,9 +118,11 @@
         wait_for_attempts(&fleet, 2).await;
         drop(dropped);
         wait_until_idle(&fleet).await;
-        let open = site.with(|stand_ins| stand_ins.hosts.iter().map(|host| host.open.get()).sum::<usize>());
+        let open = site.execute(|stand_ins| {
+            stand_ins.hosts.iter().map(|host| host.open_connections.get()).sum::<usize>()
+        });
         assert_eq!(open, 0, "the attempts' connections are closed");
-        assert_eq!(site.counts().iter().sum::<usize>(), 2, "no unsafe call went out again");
+        assert_eq!(site.request_counts().iter().sum::<usize>(), 2, "no unsafe call went out again");
         assert_eq!(fleet.watch().borrow().attempts, 2);
     });
 }
@@ -138,10 +142,11 @@
 #[test]
 fn blocked_worker_threads_do_not_affect_the_engine() {
     const BLOCKED: Duration = Duration::from_secs(2);
-    let mut stalling_plan = Plan { service: Duration::from_millis(5), ..Plan::default() };
+    let mut stalling_plan = HostBehavior { service: Duration::from_millis(5), ..HostBehavior::default() };
     // Some requests stall, so that calls time out while the threads are blocked.
     stalling_plan.faults = vec![(Fault::Stall, 0.02)];
-    let site = Site::start(vec![stalling_plan.clone(), stalling_plan.clone(), Plan::default()]);
+    let site =
+        StandInFleet::start(vec![stalling_plan.clone(), stalling_plan.clone(), HostBehavior::default()]);
     let runtime = application_runtime(2);
     let fleet = start_fleet(&site);
     runtime.block_on(fleet.ready()).expect("the fleet runs");
@@ -151,7 +156,7 @@
     // The clients run on a thread of their own.
     let clients = std::thread::spawn(move || {
         nettleworks_standins::run(async {
-            let tally = Rc::new(RefCell::new(Tally::default()));
+            let tally = Rc::new(RefCell::new(LoadMetrics::default()));
             let mut load = Load::new(address, 5);
             load.until = Some(tokio::time::Instant::now() + BLOCKED);
             (load.pause, load.budget) = (Duration::from_millis(5), Duration::from_millis(400));
@@ -174,17 +179,18 @@
         });
     }
     std::thread::sleep(BLOCKED / 4);
-    let drained_at = site.with(|stand_ins| {
-        stand_ins.list(0, "Terminating");
+    let drained_at = site.execute(|stand_ins| {
+        stand_ins.set_health(0, "Terminating");
         tokio::time::Instant::now()
     });
     let tally = clients.join().expect("the clients do not panic");
-    let (last, watches) =
-        site.with(|stand_ins| (stand_ins.hosts[0].read.get().1, stand_ins.registry.watches.get()));
+    let (last, watches) = site
+        .execute(|stand_ins| (stand_ins.hosts[0].requests_read.get().1, stand_ins.registry.watches.get()));
     let delay = last.map_or(Duration::ZERO, |last| last.saturating_duration_since(drained_at));
     assert!(delay < Duration::from_secs(1), "the drained host got a request {delay:?} later");
-    let others_used =
-        site.with(move |stand_ins| stand_ins.hosts[1].read.get().1.is_some_and(|last| last > drained_at));
+    let others_used = site.execute(move |stand_ins| {
+        stand_ins.hosts[1].requests_read.get().1.is_some_and(|last| last > drained_at)
+    });
     assert!(others_used, "other hosts still get requests after the drain");
     assert_eq!(watches, 1, "the watch was opened only once");
     assert_eq!(tally.lost, 0, "{tally:?}");
@@ -199,7 +205,7 @@
 /// The engine outlasts the application's runtime; the calls of that runtime are cancelled when it ends.
 #[test]
 fn the_engine_outlasts_the_applications_runtime() {
-    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    let site = StandInFleet::start(vec![failing_plan(Fault::Stall)]);
     let first = application_runtime(2);
     let fleet = start_fleet_with_long_deadlines(&site);
     first.block_on(async {
@@ -223,14 +229,14 @@
         assert_eq!(service_ready(&mut service).await, Err(Error::Closed));
         assert!(started.elapsed() < TEST_TIMEOUT / 2, "the errors are returned at once");
     });
-    assert_eq!(site.counts(), [1]);
+    assert_eq!(site.request_counts(), [1]);
 }
 
 /// A shutdown completes the accepted calls and accepts no more.
 #[test]
 fn a_shutdown_answers_accepted_calls() {
-    let slow = Plan { service: Duration::from_millis(150), ..Plan::default() };
-    let site = Site::start(vec![slow.clone(), slow]);
+    let slow = HostBehavior { service: Duration::from_millis(150), ..HostBehavior::default() };
+    let site = StandInFleet::start(vec![slow.clone(), slow]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&site);
         fleet.ready().await.expect("the fleet runs");
@@ -251,13 +257,13 @@
         assert_eq!(shutdown.await.expect("no panic"), Ok(()));
         assert_eq!(fleet.call(get(), TEST_TIMEOUT).await.err(), Some(Error::Closed));
     });
-    assert_eq!(site.counts().iter().sum::<usize>(), 8);
+    assert_eq!(site.request_counts().iter().sum::<usize>(), 8);
 }
 
 /// A shutdown that reaches its deadline reports the open calls. These calls fail and may have run.
 #[test]
 fn a_shutdown_ends_by_its_deadline() {
-    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    let site = StandInFleet::start(vec![failing_plan(Fault::Stall)]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&site);
         fleet.ready().await.expect("the fleet runs");
@@ -273,8 +279,8 @@
 /// front gets its response.
 #[test]
 fn a_drop_answers_accepted_calls() {
-    let slow = Plan { service: Duration::from_millis(150), ..Plan::default() };
-    let site = Site::start(vec![slow]);
+    let slow = HostBehavior { service: Duration::from_millis(150), ..HostBehavior::default() };
+    let site = StandInFleet::start(vec![slow]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&site);
         fleet.ready().await.expect("the fleet runs");
@@ -299,7 +305,7 @@
 /// deadlines of its classes are shorter: clients keep connecting until they learn of the shutdown.
 #[test]
 fn after_a_drop_a_front_still_accepts_new_connections() {
-    let site = Site::start(vec![Plan::default()]);
+    let site = StandInFleet::start(vec![HostBehavior::default()]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet_with(&site, |config| {
             for class in 0..3 {
@@ -314,7 +320,7 @@
         // Far past those deadlines, and within the half second in which new connections are accepted.
         tokio::time::sleep(Duration::from_millis(100)).await;
         let mut new_client = Reader::new(TcpStream::connect(address).await.expect("the front still accepts"));
-        assert_eq!(new_client.ask(nettleworks_standins::HEALTH).await.status(), 200);
+        assert_eq!(new_client.exchange(nettleworks_standins::HEALTH_REQUEST).await.status(), 200);
     });
 }
 
@@ -322,7 +328,7 @@
 /// idle.
 #[test]
 fn a_call_that_is_not_polled_holds_only_its_response() {
-    let site = Site::start(vec![Plan { answer: 64 << 10, ..Plan::default() }]);
+    let site = StandInFleet::start(vec![HostBehavior { answer_bytes: 64 << 10, ..HostBehavior::default() }]);
     application_runtime(2).block_on(async {
         let fleet =
             Fleet::builder().text(&site.configuration(|_| ())).calls(1).start().expect("the fleet starts");
@@ -346,7 +352,7 @@
 /// `poll_ready` is refused at once, with a retry delay.
 #[test]
 fn a_service_is_not_ready_without_a_permit() {
-    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    let site = StandInFleet::start(vec![failing_plan(Fault::Stall)]);
     application_runtime(2).block_on(async {
         let fleet =
             Fleet::builder().text(&site.configuration(|_| ())).calls(1).start().expect("the fleet starts");
@@ -369,13 +375,13 @@
                 .expect("ready after the drop");
         }
     });
-    assert_eq!(site.counts(), [0], "a call that was never polled is not sent");
+    assert_eq!(site.request_counts(), [0], "a call that was never polled is not sent");
 }
 
 /// Invalid requests of the application get the status of the daemon as an error, and reach no host.
 #[test]
 fn invalid_requests_are_typed_errors() {
-    let site = Site::start(vec![Plan::default()]);
+    let site = StandInFleet::start(vec![HostBehavior::default()]);
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&site);
         fleet.ready().await.expect("the fleet runs");
@@ -397,14 +403,16 @@
         let largest = || post("unsafe").map(|_| Bytes::from(vec![0; 64 << 10]));
         assert!(fleet.call(largest(), Duration::from_secs(8)).await.is_ok(), "a body of 64 KiB is accepted");
     });
-    assert_eq!(site.counts(), [1]);
+    assert_eq!(site.request_counts(), [1]);
 }
 
 /// After a reload the new discovery address is watched at once; an invalid configuration changes nothing.
 #[test]
 fn a_reload_changes_the_discovery_address() {
-    let (old, new) =
-        (Site::start(vec![Plan::default()]), Site::start(vec![Plan::default(), Plan::default()]));
+    let (old, new) = (
+        StandInFleet::start(vec![HostBehavior::default()]),
+        StandInFleet::start(vec![HostBehavior::default(), HostBehavior::default()]),
+    );
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&old);
         fleet.ready().await.expect("the fleet runs");
@@ -415,7 +423,7 @@
         for _ in 0..20 {
             assert!(fleet.call(get(), Duration::from_secs(8)).await.is_ok());
         }
-        assert_eq!((old.counts(), new.counts().iter().sum::<usize>()), (vec![1], 20));
+        assert_eq!((old.request_counts(), new.request_counts().iter().sum::<usize>()), (vec![1], 20));
     });
 }
 
@@ -430,8 +438,12 @@
 #[test]
 fn fleets_and_copies_of_the_library_share_no_state() {
     use nettleworks_client_second as second;
-    let slow = Plan { service: Duration::from_millis(100), ..Plan::default() };
-    let sites = [Site::start(vec![slow.clone()]), Site::start(vec![slow.clone()]), Site::start(vec![slow])];
+    let slow = HostBehavior { service: Duration::from_millis(100), ..HostBehavior::default() };
+    let sites = [
+        StandInFleet::start(vec![slow.clone()]),
+        StandInFleet::start(vec![slow.clone()]),
+        StandInFleet::start(vec![slow]),
+    ];
     let runtime = application_runtime(2);
     let before = handled_signals();
     let logs: [Arc<Mutex<Vec<String>>>; 3] = Default::default();
@@ -471,7 +483,7 @@
         }
         assert_eq!((served["two"], served["copy"]), (20, 20));
         assert!(two.call(get(), TEST_TIMEOUT).await.is_err(), "the fleet has its own classes");
-        let opened = sites[0].with(|stand_ins| stand_ins.hosts[0].opened.get());
+        let opened = sites[0].execute(|stand_ins| stand_ins.hosts[0].accepted.get());
         assert!(opened <= 12, "{opened}");
         one.shutdown(TEST_TIMEOUT).await.expect("all calls are answered");
         assert!(copy.call(get(), Duration::from_secs(8)).await.is_ok(), "the other fleets still serve");
@@ -480,7 +492,7 @@
     assert_eq!(handled_signals(), before);
     for (log, site) in logs.iter().zip(&sites) {
         let log = log.lock().expect("no panic");
-        let address = site.with(|stand_ins| stand_ins.hosts[0].address).to_string();
+        let address = site.execute(|stand_ins| stand_ins.hosts[0].address).to_string();
         let host_lines: Vec<_> = log.iter().filter(|line| line.contains(" is node-0 at ")).collect();
         assert!(host_lines.len() == 1 && host_lines[0].ends_with(&address), "{log:?}");
     }
@@ -491,20 +503,20 @@
 #[test]
 fn ten_thousand_calls_with_panicking_handlers_end_once_each() {
     const CALLS: usize = 10_000;
-    let plan = Plan {
+    let plan = HostBehavior {
         service: Duration::from_millis(1),
         faults: vec![
             (Fault::ResetAfter, 0.01),
             (Fault::ResetBefore, 0.01),
-            (Fault::TurnAway, 0.01),
-            (Fault::Garble, 0.003),
-            (Fault::Twice, 0.003),
-            (Fault::Cut, 0.002),
+            (Fault::Reject, 0.01),
+            (Fault::GarbledAnswer, 0.003),
+            (Fault::DuplicateAnswer, 0.003),
+            (Fault::TruncatedAnswer, 0.002),
             (Fault::Error, 0.002),
         ],
-        ..Plan::default()
+        ..HostBehavior::default()
     };
-    let site = Site::start(vec![plan.clone(), plan.clone(), plan.clone(), plan]);
+    let site = StandInFleet::start(vec![plan.clone(), plan.clone(), plan.clone(), plan]);
     let (mut answers, mut panics) = ([0_usize; 4], 0);
     application_runtime(2).block_on(async {
         let fleet = start_fleet(&site);
@@ -513,7 +525,7 @@
         let mut next = 0;
         loop {
             while handlers.len() < 64 && next < CALLS {
-                let (fleet, mut dice) = (fleet.clone(), Dice::new(11, ("handler", next)));
+                let (fleet, mut dice) = (fleet.clone(), RandomStream::new(11, ("handler", next)));
                 let class = ["free", "keyed", "unsafe"][dice.below(3)];
                 let mut call = match class {
                     "free" => get(),
@@ -524,9 +536,9 @@
                 }
                 handlers.spawn(async move {
                     let mut call = Box::pin(fleet.call(call, Duration::from_secs(4)));
-                    if dice.happens(0.05) {
+                    if dice.chance(0.05) {
                         let _ = poll_is_pending(&mut call).await;
-                        tokio::time::sleep(dice.time(Duration::from_millis(1))).await;
+                        tokio::time::sleep(dice.exponential(Duration::from_millis(1))).await;
                         // Skips the panic hook, which would print 500 backtraces.
                         std::panic::resume_unwind(Box::new("panic of the handler"));
                     }
@@ -557,14 +569,14 @@
     assert_eq!(other, 0);
     assert!((400..600).contains(&panics), "{panics}");
     assert!(served > CALLS * 85 / 100, "served {served}, refused {refused}, failed {failed}");
-    assert_eq!(site.ledger.twice(Duration::from_secs(9)), []);
+    assert_eq!(site.ledger.duplicates(Duration::from_secs(9)), []);
 }
 
 /// A configuration that is built in code is validated as the daemon's configuration is.
 #[test]
 fn a_configuration_in_code_is_validated_like_a_file() {
     use nettleworks_client::{ClassKind, StartError};
-    let site = Site::start(vec![Plan::default()]);
+    let site = StandInFleet::start(vec![HostBehavior::default()]);
     let seconds = Duration::from_secs;
     let valid_builder = || {
         Fleet::builder()
@@ -594,7 +606,7 @@
 /// A front can serve on a listener that belongs to the application's runtime.
 #[test]
 fn a_front_accepts_a_tokio_listener() {
-    let site = Site::start(vec![Plan::default()]);
+    let site = StandInFleet::start(vec![HostBehavior::default()]);
     application_runtime(1).block_on(async {
         let fleet = start_fleet(&site);
         fleet.ready().await.expect("the fleet runs");
--- a/library/tests/layer.rs
+++ b/library/tests/layer.rs
@@ -8,7 +8,7 @@
 use axum::routing::{get, post};
 use axum::Router;
 use nettleworks_client::{CallContext, Error, Fleet, FleetLayer};
-use nettleworks_standins::{request, run, Client, Plan, Reader, Site};
+use nettleworks_standins::{request, run, Client, HostBehavior, Reader, StandInFleet};
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 
 /// Starts an application with the middleware in front of it and a handler that makes calls of its own.
-async fn start_application(site: &Site) -> (Fleet, SocketAddr) {
+async fn start_application(site: &StandInFleet) -> (Fleet, SocketAddr) {
     let fleet = Fleet::builder().text(&site.configuration(|_| ())).start().expect("the fleet starts");
     fleet.ready().await.expect("the fleet runs");
     let app = Router::new()
@@ -53,8 +53,8 @@
     }
 }
 
-fn single_host_site() -> Site {
-    Site::start(vec![Plan::default()])
+fn single_host_site() -> StandInFleet {
+    StandInFleet::start(vec![HostBehavior::default()])
 }
 
 /// The middleware neither buffers nor limits the bodies of requests that go to the application.
@@ -81,7 +81,7 @@
         };
         tokio::join!(write_rest, read_echo);
         assert!(received.len() > large);
-        assert_eq!(site.counts(), [0]);
+        assert_eq!(site.request_counts(), [0]);
     });
 }
 
@@ -93,14 +93,14 @@
         let site = single_host_site();
         let (_fleet, address) = start_application(&site).await;
         let largest = request("unsafe", "", &"x".repeat(64 << 10));
-        assert_eq!(connect(address).await.ask(&largest).await.status(), 200);
+        assert_eq!(connect(address).await.exchange(&largest).await.status(), 200);
         let too_large = request("unsafe", "", &"x".repeat((64 << 10) + 1));
-        assert_eq!(connect(address).await.ask(&too_large).await.status(), 413);
+        assert_eq!(connect(address).await.exchange(&too_large).await.status(), 413);
         // The limit also applies to the handler's own call, although the application accepted its body.
         let forwarded = too_large.replace("/api", "/forward");
-        let answer = connect(address).await.ask(&forwarded).await;
+        let answer = connect(address).await.exchange(&forwarded).await;
         assert_eq!((answer.status(), answer.body.as_slice()), (418, &b"413 Payload Too Large"[..]));
-        assert_eq!(site.counts(), [1]);
+        assert_eq!(site.request_counts(), [1]);
     });
 }
 
@@ -125,7 +125,7 @@
             answer = large.message().await.expect("an answer");
         }
         assert_eq!(answer.status(), 413);
-        assert_eq!(site.counts(), [1]);
+        assert_eq!(site.request_counts(), [1]);
     });
 }
 
@@ -139,7 +139,7 @@
         let text = request("unsafe", "", "the body");
         slow.send(&text[..text.len() - 1]).await;
         assert_eq!(slow.message().await.expect("an answer").status(), 408);
-        assert_eq!(site.counts(), [0]);
+        assert_eq!(site.request_counts(), [0]);
     });
 }
 
@@ -152,20 +152,22 @@
         let (_fleet, address) = start_application(&site).await;
         let with_headers = "GET /context HTTP/1.1\r\nHost: a\r\nX-Call-Class: keyed\r\nX-Caller: acme\r\n\
                     Idempotency-Key: k1\r\nX-Budget-Ms: 60000\r\n\r\n";
-        let answer = String::from_utf8(connect(address).await.ask(with_headers).await.body).expect("text");
+        let answer =
+            String::from_utf8(connect(address).await.exchange(with_headers).await.body).expect("text");
         let budget = answer.strip_prefix("Some(\"keyed\") Some(\"acme\") Some(\"k1\") Some(");
         let budget: u64 =
             budget.and_then(|rest| rest.strip_suffix(')')?.parse().ok()).expect("a time in milliseconds");
         assert!((50_000..60_000).contains(&budget), "{answer}");
-        let without_headers = connect(address).await.ask("GET /context HTTP/1.1\r\nHost: a\r\n\r\n").await;
+        let without_headers =
+            connect(address).await.exchange("GET /context HTTP/1.1\r\nHost: a\r\n\r\n").await;
         assert_eq!(without_headers.body, b"None None None None");
         let mut client = connect(address).await;
         let without_class = "POST /forward HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx";
-        let answer = client.ask(without_class).await;
+        let answer = client.exchange(without_class).await;
         assert_eq!((answer.status(), answer.body.as_slice()), (418, &b"400 Bad Request"[..]));
-        assert_eq!(site.counts(), [0], "no class is invented");
+        assert_eq!(site.request_counts(), [0], "no class is invented");
         let forwarded = request("keyed", "", "x").replace("/api", "/forward");
-        assert_eq!(client.ask(&forwarded).await.status(), 200);
+        assert_eq!(client.exchange(&forwarded).await.status(), 200);
         let effect = site.ledger.effects().pop().expect("the request ran");
         let key = forwarded.lines().find_map(|line| line.strip_prefix("Idempotency-Key: "));
         assert_eq!(effect.key.as_deref(), key);
--- a/library/tests/middleware.rs
+++ b/library/tests/middleware.rs
@@ -19,7 +19,7 @@
 
     pub struct Middleware;
 
-    impl Form for Middleware {
+    impl Deployment for Middleware {
         async fn start(setup: Setup, stop: oneshot::Receiver<()>) -> (SocketAddr, JoinHandle<()>) {
             let builder = Fleet::builder().text(&setup.config);
             let builder = setup.keys.iter().fold(builder, |builder, keys| builder.keys(keys));
--- a/library/tests/suite/harness.rs
+++ b/library/tests/suite/harness.rs
@@ -13,7 +13,7 @@
 
 pub struct FleetServe;
 
-impl Form for FleetServe {
+impl Deployment for FleetServe {
     async fn start(setup: Setup, stop: oneshot::Receiver<()>) -> (SocketAddr, JoinHandle<()>) {
         let builder = Fleet::builder().text(&setup.config).cores(crate::CORES);
         let builder = setup.keys.iter().fold(builder, |builder, keys| builder.keys(keys));
--- a/library/tests/suite/keys.rs
+++ b/library/tests/suite/keys.rs
@@ -3,7 +3,9 @@
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
 use nettleworks_client::{listen, Builder, Error, Fleet, KeyState, State};
-use nettleworks_standins::{request, Aftermath, Client, Fault, Got, Host, Plan, Reader, Site, Storm};
+use nettleworks_standins::{
+    request, Client, Fault, Host, HostBehavior, Reader, SendOutcome, StandInFleet, StressReport, StressRun,
+};
 use std::future::Future;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -28,11 +30,15 @@
     Fleet::builder().cores(crate::harness::CORES)
 }
 
-async fn start_fleet(site: &Site, keys: &str) -> Fleet {
+async fn start_fleet(site: &StandInFleet, keys: &str) -> Fleet {
     start_fleet_with(site, keys, |_| ()).await
 }
 
-async fn start_fleet_with(site: &Site, keys: &str, change: impl FnOnce(&mut serde_json::Value)) -> Fleet {
+async fn start_fleet_with(
+    site: &StandInFleet,
+    keys: &str,
+    change: impl FnOnce(&mut serde_json::Value),
+) -> Fleet {
     let fleet =
         fleet_builder().text(&site.configuration(change)).keys(keys).start().expect("the fleet starts");
     fleet.ready().await.expect("the fleet runs");
@@ -74,19 +80,19 @@
     assert!(error.may_have_run());
 }
 
-fn echo_plan(service: Duration) -> Plan {
-    Plan { service, echo: true, ..Plan::default() }
+fn echo_plan(service: Duration) -> HostBehavior {
+    HostBehavior { service, echo: true, ..HostBehavior::default() }
 }
 
-fn failing_plan(fault: Fault) -> Plan {
-    Plan { faults: vec![(fault, 1.0)], echo: true, ..Plan::default() }
+fn failing_plan(fault: Fault) -> HostBehavior {
+    HostBehavior { faults: vec![(fault, 1.0)], echo: true, ..HostBehavior::default() }
 }
 
 /// Repeats that arrive while the first request runs wait for its answer, and later ones get the kept answer: the same
 /// bytes each, from a single run at a host. A different request with the same key is rejected.
 #[test]
 fn a_repeat_gets_the_answer_of_the_first_request() {
-    let site = Site::start(vec![echo_plan(Duration::from_millis(300))]);
+    let site = StandInFleet::start(vec![echo_plan(Duration::from_millis(300))]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let mut calls = JoinSet::new();
@@ -124,8 +130,8 @@
 /// again.
 #[test]
 fn after_an_unknown_outcome_nothing_is_sent_again() {
-    for faulty in [Fault::ResetAfter, Fault::Garble, Fault::Cut, Fault::Error] {
-        let site = Site::start(vec![failing_plan(faulty), failing_plan(faulty)]);
+    for faulty in [Fault::ResetAfter, Fault::GarbledAnswer, Fault::TruncatedAnswer, Fault::Error] {
+        let site = StandInFleet::start(vec![failing_plan(faulty), failing_plan(faulty)]);
         run_test(async {
             let fleet = start_fleet(&site, FORWARDED_KEYS).await;
             let mut calls = JoinSet::new();
@@ -145,7 +151,7 @@
 /// them gets an error that says that it never ran.
 #[test]
 fn after_a_refusal_a_repeat_is_sent_as_the_first_request() {
-    let site = Site::start(vec![failing_plan(Fault::TurnAway)]);
+    let site = StandInFleet::start(vec![failing_plan(Fault::Reject)]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         for _ in 0..2 {
@@ -158,7 +164,7 @@
                 assert!(!error.may_have_run() && error.retry_after().is_some(), "{error:?}");
             }
         }
-        site.with(|stand_ins| *stand_ins.hosts[0].plan.borrow_mut() = Some(echo_plan(Duration::ZERO)));
+        site.execute(|stand_ins| *stand_ins.hosts[0].behavior.borrow_mut() = Some(echo_plan(Duration::ZERO)));
         // The host gets no requests for a while after its refusals.
         loop {
             match fleet.call(post("unsafe", "k"), CALL_DEADLINE).await {
@@ -175,7 +181,7 @@
 /// cancelled.
 #[test]
 fn a_call_continues_until_its_last_waiter_cancels() {
-    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    let site = StandInFleet::start(vec![failing_plan(Fault::Stall)]);
     run_test(async {
         // Without detached calls, whose effect is tested in proxy/tests/suite/detached_calls.rs.
         let fleet = start_fleet_with(&site, r#"{"lingering": 0}"#, |config| {
@@ -191,7 +197,7 @@
         wait_for_joined(&fleet, 1).await;
         first.abort();
         assert!(first.await.is_err());
-        site.with(|stand_ins| stand_ins.hosts[0].release.notify_one());
+        site.execute(|stand_ins| stand_ins.hosts[0].release.notify_one());
         let answer = repeat.await.expect("no panic").expect("served");
         assert_eq!(&answer.body()[..], b"released");
         let both = [0, 1].map(|_| tokio::spawn(fleet.call(post("unsafe", "k2"), long_deadline)));
@@ -202,14 +208,14 @@
         let again = fleet.call(post("unsafe", "k2"), long_deadline).await;
         assert_unsure(again, KeyState::Unsure);
     });
-    assert_eq!(site.counts(), [2]);
+    assert_eq!(site.request_counts(), [2]);
 }
 
 /// If the deadline of the first request passes while a repeat still waits, the first gets its failure, the call
 /// continues, and the repeat gets the answer. A repeat with a shorter deadline gets its failure earlier.
 #[test]
 fn each_waiter_has_its_own_deadline() {
-    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    let site = StandInFleet::start(vec![failing_plan(Fault::Stall)]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let first = tokio::spawn(fleet.call(post("unsafe", "k"), Duration::from_millis(1_500)));
@@ -220,17 +226,17 @@
         assert!(!first.is_finished(), "the first request still waits");
         assert_unsure(first.await.expect("no panic"), KeyState::Running);
         assert!(!long.is_finished(), "the repeat still waits");
-        site.with(|stand_ins| stand_ins.hosts[0].release.notify_one());
+        site.execute(|stand_ins| stand_ins.hosts[0].release.notify_one());
         assert_eq!(&long.await.expect("no panic").expect("served").body()[..], b"released");
     });
-    assert_eq!(site.counts(), [1], "all share one attempt");
+    assert_eq!(site.request_counts(), [1], "all share one attempt");
 }
 
 /// A full store refuses an unsafe request, which then never ran, and forwards a keyed one without storing it. A
 /// tenant at its own bound does not affect another tenant.
 #[test]
 fn a_full_store_refuses_unsafe_requests() {
-    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    let site = StandInFleet::start(vec![failing_plan(Fault::Stall)]);
     run_test(async {
         let keys = r#"{"entries": 3, "entries_a_tenant": 2}"#;
         let tenants = |config: &mut serde_json::Value| {
@@ -275,7 +281,7 @@
 /// The front rejects invalid keys as the library does, and a reload keeps the stored entries.
 #[test]
 fn the_front_uses_the_store_of_keys() {
-    let site = Site::start(vec![echo_plan(Duration::ZERO)]);
+    let site = StandInFleet::start(vec![echo_plan(Duration::ZERO)]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("the address can be bound");
@@ -283,16 +289,19 @@
         let _serving = fleet.serve(listener).expect("the front starts");
         let mut client: Client =
             Reader::new(TcpStream::connect(address).await.expect("the connection is accepted"));
-        let first = client.ask(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
-        let again = client.ask(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
+        let first = client.exchange(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
+        let again = client.exchange(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
         assert_eq!((first.status(), &first.body), (200, &again.body));
         assert_eq!(
             (first.header("idempotency-replayed"), again.header("idempotency-replayed")),
             (None, Some("true"))
         );
-        assert_eq!(client.ask(&request("unsafe", "Idempotency-Key: k\r\n", "other")).await.status(), 422);
+        assert_eq!(
+            client.exchange(&request("unsafe", "Idempotency-Key: k\r\n", "other")).await.status(),
+            422
+        );
         let huge = format!("Idempotency-Key: {}\r\n", "k".repeat(256));
-        assert_eq!(client.ask(&request("unsafe", &huge, "body")).await.status(), 400);
+        assert_eq!(client.exchange(&request("unsafe", &huge, "body")).await.status(), 400);
         for bad in [
             "Idempotency-Key: \r\n",
             "Idempotency-Key: a\r\nIdempotency-Key: a\r\n",
@@ -300,7 +309,7 @@
         ] {
             let mut client: Client =
                 Reader::new(TcpStream::connect(address).await.expect("the connection is accepted"));
-            assert_eq!(client.ask(&request("unsafe", bad, "body")).await.status(), 400, "{bad}");
+            assert_eq!(client.exchange(&request("unsafe", bad, "body")).await.status(), 400, "{bad}");
         }
         let keys = r#"{"waiters": 1, "classes": {"unsafe": {"answered_ms": 5}}}"#;
         fleet.reload_with_keys(&site.configuration(|_| ()), keys).expect("a valid configuration");
@@ -319,7 +328,7 @@
 /// Keys of unsafe requests are not sent to hosts unless that is configured.
 #[test]
 fn an_unsafe_key_is_not_forwarded_unless_configured() {
-    let site = Site::start(vec![Plan::default()]);
+    let site = StandInFleet::start(vec![HostBehavior::default()]);
     run_test(async {
         let fleet = start_fleet(&site, "{}").await;
         assert!(fleet.call(post("unsafe", "k"), CALL_DEADLINE).await.is_ok());
@@ -333,7 +342,7 @@
 /// An invalid configuration of the store of keys is an error that names the place.
 #[test]
 fn an_invalid_key_configuration_names_the_place() {
-    let site = Site::start(vec![]);
+    let site = StandInFleet::start(vec![]);
     for (keys, reason) in [
         ("{", "EOF"),
         (r#"{"entrys": 3}"#, "entrys"),
@@ -384,11 +393,11 @@
     );
 }
 
-fn run_storm(keys: Option<&str>) -> Aftermath {
+fn run_storm(keys: Option<&str>) -> StressReport {
     // Without the store a request of an unsafe class must not have a key, so only entries are compared.
     let classes = if keys.is_some() { vec!["unsafe", "keyed"] } else { vec!["keyed"] };
-    let storm = Storm { keys: 400, classes, ..Storm::default() };
-    let site = storm.site(4);
+    let storm = StressRun { keys: 400, classes, ..StressRun::default() };
+    let site = storm.start_fleet(4);
     let text = storm.configuration(&site);
     let builder = fleet_builder().text(&text);
     let fleet = keys.into_iter().fold(builder, Builder::keys).start().expect("the fleet starts");
@@ -397,7 +406,7 @@
         let halfway = storm.keys / 2;
         let kill = |number| {
             if number == halfway {
-                site.with(|stand_ins| stand_ins.hosts[1].kill());
+                site.execute(|stand_ins| stand_ins.hosts[1].kill());
             }
         };
         let caller = fleet.clone();
@@ -411,30 +420,30 @@
     })
 }
 
-fn classify(answer: Result<Response<Bytes>, Error>) -> Got {
+fn classify(answer: Result<Response<Bytes>, Error>) -> SendOutcome {
     match answer {
-        Ok(answer) => Got::Answer { replayed: replayed(&answer), body: answer.into_body().into() },
-        Err(Error::Refused { retry_after }) => Got::Refused(retry_after),
-        Err(Error::Unsure { state: KeyState::Running, .. }) => Got::Running,
-        Err(_) => Got::Unsure,
+        Ok(answer) => SendOutcome::Answer { replayed: replayed(&answer), body: answer.into_body().into() },
+        Err(Error::Refused { retry_after }) => SendOutcome::Refused(retry_after),
+        Err(Error::Unsure { state: KeyState::Running, .. }) => SendOutcome::Running,
+        Err(_) => SendOutcome::Unsure,
     }
 }
 
 /// A repeat gets the kept answer even if the host of the first request has been drained and killed meanwhile.
 #[test]
 fn a_drain_does_not_affect_a_repeat() {
-    let site = Site::start(vec![echo_plan(Duration::ZERO), echo_plan(Duration::ZERO)]);
+    let site = StandInFleet::start(vec![echo_plan(Duration::ZERO), echo_plan(Duration::ZERO)]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let first = fleet.call(post("unsafe", "k"), CALL_DEADLINE).await.expect("served");
         let host_name = site.ledger.effects()[0].host.clone();
-        site.with(move |stand_ins| {
+        site.execute(move |stand_ins| {
             let index = stand_ins
                 .hosts
                 .iter()
                 .position(|host: &Host| host.name == host_name)
                 .expect("a host ran the request");
-            stand_ins.list(index, "Terminating");
+            stand_ins.set_health(index, "Terminating");
             stand_ins.hosts[index].kill();
         });
         wait_for_state(&fleet, "the drain is known", |state| {
@@ -453,8 +462,12 @@
 fn a_large_answer_is_kept_once_or_not_at_all() {
     const WAITERS: usize = 40;
     for (max_bytes, is_kept) in [(100_000, true), (60_000, false)] {
-        let slow = Plan { service: Duration::from_millis(300), answer: 64 << 10, ..Plan::default() };
-        let site = Site::start(vec![slow]);
+        let slow = HostBehavior {
+            service: Duration::from_millis(300),
+            answer_bytes: 64 << 10,
+            ..HostBehavior::default()
+        };
+        let site = StandInFleet::start(vec![slow]);
         run_test(async {
             let fleet = start_fleet(&site, &format!(r#"{{"answer_bytes": {max_bytes}}}"#)).await;
             let mut calls = JoinSet::new();
@@ -485,7 +498,7 @@
 /// A client that does not read its response does not delay a repeat.
 #[test]
 fn a_repeat_does_not_wait_until_the_first_client_reads() {
-    let site = Site::start(vec![Plan { answer: 64 << 10, ..Plan::default() }]);
+    let site = StandInFleet::start(vec![HostBehavior { answer_bytes: 64 << 10, ..HostBehavior::default() }]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("the address can be bound");
@@ -497,7 +510,7 @@
         let mut unread = client().await;
         unread.send(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
         unread.stream.readable().await.expect("the response begins");
-        let repeat = client().await.ask(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
+        let repeat = client().await.exchange(&request("unsafe", "Idempotency-Key: k\r\n", "body")).await;
         assert_eq!((repeat.status(), repeat.header("idempotency-replayed")), (200, Some("true")));
         assert_eq!(unread.message().await.expect("an answer").body, repeat.body);
     });
@@ -507,7 +520,7 @@
 /// A stop of the front answers the first request and all repeats that wait for it.
 #[test]
 fn a_stop_answers_all_waiters() {
-    let site = Site::start(vec![echo_plan(Duration::from_millis(700))]);
+    let site = StandInFleet::start(vec![echo_plan(Duration::from_millis(700))]);
     run_test(async {
         let fleet = start_fleet(&site, FORWARDED_KEYS).await;
         let listener = listen("127.0.0.1:0".parse().expect("an address")).expect("the address can be bound");
@@ -538,7 +551,7 @@
 /// Detached calls keep their entries in a full store; a new charge is refused until one of them has ended.
 #[test]
 fn a_detached_call_is_never_evicted() {
-    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    let site = StandInFleet::start(vec![failing_plan(Fault::Stall)]);
     run_test(async {
         let fleet = start_fleet(&site, r#"{"entries": 2, "classes": {"unsafe": {"forward": true}}}"#).await;
         for key in ["k1", "k2"] {
@@ -550,7 +563,7 @@
         wait_for_state(&fleet, "both calls are detached", |state| state.lingering == 2).await;
         let refused = fleet.call(post("unsafe", "k3"), CALL_DEADLINE).await.expect_err("the store is full");
         assert!(refused.retry_after().is_some() && !refused.may_have_run(), "{refused:?}");
-        site.with(|stand_ins| stand_ins.hosts[0].release.notify_one());
+        site.execute(|stand_ins| stand_ins.hosts[0].release.notify_one());
         wait_for_state(&fleet, "one of them has ended", |state| state.lingering == 1).await;
         let third = tokio::spawn(fleet.call(post("unsafe", "k3"), CALL_DEADLINE));
         wait_for_state(&fleet, "the third request is sent", |state| state.attempts == 3).await;
@@ -563,7 +576,7 @@
 /// number cancels calls only when another call is detached.
 #[test]
 fn a_reload_changes_how_long_calls_stay_detached() {
-    let site = Site::start(vec![failing_plan(Fault::Stall)]);
+    let site = StandInFleet::start(vec![failing_plan(Fault::Stall)]);
     run_test(async {
         let long_deadlines = |config: &mut serde_json::Value| {
             for time in ["objective_us", "deadline_us"] {
@@ -590,10 +603,10 @@
         let again = tokio::spawn(fleet.call(post("unsafe", "k2"), TEST_TIMEOUT));
         wait_for_joined(&fleet, 1).await;
         // Waits until the host has noticed that the other calls were cancelled.
-        while site.with(|stand_ins| stand_ins.hosts[0].open.get()) > 1 {
+        while site.execute(|stand_ins| stand_ins.hosts[0].open_connections.get()) > 1 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        site.with(|stand_ins| stand_ins.hosts[0].release.notify_one());
+        site.execute(|stand_ins| stand_ins.hosts[0].release.notify_one());
         assert!(replayed(&again.await.expect("no panic").expect("served")));
     });
     assert_eq!(site.ledger.len(), 3);
--- a/measure/src/cores.rs
+++ b/measure/src/cores.rs
@@ -13,7 +13,7 @@
 use nettleworks_engine::http1::{ForwardedRequest, Http1};
 use nettleworks_keys_station::WithKeys;
 use nettleworks_policy::ClassId;
-use nettleworks_standins::{over, run, Aftermath, Load, Plan, Site, Storm};
+use nettleworks_standins::{pooled_sender, run, HostBehavior, Load, StandInFleet, StressReport, StressRun};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -163,10 +163,11 @@
 
 /// Requests a second and what they cost, turn by turn.
 fn throughput(rounds: usize, turn: Duration) -> Vec<Form> {
-    let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 4]);
+    let site =
+        StandInFleet::start(vec![HostBehavior { service: Duration::ZERO, ..HostBehavior::default() }; 4]);
     let config = site.configuration(|config| config["limits"]["sockets"] = SOCKETS.into());
     let hosts: Vec<String> =
-        site.with(|inside| inside.hosts.iter().map(|host| host.address.to_string()).collect());
+        site.execute(|inside| inside.hosts.iter().map(|host| host.address.to_string()).collect());
     let hosts = hosts.join(",");
     let apart = |at: u32, processor: &str| {
         let config = site.configuration(|config| {
@@ -226,7 +227,7 @@
                     load.until = Some(tokio::time::Instant::now() + turn);
                     load.run(&tally).await;
                     let tally = tally.borrow();
-                    (tally.all(), tally.served)
+                    (tally.total(), tally.served)
                 })
             })
         })
@@ -245,10 +246,16 @@
 
 /// Connections at eight hosts, with a few clients that pause and with many that do not.
 fn connections(engines: usize) -> Open {
-    let site = Site::start(vec![Plan { service: Duration::from_millis(4), ..Plan::default() }; 8]);
+    let site = StandInFleet::start(vec![
+        HostBehavior {
+            service: Duration::from_millis(4),
+            ..HostBehavior::default()
+        };
+        8
+    ]);
     let role = Role::start("engines", &site.configuration(|_| ()), engines);
     until_ready(role.address);
-    let open = || site.with(|inside| inside.hosts.iter().map(|host| host.open.get()).sum());
+    let open = || site.execute(|inside| inside.hosts.iter().map(|host| host.open_connections.get()).sum());
     let ask = |clients: usize, pause: Duration| {
         run(async {
             let tally = Rc::new(RefCell::default());
@@ -262,7 +269,7 @@
     let light = open();
     ask(48, Duration::ZERO);
     let heavy = open();
-    Open { light, heavy, watches: site.with(|inside| inside.registry.watches.get()) }
+    Open { light, heavy, watches: site.execute(|inside| inside.registry.watches.get()) }
 }
 
 /// A process of several engines within this one.
@@ -314,7 +321,10 @@
 /// How long after a burst has come to one shard it has all the room of the process on its calls, in milliseconds; the
 /// load moves on to the next shard each time, and the last has kept some room.
 fn room_follows(times: usize) -> Vec<f64> {
-    let site = Site::start(vec![Plan { service: Duration::from_millis(30), ..Plan::default() }]);
+    let site = StandInFleet::start(vec![HostBehavior {
+        service: Duration::from_millis(30),
+        ..HostBehavior::default()
+    }]);
     let process = Process::start(&Config::parse(&site.configuration(|_| ())).expect("a good configuration"));
     let mut took = Vec::new();
     run(async {
@@ -365,7 +375,7 @@
 
 /// The median time of a repeat's kept answer, in microseconds, at the engine that its key belongs to and at another.
 fn answered_here_and_there(times: usize) -> (f64, f64) {
-    let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }]);
+    let site = StandInFleet::start(vec![HostBehavior { service: Duration::ZERO, ..HostBehavior::default() }]);
     let config = Config::parse(&site.configuration(|_| ())).and_then(|config| config.with_keys("{}"));
     let process = Process::start(&config.expect("a good configuration"));
     run(async {
@@ -403,7 +413,8 @@
 /// Instructions a request without a store of keys, by the daemon and by two engines. `None`: there is no valgrind here.
 fn plain() -> Option<(f64, f64)> {
     let count = |role, engines| {
-        let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
+        let site =
+            StandInFleet::start(vec![HostBehavior { service: Duration::ZERO, ..HostBehavior::default() }; 2]);
         let asked = Asked { clients: 8, classes: vec![("free", 0.5), ("keyed", 0.5)] };
         instructions::a_request_on(role, &site.configuration(|_| ()), &asked, engines)
     };
@@ -414,7 +425,8 @@
 /// valgrind here.
 fn crossing() -> Option<(f64, f64)> {
     let count = |engines| {
-        let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
+        let site =
+            StandInFleet::start(vec![HostBehavior { service: Duration::ZERO, ..HostBehavior::default() }; 2]);
         let asked = Asked { clients: 8, classes: vec![("keyed", 1.0)] };
         instructions::a_request_on("engines-with-keys", &site.configuration(|_| ()), &asked, engines)
     };
@@ -424,9 +436,9 @@
 /// Charges and entries, half and half, each sent up to four times over connections of all engines, with faults of every
 /// kind; a host is killed, and an engine blocked for a while, in the middle. How many requests crossed, and how long it
 /// took, come too.
-fn storm(keys: usize) -> (Aftermath, u64, f64) {
-    let storm = Storm { keys, ..Storm::default() };
-    let site = storm.site(4);
+fn storm(keys: usize) -> (StressReport, u64, f64) {
+    let storm = StressRun { keys, ..StressRun::default() };
+    let site = storm.start_fleet(4);
     let text = r#"{"entries": 100000, "entries_a_tenant": 100000, "classes": {"unsafe": {"forward": true}}}"#;
     let config = Config::parse(&storm.configuration(&site)).and_then(|config| config.with_keys(text));
     let process = Process::start(&config.expect("a good configuration"));
@@ -436,12 +448,12 @@
         process.ready().await;
         let begun = |number| {
             if number == keys / 3 {
-                site.with(|inside| inside.hosts[1].kill());
+                site.execute(|inside| inside.hosts[1].kill());
             } else if number == keys / 2 {
                 process.peers.submit(2, |_| std::thread::sleep(Duration::from_millis(1_500)));
             }
         };
-        let aftermath = storm.run(&site.ledger, WINDOW, over(process.address), begun).await;
+        let aftermath = storm.run(&site.ledger, WINDOW, pooled_sender(process.address), begun).await;
         let mut handed = 0;
         for shard in 0..ENGINES {
             let crossed =
--- a/measure/src/engine.rs
+++ b/measure/src/engine.rs
@@ -2,7 +2,7 @@
 
 use crate::instructions::{self, Asked};
 use crate::report::{Bound, Report};
-use nettleworks_standins::{Plan, Site};
+use nettleworks_standins::{HostBehavior, StandInFleet};
 use serde_json::json;
 use std::time::Duration;
 
@@ -16,7 +16,8 @@
     let clients: &[usize] = if full { &[1, 8, 32] } else { &[8] };
     let mut counted = Vec::new();
     for &clients in clients {
-        let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
+        let site =
+            StandInFleet::start(vec![HostBehavior { service: Duration::ZERO, ..HostBehavior::default() }; 2]);
         let asked = Asked { clients, classes: vec![("free", 0.5), ("keyed", 0.5)] };
         let count = instructions::a_request("daemon", &site.configuration(|_| ()), &asked);
         eprintln!("{clients} clients: {count:?} instructions a request");
--- a/measure/src/keys.rs
+++ b/measure/src/keys.rs
@@ -6,7 +6,7 @@
 use crate::report::{median, Bound, Report};
 use crate::storm;
 use nettleworks_keys::{Admission, Bounds, ClassKind, Request, RunOutcome, Store};
-use nettleworks_standins::{Plan, Site};
+use nettleworks_standins::{HostBehavior, StandInFleet};
 use serde_json::json;
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -29,7 +29,8 @@
     let most = ratios.iter().copied().fold(0.0, f64::max);
     let ratio = median(&mut ratios);
     let instructions = ["daemon", "daemon-with-keys"].map(|role| {
-        let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
+        let site =
+            StandInFleet::start(vec![HostBehavior { service: Duration::ZERO, ..HostBehavior::default() }; 2]);
         let asked = Asked { clients: 8, classes: vec![("free", 0.5), ("keyed", 0.5)] };
         instructions::a_request(role, &site.configuration(|_| ()), &asked)
     });
@@ -107,7 +108,8 @@
 
 /// CPU time of a request at the daemon, with the store by without, of each round.
 fn on_and_off(rounds: usize, turn: Duration) -> Vec<f64> {
-    let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
+    let site =
+        StandInFleet::start(vec![HostBehavior { service: Duration::ZERO, ..HostBehavior::default() }; 2]);
     let config = site.configuration(|_| ());
     let roles = ["daemon", "daemon-with-keys"].map(|name| Role::start(name, &config, 1));
     roles.iter().for_each(|role| until_ready(role.address));
--- a/measure/src/library.rs
+++ b/measure/src/library.rs
@@ -2,7 +2,7 @@
 
 use crate::process::Role;
 use crate::report::{median, Bound, Report};
-use nettleworks_standins::{run, Load, Plan, Site, Tally, HEALTH};
+use nettleworks_standins::{run, HostBehavior, Load, LoadMetrics, StandInFleet, HEALTH_REQUEST};
 use serde_json::json;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -74,10 +74,11 @@
 }
 
 fn compare(clients: usize, threads: usize, rounds: usize, turn: Duration) -> (Vec<Form>, Vec<f64>) {
-    let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
+    let site =
+        StandInFleet::start(vec![HostBehavior { service: Duration::ZERO, ..HostBehavior::default() }; 2]);
     let config = site.configuration(|_| ());
     let hosts: Vec<String> =
-        site.with(|inside| inside.hosts.iter().map(|host| host.address.to_string()).collect());
+        site.execute(|inside| inside.hosts.iter().map(|host| host.address.to_string()).collect());
     let daemon = Role::start("daemon", &config, 1);
     until_ready(daemon.address);
     let beside = Role::start("plain", &daemon.address.to_string(), threads);
@@ -107,11 +108,11 @@
             if number == 0 {
                 continue;
             }
-            form.calls += tally.all();
-            form.unserved += tally.all() - tally.served;
-            form.cpu_us.push(cpu.as_secs_f64() * 1e6 / tally.all().max(1) as f64);
-            form.p50_us.push(tally.time(0.5).as_secs_f64() * 1e6);
-            form.p99_us.push(tally.time(0.99).as_secs_f64() * 1e6);
+            form.calls += tally.total();
+            form.unserved += tally.total() - tally.served;
+            form.cpu_us.push(cpu.as_secs_f64() * 1e6 / tally.total().max(1) as f64);
+            form.p50_us.push(tally.latency_quantile(0.5).as_secs_f64() * 1e6);
+            form.p99_us.push(tally.latency_quantile(0.99).as_secs_f64() * 1e6);
         }
         if number > 0 {
             let last = |form: &Form| form.cpu_us.last().copied().unwrap_or(f64::NAN);
@@ -127,7 +128,7 @@
 /// CPU time of one role for each request of one turn, in microseconds.
 pub fn cpu_a_request(role: &Role, clients: usize, seed: u64, turn: Duration) -> f64 {
     let (tally, cpu) = ask(role.address, clients, seed, turn, || role.cpu());
-    cpu.as_secs_f64() * 1e6 / tally.all().max(1) as f64
+    cpu.as_secs_f64() * 1e6 / tally.total().max(1) as f64
 }
 
 /// One turn: what came of it, and the CPU time that it cost.
@@ -137,9 +138,9 @@
     seed: u64,
     turn: Duration,
     cpu: impl Fn() -> Duration,
-) -> (Tally, Duration) {
+) -> (LoadMetrics, Duration) {
     run(async {
-        let tally = Rc::new(RefCell::new(Tally::default()));
+        let tally = Rc::new(RefCell::new(LoadMetrics::default()));
         let mut load = Load::new(address, seed);
         (load.clients, load.until) = (clients, Some(Instant::now() + turn));
         let before = cpu();
@@ -155,7 +156,7 @@
     run(async {
         loop {
             let stream = tokio::net::TcpStream::connect(daemon).await.expect("it accepts");
-            if nettleworks_standins::Reader::new(stream).ask(HEALTH).await.status() == 200 {
+            if nettleworks_standins::Reader::new(stream).exchange(HEALTH_REQUEST).await.status() == 200 {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
--- a/measure/src/members.rs
+++ b/measure/src/members.rs
@@ -6,7 +6,7 @@
 use nettleworks_lab::crowd::Crowd;
 use nettleworks_members::{Condition, Config, MemberEventKind};
 use nettleworks_members_wire::{start, Settings};
-use nettleworks_standins::{Load, Plan, Site};
+use nettleworks_standins::{HostBehavior, Load, StandInFleet};
 use rayon::prelude::*;
 use serde_json::json;
 use std::cell::RefCell;
@@ -134,7 +134,8 @@
 
 /// Processor time of a daemon's request, in microseconds, at some hundred requests a second, and how many a second there were.
 fn request_cpu(span: Duration) -> (f64, f64) {
-    let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
+    let site =
+        StandInFleet::start(vec![HostBehavior { service: Duration::ZERO, ..HostBehavior::default() }; 2]);
     let role = Role::start("daemon", &site.configuration(|_| ()), 1);
     crate::library::until_ready(role.address);
     let before = role.cpu();
--- a/measure/src/storm.rs
+++ b/measure/src/storm.rs
@@ -2,7 +2,7 @@
 //! with faults of every kind of which one is killed. Once with lingering and once without.
 
 use nettleworks_client::{Error, Fleet, KeyState};
-use nettleworks_standins::{Aftermath, Got, Plan, Site, Storm};
+use nettleworks_standins::{HostBehavior, SendOutcome, StandInFleet, StressReport, StressRun};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
@@ -19,16 +19,16 @@
 /// What came of a storm, and how long it took.
 pub struct Storms {
     /// With lingering.
-    pub on: Aftermath,
+    pub on: StressReport,
     /// Without.
-    pub off: Aftermath,
+    pub off: StressReport,
     /// Seconds of the two.
     pub seconds: [f64; 2],
 }
 
 /// Half as many charges and half as many entries as there are keys.
 pub fn storms(keys: usize) -> Storms {
-    let storm = Storm { keys, ..Storm::default() };
+    let storm = StressRun { keys, ..StressRun::default() };
     let [(on, on_s), (off, off_s)] = [ON, OFF].map(|text| {
         let started = Instant::now();
         (play(&storm, text), started.elapsed().as_secs_f64())
@@ -40,14 +40,14 @@
     tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("a runtime")
 }
 
-fn play(storm: &Storm, keys: &str) -> Aftermath {
-    let site = storm.site(4);
+fn play(storm: &StressRun, keys: &str) -> StressReport {
+    let site = storm.start_fleet(4);
     let fleet = Fleet::builder().text(&storm.configuration(&site)).keys(keys).start().expect("it starts");
     runtime().block_on(async {
         fleet.ready().await.expect("it runs");
         let kill = |number| {
             if number == storm.keys / 2 {
-                site.with(|inside| inside.hosts[1].kill());
+                site.execute(|inside| inside.hosts[1].kill());
             }
         };
         let caller = fleet.clone();
@@ -66,22 +66,22 @@
     head.body(format!("pays {key}").into()).expect("a request")
 }
 
-fn got(answer: Result<http::Response<bytes::Bytes>, Error>) -> Got {
+fn got(answer: Result<http::Response<bytes::Bytes>, Error>) -> SendOutcome {
     match answer {
         Ok(answer) => {
             let replayed = answer.headers().contains_key("idempotency-replayed");
-            Got::Answer { replayed, body: answer.into_body().into() }
+            SendOutcome::Answer { replayed, body: answer.into_body().into() }
         }
-        Err(Error::Refused { retry_after }) => Got::Refused(retry_after),
-        Err(Error::Unsure { state: KeyState::Running, .. }) => Got::Running,
-        Err(_) => Got::Unsure,
+        Err(Error::Refused { retry_after }) => SendOutcome::Refused(retry_after),
+        Err(Error::Unsure { state: KeyState::Running, .. }) => SendOutcome::Running,
+        Err(_) => SendOutcome::Unsure,
     }
 }
 
 impl Storms {
     /// Both as a table.
     pub fn table(&self) -> Value {
-        let row = |sum: &Aftermath, seconds: f64| {
+        let row = |sum: &StressReport, seconds: f64| {
             let share = |part: usize, of: usize| (part as f64 / of.max(1) as f64 * 1e4).round() / 1e4;
             json!({"sends": sum.sends, "left_early": sum.left, "refusals": sum.refusals, "effects": sum.effects,
                    "repeats": sum.repeats, "repeats_answered": share(sum.answered, sum.repeats),
@@ -96,7 +96,13 @@
 /// How long after the first's answer those that wait with it have theirs: the 99th of 100, in milliseconds.
 pub fn join_p99(groups: usize) -> f64 {
     const TOGETHER: usize = 8;
-    let site = Site::start(vec![Plan { service: Duration::from_millis(10), ..Plan::default() }; 2]);
+    let site = StandInFleet::start(vec![
+        HostBehavior {
+            service: Duration::from_millis(10),
+            ..HostBehavior::default()
+        };
+        2
+    ]);
     let fleet = Fleet::builder().text(&site.configuration(|_| ())).keys(ON).start().expect("it starts");
     let mut behind = runtime().block_on(async {
         fleet.ready().await.expect("it runs");
--- a/proxy/tests/cores.rs
+++ b/proxy/tests/cores.rs
@@ -12,7 +12,8 @@
 use nettleworks_keys_station::WithKeys;
 use nettleworks_policy::ClassId;
 use nettleworks_standins::{
-    eventually, over, request, run, Aftermath, Client, Fault, Message, Plan, Reader, Site, Storm,
+    eventually, pooled_sender, request, run, Client, Fault, HostBehavior, Message, Reader, StandInFleet,
+    StressReport, StressRun,
 };
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -49,11 +50,15 @@
 }
 
 impl Process {
-    fn start(site: &Site) -> Process {
+    fn start(site: &StandInFleet) -> Process {
         Process::start_with(site, ShardOptions::new(SHARDS), |_| ())
     }
 
-    fn start_with(site: &Site, sizes: ShardOptions, change: impl FnOnce(&mut serde_json::Value)) -> Process {
+    fn start_with(
+        site: &StandInFleet,
+        sizes: ShardOptions,
+        change: impl FnOnce(&mut serde_json::Value),
+    ) -> Process {
         Process::start_configured(&site.configuration(change), sizes)
     }
 
@@ -161,7 +166,7 @@
     loop {
         let mut client = process.client().await;
         let before = count().await;
-        assert_eq!(client.ask(&request("free", "", "")).await.status(), 200);
+        assert_eq!(client.exchange(&request("free", "", "")).await.status(), 200);
         if count().await > before {
             return client;
         }
@@ -172,12 +177,12 @@
     request("unsafe", &format!("Idempotency-Key: {key}\r\n"), "pays")
 }
 
-fn echo_plan(service: u64, faults: Vec<(Fault, f64)>) -> Plan {
-    Plan { service: Duration::from_millis(service), echo: true, faults, ..Plan::default() }
+fn echo_plan(service: u64, faults: Vec<(Fault, f64)>) -> HostBehavior {
+    HostBehavior { service: Duration::from_millis(service), echo: true, faults, ..HostBehavior::default() }
 }
 
-fn stalling_plan() -> Plan {
-    Plan { faults: vec![(Fault::Stall, 1.0)], ..Plan::default() }
+fn stalling_plan() -> HostBehavior {
+    HostBehavior { faults: vec![(Fault::Stall, 1.0)], ..HostBehavior::default() }
 }
 
 fn key_state(answer: &Message) -> String {
@@ -189,8 +194,8 @@
 /// that is unknown. Each key must run at most once, and all clients that get a response must get the same one.
 #[test]
 fn concurrent_repeats_at_all_shards_run_once() {
-    let faults = vec![(Fault::ResetBefore, 0.08), (Fault::TurnAway, 0.08), (Fault::ResetAfter, 0.08)];
-    let site = Site::start(vec![echo_plan(2, faults); 4]);
+    let faults = vec![(Fault::ResetBefore, 0.08), (Fault::Reject, 0.08), (Fault::ResetAfter, 0.08)];
+    let site = StandInFleet::start(vec![echo_plan(2, faults); 4]);
     run(async {
         // An ejected host is tried again after a quarter of the latency target, and the pause doubles each time: with
         // the usual target of five seconds a few consecutive faults at both of a shard's hosts would exceed the test's
@@ -211,11 +216,11 @@
             for client in &mut clients {
                 let (mut client, text) = (client.take().expect("idle"), charge(&format!("round-{round}")));
                 asks.spawn_local(async move {
-                    let mut answer = client.ask(&text).await;
+                    let mut answer = client.exchange(&text).await;
                     // A refused request never ran and is sent again.
                     while answer.status() == 503 {
                         sleep(Duration::from_millis(5)).await;
-                        answer = client.ask(&text).await;
+                        answer = client.exchange(&text).await;
                     }
                     (client, answer)
                 });
@@ -253,14 +258,14 @@
         assert!(process.stop().await.iter().all(|exit| *exit == ShardExit::Clean));
     });
     assert!(site.ledger.runs().values().all(|runs| *runs == 1), "{:?}", site.ledger.runs());
-    assert_eq!(site.ledger.twice(DUPLICATE_WINDOW), []);
+    assert_eq!(site.ledger.duplicates(DUPLICATE_WINDOW), []);
 }
 
 /// A shard panics while its keys run. Clients that wait for them must be told at once that the request may have run;
 /// these keys stay unsure and are not sent to a host again; keys of the other shards are not affected.
 #[test]
 fn a_panicked_shard_leaves_its_keys_unsure() {
-    let site = Site::start(vec![stalling_plan()]);
+    let site = StandInFleet::start(vec![stalling_plan()]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
@@ -270,9 +275,9 @@
         for key in clients {
             let mut client = process.client().await;
             let text = charge(key);
-            asks.push(spawn_local(async move { client.ask(&text).await }));
+            asks.push(spawn_local(async move { client.exchange(&text).await }));
         }
-        eventually("both keys run", || site.counts() == [2]).await;
+        eventually("both keys run", || site.request_counts() == [2]).await;
         // Waits until all requests have been accepted: a shard that has ended refuses further ones.
         let mut accepted = 0;
         while accepted < 14 {
@@ -292,10 +297,10 @@
         eventually("the other shards notice it", || process.log_count("shard 1 has ended") == SHARDS - 1)
             .await;
         for _ in 0..8 {
-            let answer = process.client().await.ask(&charge(&lost)).await;
+            let answer = process.client().await.exchange(&charge(&lost)).await;
             assert_eq!((answer.status(), &key_state(&answer)[..]), (502, "unsure"));
         }
-        site.with(|inside| inside.hosts[0].release.notify_waiters());
+        site.execute(|inside| inside.hosts[0].release.notify_waiters());
         let mut served = 0;
         for ask in asks {
             // Clients whose connection belonged to the dead shard get an error.
@@ -305,39 +310,39 @@
             }
         }
         assert!(served > 0, "the other shard's key still runs");
-        let repeated = process.client().await.ask(&charge(&kept)).await;
+        let repeated = process.client().await.exchange(&charge(&kept)).await;
         assert_eq!((repeated.status(), repeated.header("idempotency-replayed")), (200, Some("true")));
         let exits = process.stop().await;
         assert_eq!(exits, [ShardExit::Clean, ShardExit::Panicked, ShardExit::Clean, ShardExit::Clean]);
     });
-    assert_eq!(site.counts(), [2]);
+    assert_eq!(site.request_counts(), [2]);
 }
 
 /// A shard's thread is blocked. Other shards must accept its new clients, its keys are refused and not run elsewhere,
 /// and once it responds again everything is as before.
 #[test]
 fn other_shards_accept_the_clients_of_a_stalled_shard() {
-    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
+    let site = StandInFleet::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
         let stalled_key = process.key_owned_by(1, 2, "stalled");
-        assert_eq!(process.client().await.ask(&charge(&stalled_key)).await.status(), 200);
+        assert_eq!(process.client().await.exchange(&charge(&stalled_key)).await.status(), 200);
         process.block(1, Duration::from_secs(4));
         eventually("the stall is noticed", || process.log_count("shard 1 does not answer") == SHARDS - 1)
             .await;
         for _ in 0..24 {
             let started = Instant::now();
-            let answer = process.client().await.ask(&request("free", "", "")).await;
+            let answer = process.client().await.exchange(&request("free", "", "")).await;
             assert_eq!(answer.status(), 200);
             assert!(started.elapsed() < Duration::from_millis(1_500), "{:?}", started.elapsed());
         }
-        let refused = process.client().await.ask(&charge(&stalled_key)).await;
+        let refused = process.client().await.exchange(&charge(&stalled_key)).await;
         assert_eq!(refused.status(), 503, "no other shard has its key");
         assert!(refused.header("retry-after").is_some());
         eventually("the shard responds again", || process.log_count("shard 1 answers again") >= SHARDS - 1)
             .await;
-        let replayed = process.client().await.ask(&charge(&stalled_key)).await;
+        let replayed = process.client().await.exchange(&charge(&stalled_key)).await;
         assert_eq!((replayed.status(), replayed.header("idempotency-replayed")), (200, Some("true")));
         assert!(process.stop().await.iter().all(|exit| *exit == ShardExit::Clean));
     });
@@ -359,7 +364,7 @@
 /// drains. Their threads are blocked at that moment, and must not write the request when they continue.
 #[test]
 fn an_attempt_picked_before_a_drain_is_not_written_after_it() {
-    let site = Site::start(vec![echo_plan(1, vec![])]);
+    let site = StandInFleet::start(vec![echo_plan(1, vec![])]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
@@ -371,7 +376,7 @@
                 spawn_local(async move { drop(waiting.reply().await) });
             });
         }
-        eventually("all are answered", || site.counts() == [SHARDS - 1]).await;
+        eventually("all are answered", || site.request_counts() == [SHARDS - 1]).await;
         sleep(Duration::from_millis(50)).await;
         for shard in 1..SHARDS {
             process.peers.submit(shard, move |driver| {
@@ -386,7 +391,7 @@
             });
         }
         sleep(Duration::from_millis(100)).await;
-        site.with(|inside| inside.list(0, "Terminating"));
+        site.execute(|inside| inside.set_health(0, "Terminating"));
         for shard in 1..SHARDS {
             let attempts = process.peers.run_on(shard, |driver| driver.state().attempts).await;
             assert_eq!(attempts, Some(2), "shard {shard} had picked a host");
@@ -394,14 +399,14 @@
         sleep(Duration::from_millis(300)).await;
         process.stop().await;
     });
-    assert_eq!(site.counts(), [SHARDS - 1]);
+    assert_eq!(site.request_counts(), [SHARDS - 1]);
 }
 
 /// All calls arrive at one shard. It must get the whole concurrency limit of the process, and the one probe beyond it,
 /// at once, although the other shards held leases on a part; and never more than a single engine would have.
 #[test]
 fn concurrency_moves_to_the_shard_with_the_load() {
-    let site = Site::start(vec![stalling_plan()]);
+    let site = StandInFleet::start(vec![stalling_plan()]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
@@ -413,10 +418,11 @@
                 spawn_local(async move { drop(waiting.reply().await) });
             });
         }
-        eventually("each shard has a call at the host", || site.counts() == [SHARDS]).await;
-        site.with(|inside| inside.hosts[0].release.notify_waiters());
-        eventually("all are answered", || site.with(|inside| inside.hosts[0].open.get()) > 0).await;
-        let before = site.counts()[0];
+        eventually("each shard has a call at the host", || site.request_counts() == [SHARDS]).await;
+        site.execute(|inside| inside.hosts[0].release.notify_waiters());
+        eventually("all are answered", || site.execute(|inside| inside.hosts[0].open_connections.get()) > 0)
+            .await;
+        let before = site.request_counts()[0];
         process.peers.submit(0, |driver| {
             for call in 0..40 {
                 let (info, forward) = free_request(format!("load-{call}"));
@@ -424,7 +430,7 @@
                 spawn_local(async move { drop(waiting.reply().await) });
             }
         });
-        let in_flight = || site.counts()[0] - before;
+        let in_flight = || site.request_counts()[0] - before;
         // A single balancer starts with a limit of 7 per host, and one probe.
         eventually("it has the whole limit", || in_flight() >= 7).await;
         sleep(Duration::from_millis(300)).await;
@@ -437,19 +443,19 @@
 /// deadline, and the shard that forwarded the request to it responds instead.
 #[test]
 fn a_shard_stalled_past_a_deadline_leaves_its_key_unsure() {
-    let site = Site::start(vec![echo_plan(3_000, vec![])]);
+    let site = StandInFleet::start(vec![echo_plan(3_000, vec![])]);
     run(async {
         let sizes = ShardOptions { stall_timeout: Duration::from_secs(20), ..ShardOptions::new(2) };
         let process = Process::start_with(&site, sizes, |_| ());
         process.ready().await;
         let mut client = client_of(&process, 0).await;
-        let (late, before) = (process.key_owned_by(1, 2, "late"), site.counts()[0]);
+        let (late, before) = (process.key_owned_by(1, 2, "late"), site.request_counts()[0]);
         let text = charge(&late).replace("X-Budget-Ms: 8000", "X-Budget-Ms: 2000");
         let ask = spawn_local(async move {
             let started = Instant::now();
-            (client.ask(&text).await, started.elapsed())
+            (client.exchange(&text).await, started.elapsed())
         });
-        eventually("the host has the request", || site.counts() == [before + 1]).await;
+        eventually("the host has the request", || site.request_counts() == [before + 1]).await;
         process.block(1, Duration::from_secs(5));
         let (answer, took) = ask.await.expect("no panic");
         assert_eq!((answer.status(), &key_state(&answer)[..]), (502, "unsure"), "{answer:?}");
@@ -463,7 +469,7 @@
 /// must be refused at once, and those that wait are answered when it continues.
 #[test]
 fn a_full_queue_refuses_at_once() {
-    let site = Site::start(vec![echo_plan(1, vec![])]);
+    let site = StandInFleet::start(vec![echo_plan(1, vec![])]);
     run(async {
         let sizes = ShardOptions { queue: 2, stall_timeout: Duration::from_secs(20), ..ShardOptions::new(2) };
         let process = Process::start_with(&site, sizes, |_| ());
@@ -479,7 +485,7 @@
             let text = charge(&process.key_owned_by(1, 2, &format!("full{n}")));
             asks.spawn_local(async move {
                 let started = Instant::now();
-                let answer = client.ask(&text).await;
+                let answer = client.exchange(&text).await;
                 (answer.status(), answer.header("retry-after").is_some(), started.elapsed())
             });
         }
@@ -500,7 +506,7 @@
 /// request must get its response, and none may run twice.
 #[test]
 fn keys_are_forwarded_between_shards_during_reloads_and_a_shutdown() {
-    let site = Site::start(vec![echo_plan(3, vec![]); 3]);
+    let site = StandInFleet::start(vec![echo_plan(3, vec![]); 3]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
@@ -537,7 +543,7 @@
             .await;
         let stopping = spawn_local(process.stop());
         // Accepted during the shutdown, with a key that another shard owns.
-        assert_eq!(late.ask(&charge(&last)).await.status(), 200);
+        assert_eq!(late.exchange(&charge(&last)).await.status(), 200);
         assert!(stopping.await.expect("no panic").iter().all(|exit| *exit == ShardExit::Clean));
         let mut served = 0;
         while let Some(ended) = asks.join_next().await {
@@ -557,18 +563,19 @@
 /// is blocked for a while: nothing may run twice, and no key may get two different responses.
 #[test]
 fn a_retry_storm_over_all_shards_runs_nothing_twice() {
-    let storm = Storm { keys: 300, ..Storm::default() };
-    let site = storm.site(4);
+    let storm = StressRun { keys: 300, ..StressRun::default() };
+    let site = storm.start_fleet(4);
     run(async {
         let config = storm.configuration(&site);
         let process = Process::start_configured(&config, ShardOptions::new(SHARDS));
         process.ready().await;
         let inject_fault = |number| match number {
-            100 => site.with(|inside| inside.hosts[1].kill()),
+            100 => site.execute(|inside| inside.hosts[1].kill()),
             150 => process.block(2, Duration::from_millis(1_600)),
             _ => {}
         };
-        let aftermath = storm.run(&site.ledger, DUPLICATE_WINDOW, over(process.address), inject_fault).await;
+        let aftermath =
+            storm.run(&site.ledger, DUPLICATE_WINDOW, pooled_sender(process.address), inject_fault).await;
         let mut forwarded = 0;
         for shard in 0..SHARDS {
             let counts = process
@@ -578,7 +585,7 @@
             forwarded += counts.flatten().expect("the shard responds").handed;
         }
         assert!(forwarded > 300, "keyed requests are forwarded: {forwarded}");
-        let Aftermath { charges_twice, entries_twice, two_answers, .. } = aftermath;
+        let StressReport { charges_twice, entries_twice, two_answers, .. } = aftermath;
         assert_eq!((charges_twice, entries_twice, two_answers), (0, 0, 0), "{aftermath:?}");
         assert!(aftermath.replayed * 100 >= aftermath.answerable * 95, "{aftermath:?}");
         process.stop().await;
@@ -589,7 +596,7 @@
 /// ended returns without waiting.
 #[test]
 fn an_id_is_open_once_in_the_process() {
-    let site = Site::start(vec![stalling_plan()]);
+    let site = StandInFleet::start(vec![stalling_plan()]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
@@ -598,7 +605,7 @@
             let waiting = driver.request(info, forward);
             spawn_local(async move { drop(waiting.reply().await) });
         });
-        eventually("the host has the request", || site.counts() == [1]).await;
+        eventually("the host has the request", || site.request_counts() == [1]).await;
         let (sender, rejected) = tokio::sync::oneshot::channel();
         process.peers.submit(1, |driver| {
             let (info, forward) = free_request("same".to_owned());
@@ -611,5 +618,5 @@
         assert_eq!(process.peers.run_on(1, |_| ()).await, None);
         process.stop().await;
     });
-    assert_eq!(site.counts(), [1]);
+    assert_eq!(site.request_counts(), [1]);
 }
--- a/proxy/tests/cores/watch.rs
+++ b/proxy/tests/cores/watch.rs
@@ -5,7 +5,7 @@
 use nettleworks_cores::ShardOptions;
 use nettleworks_engine::calls::Reply;
 use nettleworks_engine::list::Health;
-use nettleworks_standins::{eventually, request, run, Arrival, Relay, Site};
+use nettleworks_standins::{eventually, request, run, ConnectionMode, Relay, StandInFleet};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -23,7 +23,7 @@
 const MAX_UNREAD: Duration = Duration::from_millis(850);
 
 /// A process of a fleet of forty, whose calls to discovery are spread over seconds, with a relay in front of discovery.
-async fn start_behind_relay(site: &Site) -> (Process, Relay) {
+async fn start_behind_relay(site: &StandInFleet) -> (Process, Relay) {
     let relay = Relay::start(site.discovery).await;
     let process = Process::start_with(site, ShardOptions::new(SHARDS), |config| {
         config["discovery"] = relay.address.to_string().into();
@@ -70,15 +70,15 @@
 /// A process has one watch, and when the shard that holds it stalls another shard opens a new one.
 #[test]
 fn the_single_watch_moves_from_a_stalled_shard() {
-    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
+    let site = StandInFleet::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
         let process = Process::start(&site);
         process.ready().await;
-        let watches = || site.with(|inside| inside.registry.watches.get());
+        let watches = || site.execute(|inside| inside.registry.watches.get());
         assert_eq!(watches(), 1);
         process.block(0, Duration::from_secs(3));
         eventually("another shard watches", || watches() == 2).await;
-        site.with(|inside| inside.list(1, "Terminating"));
+        site.execute(|inside| inside.set_health(1, "Terminating"));
         let is_notified = async |shard| {
             let hosts = process.peers.run_on(shard, |driver| driver.state().hosts).await.unwrap_or_default();
             hosts.iter().any(|host| host.health == nettleworks_engine::list::Health::Terminating)
@@ -93,11 +93,11 @@
         while !is_notified(0).await {
             sleep(Duration::from_millis(5)).await;
         }
-        let before = site.counts()[1];
+        let before = site.request_counts()[1];
         for _ in 0..20 {
-            assert_eq!(process.client().await.ask(&request("free", "", "")).await.status(), 200);
+            assert_eq!(process.client().await.exchange(&request("free", "", "")).await.status(), 200);
         }
-        assert_eq!(site.counts()[1], before, "the host drains");
+        assert_eq!(site.request_counts()[1], before, "the host drains");
         process.stop().await;
     });
 }
@@ -106,10 +106,10 @@
 /// with its own watch, which was intact all the time: no engine may keep the list's expiry that was set meanwhile.
 #[test]
 fn a_short_takeover_of_the_watch_does_not_expire_the_list() {
-    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
+    let site = StandInFleet::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
         let (process, relay) = start_behind_relay(&site).await;
-        relay.arrivals(Arrival::Hangs);
+        relay.set_mode(ConnectionMode::Hang);
         while_first_engine_stalls(&process, STALL, async || ()).await;
         sleep(HONORED_WITHIN).await;
         for shard in 0..SHARDS {
@@ -123,16 +123,16 @@
 /// mean that the first engine has a watch: it must go on trying to open one.
 #[test]
 fn a_list_from_another_engine_does_not_stop_the_reconnect_of_the_watch() {
-    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
+    let site = StandInFleet::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
         let (process, relay) = start_behind_relay(&site).await;
-        relay.arrivals(Arrival::Refused(Duration::ZERO));
+        relay.set_mode(ConnectionMode::Refuse(Duration::ZERO));
         relay.reset_after(0);
         eventually("its watch is lost", || process.log_count("watch 1: ") >= 3).await;
-        relay.arrivals(Arrival::Passes);
+        relay.set_mode(ConnectionMode::Forward);
         while_first_engine_stalls(&process, STALL, async || ()).await;
         let drained = Instant::now();
-        site.with(|inside| inside.list(1, "Terminating"));
+        site.execute(|inside| inside.set_health(1, "Terminating"));
         for shard in 0..SHARDS {
             while !has_drain(&process, shard).await {
                 assert!(drained.elapsed() < HONORED_WITHIN, "engine {shard} is not notified of the drain");
@@ -147,27 +147,27 @@
 /// read yet that its watch is lost: it must not report the list as verified, and no engine may send by that list again.
 #[test]
 fn an_engine_does_not_use_an_unverified_list_after_a_stall() {
-    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
+    let site = StandInFleet::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
         let (process, relay) = start_behind_relay(&site).await;
-        relay.arrivals(Arrival::Hangs);
+        relay.set_mode(ConnectionMode::Hang);
         while_first_engine_stalls(&process, HONORED_WITHIN + STALL, async || {
             relay.reset_after(0);
-            site.with(|inside| inside.list(1, "Terminating"));
+            site.execute(|inside| inside.set_health(1, "Terminating"));
             sleep(HONORED_WITHIN).await;
             for shard in 1..SHARDS {
                 assert_eq!(reply_at(&process, shard).await, "refused", "at engine {shard}");
             }
         })
         .await;
-        let before = site.counts();
+        let before = site.request_counts();
         let until = Instant::now() + Duration::from_millis(500);
         while Instant::now() < until {
             for shard in 0..SHARDS {
                 assert_eq!(reply_at(&process, shard).await, "refused", "at engine {shard}");
             }
         }
-        assert_eq!(site.counts(), before, "sent by a list that had expired");
+        assert_eq!(site.request_counts(), before, "sent by a list that had expired");
         process.stop().await;
     });
 }
@@ -176,7 +176,7 @@
 /// other engines must not begin a request that would exceed the grace.
 #[test]
 fn a_drain_unread_by_the_stalled_engine_is_honored_by_the_others() {
-    let site = Site::start(vec![echo_plan(1, vec![]); 2]);
+    let site = StandInFleet::start(vec![echo_plan(1, vec![]); 2]);
     run(async {
         let process = Rc::new(Process::start(&site));
         process.ready().await;
@@ -192,10 +192,10 @@
         sleep(Duration::from_millis(200)).await;
         process.block(0, STALL);
         sleep(Duration::from_millis(20)).await;
-        site.with(|inside| inside.list(1, "Terminating"));
-        let (drained, before) = (Instant::now(), site.counts()[1]);
+        site.execute(|inside| inside.set_health(1, "Terminating"));
+        let (drained, before) = (Instant::now(), site.request_counts()[1]);
         sleep(MAX_UNREAD).await;
-        let within_grace = site.counts()[1];
+        let within_grace = site.request_counts()[1];
         assert!(within_grace > before, "none was sent at all");
         for shard in 1..SHARDS {
             while !has_drain(&process, shard).await {
@@ -203,7 +203,7 @@
             }
         }
         assert!(drained.elapsed() < STALL, "another engine reads the list in time");
-        assert_eq!(site.counts()[1], within_grace, "sent to the drained host after the grace");
+        assert_eq!(site.request_counts()[1], within_grace, "sent to the drained host after the grace");
         sleep(STALL).await;
         Rc::into_inner(process).expect("all have ended").stop().await;
     });
--- a/proxy/tests/crew.rs
+++ b/proxy/tests/crew.rs
@@ -1,7 +1,7 @@
 //! A cluster of proxy processes, and faults of the processes and of the network between them.
 
 use nettleworks_crew::{Crew, Event, Link, Plan};
-use nettleworks_standins::{Load, Plan as Host, Site, Tally};
+use nettleworks_standins::{HostBehavior as Host, Load, LoadMetrics, StandInFleet};
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,11 +9,11 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_nettleworks");
 
-fn start_hosts(count: usize) -> Site {
-    Site::start(vec![Host { service: Duration::from_millis(2), ..Host::default() }; count])
+fn start_hosts(count: usize) -> StandInFleet {
+    StandInFleet::start(vec![Host { service: Duration::from_millis(2), ..Host::default() }; count])
 }
 
-fn start_crew(name: &str, count: usize, site: &Site) -> Crew {
+fn start_crew(name: &str, count: usize, site: &StandInFleet) -> Crew {
     let crew = Crew::start(Plan::new(PROGRAM, name, count), site);
     crew.whole();
     crew
@@ -135,7 +135,7 @@
     let crew = start_crew("course", 12, &site);
     let ledger = site.ledger.clone();
     let crew = RefCell::new(crew);
-    let tallies: Vec<Rc<RefCell<Tally>>> = (0..12).map(|_| Rc::default()).collect();
+    let tallies: Vec<Rc<RefCell<LoadMetrics>>> = (0..12).map(|_| Rc::default()).collect();
     let mut random = rand_pcg::Pcg64::seed_from_u64(17);
     let mut random_below = |bound: usize| (random.next_u64() % bound as u64) as usize;
     let mut killed = std::collections::BTreeSet::new();
@@ -194,11 +194,11 @@
     }
     crew.whole();
     assert!(!has_panicked(&crew));
-    assert_eq!(ledger.twice(Duration::from_secs(9)), [], "a request ran twice");
+    assert_eq!(ledger.duplicates(Duration::from_secs(9)), [], "a request ran twice");
     for (number, tally) in tallies.iter().enumerate().filter(|(number, _)| !killed.contains(number)) {
         let tally = tally.borrow();
         assert_eq!((tally.lost, tally.failed), (0, 0), "at process {number}: {tally:?}");
         assert!(tally.served > 100, "at process {number}: {tally:?}");
-        assert!(tally.refused * 100 <= tally.all(), "at process {number}: {tally:?}");
+        assert!(tally.refused * 100 <= tally.total(), "at process {number}: {tally:?}");
     }
 }
--- a/proxy/tests/discovery_faults.rs
+++ b/proxy/tests/discovery_faults.rs
@@ -34,7 +34,7 @@
 /// Discovery lets one call at a time wait for `delay` and refuses it, and refuses all others at once. Nothing may be
 /// sent to the drained server after the grace.
 async fn overload_discovery(fleet: &mut Fleet, delay: Duration) {
-    fleet.relay.arrivals(Arrival::Crowded(delay));
+    fleet.relay.set_mode(ConnectionMode::RefuseConcurrent(delay));
     fleet.relay.reset_after(0);
     let lost = fleet.drain();
     fleet.wait_for_clients().await;
--- a/proxy/tests/fleet/mod.rs
+++ b/proxy/tests/fleet/mod.rs
@@ -34,7 +34,7 @@
     engines: usize,
     environment: Vec<(String, String)>,
     pub processes: Vec<Process>,
-    pub tally: Rc<RefCell<Tally>>,
+    pub tally: Rc<RefCell<LoadMetrics>>,
     clients: Vec<JoinHandle<()>>,
 }
 
@@ -68,13 +68,13 @@
         let relay = Relay::start(registry.address).await;
         let mut servers = Vec::new();
         for number in 0..4 {
-            let plan = Plan { service: Duration::from_millis(2), ..Plan::default() };
-            let server = Host::planned(&format!("s-{number}"), number, plan, &ledger).await;
+            let plan = HostBehavior { service: Duration::from_millis(2), ..HostBehavior::default() };
+            let server = Host::with_behavior(&format!("s-{number}"), number, plan, &ledger).await;
             registry.set(entry(&server.name, server.address, "Ready"));
             servers.push(server);
         }
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("freshness-{name}"));
-        let tally = Rc::new(RefCell::new(Tally::default()));
+        let tally = Rc::new(RefCell::new(LoadMetrics::default()));
         let (environment, processes, clients) = (Vec::new(), Vec::new(), Vec::new());
         Fleet { registry, relay, servers, ledger, folder, engines, environment, processes, tally, clients }
     }
--- a/proxy/tests/freshness.rs
+++ b/proxy/tests/freshness.rs
@@ -49,8 +49,8 @@
 fn a_drain_hidden_by_a_closed_watch_is_honored_in_time() {
     run(async {
         let mut fleet = Fleet::start("ended", 4, Duration::from_secs(7), |_| ()).await;
-        fleet.relay.arrivals(Arrival::Hangs);
-        fleet.relay.end();
+        fleet.relay.set_mode(ConnectionMode::Hang);
+        fleet.relay.close_connections();
         let drained = fleet.drain();
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(drained + NOTIFIED_AFTER_CLOSE + GRACE), 0);
@@ -63,7 +63,7 @@
 fn a_closed_watch_refuses_no_requests() {
     run(async {
         let mut fleet = Fleet::start("ended-once", 16, Duration::from_secs(6), |_| ()).await;
-        fleet.relay.end();
+        fleet.relay.close_connections();
         let drained = fleet.drain();
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(drained + NOTIFIED_AFTER_CLOSE + GRACE), 0);
@@ -78,7 +78,7 @@
 fn a_drain_hidden_by_an_overloaded_discovery_is_honored_in_time() {
     run(async {
         let mut fleet = Fleet::start("crowded", 4, Duration::from_secs(12), |_| ()).await;
-        fleet.relay.arrivals(Arrival::Refused(Duration::ZERO));
+        fleet.relay.set_mode(ConnectionMode::Refuse(Duration::ZERO));
         fleet.relay.reset_after(0);
         let drained = fleet.drain();
         fleet.wait_for_clients().await;
@@ -100,7 +100,7 @@
 fn a_drain_hidden_by_unanswered_calls_is_honored_in_time() {
     run(async {
         let mut fleet = Fleet::start("hung", 4, Duration::from_secs(12), |_| ()).await;
-        fleet.relay.arrivals(Arrival::Hangs);
+        fleet.relay.set_mode(ConnectionMode::Hang);
         fleet.relay.reset_after(0);
         let drained = fleet.drain();
         fleet.wait_for_clients().await;
@@ -115,7 +115,7 @@
 fn no_engine_of_a_process_uses_an_expired_list() {
     run(async {
         let mut fleet = Fleet::start_with("engines", 2, 4, Duration::from_secs(14), |_| ()).await;
-        fleet.relay.arrivals(Arrival::Refused(Duration::ZERO));
+        fleet.relay.set_mode(ConnectionMode::Refuse(Duration::ZERO));
         fleet.relay.reset_after(0);
         let drained = fleet.drain();
         sleep(Duration::from_secs(8)).await;
@@ -123,7 +123,7 @@
         let before = fleet.tally.borrow().served;
         assert!(fleet.tally.borrow().refused > 0);
         // All engines serve again with the next list.
-        fleet.relay.arrivals(Arrival::Passes);
+        fleet.relay.set_mode(ConnectionMode::Forward);
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(drained + NOTIFIED_AFTER + GRACE), 0);
         let tally = fleet.tally.borrow();
@@ -137,12 +137,12 @@
 fn a_hanging_discovery_call_is_hedged_before_the_list_expires() {
     run(async {
         let mut fleet = Fleet::start("hedged", 4, Duration::from_secs(9), |_| ()).await;
-        fleet.relay.arrivals(Arrival::Hangs);
+        fleet.relay.set_mode(ConnectionMode::Hang);
         let before = fleet.relay.accepted.get();
         fleet.relay.reset_after(0);
         let drained = fleet.drain();
         eventually("each process has called", || fleet.relay.accepted.get() >= before + 4).await;
-        fleet.relay.arrivals(Arrival::Passes);
+        fleet.relay.set_mode(ConnectionMode::Forward);
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(drained + NOTIFIED_AFTER + GRACE), 0);
         let tally = fleet.tally.borrow();
@@ -179,7 +179,7 @@
         fleet.relay.silence();
         let drained = fleet.drain();
         sleep(Duration::from_millis(700)).await;
-        fleet.relay.arrivals(Arrival::Hangs);
+        fleet.relay.set_mode(ConnectionMode::Hang);
         fleet.processes.iter().for_each(Process::go_on);
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(drained + NOTIFIED_AFTER + GRACE), 0);
@@ -210,11 +210,11 @@
 fn clients_are_served_during_an_outage_of_discovery_and_a_drain_is_honored_after_it() {
     run(async {
         let mut fleet = Fleet::start("outage", 8, Duration::from_millis(16_500), |_| ()).await;
-        fleet.relay.arrivals(Arrival::Refused(Duration::from_secs(2)));
+        fleet.relay.set_mode(ConnectionMode::Refuse(Duration::from_secs(2)));
         fleet.relay.reset_after(1);
         fleet.drain();
         sleep(Duration::from_millis(8_500)).await;
-        fleet.relay.arrivals(Arrival::Passes);
+        fleet.relay.set_mode(ConnectionMode::Forward);
         let recovered = Instant::now();
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(recovered + NOTIFIED_AFTER + GRACE), 0);
@@ -230,7 +230,7 @@
     run(async {
         let mut fleet = Fleet::start("restart", 3, Duration::ZERO, |_| ()).await;
         fleet.wait_for_clients().await;
-        fleet.relay.arrivals(Arrival::Refused(Duration::ZERO));
+        fleet.relay.set_mode(ConnectionMode::Refuse(Duration::ZERO));
         let drained = fleet.drain();
         fleet.spawn_processes(3);
         fleet.start_clients(Duration::from_secs(10));
@@ -246,7 +246,7 @@
     run(async {
         let mut fleet = Fleet::start("moved", 3, Duration::from_secs(9), |_| ()).await;
         let moved = Relay::start(fleet.registry.address).await;
-        moved.arrivals(Arrival::Hangs);
+        moved.set_mode(ConnectionMode::Hang);
         fleet.configure(moved.address, 3, |_| ());
         fleet.processes.iter().for_each(Process::reload);
         let signalled = fleet.drain();
@@ -263,11 +263,11 @@
     run(async {
         let push = |config: &mut serde_json::Value| config["settings"]["discovery"] = "push".into();
         let mut fleet = Fleet::start("pushed", 6, Duration::from_secs(11), push).await;
-        fleet.relay.arrivals(Arrival::Hangs);
+        fleet.relay.set_mode(ConnectionMode::Hang);
         fleet.relay.silence();
         fleet.drain();
         sleep(Duration::from_secs(8)).await;
-        fleet.relay.arrivals(Arrival::Passes);
+        fleet.relay.set_mode(ConnectionMode::Forward);
         let recovered = Instant::now();
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(recovered + GRACE), 0);
@@ -291,16 +291,16 @@
 /// The number of requests that one process sent to the drained server too late, after a truncated response.
 async fn late_after_truncation(number: usize) -> usize {
     let mut fleet = Fleet::start(&format!("cut-{number}"), 1, Duration::from_secs(10), |_| ()).await;
-    fleet.relay.arrivals(Arrival::Refused(Duration::from_millis(1_500)));
+    fleet.relay.set_mode(ConnectionMode::Refuse(Duration::from_millis(1_500)));
     fleet.relay.reset_after(0);
     sleep(Duration::from_secs(4)).await;
     fleet.drain();
     let before = fleet.registry.watches.get();
     // The head, and no byte of the list.
-    fleet.relay.arrivals(Arrival::ResetAfter(WATCH.len()));
+    fleet.relay.set_mode(ConnectionMode::ResetAfter(WATCH_HEAD.len()));
     eventually("a response is truncated", || fleet.registry.watches.get() > before).await;
     let written = Instant::now();
-    fleet.relay.arrivals(Arrival::Passes);
+    fleet.relay.set_mode(ConnectionMode::Forward);
     fleet.wait_for_clients().await;
     let tally = fleet.tally.borrow();
     assert!(tally.refused * 4 <= tally.served, "{} refused, {} served", tally.refused, tally.served);
@@ -338,7 +338,7 @@
 #[test]
 fn a_response_that_stops_after_its_head_counts_as_a_list() {
     run(async {
-        let parts = [WATCH.len(), WATCH.len() + 3];
+        let parts = [WATCH_HEAD.len(), WATCH_HEAD.len() + 3];
         let fleets: Vec<_> =
             parts.into_iter().map(|bytes| spawn_local(late_after_stalled_response(bytes))).collect();
         for (fleet, bytes) in fleets.into_iter().zip(parts) {
@@ -355,7 +355,7 @@
 async fn late_after_stalled_response(bytes: usize) -> usize {
     let mut fleet = Fleet::start(&format!("begun-{bytes}"), 1, Duration::from_secs(7), |_| ()).await;
     let before = fleet.registry.watches.get();
-    fleet.relay.arrivals(Arrival::SilentAfter(bytes));
+    fleet.relay.set_mode(ConnectionMode::SilentAfter(bytes));
     fleet.relay.reset_after(0);
     fleet.drain();
     eventually("a response begins", || fleet.registry.watches.get() > before).await;
--- a/proxy/tests/inside.rs
+++ b/proxy/tests/inside.rs
@@ -5,7 +5,7 @@
     /// Number of engines of the proxy under test.
     pub const ENGINES: usize = 1;
 
-    pub type Proxy = nettleworks_standins::Proxy<Inside>;
+    pub type Proxy = nettleworks_standins::Proxy<InProcess>;
 }
 
 #[path = "suite/listening.rs"]
--- a/proxy/tests/operators.rs
+++ b/proxy/tests/operators.rs
@@ -55,7 +55,7 @@
         let text = format!(r#"{{"socket": {:?}, "classes": {classes}}}"#, socket.to_str().expect("a path"));
         std::fs::write(&keys, text).expect("written");
         let config = folder.join(format!("operators-{name}.json"));
-        let discovery = Discovery::quiet().await;
+        let discovery = Discovery::heartbeats_only().await;
         std::fs::write(&config, configuration(discovery.address, hosts, change)).expect("written");
         let mut child = Command::new(PROGRAM)
             .args([&config, Path::new("--keys"), &keys])
@@ -100,7 +100,7 @@
     async fn make_unsure(&self, key: &str) {
         let text = request("unsafe", &format!("Idempotency-Key: {key}\r\n"), "pays");
         // A host that reset a connection before is ejected for a while.
-        while self.client().await.ask(&text).await.status() != 502 {
+        while self.client().await.exchange(&text).await.status() != 502 {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
@@ -136,7 +136,7 @@
 #[test]
 fn keys_are_listed_without_their_secrets_and_settled_by_hand() {
     run(async {
-        let host = Host::start([Act::Reset]).await;
+        let host = Host::start([HostAction::Reset]).await;
         let proxy = RunningProxy::start("settled", from_ref(&host), "{}", |_| ()).await;
         let mode = std::fs::metadata(&proxy.socket).expect("it is there").permissions().mode();
         assert_eq!(mode & 0o777, 0o600, "only its owner has access");
@@ -175,7 +175,7 @@
         assert!(good && text.contains("settled_as"), "{text}");
         proxy.assert_logged(r#"because "the bank\nhas it""#, 1).await;
         let text = request("unsafe", &format!("Idempotency-Key: {secret}\r\n"), "pays");
-        let response = proxy.client().await.ask(&text).await;
+        let response = proxy.client().await.exchange(&text).await;
         let body: serde_json::Value = serde_json::from_slice(&response.body).expect("an object");
         assert_eq!((response.status(), &body["key_state"]), (502, &"ran".into()));
         // The command finds the socket by the settings file.
@@ -191,7 +191,7 @@
     run(async {
         let mut hosts = Vec::new();
         for _ in 0..6 {
-            hosts.push(Host::start([Act::Reset]).await);
+            hosts.push(Host::start([HostAction::Reset]).await);
         }
         let one_attempt = |config: &mut serde_json::Value| {
             config["settings"]["limits"]["max_attempts"] = 1.into();
@@ -226,7 +226,14 @@
 #[test]
 fn of_two_concurrent_settlements_one_succeeds() {
     run(async {
-        let host = Host::start([Act::Reset, Act::Reset, Act::Reset, Act::Reset, ok("again")]).await;
+        let host = Host::start([
+            HostAction::Reset,
+            HostAction::Reset,
+            HostAction::Reset,
+            HostAction::Reset,
+            ok("again"),
+        ])
+        .await;
         let proxy = RunningProxy::start("two", from_ref(&host), "{}", |config| {
             config["settings"]["limits"]["max_attempts"] = 1.into();
         })
@@ -259,7 +266,7 @@
 #[test]
 fn a_late_response_overrides_a_settlement() {
     run(async {
-        let host = Host::start([Act::Stall, Act::Reset, ok("again")]).await;
+        let host = Host::start([HostAction::Stall, HostAction::Reset, ok("again")]).await;
         // A site where attempts must not be cancelled: an attempt continues after its call has ended.
         let proxy =
             RunningProxy::start("late", from_ref(&host), r#"{"unsafe": {"linger_ms": 1}}"#, |config| {
@@ -284,7 +291,7 @@
         assert!(good, "{output}");
         host.release.notify_one();
         let answer = loop {
-            let answer = proxy.client().await.ask(&text).await;
+            let answer = proxy.client().await.exchange(&text).await;
             if answer.status() == 200 {
                 break answer;
             }
@@ -299,7 +306,7 @@
         assert!(proxy.run_keys_command(&["settle", &id, "--as", "never-ran", "--why", "x"]).await.0);
         let repeated = loop {
             let repeated =
-                proxy.client().await.ask(&request("unsafe", "Idempotency-Key: freed\r\n", "pays")).await;
+                proxy.client().await.exchange(&request("unsafe", "Idempotency-Key: freed\r\n", "pays")).await;
             if repeated.status() != 503 {
                 break repeated;
             }
@@ -340,7 +347,7 @@
         let silent: Vec<_> =
             (0..10).map(|_| UnixStream::connect(&proxy.socket).expect("connected")).collect();
         let started = Instant::now();
-        assert_eq!(proxy.client().await.ask(&request("free", "", "")).await.status(), 200);
+        assert_eq!(proxy.client().await.exchange(&request("free", "", "")).await.status(), 200);
         assert!(started.elapsed() < Duration::from_secs(2));
         drop(silent);
         let error = RunningProxy::start_beside(&proxy);
@@ -379,15 +386,15 @@
 fn a_shutdown_waits_for_detached_calls_within_its_time() {
     run(async {
         for answered in [true, false] {
-            let host = Host::start([Act::Stall]).await;
+            let host = Host::start([HostAction::Stall]).await;
             let mut proxy = RunningProxy::start("stop", from_ref(&host), "{}", |_| ()).await;
             let mut client = proxy.client().await;
             client.send(&request("unsafe", "Idempotency-Key: k\r\n", "pays")).await;
             eventually("the host has the request", || host.count() == 1).await;
             drop(client);
             let mut other = proxy.client().await;
-            other.ask(HEALTH).await;
-            other.ask(HEALTH).await;
+            other.exchange(HEALTH_REQUEST).await;
+            other.exchange(HEALTH_REQUEST).await;
             drop(other);
             let started = Instant::now();
             assert!(Command::new("kill")
@@ -398,7 +405,7 @@
             // After the period in which new connections are accepted.
             tokio::time::sleep(Duration::from_millis(900)).await;
             assert!(proxy.child.try_wait().expect("the status can be read").is_none(), "the process waits");
-            assert_eq!(host.open.get(), 1, "the call is not cancelled");
+            assert_eq!(host.open_connections.get(), 1, "the call is not cancelled");
             if answered {
                 host.release.notify_one();
             }
--- a/proxy/tests/process.rs
+++ b/proxy/tests/process.rs
@@ -19,8 +19,8 @@
 #[test]
 fn the_program_serves_and_exits_cleanly_on_sigterm() {
     run(async {
-        let host = Host::start([ok("served"), Act::Stall]).await;
-        let discovery = Discovery::quiet().await;
+        let host = Host::start([ok("served"), HostAction::Stall]).await;
+        let discovery = Discovery::heartbeats_only().await;
         // A port that was free a moment ago, as the test would not learn which port the system chooses.
         let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = free.local_addr().expect("an address");
@@ -35,7 +35,7 @@
                 Err(_) => sleep(Duration::from_millis(5)).await,
             }
         };
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"served");
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served");
         // Its deadline is later than the end of the shutdown, which therefore ends the call.
         let mut stuck = Reader::new(TcpStream::connect(address).await.expect("connected"));
         stuck.send(&request("unsafe", "", "")).await;
@@ -62,7 +62,7 @@
 fn a_reload_moves_the_watch_and_keeps_the_hosts() {
     run(async {
         let (host, other) = (Host::start([ok("first")]).await, Host::start([ok("second")]).await);
-        let (old, new) = (Discovery::quiet().await, Discovery::quiet().await);
+        let (old, new) = (Discovery::heartbeats_only().await, Discovery::heartbeats_only().await);
         let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = free.local_addr().expect("an address");
         drop(free);
@@ -78,9 +78,9 @@
             let sent = Command::new("kill").args(["-HUP", &id]).status();
             assert!(sent.expect("kill runs").success());
         };
-        eventually("the old watch is open", || old.asked.borrow().len() == 1).await;
+        eventually("the old watch is open", || old.watch_requests.borrow().len() == 1).await;
         let mut client = Reader::new(TcpStream::connect(address).await.expect("connected"));
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"first");
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"first");
         std::fs::write(&path, "{ broken").expect("written");
         hangup();
         // Reads the log in order: the line about the invalid file comes before that of the valid one.
@@ -88,12 +88,12 @@
         while !log.next().expect("a line").expect("text").contains("configuration kept") {}
         std::fs::write(&path, config(&new)).expect("written");
         hangup();
-        eventually("the new watch is open", || new.asked.borrow().len() == 1).await;
-        assert_eq!(new.asked.borrow()[0], "GET /catalog/members?follow=1&since=41 HTTP/1.1");
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"first");
-        eventually("the old watch is closed", || old.is_left()).await;
+        eventually("the new watch is open", || new.watch_requests.borrow().len() == 1).await;
+        assert_eq!(new.watch_requests.borrow()[0], "GET /catalog/members?follow=1&since=41 HTTP/1.1");
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"first");
+        eventually("the old watch is closed", || old.watch_is_closed()).await;
         new.push(&chunk(&list(42, true, &[entry("s-9", other.address, "Ready")]))).await;
-        while client.ask(&request("unsafe", "", "")).await.body != b"second" {}
+        while client.exchange(&request("unsafe", "", "")).await.body != b"second" {}
         child.kill().expect("the program still runs");
         child.wait().expect("the status can be read");
     });
@@ -101,7 +101,7 @@
 
 #[test]
 fn an_invalid_configuration_ends_the_program_with_one_line() {
-    let good = run(async { configuration(Discovery::quiet().await.address, &[], |_| ()) });
+    let good = run(async { configuration(Discovery::heartbeats_only().await.address, &[], |_| ()) });
     let cases = [
         ("{", "EOF"),
         (&good.replace("127.0.0.1:0", "nowhere"), "address"),
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_check_names_the_error_and_the_key() {
-    let good = run(async { configuration(Discovery::quiet().await.address, &[], |_| ()) });
+    let good = run(async { configuration(Discovery::heartbeats_only().await.address, &[], |_| ()) });
     let cases = [
         ("{", "EOF"),
         (&good.replace("\"memory_mb\"", "\"memory_gb\""), "unknown keys: limits.memory_gb"),
--- a/proxy/tests/program_4.rs
+++ b/proxy/tests/program_4.rs
@@ -11,7 +11,7 @@
     impl Program for Daemon {
         const PATH: &'static str = env!("CARGO_BIN_EXE_nettleworks");
         const SCRATCH: &'static str = env!("CARGO_TARGET_TMPDIR");
-        const WORDS: &'static [&'static str] = &["--cores", "4"];
+        const ARGUMENTS: &'static [&'static str] = &["--cores", "4"];
     }
 
     pub type Proxy = nettleworks_standins::Proxy<Daemon>;
--- a/proxy/tests/roll.rs
+++ b/proxy/tests/roll.rs
@@ -38,7 +38,7 @@
                 sleep(Duration::from_millis(2)).await;
             }
         };
-        timeout(PATIENCE / 2, serving).await.expect("it serves in time");
+        timeout(TEST_TIMEOUT / 2, serving).await.expect("it serves in time");
         daemon
     }
 
@@ -63,7 +63,7 @@
                 sleep(Duration::from_millis(2)).await;
             }
         };
-        assert_eq!(timeout(PATIENCE / 2, exit).await.expect("it exits in time"), Some(0));
+        assert_eq!(timeout(TEST_TIMEOUT / 2, exit).await.expect("it exits in time"), Some(0));
         let log = std::fs::read_to_string(&self.log).expect("text");
         assert!(!log.contains("panicked"), "{log}");
     }
@@ -142,11 +142,11 @@
         let ledger = Ledger::default();
         let mut hosts = Vec::new();
         for number in 0..4 {
-            let plan = Plan { service: Duration::from_millis(6), ..Plan::default() };
-            hosts.push(Host::planned(&format!("s-{number}"), number, plan, &ledger).await);
+            let plan = HostBehavior { service: Duration::from_millis(6), ..HostBehavior::default() };
+            hosts.push(Host::with_behavior(&format!("s-{number}"), number, plan, &ledger).await);
         }
         let (stop, outcomes) = (Rc::new(Cell::new(false)), Rc::new(RefCell::new(Outcomes::default())));
-        let (old, mut fleet, mut clients) = (Discovery::quiet().await, Vec::new(), Vec::new());
+        let (old, mut fleet, mut clients) = (Discovery::heartbeats_only().await, Vec::new(), Vec::new());
         for number in 1..=3 {
             let address = format!("127.77.1.{number}:7001");
             fleet.push(Daemon::start(&address, &config_at(&address, &old, &hosts[..2])).await);
@@ -165,9 +165,9 @@
         let mut notified = Instant::now();
         for daemon in &mut fleet {
             sleep(Duration::from_millis(100)).await;
-            let (moved, next) = (Discovery::quiet().await, Discovery::quiet().await);
+            let (moved, next) = (Discovery::heartbeats_only().await, Discovery::heartbeats_only().await);
             daemon.reload(&config_at(&daemon.address, &moved, &hosts[..2]));
-            eventually("the new watch is open", || !moved.asked.borrow().is_empty()).await;
+            eventually("the new watch is open", || !moved.watch_requests.borrow().is_empty()).await;
             moved.push(&line).await;
             notified = Instant::now();
             daemon.signal("-TERM");
@@ -175,7 +175,7 @@
             let address = daemon.address.clone();
             // The new process starts with the old list and is notified of the change at once.
             *daemon = Daemon::start(&address, &config_at(&address, &next, &hosts[..2])).await;
-            eventually("the watch is open", || !next.asked.borrow().is_empty()).await;
+            eventually("the watch is open", || !next.watch_requests.borrow().is_empty()).await;
             next.push(&line).await;
             notified = notified.max(Instant::now());
         }
@@ -189,7 +189,7 @@
             client.await.expect("no panic");
         }
         assert_eq!(hosts[..2].iter().map(Host::count).sum::<usize>(), before, "a drained host got more");
-        assert_eq!(ledger.twice(Duration::from_secs(9)), [], "a charge ran twice");
+        assert_eq!(ledger.duplicates(Duration::from_secs(9)), [], "a charge ran twice");
         let outcomes = outcomes.borrow();
         let all = outcomes.served + outcomes.other + outcomes.closed + outcomes.silent;
         assert_eq!(outcomes.silent, 0, "of {all}");
@@ -208,25 +208,26 @@
 #[test]
 fn a_reload_does_not_undo_a_drain() {
     run(async {
-        let (host, other) = (Host::start([Act::Stall, ok("old")]).await, Host::start([ok("other")]).await);
-        let (old, new) = (Discovery::quiet().await, Discovery::quiet().await);
+        let (host, other) =
+            (Host::start([HostAction::Stall, ok("old")]).await, Host::start([ok("other")]).await);
+        let (old, new) = (Discovery::heartbeats_only().await, Discovery::heartbeats_only().await);
         let address = "127.77.2.1:7001";
         let known = [host.clone()];
         let daemon = Daemon::start(address, &config_at(address, &old, &known)).await;
-        eventually("the watch is open", || !old.asked.borrow().is_empty()).await;
+        eventually("the watch is open", || !old.watch_requests.borrow().is_empty()).await;
         let mut open = daemon.client().await;
         open.send(&request("unsafe", "", "")).await;
         eventually("the host has the request", || host.count() == 1).await;
         let hosts = [entry("s-0", host.address, "Terminating"), entry("s-1", other.address, "Ready")];
         old.push(&chunk(&list(50, true, &hosts))).await;
         // With a single engine, the drain has been read once a request is sent to the other host.
-        while daemon.client().await.ask(&request("free", "", "")).await.body != b"other" {}
+        while daemon.client().await.exchange(&request("free", "", "")).await.body != b"other" {}
         let before = host.count();
         daemon.reload(&config_at(address, &new, &known));
-        eventually("the new watch is open", || !new.asked.borrow().is_empty()).await;
-        assert_eq!(new.asked.borrow()[0], "GET /catalog/members?follow=1&since=50 HTTP/1.1");
+        eventually("the new watch is open", || !new.watch_requests.borrow().is_empty()).await;
+        assert_eq!(new.watch_requests.borrow()[0], "GET /catalog/members?follow=1&since=50 HTTP/1.1");
         for _ in 0..20 {
-            assert_eq!(daemon.client().await.ask(&request("free", "", "")).await.body, b"other");
+            assert_eq!(daemon.client().await.exchange(&request("free", "", "")).await.body, b"other");
         }
         assert_eq!(host.count(), before, "the list of the file is older than the watch's");
         host.release.notify_one();
@@ -240,8 +241,8 @@
 fn sigterm_and_sighup_together_answer_all_requests() {
     run(async {
         for (number, signals) in [["-HUP", "-TERM"], ["-TERM", "-HUP"]].iter().enumerate() {
-            let host = Host::start([Act::Stall, ok("served")]).await;
-            let (old, new) = (Discovery::quiet().await, Discovery::quiet().await);
+            let host = Host::start([HostAction::Stall, ok("served")]).await;
+            let (old, new) = (Discovery::heartbeats_only().await, Discovery::heartbeats_only().await);
             let address = format!("127.77.3.{}:7001", number + 1);
             let known = [host.clone()];
             let mut daemon = Daemon::start(&address, &config_at(&address, &old, &known)).await;
@@ -252,7 +253,7 @@
             for signal in signals {
                 daemon.signal(signal);
             }
-            let answer = daemon.client().await.ask(&request("unsafe", "", "")).await;
+            let answer = daemon.client().await.exchange(&request("unsafe", "", "")).await;
             assert_eq!(answer.body, b"served", "{signals:?}: a connection opened after the signals");
             host.release.notify_one();
             assert_eq!(open.message().await.expect("an answer").body, b"released", "{signals:?}");
--- a/proxy/tests/suite/detached_calls.rs
+++ b/proxy/tests/suite/detached_calls.rs
@@ -24,13 +24,13 @@
 /// cancellations before requests, but both may arrive between its checks of the two queues: the second round comes
 /// after both.
 async fn disconnect(proxy: &Proxy, client: Client, class: &str, key: &str) {
-    client.go().await;
+    client.close().await;
     for _ in 0..2 {
         // Either the key is used by another request, or it is unused and this request times out: neither changes it.
         let other =
             keyed_request(class, key, Duration::from_millis(50)).replace("\r\n\r\npays", "\r\n\r\nnone");
         assert_ne!(
-            proxy.client().await.ask(&other).await.status(),
+            proxy.client().await.exchange(&other).await.status(),
             200,
             "it gets no other request's response"
         );
@@ -71,7 +71,7 @@
 /// would be rejected.
 async fn ask_until_running(client: &mut Client, host: &Host, class: &str, key: &str, wait: Duration) {
     let until = Instant::now() + Duration::from_secs(10);
-    let mut answer = client.ask(&keyed_request(class, key, wait)).await;
+    let mut answer = client.exchange(&keyed_request(class, key, wait)).await;
     loop {
         assert!(Instant::now() < until, "{answer:?}");
         if answer.status() == 503 {
@@ -82,7 +82,7 @@
         } else {
             return assert_problem(&answer, "key-running", "running");
         }
-        answer = client.ask(&keyed_request(class, key, wait)).await;
+        answer = client.exchange(&keyed_request(class, key, wait)).await;
     }
 }
 
@@ -96,20 +96,20 @@
 fn a_repeat_gets_the_response_of_a_detached_call() {
     run(async {
         for class in CLASSES_WITH_KEYS {
-            let host = Host::start([Act::Stall, Act::Stall, ok("never asked")]).await;
-            let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+            let host = Host::start([HostAction::Stall, HostAction::Stall, ok("never asked")]).await;
+            let proxy = Proxy::start_with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
             // A repeat while the call runs.
             send_and_disconnect(&proxy, &host, class, "k1").await;
             let mut again = proxy.client().await;
             again.send(&long_request(class, "k1")).await;
-            proxy.has_noticed().await;
+            proxy.wait_until_processed().await;
             host.release.notify_one();
             let answer = again.message().await.expect("an answer");
             assert!(is_replayed(&answer) && answer.body == b"released", "{class}: {answer:?}");
             // A repeat after the call has been answered.
             send_and_disconnect(&proxy, &host, class, "k2").await;
             host.release.notify_one();
-            let answer = proxy.client().await.ask(&long_request(class, "k2")).await;
+            let answer = proxy.client().await.exchange(&long_request(class, "k2")).await;
             assert!(is_replayed(&answer) && answer.body == b"released", "{class}: {answer:?}");
             assert_eq!(host.count(), 2, "{class}: each ran once");
         }
@@ -120,12 +120,16 @@
 #[test]
 fn without_detached_calls_the_key_is_unsure() {
     run(async {
-        let host = Host::start([Act::Stall]).await;
+        let host = Host::start([HostAction::Stall]).await;
         let off = r#"{"classes": {"unsafe": {"linger_ms": 0}}}"#;
-        let proxy = Proxy::with_keys(from_ref(&host), off, |_| ()).await;
+        let proxy = Proxy::start_with_keys(from_ref(&host), off, |_| ()).await;
         send_and_disconnect(&proxy, &host, "unsafe", "k").await;
-        eventually("the call is cancelled", || host.open.get() == 0).await;
-        assert_problem(&proxy.client().await.ask(&long_request("unsafe", "k")).await, "key-unsure", "unsure");
+        eventually("the call is cancelled", || host.open_connections.get() == 0).await;
+        assert_problem(
+            &proxy.client().await.exchange(&long_request("unsafe", "k")).await,
+            "key-unsure",
+            "unsure",
+        );
         assert_eq!(host.count(), 1);
     });
 }
@@ -136,16 +140,16 @@
 fn a_request_unwritten_at_its_clients_disconnect_is_dropped() {
     run(async {
         let host = Host::start([ok("served")]).await;
-        let discovery = Discovery::quiet().await;
+        let discovery = Discovery::heartbeats_only().await;
         let config = configuration(discovery.address, &[], |_| ());
-        let proxy = Proxy::configured(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
-        eventually("the watch is open", || !discovery.asked.borrow().is_empty()).await;
+        let proxy = Proxy::start_with_setup(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
+        eventually("the watch is open", || !discovery.watch_requests.borrow().is_empty()).await;
         let mut client = proxy.client().await;
         client.send(&long_request("unsafe", "k")).await;
         disconnect(&proxy, client, "unsafe", "k").await;
         let line = list(50, true, &[entry("s-0", host.address, "Ready")]);
         discovery.push(&chunk(&line)).await;
-        let answer = proxy.client().await.ask(&long_request("unsafe", "k")).await;
+        let answer = proxy.client().await.exchange(&long_request("unsafe", "k")).await;
         assert_eq!((answer.status(), is_replayed(&answer)), (200, false));
         assert_eq!(host.count(), 1, "sent once, for the client that waits");
     });
@@ -157,17 +161,17 @@
 fn repeats_of_a_detached_call_have_their_own_deadlines() {
     run(async {
         for class in CLASSES_WITH_KEYS {
-            let host = Host::start([Act::Stall]).await;
-            let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+            let host = Host::start([HostAction::Stall]).await;
+            let proxy = Proxy::start_with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
             send_with_budget_and_disconnect(&proxy, &host, class, "k", Duration::from_secs(2)).await;
             let started = Instant::now();
             let short = keyed_request(class, "k", Duration::from_millis(120));
-            assert_problem(&proxy.client().await.ask(&short).await, "key-running", "running");
+            assert_problem(&proxy.client().await.exchange(&short).await, "key-running", "running");
             assert!(started.elapsed() < Duration::from_millis(1_000), "{:?}", started.elapsed());
             // The call is detached again, and a repeat joins that waits for longer than the first client would have.
             let mut again = proxy.client().await;
             again.send(&long_request(class, "k")).await;
-            proxy.has_noticed().await;
+            proxy.wait_until_processed().await;
             host.release.notify_one();
             assert!(is_replayed(&again.message().await.expect("an answer")), "{class}");
             assert_eq!(host.count(), 1, "{class}");
@@ -179,12 +183,12 @@
 #[test]
 fn a_call_continues_after_its_clients_budget() {
     run(async {
-        let host = Host::start([Act::Stall]).await;
-        let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+        let host = Host::start([HostAction::Stall]).await;
+        let proxy = Proxy::start_with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
         let mut client = proxy.client().await;
         ask_until_running(&mut client, &host, "unsafe", "k", Duration::from_millis(150)).await;
         host.release.notify_one();
-        let again = client.ask(&long_request("unsafe", "k")).await;
+        let again = client.exchange(&long_request("unsafe", "k")).await;
         assert!(is_replayed(&again), "{again:?}");
         assert_eq!(host.count(), 1);
     });
@@ -195,17 +199,17 @@
 #[test]
 fn a_response_after_the_latency_target_still_settles_its_key() {
     run(async {
-        let host = Host::start([Act::Stall]).await;
-        let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |config| {
+        let host = Host::start([HostAction::Stall]).await;
+        let proxy = Proxy::start_with_keys(from_ref(&host), KEYS_SETTINGS, |config| {
             config["settings"]["classes"][2]["objective_us"] = 300_000.into();
         })
         .await;
         let started = Instant::now();
-        let answer = proxy.client().await.ask(&long_request("unsafe", "k")).await;
+        let answer = proxy.client().await.exchange(&long_request("unsafe", "k")).await;
         assert_problem(&answer, "key-running", "running");
         assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
         host.release.notify_one();
-        assert!(is_replayed(&proxy.client().await.ask(&long_request("unsafe", "k")).await));
+        assert!(is_replayed(&proxy.client().await.exchange(&long_request("unsafe", "k")).await));
         assert_eq!(host.count(), 1);
     });
 }
@@ -216,12 +220,12 @@
     run(async {
         for class in CLASSES_WITH_KEYS {
             let (head, rest) = ("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\npa", "id k");
-            let host = Host::start([Act::SayInTwo(head.to_owned(), rest.to_owned())]).await;
-            let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+            let host = Host::start([HostAction::RespondInTwoParts(head.to_owned(), rest.to_owned())]).await;
+            let proxy = Proxy::start_with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
             send_and_disconnect(&proxy, &host, class, "k").await;
             let mut again = proxy.client().await;
             again.send(&long_request(class, "k")).await;
-            proxy.has_noticed().await;
+            proxy.wait_until_processed().await;
             host.release.notify_one();
             let answer = again.message().await.expect("an answer");
             assert!(is_replayed(&answer) && answer.body == b"paid k", "{class}: {answer:?}");
@@ -234,26 +238,27 @@
 #[test]
 fn a_drain_lets_a_detached_call_complete() {
     run(async {
-        let (host, other) = (Host::start([Act::Stall, ok("old")]).await, Host::start([ok("other")]).await);
-        let discovery = Discovery::quiet().await;
+        let (host, other) =
+            (Host::start([HostAction::Stall, ok("old")]).await, Host::start([ok("other")]).await);
+        let discovery = Discovery::heartbeats_only().await;
         let config = configuration(discovery.address, from_ref(&host), |_| ());
-        let proxy = Proxy::configured(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
-        eventually("the watch is open", || !discovery.asked.borrow().is_empty()).await;
+        let proxy = Proxy::start_with_setup(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
+        eventually("the watch is open", || !discovery.watch_requests.borrow().is_empty()).await;
         send_and_disconnect(&proxy, &host, "unsafe", "k").await;
         let hosts = [entry("s-0", host.address, "Terminating"), entry("s-1", other.address, "Ready")];
         discovery.push(&chunk(&list(50, true, &hosts))).await;
         // The drain has been read once a request is sent to the other host.
         let mut early = 0;
-        while proxy.client().await.ask(&request("free", "", "")).await.body != b"other" {
+        while proxy.client().await.exchange(&request("free", "", "")).await.body != b"other" {
             early += 1;
             sleep(Duration::from_millis(5)).await;
         }
         // With several engines, another one may close its idle connection a moment later.
-        eventually("only the connection of the call is kept", || host.open.get() == 1).await;
+        eventually("only the connection of the call is kept", || host.open_connections.get() == 1).await;
         host.release.notify_one();
-        let answer = proxy.client().await.ask(&long_request("unsafe", "k")).await;
+        let answer = proxy.client().await.exchange(&long_request("unsafe", "k")).await;
         assert!(is_replayed(&answer) && answer.body == b"released", "{answer:?}");
-        eventually("it is closed afterwards", || host.open.get() == 0).await;
+        eventually("it is closed afterwards", || host.open_connections.get() == 0).await;
         assert_eq!(
             host.count() - early,
             1,
@@ -269,32 +274,35 @@
     run(async {
         let head = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\npa".to_owned();
         for class in CLASSES_WITH_KEYS {
-            for act in [Act::Stall, Act::SayInTwo("HTTP/1.1 ".to_owned(), "nonsense\r\n\r\n".to_owned())] {
+            for act in [
+                HostAction::Stall,
+                HostAction::RespondInTwoParts("HTTP/1.1 ".to_owned(), "nonsense\r\n\r\n".to_owned()),
+            ] {
                 let hosts = [Host::start([act.clone()]).await];
-                let proxy = Proxy::with_keys(&hosts, KEYS_SETTINGS, |_| ()).await;
+                let proxy = Proxy::start_with_keys(&hosts, KEYS_SETTINGS, |_| ()).await;
                 send_and_disconnect(&proxy, &hosts[0], class, "k").await;
                 match act {
-                    Act::Stall => hosts[0].kill(),
+                    HostAction::Stall => hosts[0].kill(),
                     _ => hosts[0].release.notify_one(),
                 }
-                eventually("its connection is closed", || hosts[0].open.get() == 0).await;
-                proxy.has_noticed().await;
+                eventually("its connection is closed", || hosts[0].open_connections.get() == 0).await;
+                proxy.wait_until_processed().await;
                 assert_problem(
-                    &proxy.client().await.ask(&long_request(class, "k")).await,
+                    &proxy.client().await.exchange(&long_request(class, "k")).await,
                     "key-unsure",
                     "unsure",
                 );
                 assert_eq!(hosts[0].count(), 1);
             }
             // A truncated response.
-            let host = Host::start([Act::SayInTwo(head.clone(), String::new())]).await;
-            let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+            let host = Host::start([HostAction::RespondInTwoParts(head.clone(), String::new())]).await;
+            let proxy = Proxy::start_with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
             send_and_disconnect(&proxy, &host, class, "k").await;
             host.kill();
-            eventually("its connection is closed", || host.open.get() == 0).await;
-            proxy.has_noticed().await;
+            eventually("its connection is closed", || host.open_connections.get() == 0).await;
+            proxy.wait_until_processed().await;
             assert_problem(
-                &proxy.client().await.ask(&long_request(class, "k")).await,
+                &proxy.client().await.exchange(&long_request(class, "k")).await,
                 "key-unsure",
                 "unsure",
             );
@@ -308,14 +316,14 @@
     run(async {
         let one = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
         let two = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo";
-        let twice = Act::SayInTwo(String::new(), [one, two].concat());
+        let twice = HostAction::RespondInTwoParts(String::new(), [one, two].concat());
         let host = Host::start([twice, ok("own")]).await;
-        let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+        let proxy = Proxy::start_with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
         send_and_disconnect(&proxy, &host, "unsafe", "k").await;
         host.release.notify_one();
-        let again = proxy.client().await.ask(&long_request("unsafe", "k")).await;
+        let again = proxy.client().await.exchange(&long_request("unsafe", "k")).await;
         assert!(is_replayed(&again) && again.body == b"one", "{again:?}");
-        assert_eq!(proxy.client().await.ask(&long_request("unsafe", "k2")).await.body, b"own");
+        assert_eq!(proxy.client().await.exchange(&long_request("unsafe", "k2")).await.body, b"own");
     });
 }
 
@@ -328,19 +336,19 @@
             // By default the deadline of its class is the limit.
             ("{}", 600_000),
         ] {
-            let host = Host::start([Act::Stall]).await;
-            let proxy = Proxy::with_keys(from_ref(&host), keys, |config| {
+            let host = Host::start([HostAction::Stall]).await;
+            let proxy = Proxy::start_with_keys(from_ref(&host), keys, |config| {
                 config["settings"]["classes"][2]["deadline_us"] = deadline.into();
             })
             .await;
             send_and_disconnect(&proxy, &host, "unsafe", "k").await;
-            assert_eq!(host.open.get(), 1, "the call is detached");
+            assert_eq!(host.open_connections.get(), 1, "the call is detached");
             let started = Instant::now();
-            eventually("its connection is closed", || host.open.get() == 0).await;
+            eventually("its connection is closed", || host.open_connections.get() == 0).await;
             assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
-            proxy.has_noticed().await;
+            proxy.wait_until_processed().await;
             assert_problem(
-                &proxy.client().await.ask(&long_request("unsafe", "k")).await,
+                &proxy.client().await.exchange(&long_request("unsafe", "k")).await,
                 "key-unsure",
                 "unsure",
             );
@@ -353,20 +361,20 @@
 fn at_a_limit_the_oldest_detached_call_is_cancelled() {
     run(async {
         for limit in ["lingering", "lingering_a_host", "lingering_a_tenant"] {
-            let host = Host::start([Act::Stall]).await;
+            let host = Host::start([HostAction::Stall]).await;
             let keys = format!(r#"{{"{limit}": 2}}"#);
-            let proxy = Proxy::with_keys(from_ref(&host), &keys, |_| ()).await;
+            let proxy = Proxy::start_with_keys(from_ref(&host), &keys, |_| ()).await;
             for key in ["k1", "k2", "k3"] {
                 send_and_disconnect(&proxy, &host, "unsafe", key).await;
             }
-            eventually("one connection is closed", || host.open.get() == 2).await;
+            eventually("one connection is closed", || host.open_connections.get() == 2).await;
             assert_problem(
-                &proxy.client().await.ask(&long_request("unsafe", "k1")).await,
+                &proxy.client().await.exchange(&long_request("unsafe", "k1")).await,
                 "key-unsure",
                 "unsure",
             );
             let short = keyed_request("unsafe", "k2", Duration::from_millis(100));
-            assert_problem(&proxy.client().await.ask(&short).await, "key-running", "running");
+            assert_problem(&proxy.client().await.exchange(&short).await, "key-running", "running");
             assert_eq!(host.count(), 3, "{limit}");
         }
     });
@@ -377,14 +385,14 @@
 #[test]
 fn a_half_written_request_is_cancelled() {
     run(async {
-        let listener = narrow_listener();
+        let listener = small_buffer_listener();
         let address = listener.local_addr().expect("an address");
-        let discovery = Discovery::quiet().await;
+        let discovery = Discovery::heartbeats_only().await;
         let config = configuration(discovery.address, &[], |config| {
             config["known"] =
                 serde_json::json!({"seq": 1, "whole": true, "hosts": [entry("s-0", address, "Ready")]});
         });
-        let proxy = Proxy::configured(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
+        let proxy = Proxy::start_with_setup(Setup { config, keys: Some(KEYS_SETTINGS.to_owned()) }).await;
         let body = "x".repeat(60_000);
         let text = request("unsafe", "Idempotency-Key: k\r\n", &body);
         let mut client = proxy.client().await;
@@ -406,7 +414,7 @@
             }
         }
         assert!(read > 0 && read < body.len(), "{read} of {}", body.len());
-        assert_problem(&proxy.client().await.ask(&text).await, "key-unsure", "unsure");
+        assert_problem(&proxy.client().await.exchange(&text).await, "key-unsure", "unsure");
     });
 }
 
@@ -415,8 +423,8 @@
 #[test]
 fn a_client_that_dies_silently_does_not_block_a_repeat() {
     run(async {
-        let host = Host::start([Act::Stall]).await;
-        let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
+        let host = Host::start([HostAction::Stall]).await;
+        let proxy = Proxy::start_with_keys(from_ref(&host), KEYS_SETTINGS, |_| ()).await;
         let mut dead = proxy.client().await;
         dead.send(&keyed_request("unsafe", "k", Duration::from_millis(200))).await;
         eventually("the host has the request", || host.count() == 1).await;
@@ -424,7 +432,7 @@
         dead.stream.readable().await.expect("its response");
         let mut again = proxy.client().await;
         again.send(&long_request("unsafe", "k")).await;
-        proxy.has_noticed().await;
+        proxy.wait_until_processed().await;
         host.release.notify_one();
         assert!(is_replayed(&again.message().await.expect("an answer")));
         assert_eq!(host.count(), 1);
@@ -436,19 +444,19 @@
 #[test]
 fn a_keyed_repeat_outside_its_window_is_not_sent() {
     run(async {
-        let host = Host::start([ok("one"), Act::Reset, ok("other")]).await;
-        let proxy = Proxy::with_keys(from_ref(&host), KEYS_SETTINGS, |config| {
+        let host = Host::start([ok("one"), HostAction::Reset, ok("other")]).await;
+        let proxy = Proxy::start_with_keys(from_ref(&host), KEYS_SETTINGS, |config| {
             config["settings"]["classes"][1]["repeat_window_us"] = 20_000.into();
         })
         .await;
-        assert_eq!(proxy.client().await.ask(&long_request("keyed", "k1")).await.body, b"one");
+        assert_eq!(proxy.client().await.exchange(&long_request("keyed", "k1")).await.body, b"one");
         sleep(Duration::from_millis(60)).await;
-        assert!(is_replayed(&proxy.client().await.ask(&long_request("keyed", "k1")).await));
+        assert!(is_replayed(&proxy.client().await.exchange(&long_request("keyed", "k1")).await));
         // A request that failed may be sent again within the window, but not after it.
-        let broken = proxy.client().await.ask(&long_request("keyed", "k2")).await;
+        let broken = proxy.client().await.exchange(&long_request("keyed", "k2")).await;
         let count = host.count();
         sleep(Duration::from_millis(60)).await;
-        let again = proxy.client().await.ask(&long_request("keyed", "k2")).await;
+        let again = proxy.client().await.exchange(&long_request("keyed", "k2")).await;
         match broken.status() {
             200 => assert!(is_replayed(&again)),
             _ => assert_problem(&again, "key-unsure", "unsure"),
@@ -465,12 +473,12 @@
     const REQUESTS: usize = 300;
     run(async {
         let ledger = Ledger::default();
-        let plan = Plan { service: Duration::from_millis(4), ..Plan::default() };
+        let plan = HostBehavior { service: Duration::from_millis(4), ..HostBehavior::default() };
         let mut hosts = Vec::new();
         for number in 0..2 {
-            hosts.push(Host::planned(&format!("s-{number}"), 3, plan.clone(), &ledger).await);
+            hosts.push(Host::with_behavior(&format!("s-{number}"), 3, plan.clone(), &ledger).await);
         }
-        let proxy = Proxy::with_keys(&hosts, r#"{"lingering": 16}"#, |_| ()).await;
+        let proxy = Proxy::start_with_keys(&hosts, r#"{"lingering": 16}"#, |_| ()).await;
         let address = proxy.address;
         let disconnecting = tokio::task::spawn_local(async move {
             for number in 0..DISCONNECTS {
@@ -484,13 +492,13 @@
         let mut client = proxy.client().await;
         for number in 0..REQUESTS {
             let class = ["free", "keyed", "unsafe"][number % 3];
-            served += usize::from(client.ask(&request(class, "", "")).await.status() == 200);
-            most = most.max(hosts.iter().map(|host| host.open.get()).sum());
+            served += usize::from(client.exchange(&request(class, "", "")).await.status() == 200);
+            most = most.max(hosts.iter().map(|host| host.open_connections.get()).sum());
         }
         assert!(served * 100 >= REQUESTS * 95, "{served} of {REQUESTS}");
         // Detached calls, calls in flight, and connections that are about to be closed.
         assert!(most <= 16 + 48, "{most} connections to hosts");
         disconnecting.await.expect("no panic");
-        assert_eq!(ledger.twice(Duration::from_secs(9)), []);
+        assert_eq!(ledger.duplicates(Duration::from_secs(9)), []);
     });
 }
--- a/proxy/tests/suite/discovery.rs
+++ b/proxy/tests/suite/discovery.rs
@@ -12,27 +12,27 @@
 /// Waits until the proxy has a list, and checks that a request is served.
 async fn assert_serves(proxy: &Proxy) {
     let mut client = proxy.client().await;
-    while client.ask(HEALTH).await.status() != 200 {}
-    assert_eq!(client.ask(&request("unsafe", "", "")).await.status(), 200);
+    while client.exchange(HEALTH_REQUEST).await.status() != 200 {}
+    assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
 }
 
 #[test]
 fn a_proxy_is_ready_once_it_has_a_list() {
     run(async {
         let host = Host::start([ok("served")]).await;
-        let discovery = Discovery::silent().await;
-        let proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
+        let discovery = Discovery::without_heartbeats().await;
+        let proxy = Proxy::start_with(&discovery, &[], NO_HOSTS).await;
         let mut client = proxy.client().await;
-        assert_eq!(client.ask(HEALTH).await.status(), 503);
-        eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
+        assert_eq!(client.exchange(HEALTH_REQUEST).await.status(), 503);
+        eventually("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
         // In two chunks and with an empty line before it, as a watch may send it.
         let line = list(42, true, &[entry("s-9", host.address, "Ready")]);
         let (first, second) = line.split_at(20);
         discovery.push(&chunk("")).await;
-        discovery.push(&piece(first)).await;
+        discovery.push(&raw_chunk(first)).await;
         discovery.push(&chunk(second)).await;
-        while client.ask(HEALTH).await.status() != 200 {}
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.status(), 200);
+        while client.exchange(HEALTH_REQUEST).await.status() != 200 {}
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
     });
 }
 
@@ -43,14 +43,15 @@
     run(async {
         let host = Host::start([ok("served")]).await;
         let busy = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_owned();
-        let good = format!("{WATCH}{}", chunk(&list(50, true, &[entry("s-9", host.address, "Ready")])));
-        let bad = format!("{WATCH}{}", chunk("{\"seq\":"));
-        let odd = format!("{WATCH}{}", chunk(&list(51, false, &[entry("s-9", host.address, "Dancing")])));
-        let ended = format!("{WATCH}0\r\n\r\n");
+        let good = format!("{WATCH_HEAD}{}", chunk(&list(50, true, &[entry("s-9", host.address, "Ready")])));
+        let bad = format!("{WATCH_HEAD}{}", chunk("{\"seq\":"));
+        let odd =
+            format!("{WATCH_HEAD}{}", chunk(&list(51, false, &[entry("s-9", host.address, "Dancing")])));
+        let ended = format!("{WATCH_HEAD}0\r\n\r\n");
         let discovery = Discovery::start([busy, format!("{good}0\r\n\r\n"), bad, odd, ended]).await;
-        let proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
-        eventually("six watches", || discovery.asked.borrow().len() == 6).await;
-        let asked = discovery.asked.borrow().clone();
+        let proxy = Proxy::start_with(&discovery, &[], NO_HOSTS).await;
+        eventually("six watches", || discovery.watch_requests.borrow().len() == 6).await;
+        let asked = discovery.watch_requests.borrow().clone();
         let versions: Vec<&str> = asked
             .iter()
             .filter_map(|line| line.strip_prefix("GET /catalog/members?follow=1&since="))
@@ -59,13 +60,13 @@
         assert_eq!(versions, ["41", "41", "50", "50", "50", "50"], "{asked:?}");
         // After the half list nothing may be sent until a whole one has arrived, which the sixth watch brings.
         let mut client = proxy.client().await;
-        let mut answer = client.ask(&request("unsafe", "", "")).await;
+        let mut answer = client.exchange(&request("unsafe", "", "")).await;
         let started = tokio::time::Instant::now();
         while answer.status() != 200 {
             assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, true), "{answer:?}");
             assert!(started.elapsed() < std::time::Duration::from_secs(2), "{answer:?}");
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
-            answer = client.ask(&request("unsafe", "", "")).await;
+            answer = client.exchange(&request("unsafe", "", "")).await;
         }
     });
 }
@@ -74,9 +75,9 @@
 #[test]
 fn a_silent_watch_is_reopened() {
     run(async {
-        let discovery = Discovery::silent().await;
-        let _proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
-        eventually("a second watch", || discovery.asked.borrow().len() == 2).await;
+        let discovery = Discovery::without_heartbeats().await;
+        let _proxy = Proxy::start_with(&discovery, &[], NO_HOSTS).await;
+        eventually("a second watch", || discovery.watch_requests.borrow().len() == 2).await;
     });
 }
 
@@ -85,16 +86,16 @@
 #[test]
 fn a_silent_watch_is_reopened_in_time_in_a_large_fleet() {
     run(async {
-        let discovery = Discovery::silent().await;
-        let _proxy = Proxy::with(&discovery, &[], |config| {
+        let discovery = Discovery::without_heartbeats().await;
+        let _proxy = Proxy::start_with(&discovery, &[], |config| {
             NO_HOSTS(config);
             config["settings"]["balancers"] = 300.into();
             config["settings"]["invariants"]["ask_every_us"] = 5_000_000.into();
         })
         .await;
-        eventually("a watch", || discovery.asked.borrow().len() == 1).await;
+        eventually("a watch", || discovery.watch_requests.borrow().len() == 1).await;
         let silent_since = tokio::time::Instant::now();
-        eventually("a second watch", || discovery.asked.borrow().len() == 2).await;
+        eventually("a second watch", || discovery.watch_requests.borrow().len() == 2).await;
         let took = silent_since.elapsed();
         assert!(took < std::time::Duration::from_secs(6), "{took:?}");
     });
@@ -106,19 +107,19 @@
 fn a_removed_host_gets_no_request() {
     run(async {
         let (old, new) = (Host::start([ok("old")]).await, Host::start([ok("new")]).await);
-        let discovery = Discovery::quiet().await;
-        let proxy = Proxy::with(&discovery, from_ref(&old), |_| ()).await;
+        let discovery = Discovery::heartbeats_only().await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&old), |_| ()).await;
         let mut client = proxy.client().await;
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"old");
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"old");
         let hosts = [entry("s-0", old.address, "Gone"), entry("s-1", new.address, "Ready")];
         discovery.push(&chunk(&list(42, false, &hosts))).await;
-        eventually("its idle connection is closed", || old.open.get() == 0).await;
+        eventually("its idle connection is closed", || old.open_connections.get() == 0).await;
         for _ in 0..5 {
-            assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"new");
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"new");
         }
         discovery.push(&chunk(&list(43, true, &[entry("s-2", old.address, "Ready")]))).await;
-        eventually("a whole list replaces the hosts", || new.open.get() == 0).await;
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"old");
+        eventually("a whole list replaces the hosts", || new.open_connections.get() == 0).await;
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"old");
     });
 }
 
@@ -129,9 +130,9 @@
         let host = Host::start([ok("served")]).await;
         let list = list(42, true, &[entry("s-9", host.address, "Ready")]);
         let discovery =
-            Discovery::start(["HTTP/1.1 503 No\r\n\r\n".to_owned(), format!("{WATCH}{}", chunk(&list))])
+            Discovery::start(["HTTP/1.1 503 No\r\n\r\n".to_owned(), format!("{WATCH_HEAD}{}", chunk(&list))])
                 .await;
-        assert_serves(&Proxy::with(&discovery, &[], PUSHED).await).await;
+        assert_serves(&Proxy::start_with(&discovery, &[], PUSHED).await).await;
     });
 }
 
@@ -140,17 +141,17 @@
 fn an_indented_list_is_accepted() {
     run(async {
         let host = Host::start([ok("served")]).await;
-        let discovery = Discovery::silent().await;
-        let proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
-        eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
+        let discovery = Discovery::without_heartbeats().await;
+        let proxy = Proxy::start_with(&discovery, &[], NO_HOSTS).await;
+        eventually("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
         let line = list(42, true, &[entry("s-9", host.address, "Ready")]);
         let value: serde_json::Value = serde_json::from_str(&line).expect("a list");
         let text = serde_json::to_string_pretty(&value).expect("text");
         for part in text.as_bytes().chunks(7) {
-            discovery.push(&piece(std::str::from_utf8(part).expect("text"))).await;
+            discovery.push(&raw_chunk(std::str::from_utf8(part).expect("text"))).await;
         }
         assert_serves(&proxy).await;
-        assert_eq!(discovery.asked.borrow().len(), 1, "on the first watch");
+        assert_eq!(discovery.watch_requests.borrow().len(), 1, "on the first watch");
     });
 }
 
@@ -158,15 +159,15 @@
 #[test]
 fn a_watch_that_never_completes_a_list_is_reopened() {
     run(async {
-        let discovery = Discovery::silent().await;
-        let _proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
-        eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
-        discovery.push(&piece("{\"seq\":")).await;
-        while discovery.asked.borrow().len() == 1 && !discovery.is_left() {
-            discovery.push(&piece(" ")).await;
+        let discovery = Discovery::without_heartbeats().await;
+        let _proxy = Proxy::start_with(&discovery, &[], NO_HOSTS).await;
+        eventually("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
+        discovery.push(&raw_chunk("{\"seq\":")).await;
+        while discovery.watch_requests.borrow().len() == 1 && !discovery.watch_is_closed() {
+            discovery.push(&raw_chunk(" ")).await;
             tokio::time::sleep(std::time::Duration::from_millis(100)).await;
         }
-        eventually("a second watch", || discovery.asked.borrow().len() == 2).await;
+        eventually("a second watch", || discovery.watch_requests.borrow().len() == 2).await;
     });
 }
 
@@ -175,12 +176,12 @@
 #[test]
 fn a_broken_watch_of_pushed_lists_is_reopened_at_once() {
     run(async {
-        let ended = format!("{WATCH}0\r\n\r\n");
+        let ended = format!("{WATCH_HEAD}0\r\n\r\n");
         let host = Host::start([ok("served")]).await;
-        let good = format!("{WATCH}{}", chunk(&list(50, true, &[entry("s-9", host.address, "Ready")])));
+        let good = format!("{WATCH_HEAD}{}", chunk(&list(50, true, &[entry("s-9", host.address, "Ready")])));
         let discovery = Discovery::start([ended.clone(), ended, good]).await;
-        let proxy = Proxy::with(&discovery, &[], PUSHED).await;
-        eventually("a watch", || !discovery.asked.borrow().is_empty()).await;
+        let proxy = Proxy::start_with(&discovery, &[], PUSHED).await;
+        eventually("a watch", || !discovery.watch_requests.borrow().is_empty()).await;
         let start = tokio::time::Instant::now();
         assert_serves(&proxy).await;
         // Guards against a pause of a second before each of the two further watches.
--- a/proxy/tests/suite/hosts.rs
+++ b/proxy/tests/suite/hosts.rs
@@ -11,13 +11,13 @@
 #[test]
 fn sequential_requests_share_one_connection() {
     run(async {
-        let host = Host::start([ok("served"), turn_away(), ok("served")]).await;
+        let host = Host::start([ok("served"), rejection(), ok("served")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
         let mut client = proxy.client().await;
         for _ in 0..20 {
-            client.ask(&request("keyed", "", "body")).await;
+            client.exchange(&request("keyed", "", "body")).await;
         }
-        assert_eq!(host.opened.get(), 1);
+        assert_eq!(host.accepted.get(), 1);
     });
 }
 
@@ -26,12 +26,12 @@
 fn a_connection_closed_by_its_host_is_not_reused() {
     run(async {
         let response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-        let host = Host::start([Act::SayAndClose(response.to_owned())]).await;
+        let host = Host::start([HostAction::RespondAndClose(response.to_owned())]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
         let mut client = proxy.client().await;
         for count in 1..=5 {
-            assert_eq!(client.ask(&request("unsafe", "", "")).await.status(), 200);
-            eventually("the host closes", || host.open.get() == 0).await;
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
+            eventually("the host closes", || host.open_connections.get() == 0).await;
             assert_eq!(host.count(), count);
         }
     });
@@ -42,12 +42,12 @@
 #[test]
 fn a_broken_reused_connection_ejects_no_host() {
     run(async {
-        let host = Host::start([ok("one"), Act::SayAndClose(String::new()), ok("three")]).await;
+        let host = Host::start([ok("one"), HostAction::RespondAndClose(String::new()), ok("three")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
         let mut client = proxy.client().await;
-        assert_eq!(client.ask(&request("keyed", "", "")).await.body, b"one");
-        assert_eq!(client.ask(&request("keyed", "", "")).await.body, b"three");
-        assert_eq!((host.count(), host.opened.get()), (3, 2));
+        assert_eq!(client.exchange(&request("keyed", "", "")).await.body, b"one");
+        assert_eq!(client.exchange(&request("keyed", "", "")).await.body, b"three");
+        assert_eq!((host.count(), host.accepted.get()), (3, 2));
     });
 }
 
@@ -56,12 +56,12 @@
 fn bytes_after_a_response_are_discarded_with_the_connection() {
     run(async {
         let double = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-        let host = Host::start([Act::Say(double.to_owned()), ok("right")]).await;
+        let host = Host::start([HostAction::Respond(double.to_owned()), ok("right")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
         let mut client = proxy.client().await;
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"first");
-        eventually("the connection is closed", || host.open.get() == 0).await;
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"right");
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"first");
+        eventually("the connection is closed", || host.open_connections.get() == 0).await;
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"right");
     });
 }
 
@@ -70,14 +70,14 @@
 fn informational_responses_are_skipped() {
     run(async {
         let early = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-        let Act::Say(good) = ok("served") else { return };
-        let host = Host::start([Act::Say(format!("{early}{good}"))]).await;
+        let HostAction::Respond(good) = ok("served") else { return };
+        let host = Host::start([HostAction::Respond(format!("{early}{good}"))]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
         let mut client = proxy.client().await;
         for _ in 0..3 {
-            assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"served");
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"served");
         }
-        assert_eq!(host.opened.get(), 1);
+        assert_eq!(host.accepted.get(), 1);
     });
 }
 
@@ -86,12 +86,12 @@
 fn an_idle_connection_is_closed_before_its_host_closes_it() {
     run(async {
         let host = Host::start([ok("served")]).await;
-        let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&host), |config| {
+        let proxy = Proxy::start_with(&Discovery::heartbeats_only().await, from_ref(&host), |config| {
             config["settings"]["limits"]["conn_idle_us"] = 2_000_000.into();
         })
         .await;
-        assert_eq!(proxy.client().await.ask(&request("free", "", "")).await.status(), 200);
-        eventually("the idle connection is closed", || host.open.get() == 0).await;
+        assert_eq!(proxy.client().await.exchange(&request("free", "", "")).await.status(), 200);
+        eventually("the idle connection is closed", || host.open_connections.get() == 0).await;
     });
 }
 
@@ -101,15 +101,15 @@
 fn an_expired_connection_is_not_reused() {
     run(async {
         let host = Host::start([ok("served")]).await;
-        let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&host), |config| {
+        let proxy = Proxy::start_with(&Discovery::heartbeats_only().await, from_ref(&host), |config| {
             config["settings"]["limits"]["conn_idle_us"] = 0.into();
         })
         .await;
         let mut client = proxy.client().await;
         for _ in 0..3 {
-            assert_eq!(client.ask(&request("free", "", "")).await.status(), 200);
+            assert_eq!(client.exchange(&request("free", "", "")).await.status(), 200);
         }
-        assert_eq!(host.opened.get(), 3);
+        assert_eq!(host.accepted.get(), 3);
     });
 }
 
@@ -134,16 +134,16 @@
     run(async {
         let (unreachable, _queued, listener) = unreachable_host().await;
         let other = Host::start([ok("served")]).await;
-        let discovery = Discovery::quiet().await;
-        let proxy = Proxy::with(&discovery, from_ref(&unreachable), |config| {
+        let discovery = Discovery::heartbeats_only().await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&unreachable), |config| {
             config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
         })
         .await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "")).await;
-        eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
+        eventually("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
         // A later request has been answered, so the proxy has read the first one.
-        assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
+        assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
         let hosts = [entry("s-0", unreachable.address, "Terminating"), entry("s-1", other.address, "Ready")];
         discovery.push(&chunk(&list(42, false, &hosts))).await;
         assert_eq!(client.message().await.expect("an answer").status(), 200);
@@ -158,23 +158,24 @@
 fn a_request_not_yet_written_is_dropped_when_its_call_ends() {
     run(async {
         let (unreachable, queued, listener) = unreachable_host().await;
-        let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&unreachable), |config| {
-            config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
-            config["settings"]["limits"]["cancel"] = false.into();
-        })
-        .await;
+        let proxy =
+            Proxy::start_with(&Discovery::heartbeats_only().await, from_ref(&unreachable), |config| {
+                config["settings"]["limits"]["connect_timeout_us"] = 20_000_000.into();
+                config["settings"]["limits"]["cancel"] = false.into();
+            })
+            .await;
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "the first")).await;
-        assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
+        assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
         drop(client);
         let mut client = proxy.client().await;
         client.send(&request("unsafe", "", "the second")).await;
-        assert_eq!(proxy.client().await.ask(HEALTH).await.status(), 200);
+        assert_eq!(proxy.client().await.exchange(HEALTH_REQUEST).await.status(), 200);
         // From here on connections are established, that of the first request before that of the second.
-        let host = Host::on(listener, [ok("served")]);
+        let host = Host::on_listener(listener, [ok("served")]);
         drop(queued);
         assert_eq!(client.message().await.expect("an answer").status(), 200);
-        let bodies: Vec<_> = host.seen.borrow().iter().map(|message| message.body.clone()).collect();
+        let bodies: Vec<_> = host.received.borrow().iter().map(|message| message.body.clone()).collect();
         assert_eq!(bodies, [b"the second"]);
     });
 }
@@ -183,20 +184,20 @@
 #[test]
 fn a_host_with_a_new_address_is_reached_there() {
     run(async {
-        let (old, new) = (Host::start([Act::Stall, ok("old")]).await, Host::start([ok("new")]).await);
-        let discovery = Discovery::quiet().await;
-        let proxy = Proxy::with(&discovery, from_ref(&old), |_| ()).await;
+        let (old, new) = (Host::start([HostAction::Stall, ok("old")]).await, Host::start([ok("new")]).await);
+        let discovery = Discovery::heartbeats_only().await;
+        let proxy = Proxy::start_with(&discovery, from_ref(&old), |_| ()).await;
         let (mut client, mut busy) = (proxy.client().await, proxy.client().await);
         busy.send(&request("unsafe", "", "")).await;
         eventually("the host has the request", || old.count() == 1).await;
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"old");
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"old");
         discovery.push(&chunk(&list(42, false, &[entry("s-0", new.address, "Ready")]))).await;
-        eventually("its idle connection is closed", || old.open.get() == 1).await;
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"new");
+        eventually("its idle connection is closed", || old.open_connections.get() == 1).await;
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"new");
         old.release.notify_one();
         assert_eq!(busy.message().await.expect("an answer").body, b"released");
-        eventually("its last connection is closed", || old.open.get() == 0).await;
-        assert_eq!(client.ask(&request("unsafe", "", "")).await.body, b"new");
+        eventually("its last connection is closed", || old.open_connections.get() == 0).await;
+        assert_eq!(client.exchange(&request("unsafe", "", "")).await.body, b"new");
     });
 }
 
@@ -206,13 +207,14 @@
     run(async {
         let (unreachable, _queued, _listener) = unreachable_host().await;
         let other = Host::start([ok("served")]).await;
-        let proxy = Proxy::with(&Discovery::quiet().await, &[unreachable, other.clone()], |config| {
-            config["settings"]["limits"]["connect_timeout_us"] = 50_000.into();
-        })
-        .await;
+        let proxy =
+            Proxy::start_with(&Discovery::heartbeats_only().await, &[unreachable, other.clone()], |config| {
+                config["settings"]["limits"]["connect_timeout_us"] = 50_000.into();
+            })
+            .await;
         let mut client = proxy.client().await;
         for _ in 0..6 {
-            assert_eq!(client.ask(&request("unsafe", "", "")).await.status(), 200);
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
         }
         assert_eq!(other.count(), 6);
     });
@@ -226,14 +228,14 @@
         for _ in 0..24 {
             hosts.push(Host::start([ok("served")]).await);
         }
-        let proxy = Proxy::with(&Discovery::quiet().await, &hosts, |config| {
+        let proxy = Proxy::start_with(&Discovery::heartbeats_only().await, &hosts, |config| {
             config["limits"]["sockets"] = 64.into();
         })
         .await;
         let mut client = proxy.client().await;
         for _ in 0..200 {
-            assert_eq!(client.ask(&request("free", "", "")).await.status(), 200);
-            let open: usize = hosts.iter().map(|host| host.open.get()).sum();
+            assert_eq!(client.exchange(&request("free", "", "")).await.status(), 200);
+            let open: usize = hosts.iter().map(|host| host.open_connections.get()).sum();
             assert!(open <= 13, "{open} open; 12, and one whose close has not arrived, are allowed");
         }
     });
--- a/proxy/tests/suite/listening.rs
+++ b/proxy/tests/suite/listening.rs
@@ -20,7 +20,7 @@
         body.send(&head[..head.len() - 2]).await;
         // Its second request arrives byte by byte: a byte must not restart the timeout.
         let mut slow = proxy.client().await;
-        assert_eq!(slow.ask(&request("unsafe", "", "")).await.status(), 200);
+        assert_eq!(slow.exchange(&request("unsafe", "", "")).await.status(), 200);
         let trickle = async {
             for byte in head.as_bytes().chunks(1).cycle() {
                 if slow.stream.write_all(byte).await.is_err() {
@@ -45,7 +45,7 @@
 fn idle_connections_are_closed_while_many_are_open() {
     run(async {
         let host = Host::start([ok("served")]).await;
-        let proxy = Proxy::with(&Discovery::quiet().await, &[host], |config| {
+        let proxy = Proxy::start_with(&Discovery::heartbeats_only().await, &[host], |config| {
             config["limits"]["sockets"] = 64.into();
         })
         .await;
@@ -54,7 +54,7 @@
         // A sixth of the 64 descriptors are for clients' connections.
         for _ in 0..15 {
             let mut client = proxy.client().await;
-            let answer = client.ask(&request("free", "", "")).await;
+            let answer = client.exchange(&request("free", "", "")).await;
             assert_eq!(answer.status(), 200);
             closed += usize::from(answer.header("connection") == Some("close"));
             clients.push(client);
@@ -65,7 +65,7 @@
             clients.iter().filter(|client| is_closed(client)).count() == closed
         })
         .await;
-        assert_eq!(clients[0].ask(&request("free", "", "")).await.status(), 200, "the others are kept");
+        assert_eq!(clients[0].exchange(&request("free", "", "")).await.status(), 200, "the others are kept");
     });
 }
 
@@ -75,16 +75,16 @@
 fn active_clients_keep_their_connections() {
     run(async {
         let host = Host::start([ok("served")]).await;
-        let proxy = Proxy::with(&Discovery::quiet().await, &[host], |config| {
+        let proxy = Proxy::start_with(&Discovery::heartbeats_only().await, &[host], |config| {
             config["limits"]["sockets"] = 64.into();
         })
         .await;
         let mut active = proxy.client().await;
-        assert_eq!(active.ask(&request("free", "", "")).await.status(), 200);
+        assert_eq!(active.exchange(&request("free", "", "")).await.status(), 200);
         let mut silent = Vec::new();
         for _ in 0..100 {
             silent.push(proxy.client().await);
-            assert_eq!(active.ask(&request("free", "", "")).await.status(), 200);
+            assert_eq!(active.exchange(&request("free", "", "")).await.status(), 200);
         }
     });
 }
@@ -94,7 +94,7 @@
 fn silent_connections_do_not_lock_out_others() {
     run(async {
         let host = Host::start([ok("served")]).await;
-        let proxy = Proxy::with(&Discovery::quiet().await, &[host], |config| {
+        let proxy = Proxy::start_with(&Discovery::heartbeats_only().await, &[host], |config| {
             config["limits"]["sockets"] = 64.into();
         })
         .await;
@@ -102,7 +102,7 @@
         for _ in 0..40 {
             silent.push(proxy.client().await);
         }
-        assert_eq!(proxy.client().await.ask(&request("free", "", "")).await.status(), 200);
+        assert_eq!(proxy.client().await.exchange(&request("free", "", "")).await.status(), 200);
     });
 }
 
@@ -111,17 +111,17 @@
 #[test]
 fn a_shutdown_answers_all_accepted_requests() {
     run(async {
-        let host = Host::start([ok("before"), Act::Stall, ok("after")]).await;
+        let host = Host::start([ok("before"), HostAction::Stall, ok("after")]).await;
         let mut proxy = Proxy::start(from_ref(&host)).await;
         let (mut idle, mut busy) = (proxy.client().await, proxy.client().await);
         let mut half = proxy.client().await;
-        assert_eq!(idle.ask(&request("unsafe", "", "")).await.body, b"before");
+        assert_eq!(idle.exchange(&request("unsafe", "", "")).await.body, b"before");
         busy.send(&request("unsafe", "", "").replace("8000", "1500")).await;
         half.send("POST /api HTTP/1.1\r\nX-Call").await;
         eventually("the host has the request", || host.count() == 2).await;
         drop(proxy.stop.take());
         let mut late = proxy.client().await;
-        assert_eq!(late.ask(&request("unsafe", "", "")).await.body, b"after");
+        assert_eq!(late.exchange(&request("unsafe", "", "")).await.body, b"after");
         assert_eq!(busy.message().await.expect("an answer").status(), 502);
         (&mut proxy.task).await.expect("no panic");
         assert!(idle.message().await.is_none(), "closed between requests");
--- a/proxy/tests/suite/repeats.rs
+++ b/proxy/tests/suite/repeats.rs
@@ -16,7 +16,7 @@
     run(async {
         let hosts = [short_queue_listener(), short_queue_listener()];
         let at = |host: usize| hosts[host].local_addr().expect("an address");
-        let proxy = Proxy::with(&Discovery::quiet().await, &[], |config| {
+        let proxy = Proxy::start_with(&Discovery::heartbeats_only().await, &[], |config| {
             let listed = [0, 1].map(|host| entry(&format!("s-{host}"), at(host), "Ready"));
             config["known"]["hosts"] = json!(listed);
             config["settings"]["classes"][1]["repeat_window_us"] = json!(900_000);
@@ -55,7 +55,7 @@
         let read = spawn_local(async move {
             let mut retry = Reader::new(host.accept().await.expect("accepted").0);
             let read = retry.message().await;
-            let Act::Say(answer) = ok("ran twice") else { unreachable!("ok() is a Say") };
+            let HostAction::Respond(answer) = ok("ran twice") else { unreachable!("ok() is a Respond") };
             let _ = retry.stream.write_all(answer.as_bytes()).await;
             read.is_some()
         });
--- a/proxy/tests/suite/requests.rs
+++ b/proxy/tests/suite/requests.rs
@@ -12,9 +12,9 @@
         let host = Host::start([ok("the answer")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
         let text = request("keyed", "Idempotency-Key: k1\r\nConnection: x-hop\r\nX-Hop: 1\r\n", "the body");
-        let answer = proxy.client().await.ask(&text.replace("/api", "/api?q=1")).await;
+        let answer = proxy.client().await.exchange(&text.replace("/api", "/api?q=1")).await;
         assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"the answer"[..]));
-        let seen = host.seen.borrow()[0].clone();
+        let seen = host.received.borrow()[0].clone();
         assert_eq!(seen.first, "POST /api?q=1 HTTP/1.1");
         assert_eq!(seen.body, b"the body");
         assert_eq!(
@@ -82,7 +82,7 @@
             assert!(client.message().await.is_none(), "the following request is not read");
         }
         assert_eq!(host.count(), 0);
-        assert_eq!(proxy.client().await.ask(&good).await.status(), 200);
+        assert_eq!(proxy.client().await.exchange(&good).await.status(), 200);
     });
 }
 
@@ -90,16 +90,16 @@
 #[test]
 fn a_duplicate_of_an_open_id_is_rejected() {
     run(async {
-        let host = Host::start([Act::Stall, ok("again")]).await;
+        let host = Host::start([HostAction::Stall, ok("again")]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
         let text = request("unsafe", "", "");
         let mut first = proxy.client().await;
         first.send(&text).await;
         eventually("the host has the request", || host.count() == 1).await;
-        assert_eq!(proxy.client().await.ask(&text).await.status(), 409);
+        assert_eq!(proxy.client().await.exchange(&text).await.status(), 409);
         host.release.notify_one();
         assert_eq!(first.message().await.expect("an answer").body, b"released");
-        assert_eq!(first.ask(&text).await.body, b"again");
+        assert_eq!(first.exchange(&text).await.body, b"again");
         assert_eq!(host.count(), 2);
     });
 }
@@ -110,27 +110,37 @@
     let error = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
     let odd = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
     let acts = [
-        Act::SayAndClose(String::new()),
-        Act::SayAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
-        Act::Say(error.to_owned()),
-        Act::Say(odd.to_owned()),
-        Act::Say("noise\r\n\r\n".to_owned()),
+        HostAction::RespondAndClose(String::new()),
+        HostAction::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
+        HostAction::Respond(error.to_owned()),
+        HostAction::Respond(odd.to_owned()),
+        HostAction::Respond("noise\r\n\r\n".to_owned()),
         // Responses that are incomplete, ambiguous or invalid.
-        Act::SayAndClose("HTTP/1.1 200 OK\r\n\r\nwhole?".to_owned()),
-        Act::Say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nwhole".to_owned()),
-        Act::Say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nwhole".to_owned()),
-        Act::Say(format!("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n{CHUNKED}5\r\nwhole\r\n0\r\n\r\n")),
-        Act::Say(format!("HTTP/1.1 200 OK\r\n{CHUNKED}5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n")),
-        Act::Say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n".to_owned() + &"x".repeat(100_000)),
-        Act::Say(format!("HTTP/1.1 200 OK\r\n{}", "X-Pad: p\r\n".repeat(10_000))),
-        Act::Say("HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n".to_owned()),
-        Act::Say("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n".to_owned()),
+        HostAction::RespondAndClose("HTTP/1.1 200 OK\r\n\r\nwhole?".to_owned()),
+        HostAction::Respond(
+            "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nwhole".to_owned(),
+        ),
+        HostAction::Respond(
+            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\nwhole".to_owned(),
+        ),
+        HostAction::Respond(format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n{CHUNKED}5\r\nwhole\r\n0\r\n\r\n"
+        )),
+        HostAction::Respond(format!("HTTP/1.1 200 OK\r\n{CHUNKED}5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n")),
+        HostAction::Respond(
+            "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n".to_owned() + &"x".repeat(100_000),
+        ),
+        HostAction::Respond(format!("HTTP/1.1 200 OK\r\n{}", "X-Pad: p\r\n".repeat(10_000))),
+        HostAction::Respond(
+            "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n".to_owned(),
+        ),
+        HostAction::Respond("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n".to_owned()),
     ];
     for act in acts {
         run(async {
             let hosts = [Host::start([act.clone()]).await, Host::start([act.clone()]).await];
             let proxy = Proxy::start(&hosts).await;
-            let answer = proxy.client().await.ask(&request("unsafe", "", "")).await;
+            let answer = proxy.client().await.exchange(&request("unsafe", "", "")).await;
             assert_eq!(answer.status(), 502, "{act:?}");
             assert_eq!(hosts[0].count() + hosts[1].count(), 1, "{act:?}");
         });
@@ -140,13 +150,13 @@
 #[test]
 fn an_unsafe_request_that_never_ran_is_retried() {
     run(async {
-        let hosts = [Host::start([turn_away()]).await, Host::start([turn_away()]).await];
-        hosts[1].acts.borrow_mut().clear();
-        hosts[1].acts.borrow_mut().push_back(ok("served"));
+        let hosts = [Host::start([rejection()]).await, Host::start([rejection()]).await];
+        hosts[1].actions.borrow_mut().clear();
+        hosts[1].actions.borrow_mut().push_back(ok("served"));
         let proxy = Proxy::start(&hosts).await;
         let mut client = proxy.client().await;
         for _ in 0..8 {
-            assert_eq!(client.ask(&request("unsafe", "", "")).await.status(), 200);
+            assert_eq!(client.exchange(&request("unsafe", "", "")).await.status(), 200);
         }
         assert!(hosts[0].count() > 0, "hosts are picked at random, but not always the same one");
     });
@@ -162,7 +172,7 @@
         drop(closed);
         let proxy = Proxy::start(&[dead]).await;
         let started = std::time::Instant::now();
-        let answer = proxy.client().await.ask(&request("unsafe", "", "")).await;
+        let answer = proxy.client().await.exchange(&request("unsafe", "", "")).await;
         assert_eq!(answer.status(), 503);
         assert!(started.elapsed().as_millis() < 7_000, "refused before its deadline");
         let retry_after = answer.header("retry-after").and_then(|v| v.parse::<f64>().ok());
@@ -175,11 +185,11 @@
 #[test]
 fn a_refusal_without_advice_has_no_retry_after() {
     run(async {
-        let proxy = Proxy::with(&Discovery::quiet().await, &[], |config| {
+        let proxy = Proxy::start_with(&Discovery::heartbeats_only().await, &[], |config| {
             config["settings"]["limits"]["max_retry_after_us"] = 0.into();
         })
         .await;
-        let answer = proxy.client().await.ask(&request("unsafe", "", "").replace("8000", "300")).await;
+        let answer = proxy.client().await.exchange(&request("unsafe", "", "").replace("8000", "300")).await;
         assert_eq!((answer.status(), answer.header("retry-after")), (503, None), "{answer:?}");
     });
 }
@@ -188,8 +198,8 @@
 #[test]
 fn a_client_that_disconnects_cancels_its_attempt() {
     run(async {
-        let host = Host::start([Act::Stall]).await;
-        let proxy = Proxy::with(&Discovery::quiet().await, from_ref(&host), |config| {
+        let host = Host::start([HostAction::Stall]).await;
+        let proxy = Proxy::start_with(&Discovery::heartbeats_only().await, from_ref(&host), |config| {
             // Otherwise the attempt would time out while the test waits.
             config["settings"]["classes"][2]["objective_us"] = 60_000_000.into();
             config["settings"]["classes"][2]["deadline_us"] = 60_000_000.into();
@@ -199,7 +209,7 @@
         client.send(&request("unsafe", "", "").replace("8000", "60000")).await;
         eventually("the host has the request", || host.count() == 1).await;
         drop(client);
-        eventually("the attempt's connection closes", || host.open.get() == 0).await;
+        eventually("the attempt's connection closes", || host.open_connections.get() == 0).await;
     });
 }
 
@@ -207,12 +217,12 @@
 #[test]
 fn a_silent_host_times_out_within_the_clients_budget() {
     run(async {
-        let host = Host::start([Act::Stall]).await;
+        let host = Host::start([HostAction::Stall]).await;
         let proxy = Proxy::start(from_ref(&host)).await;
         let started = std::time::Instant::now();
         let text = request("unsafe", "", "").replace("8000", "300");
-        assert_eq!(proxy.client().await.ask(&text).await.status(), 502);
+        assert_eq!(proxy.client().await.exchange(&text).await.status(), 502);
         assert!(started.elapsed().as_millis() >= 200, "not before the timeout");
-        eventually("the attempt's connection closes", || host.open.get() == 0).await;
+        eventually("the attempt's connection closes", || host.open_connections.get() == 0).await;
     });
 }
--- a/proxy/tests/suite/shutdown.rs
+++ b/proxy/tests/suite/shutdown.rs
@@ -15,15 +15,15 @@
 #[test]
 fn open_requests_are_answered_at_the_end_of_a_shutdown() {
     run(async {
-        let host = Host::start([Act::Stall]).await;
+        let host = Host::start([HostAction::Stall]).await;
         let mut hanging = Proxy::start(from_ref(&host)).await;
-        let mut hostless = Proxy::with(&Discovery::quiet().await, &[], NO_HOSTS).await;
+        let mut hostless = Proxy::start_with(&Discovery::heartbeats_only().await, &[], NO_HOSTS).await;
         let (mut ran, mut held) = (hanging.client().await, hostless.client().await);
         ran.send(&request("unsafe", "", "pays")).await;
         held.send(&request("unsafe", "", "pays")).await;
         eventually("the charge is at the host", || host.count() == 1).await;
         // Returns once a later request has been answered, so this one has been read.
-        hostless.has_noticed().await;
+        hostless.wait_until_processed().await;
         for proxy in [&mut hanging, &mut hostless] {
             proxy.stop.take().expect("not stopped yet").send(()).expect("the proxy runs");
         }
@@ -43,18 +43,20 @@
 fn a_shutdown_closes_idle_connections_while_new_ones_are_accepted() {
     run(async {
         let (head, rest) = ("HTTP/1.1 200 OK\r\n".to_owned(), "Content-Length: 4\r\n\r\npaid".to_owned());
-        let host = Host::start([ok("first"), ok("second"), Act::SayInTwo(head, rest), ok("again")]).await;
+        let host =
+            Host::start([ok("first"), ok("second"), HostAction::RespondInTwoParts(head, rest), ok("again")])
+                .await;
         let mut proxy = Proxy::start(from_ref(&host)).await;
         let (mut idle, mut busy) = (proxy.client().await, proxy.client().await);
-        assert_eq!(idle.ask(&request("free", "", "")).await.status(), 200);
-        assert_eq!(busy.ask(&request("free", "", "")).await.status(), 200);
+        assert_eq!(idle.exchange(&request("free", "", "")).await.status(), 200);
+        assert_eq!(busy.exchange(&request("free", "", "")).await.status(), 200);
         busy.send(&request("unsafe", "", "pays")).await;
         eventually("the charge is at the host", || host.count() == 3).await;
         proxy.stop.take().expect("not stopped yet").send(()).expect("the proxy runs");
         assert!(idle.message().await.is_none());
         // The idle connection was closed; its next request is sent on a new one.
         let mut again = proxy.client().await;
-        let answer = again.ask(&request("free", "", "")).await;
+        let answer = again.exchange(&request("free", "", "")).await;
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
         host.release.notify_one();
         let answer = busy.message().await.expect("an answer");
@@ -71,18 +73,18 @@
         let host = Host::start([ok("served")]).await;
         let mut proxy = Proxy::start(from_ref(&host)).await;
         let (mut half, mut new) = (proxy.client().await, proxy.client().await);
-        assert_eq!(half.ask(&request("free", "", "")).await.status(), 200);
+        assert_eq!(half.exchange(&request("free", "", "")).await.status(), 200);
         let text = request("unsafe", "", "pays");
         let (first, second) = text.split_at(text.len() / 2);
         half.send(first).await;
-        proxy.has_noticed().await;
+        proxy.wait_until_processed().await;
         proxy.stop.take().expect("not stopped yet").send(()).expect("the proxy runs");
         // A response with `Connection: close` shows that the shutdown has begun.
-        let ask = async || proxy.client().await.ask(&request("free", "", "")).await;
+        let ask = async || proxy.client().await.exchange(&request("free", "", "")).await;
         while ask().await.header("connection") != Some("close") {}
         half.send(second).await;
         assert_eq!(half.message().await.expect("an answer").status(), 200);
-        assert_eq!(new.ask(&request("unsafe", "", "pays")).await.status(), 200);
+        assert_eq!(new.exchange(&request("unsafe", "", "pays")).await.status(), 200);
         proxy.task.await.expect("no panic");
     });
 }
@@ -95,7 +97,7 @@
         let host = Host::start([ok("served")]).await;
         let mut proxy = Proxy::start(from_ref(&host)).await;
         let mut client = proxy.client().await;
-        assert_eq!(client.ask(&request("free", "", "")).await.status(), 200);
+        assert_eq!(client.exchange(&request("free", "", "")).await.status(), 200);
         let text = request("unsafe", "", "pays");
         assert_eq!(client.stream.try_write(text.as_bytes()).expect("written"), text.len());
         proxy.stop.take().expect("not stopped yet").send(()).expect("the proxy runs");
@@ -109,7 +111,7 @@
 #[test]
 fn a_disconnect_is_noticed_behind_unread_input() {
     run(async {
-        let proxy = Proxy::with(&Discovery::quiet().await, &[], NO_HOSTS).await;
+        let proxy = Proxy::start_with(&Discovery::heartbeats_only().await, &[], NO_HOSTS).await;
         for more in ["", "GET /", &request("unsafe", "", "once more")] {
             let mut client = proxy.client().await;
             client.send(&(request("unsafe", "", "pays") + more)).await;
@@ -128,9 +130,9 @@
 fn requests_of_disconnected_clients_are_not_sent() {
     run(async {
         let host = Host::start([ok("served")]).await;
-        let discovery = Discovery::quiet().await;
-        let proxy = Proxy::with(&discovery, &[], NO_HOSTS).await;
-        eventually("the watch is open", || discovery.asked.borrow().len() == 1).await;
+        let discovery = Discovery::heartbeats_only().await;
+        let proxy = Proxy::start_with(&discovery, &[], NO_HOSTS).await;
+        eventually("the watch is open", || discovery.watch_requests.borrow().len() == 1).await;
         let mut clients = Vec::new();
         for number in 0..90 {
             let more = ["", "GET /", &request("unsafe", "", "once more")][number % 3].to_owned();
@@ -140,7 +142,7 @@
         }
         let mut connected = proxy.client().await;
         connected.send(&request("unsafe", "", "stays")).await;
-        proxy.has_noticed().await;
+        proxy.wait_until_processed().await;
         for (number, client) in clients.into_iter().enumerate() {
             if number % 2 == 0 {
                 reset(client.stream);
@@ -150,8 +152,8 @@
         discovery.push(&chunk(&list(42, true, &[entry("s-9", host.address, "Ready")]))).await;
         assert_eq!(connected.message().await.expect("an answer").status(), 200);
         // Requests that waited together with it would have been sent before its response was read.
-        assert_eq!(proxy.client().await.ask(&request("unsafe", "", "after")).await.status(), 200);
-        let bodies: Vec<_> = host.seen.borrow().iter().map(|seen| seen.body.clone()).collect();
+        assert_eq!(proxy.client().await.exchange(&request("unsafe", "", "after")).await.status(), 200);
+        let bodies: Vec<_> = host.received.borrow().iter().map(|seen| seen.body.clone()).collect();
         assert_eq!(bodies, [b"stays".to_vec(), b"after".to_vec()]);
     });
 }
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -3,9 +3,9 @@
 
 use crate::configuration::{configuration, entry};
 use crate::host::Host;
+use crate::host_behavior::{Fault, HostBehavior};
 use crate::ledger::Ledger;
-use crate::load::{Load, Tally, Times};
-use crate::plan::{Fault, Plan};
+use crate::load::{LatencyHistogram, Load, LoadMetrics};
 use crate::registry::Registry;
 use nettleworks_engine::config::Config;
 use nettleworks_engine::driver::Handle;
@@ -19,36 +19,36 @@
 use tokio::time::{sleep, Instant};
 
 /// How long clients ask.
-const LENGTH: Duration = Duration::from_secs(15);
+const DEMO_DURATION: Duration = Duration::from_secs(15);
 /// The window in which a pod drops repeats of a key.
-const WINDOW: Duration = Duration::from_secs(9);
+const DUPLICATE_WINDOW: Duration = Duration::from_secs(9);
 
 /// What came of a demo.
 #[derive(Debug)]
 pub struct Report {
     /// What clients met.
-    pub tally: Tally,
-    /// How many effects were had twice.
-    pub twice: usize,
+    pub metrics: LoadMetrics,
+    /// How many effects were had duplicates.
+    pub duplicates: usize,
 }
 
 /// Runs the demo and writes its progress to `out`; its draws are those of `seed`. Needs a
 /// [`tokio::task::LocalSet`].
-pub async fn run(seed: u64, length: Option<Duration>, out: &mut dyn Write) -> io::Result<Report> {
-    let length = length.unwrap_or(LENGTH);
+pub async fn run(seed: u64, duration: Option<Duration>, out: &mut dyn Write) -> io::Result<Report> {
+    let duration = duration.unwrap_or(DEMO_DURATION);
     let (registry, ledger) = (Registry::start().await, Ledger::default());
-    let plan = Plan {
+    let behavior = HostBehavior {
         seed,
         service: Duration::from_millis(8),
-        faults: vec![(Fault::ResetAfter, 0.002), (Fault::Error, 0.002), (Fault::TurnAway, 0.01)],
-        cold: Duration::from_secs(3),
-        cold_times: 3.0,
-        answer: 64,
+        faults: vec![(Fault::ResetAfter, 0.002), (Fault::Error, 0.002), (Fault::Reject, 0.01)],
+        slow_start: Duration::from_secs(3),
+        slow_start_factor: 3.0,
+        answer_bytes: 64,
         echo: false,
     };
     let mut hosts = Vec::new();
     for number in 0..5 {
-        let host = Host::planned(&format!("node-{number}"), 3, plan.clone(), &ledger).await;
+        let host = Host::with_behavior(&format!("node-{number}"), 3, behavior.clone(), &ledger).await;
         registry.set(entry(&host.name, host.address, "Ready"));
         hosts.push(host);
     }
@@ -58,10 +58,10 @@
     let address = listener.local_addr()?;
     let driver = Handle::start(config.clone(), Http1::new(&config), Vec::new(), Rc::new(|_| ()));
     let (stop, stopped) = oneshot::channel::<()>();
-    let stopped = async {
+    let until_stopped = async {
         let _ = stopped.await;
     };
-    let serving = spawn_local(nettleworks::server::serve(listener, driver.clone(), stopped));
+    let server_task = spawn_local(nettleworks::server::serve(listener, driver.clone(), until_stopped));
     writeln!(
         out,
         "5 hosts, discovery at {}, the proxy at {address}, 24 clients, seed {seed}",
@@ -71,56 +71,59 @@
         sleep(Duration::from_millis(5)).await;
     }
     let start = Instant::now();
-    let tally = Rc::new(RefCell::new(Tally::default()));
+    let metrics = Rc::new(RefCell::new(LoadMetrics::default()));
     let mut load = Load::new(address, seed);
-    (load.clients, load.pause, load.until) = (24, Duration::from_millis(20), Some(start + length));
-    let asking = {
-        let tally = tally.clone();
-        spawn_local(async move { load.run(&tally).await })
+    (load.clients, load.pause, load.until) = (24, Duration::from_millis(20), Some(start + duration));
+    let load_task = {
+        let metrics = metrics.clone();
+        spawn_local(async move { load.run(&metrics).await })
     };
     writeln!(
         out,
         "{:>3} {:>7} {:>7} {:>6} {:>8} {:>8}  hosts: requests read",
         "s", "served", "refused", "failed", "p50 ms", "p99 ms"
     )?;
-    let mut before = Times::default();
-    for second in 1..=length.as_secs() {
+    let mut previous = LatencyHistogram::default();
+    for second in 1..=duration.as_secs() {
         sleep((start + Duration::from_secs(second)).saturating_duration_since(Instant::now())).await;
-        let now = tally.borrow().clone();
-        let recent = Tally { times: now.times.since(&before), ..Tally::default() };
-        before = now.times.clone();
-        let (p50, p99) = (recent.time(0.5).as_secs_f64() * 1e3, recent.time(0.99).as_secs_f64() * 1e3);
+        let total = metrics.borrow().clone();
+        let recent = LoadMetrics { latencies: total.latencies.since(&previous), ..LoadMetrics::default() };
+        previous = total.latencies.clone();
+        let (p50, p99) = (
+            recent.latency_quantile(0.5).as_secs_f64() * 1e3,
+            recent.latency_quantile(0.99).as_secs_f64() * 1e3,
+        );
         write!(
             out,
             "{second:>3} {:>7} {:>7} {:>6} {p50:>8.1} {p99:>8.1} ",
-            now.served, now.refused, now.failed
+            total.served, total.refused, total.failed
         )?;
         for host in &hosts {
             write!(out, " {:>5}", host.count())?;
         }
-        let step = second * 15 / length.as_secs();
-        let done = (second - 1) * 15 / length.as_secs();
-        if step != done {
-            if let Some(news) = act(step, &hosts, &registry).await {
-                write!(out, "  {news}")?;
+        let step = second * 15 / duration.as_secs();
+        let last_step = (second - 1) * 15 / duration.as_secs();
+        if step != last_step {
+            if let Some(event) = apply_fleet_event(step, &hosts, &registry).await {
+                write!(out, "  {event}")?;
             }
         }
         writeln!(out)?;
     }
-    asking.await.map_err(io::Error::other)?;
+    load_task.await.map_err(io::Error::other)?;
     drop(stop);
-    serving.await.map_err(io::Error::other)?;
-    let (tally, twice) = (tally.borrow().clone(), ledger.twice(WINDOW).len());
+    server_task.await.map_err(io::Error::other)?;
+    let (metrics, duplicates) = (metrics.borrow().clone(), ledger.duplicates(DUPLICATE_WINDOW).len());
     writeln!(
         out,
-        "asked {}: served {}, refused {}, failed {}, lost {}; clients came again {} times; hosts ran {}; run twice: {twice}",
-        tally.all(), tally.served, tally.refused, tally.failed, tally.lost, tally.again, ledger.len()
+        "asked {}: served {}, refused {}, failed {}, lost {}; clients came again {} times; hosts ran {}; run duplicates: {duplicates}",
+        metrics.total(), metrics.served, metrics.refused, metrics.failed, metrics.lost, metrics.retries, ledger.len()
     )?;
-    Ok(Report { tally, twice })
+    Ok(Report { metrics, duplicates })
 }
 
 /// What happens to the fleet at each fifteenth of the demo.
-async fn act(step: u64, hosts: &[Host], registry: &Registry) -> Option<&'static str> {
+async fn apply_fleet_event(step: u64, hosts: &[Host], registry: &Registry) -> Option<&'static str> {
     let ready = |host: &Host| registry.set(entry(&host.name, host.address, "Ready"));
     Some(match step {
         3 => {
