--- a/standins/src/discovery.rs
+++ b/standins/src/discovery.rs
@@ -16,15 +16,15 @@
 use tokio::time::sleep;
 
 /// The head of a watch.
-pub const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// A line of a watch, in a chunk of its own.
 pub fn chunk(line: &str) -> String {
-    piece(&format!("{line}\n"))
+    raw_chunk(&format!("{line}\n"))
 }
 
 /// A part of what a watch brings, as a chunk.
-pub fn piece(text: &str) -> String {
+pub fn raw_chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
@@ -38,19 +38,19 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// The request lines of the watches so far.
-    pub asked: Rc<RefCell<Vec<String>>>,
+    pub watch_requests: Rc<RefCell<Vec<String>>>,
     watch: Rc<RefCell<Option<OwnedWriteHalf>>>,
-    beats: bool,
+    sends_heartbeats: bool,
 }
 
 impl Discovery {
     /// Discovery that has nothing to tell: each watch hears that nothing has changed, and then heartbeats.
-    pub async fn quiet() -> Discovery {
+    pub async fn heartbeats_only() -> Discovery {
         Discovery::start([]).await
     }
 
     /// Discovery that opens each watch and then says nothing at all, not even heartbeats.
-    pub async fn silent() -> Discovery {
+    pub async fn without_heartbeats() -> Discovery {
         Discovery::serve([], false).await
     }
 
@@ -59,16 +59,17 @@
         Discovery::serve(answers, true).await
     }
 
-    async fn serve(answers: impl IntoIterator<Item = String>, beats: bool) -> Discovery {
+    async fn serve(answers: impl IntoIterator<Item = String>, sends_heartbeats: bool) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let discovery = Discovery { address, asked: Rc::default(), watch: Rc::default(), beats };
-        let beating = discovery.clone();
-        if beats {
+        let discovery =
+            Discovery { address, watch_requests: Rc::default(), watch: Rc::default(), sends_heartbeats };
+        let heartbeat_sender = discovery.clone();
+        if sends_heartbeats {
             spawn_local(async move {
                 loop {
                     sleep(HEARTBEAT).await;
-                    beating.beat().await;
+                    heartbeat_sender.send_heartbeat().await;
                 }
             });
         }
@@ -80,7 +81,7 @@
                 let Some(message) = reader.message().await else { continue };
                 let answer = answers.pop_front().unwrap_or_else(|| serving.unchanged(&message.first));
                 write.write_all(answer.as_bytes()).await.expect("written");
-                serving.asked.borrow_mut().push(message.first);
+                serving.watch_requests.borrow_mut().push(message.first);
                 *serving.watch.borrow_mut() = Some(write);
             }
         });
@@ -89,15 +90,15 @@
 
     /// What a watch is answered that has missed nothing.
     fn unchanged(&self, request: &str) -> String {
-        if !self.beats {
-            return WATCH.to_owned();
+        if !self.sends_heartbeats {
+            return WATCH_HEAD.to_owned();
         }
         let since = request.split_once("since=").and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
-        format!("{WATCH}{}", chunk(&list(since.unwrap_or(0), false, &[])))
+        format!("{WATCH_HEAD}{}", chunk(&list(since.unwrap_or(0), false, &[])))
     }
 
     /// An empty line on the last watch, if there is one.
-    async fn beat(&self) {
+    async fn send_heartbeat(&self) {
         let Some(mut watch) = self.watch.borrow_mut().take() else { return };
         // Whoever has left it hears nothing.
         let _ = watch.write_all(chunk("").as_bytes()).await;
@@ -106,7 +107,7 @@
     }
 
     /// Whether the other side has closed the last watch.
-    pub fn is_left(&self) -> bool {
+    pub fn watch_is_closed(&self) -> bool {
         let watch = self.watch.borrow();
         let stream: &TcpStream = watch.as_ref().expect("a watch").as_ref();
         match stream.try_read(&mut [0]) {
--- a/standins/src/host.rs
+++ b/standins/src/host.rs
@@ -1,8 +1,8 @@
-//! A host: what it is told to do with requests, what it has seen, and what it has done.
+//! A host: what it is told to do with requests, what it has received, and what it has done.
 
+use crate::host_behavior::HostBehavior;
 use crate::ledger::Ledger;
 use crate::message::{Message, Reader};
-use crate::plan::Plan;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -17,48 +17,53 @@
 
 /// What a host does with a request that it has read whole.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum HostAction {
     /// Writes this, and keeps the connection.
-    Say(String),
+    Respond(String),
     /// Writes these bytes, and keeps the connection.
-    SayBytes(Vec<u8>),
+    RespondBytes(Vec<u8>),
     /// Writes this, and closes.
-    SayAndClose(String),
+    RespondAndClose(String),
     /// Says nothing until the other side closes or the host is told to release it.
     Stall,
     /// Says the first now, and the rest when the host is told to release it.
-    SayInTwo(String, String),
+    RespondInTwoParts(String, String),
     /// Resets the connection. The request has run.
     Reset,
     /// Resets the connection as if the request had not been read: it never runs.
     ResetBefore,
-    /// Does another act after this time.
-    Late(Duration, Box<Act>),
+    /// Does another action after this time.
+    Delay(Duration, Box<HostAction>),
 }
 
-impl Act {
+impl HostAction {
     /// Whether a request that meets this has run.
     fn runs(&self) -> bool {
         match self {
-            Act::Say(text) | Act::SayAndClose(text) => !text.contains("X-Rejected: 1"),
-            Act::SayBytes(_) | Act::SayInTwo(..) | Act::Stall | Act::Reset => true,
-            Act::ResetBefore => false,
-            Act::Late(_, act) => act.runs(),
+            HostAction::Respond(text) | HostAction::RespondAndClose(text) => !text.contains("X-Rejected: 1"),
+            HostAction::RespondBytes(_)
+            | HostAction::RespondInTwoParts(..)
+            | HostAction::Stall
+            | HostAction::Reset => true,
+            HostAction::ResetBefore => false,
+            HostAction::Delay(_, action) => action.runs(),
         }
     }
 }
 
 /// An answer 200 with this body.
-pub fn ok(body: &str) -> Act {
-    Act::Say(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+pub fn ok(body: &str) -> HostAction {
+    HostAction::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
 /// An answer that says that the request never ran.
-pub fn turn_away() -> Act {
-    Act::Say("HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".to_owned())
+pub fn rejection() -> HostAction {
+    HostAction::Respond(
+        "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
+    )
 }
 
-/// A host: it does one act after the other, and the last for good; or, with a plan and no acts, what that draws.
+/// A host: it does one action after the other, and the last for good; or, with a behavior and no actions, what that draws.
 #[derive(Clone, Debug)]
 pub struct Host {
     /// Its name in lists and in the ledger.
@@ -67,76 +72,76 @@
     pub pod: u32,
     /// Where it listens.
     pub address: SocketAddr,
-    /// All that it has read, for a host with a script; one with a plan may see too much to keep.
-    pub seen: Rc<RefCell<Vec<Message>>>,
+    /// All that it has read, for a host with a script; one with a behavior may see too much to keep.
+    pub received: Rc<RefCell<Vec<Message>>>,
     /// How many connections it has taken.
-    pub opened: Rc<Cell<usize>>,
-    /// How many of them are open.
-    pub open: Rc<Cell<usize>>,
+    pub accepted: Rc<Cell<usize>>,
+    /// How many of them are open_connections.
+    pub open_connections: Rc<Cell<usize>>,
     /// What it does next.
-    pub acts: Rc<RefCell<VecDeque<Act>>>,
+    pub actions: Rc<RefCell<VecDeque<HostAction>>>,
     /// Lets one stalled request be answered.
     pub release: Rc<Notify>,
     /// What it does without a script.
-    pub plan: Rc<RefCell<Option<Plan>>>,
+    pub behavior: Rc<RefCell<Option<HostBehavior>>>,
     /// What it has run.
     pub ledger: Ledger,
     /// How many requests it has read; with the time of the last one.
-    pub read: Rc<Cell<(usize, Option<Instant>)>>,
-    /// How often it has seen each id, for a host with a plan.
-    pub times: Rc<RefCell<HashMap<String, usize>>>,
+    pub requests_read: Rc<Cell<(usize, Option<Instant>)>>,
+    /// How often it has received each id, for a host with a behavior.
+    pub times_received: Rc<RefCell<HashMap<String, usize>>>,
     /// When it last started.
     pub started: Rc<Cell<Instant>>,
     /// The task that accepts.
-    pub accepting: Rc<RefCell<Option<JoinHandle<()>>>>,
-    /// What its connections hear when it is killed.
-    pub killed: Rc<watch::Sender<()>>,
+    pub accept_task: Rc<RefCell<Option<JoinHandle<()>>>>,
+    /// What its connections hear when it is kill_signal.
+    pub kill_signal: Rc<watch::Sender<()>>,
 }
 
 impl Host {
     /// A host with a script.
-    pub async fn start(acts: impl IntoIterator<Item = Act>) -> Host {
-        Host::on(TcpListener::bind("127.0.0.1:0").await.expect("a port"), acts)
+    pub async fn start(actions: impl IntoIterator<Item = HostAction>) -> Host {
+        Host::on_listener(TcpListener::bind("127.0.0.1:0").await.expect("a port"), actions)
     }
 
     /// A host with a script behind a listener.
-    pub fn on(listener: TcpListener, acts: impl IntoIterator<Item = Act>) -> Host {
+    pub fn on_listener(listener: TcpListener, actions: impl IntoIterator<Item = HostAction>) -> Host {
         let host = Host::new(listener.local_addr().expect("an address"), "host", 3, Ledger::default());
-        host.acts.borrow_mut().extend(acts);
+        host.actions.borrow_mut().extend(actions);
         host.accept(listener);
         host
     }
 
-    /// A host with a plan, that notes in a ledger what it runs.
-    pub async fn planned(name: &str, pod: u32, plan: Plan, ledger: &Ledger) -> Host {
+    /// A host with a behavior, that notes in a ledger what it runs.
+    pub async fn with_behavior(name: &str, pod: u32, behavior: HostBehavior, ledger: &Ledger) -> Host {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let host = Host::new(listener.local_addr().expect("an address"), name, pod, ledger.clone());
-        *host.plan.borrow_mut() = Some(plan);
+        *host.behavior.borrow_mut() = Some(behavior);
         host.accept(listener);
         host
     }
 
     fn new(address: SocketAddr, name: &str, pod: u32, ledger: Ledger) -> Host {
-        let (seen, opened, open, acts, release) = Default::default();
-        let (plan, read, times, accepting) = Default::default();
-        let killed = Rc::new(watch::Sender::new(()));
+        let (received, accepted, open_connections, actions, release) = Default::default();
+        let (behavior, requests_read, times_received, accept_task) = Default::default();
+        let kill_signal = Rc::new(watch::Sender::new(()));
         let (name, started) = (name.to_owned(), Rc::new(Cell::new(Instant::now())));
         Host {
             name,
             pod,
             address,
-            seen,
-            opened,
-            open,
-            acts,
+            received,
+            accepted,
+            open_connections,
+            actions,
             release,
-            plan,
+            behavior,
             ledger,
-            read,
-            times,
+            requests_read,
+            times_received,
             started,
-            accepting,
-            killed,
+            accept_task,
+            kill_signal,
         }
     }
 
@@ -145,31 +150,31 @@
         let task = spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 let host = host.clone();
-                host.opened.set(host.opened.get() + 1);
-                host.open.set(host.open.get() + 1);
-                let mut killed = host.killed.subscribe();
+                host.accepted.set(host.accepted.get() + 1);
+                host.open_connections.set(host.open_connections.get() + 1);
+                let mut kill_signal = host.kill_signal.subscribe();
                 spawn_local(async move {
-                    let died = tokio::select! {
+                    let is_killed = tokio::select! {
                         () = host.serve(&mut stream) => false,
-                        _ = killed.changed() => true,
+                        _ = kill_signal.changed() => true,
                     };
-                    if died {
+                    if is_killed {
                         reset(&stream);
                     }
                     drop(stream);
-                    host.open.set(host.open.get() - 1);
+                    host.open_connections.set(host.open_connections.get() - 1);
                 });
             }
         });
-        *self.accepting.borrow_mut() = Some(task);
+        *self.accept_task.borrow_mut() = Some(task);
     }
 
     /// Dies as a process does: its connections are reset, and new ones are refused.
     pub fn kill(&self) {
-        if let Some(task) = self.accepting.borrow_mut().take() {
+        if let Some(task) = self.accept_task.borrow_mut().take() {
             task.abort();
         }
-        self.killed.send_replace(());
+        self.kill_signal.send_replace(());
     }
 
     /// Comes up again at the same address, cold. A port that is no longer free is a panic.
@@ -187,25 +192,26 @@
         self.accept(listener);
     }
 
-    fn next_act(&self, message: &Message) -> Act {
-        let mut acts = self.acts.borrow_mut();
-        if let Some(act) = acts.front().cloned() {
-            if acts.len() > 1 {
-                acts.pop_front();
+    fn next_action(&self, message: &Message) -> HostAction {
+        let mut actions = self.actions.borrow_mut();
+        if let Some(action) = actions.front().cloned() {
+            if actions.len() > 1 {
+                actions.pop_front();
             }
-            return act;
+            return action;
         }
-        let plan = self.plan.borrow();
-        let mut times = self.times.borrow_mut();
-        let times = times.entry(message.header("x-call-id").unwrap_or_default().to_owned()).or_default();
-        let act = plan.as_ref().expect("an act or a plan").act(
+        let behavior = self.behavior.borrow();
+        let mut times_received = self.times_received.borrow_mut();
+        let times_received =
+            times_received.entry(message.header("x-call-id").unwrap_or_default().to_owned()).or_default();
+        let action = behavior.as_ref().expect("an action or a behavior").next_action(
             &self.name,
             message,
-            *times,
+            *times_received,
             self.started.get().elapsed(),
         );
-        *times += 1;
-        act
+        *times_received += 1;
+        action
     }
 
     async fn serve(&self, stream: &mut TcpStream) {
@@ -213,26 +219,26 @@
         let (read, mut write) = stream.split();
         let mut reader = Reader::new(read);
         while let Some(message) = reader.message().await {
-            self.read.set((self.read.get().0 + 1, Some(Instant::now())));
-            let mut act = self.next_act(&message);
-            if act.runs() {
+            self.requests_read.set((self.requests_read.get().0 + 1, Some(Instant::now())));
+            let mut action = self.next_action(&message);
+            if action.runs() {
                 self.ledger.record(&self.name, self.pod, &message);
             }
-            if self.plan.borrow().is_none() {
-                self.seen.borrow_mut().push(message.clone());
+            if self.behavior.borrow().is_none() {
+                self.received.borrow_mut().push(message.clone());
             }
-            while let Act::Late(time, then) = act {
+            while let HostAction::Delay(time, then) = action {
                 sleep(time).await;
-                act = *then;
+                action = *then;
             }
-            if matches!(&act, Act::Say(text) if text.starts_with("HTTP/1.1 200 ")) {
-                self.ledger.answered(&message);
+            if matches!(&action, HostAction::Respond(text) if text.starts_with("HTTP/1.1 200 ")) {
+                self.ledger.record_answer(&message);
             }
             // What is of no use to the other side may find the connection closed.
-            let said = match act {
-                Act::Say(text) => write.write_all(text.as_bytes()).await,
-                Act::SayBytes(bytes) => write.write_all(&bytes).await,
-                Act::SayInTwo(first, rest) => {
+            let written = match action {
+                HostAction::Respond(text) => write.write_all(text.as_bytes()).await,
+                HostAction::RespondBytes(bytes) => write.write_all(&bytes).await,
+                HostAction::RespondInTwoParts(first, rest) => {
                     if write.write_all(first.as_bytes()).await.is_err() {
                         return;
                     }
@@ -241,21 +247,21 @@
                         () = self.release.notified() => write.write_all(rest.as_bytes()).await,
                     }
                 }
-                Act::SayAndClose(text) => {
+                HostAction::RespondAndClose(text) => {
                     let _ = write.write_all(text.as_bytes()).await;
                     return;
                 }
-                Act::Stall => tokio::select! {
+                HostAction::Stall => tokio::select! {
                     _ = reader.more() => return,
                     () = self.release.notified() => {
-                        let Act::Say(text) = ok("released") else { return };
+                        let HostAction::Respond(text) = ok("released") else { return };
                         write.write_all(text.as_bytes()).await
                     }
                 },
-                Act::Reset | Act::ResetBefore => return reset(write.as_ref()),
-                Act::Late(..) => return,
+                HostAction::Reset | HostAction::ResetBefore => return reset(write.as_ref()),
+                HostAction::Delay(..) => return,
             };
-            if said.is_err() {
+            if written.is_err() {
                 return;
             }
         }
@@ -263,13 +269,13 @@
 
     /// How many requests it has read.
     pub fn count(&self) -> usize {
-        self.read.get().0
+        self.requests_read.get().0
     }
 }
 
 /// A listener with little room and small segments: a request of some 10 kB does not fit into what the two systems keep
 /// of it, as long as nobody reads.
-pub fn narrow_listener() -> TcpListener {
+pub fn small_buffer_listener() -> TcpListener {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     listener.set_recv_buffer_size(2_048).expect("little room");
     listener.set_tcp_mss(536).expect("small segments");
--- a/standins/src/ledger.rs
+++ b/standins/src/ledger.rs
@@ -16,15 +16,15 @@
     pub call: String,
     /// Its `Idempotency-Key`, where it has one.
     pub key: Option<String>,
-    /// Whether it can do harm to run it twice: anything but a GET.
+    /// Whether it can do harm to run it duplicates: anything but a GET.
     pub unsafe_method: bool,
     /// When.
     pub at: Instant,
 }
 
-/// An effect that was had twice.
+/// An effect that was had duplicates.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Twice {
+pub enum DuplicateEffect {
     /// A call without a key ran more than once.
     Call(String),
     /// A key ran in more than one pod, or again past the window in which its pod drops repeats.
@@ -34,17 +34,17 @@
 /// The effects at all hosts that share this ledger; clones are the same one. It grows with every effect: it is for
 /// tests and measurements, which end.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger(Arc<Mutex<Noted>>);
+pub struct Ledger(Arc<Mutex<LedgerState>>);
 
 #[derive(Clone, Debug, Default)]
-struct Noted {
+struct LedgerState {
     effects: Vec<Effect>,
     /// Keys to which an answer was given, and when.
     answers: Vec<(String, Instant)>,
 }
 
 impl Ledger {
-    fn lock(&self) -> MutexGuard<'_, Noted> {
+    fn lock(&self) -> MutexGuard<'_, LedgerState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Notes that a host gives a whole answer to a request, whoever may still listen.
-    pub fn answered(&self, message: &Message) {
+    pub fn record_answer(&self, message: &Message) {
         if let Some(key) = message.header("idempotency-key") {
             self.lock().answers.push((key.to_owned(), Instant::now()));
         }
@@ -97,8 +97,8 @@
         self.lock().effects.is_empty()
     }
 
-    /// Which effects were had twice, where pods drop repeats of a key for `window` from its first run.
-    pub fn twice(&self, window: Duration) -> Vec<Twice> {
+    /// Which effects were had duplicates, where pods drop repeats of a key for `window` from its first run.
+    pub fn duplicates(&self, window: Duration) -> Vec<DuplicateEffect> {
         let effects = &self.lock().effects;
         let mut calls: BTreeMap<&str, usize> = BTreeMap::new();
         let mut keys: BTreeMap<&str, (u32, Instant, bool)> = BTreeMap::new();
@@ -106,14 +106,19 @@
             match &effect.key {
                 None => *calls.entry(&effect.call).or_default() += 1,
                 Some(key) => {
-                    let (pod, first, twice) = keys.entry(key).or_insert((effect.pod, effect.at, false));
-                    *twice |= *pod != effect.pod || effect.at > *first + window;
+                    let (pod, first, duplicates) = keys.entry(key).or_insert((effect.pod, effect.at, false));
+                    *duplicates |= *pod != effect.pod || effect.at > *first + window;
                 }
             }
         }
-        let calls =
-            calls.into_iter().filter(|(_, count)| *count > 1).map(|(call, _)| Twice::Call(call.into()));
-        let keys = keys.into_iter().filter(|(_, (.., twice))| *twice).map(|(key, _)| Twice::Key(key.into()));
+        let calls = calls
+            .into_iter()
+            .filter(|(_, count)| *count > 1)
+            .map(|(call, _)| DuplicateEffect::Call(call.into()));
+        let keys = keys
+            .into_iter()
+            .filter(|(_, (.., duplicates))| *duplicates)
+            .map(|(key, _)| DuplicateEffect::Key(key.into()));
         calls.chain(keys).collect()
     }
 }
@@ -136,11 +141,14 @@
             ledger.record("a", 1, &message("GET", "free", None));
             ledger.record("a", 1, &message("POST", "same-pod", Some("k1")));
         }
-        assert_eq!(ledger.twice(window), []);
+        assert_eq!(ledger.duplicates(window), []);
         ledger.record("a", 1, &message("POST", "c", None));
         ledger.record("b", 2, &message("POST", "c", None));
         ledger.record("b", 2, &message("POST", "other-pod", Some("k1")));
-        assert_eq!(ledger.twice(window), [Twice::Call("c".into()), Twice::Key("k1".into())]);
+        assert_eq!(
+            ledger.duplicates(window),
+            [DuplicateEffect::Call("c".into()), DuplicateEffect::Key("k1".into())]
+        );
         assert_eq!(ledger.len(), 7);
     }
 
@@ -150,9 +158,9 @@
         ledger.record("a", 1, &message("POST", "1", Some("k")));
         ledger.record("a", 1, &message("POST", "2", Some("k")));
         let apart = ledger.effects()[1].at - ledger.effects()[0].at;
-        assert_eq!(ledger.twice(apart), []);
+        assert_eq!(ledger.duplicates(apart), []);
         if !apart.is_zero() {
-            assert_eq!(ledger.twice(apart / 2), [Twice::Key("k".into())]);
+            assert_eq!(ledger.duplicates(apart / 2), [DuplicateEffect::Key("k".into())]);
         }
     }
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for what nettleworks meets: hosts, discovery and clients, on loopback sockets.
 //!
-//! They are scripted, act by act ([`Host::start`]), or drawn from a seed ([`Plan`]): a draw depends on the seed, the
+//! They are scripted, act by act ([`Host::start`]), or drawn from a seed ([`HostBehavior`]): a draw depends on the seed, the
 //! host and the request alone, never on the order in which requests come. What hosts have *done* is in a
 //! [`Ledger`], by call and by key, so that a test can count effects rather than trust answers.
 //!
@@ -14,34 +14,34 @@
 mod client;
 mod configuration;
 pub mod demo;
-mod dice;
 mod discovery;
+mod fleet;
 mod host;
+mod host_behavior;
 mod ledger;
 mod load;
 mod message;
-mod over;
-mod plan;
+mod pooled_sender;
 mod proxy;
+mod random_stream;
 mod registry;
 mod relay;
-mod site;
-mod storm;
+mod stress;
 mod wait;
 
-pub use client::{request, request_for, Client, HEALTH};
+pub use client::{request, request_for, Client, HEALTH_REQUEST};
 pub use configuration::{configuration, entry, list};
-pub use dice::Dice;
-pub use discovery::{chunk, piece, Discovery, WATCH};
-pub use host::{narrow_listener, ok, turn_away, Act, Host};
-pub use ledger::{Effect, Ledger, Twice};
-pub use load::{Load, Tally, Times};
+pub use discovery::{chunk, raw_chunk, Discovery, WATCH_HEAD};
+pub use fleet::{StandInFleet, StandIns};
+pub use host::{ok, rejection, small_buffer_listener, Host, HostAction};
+pub use host_behavior::{Fault, HostBehavior};
+pub use ledger::{DuplicateEffect, Effect, Ledger};
+pub use load::{LatencyHistogram, Load, LoadMetrics};
 pub use message::{Message, Reader};
-pub use over::{over, Sending};
-pub use plan::{Fault, Plan};
-pub use proxy::{Form, Inside, Program, Proxy, Setup};
+pub use pooled_sender::{pooled_sender, SendFuture};
+pub use proxy::{Deployment, InProcess, Program, Proxy, Setup};
+pub use random_stream::RandomStream;
 pub use registry::Registry;
-pub use relay::{Arrival, Relay};
-pub use site::{Inside as SiteInside, Site};
-pub use storm::{Aftermath, Got, Storm};
-pub use wait::{eventually, run, PATIENCE};
+pub use relay::{ConnectionMode, Relay};
+pub use stress::{SendOutcome, StressReport, StressRun};
+pub use wait::{eventually, run, TEST_TIMEOUT};
--- a/standins/src/load.rs
+++ b/standins/src/load.rs
@@ -1,7 +1,7 @@
-//! Clients that ask, one request at a time on each connection, and come again as real ones do.
+//! Clients that ask, one request at a time on each connection, and come retry as real ones do.
 
-use crate::dice::Dice;
 use crate::message::Reader;
+use crate::random_stream::RandomStream;
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,9 +13,9 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// What came of the requests so far. A request is counted once, however often its client came again.
+/// What came of the requests so far. A request is counted once, however often its client came retry.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct LoadMetrics {
     /// Answered by a host.
     pub served: u64,
     /// Turned away, and given up by its client.
@@ -26,49 +26,49 @@
     pub failures: BTreeMap<u16, u64>,
     /// Its connection ended without an answer.
     pub lost: u64,
-    /// How often clients came again after a refusal.
-    pub again: u64,
+    /// How often clients came retry after a refusal.
+    pub retries: u64,
     /// Times of the answers that hosts gave, in microseconds.
-    pub times: Times,
+    pub latencies: LatencyHistogram,
 }
 
 /// Times in microseconds, to three digits. It does not grow with their number.
 #[derive(Clone, Debug)]
-pub struct Times(Histogram<u64>);
+pub struct LatencyHistogram(Histogram<u64>);
 
-impl Default for Times {
+impl Default for LatencyHistogram {
     fn default() -> Self {
-        let mut times = Histogram::new(3).unwrap_or_else(|_| unreachable!("at most 5 digits"));
-        times.auto(true);
-        Times(times)
+        let mut histogram = Histogram::new(3).unwrap_or_else(|_| unreachable!("at most 5 digits"));
+        histogram.auto(true);
+        LatencyHistogram(histogram)
     }
 }
 
-impl Times {
+impl LatencyHistogram {
     /// One more.
-    pub fn push(&mut self, time: Duration) {
+    pub fn record(&mut self, time: Duration) {
         // It grows as far as any time here goes.
         let _ = self.0.record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
     }
 
     /// Those that are not in an earlier state of this.
-    pub fn since(&self, before: &Times) -> Times {
+    pub fn since(&self, earlier: &LatencyHistogram) -> LatencyHistogram {
         let mut since = self.clone();
         // What is subtracted is part of it.
-        let _ = since.0.subtract(&before.0);
+        let _ = since.0.subtract(&earlier.0);
         since
     }
 }
 
-impl Tally {
+impl LoadMetrics {
     /// All that were asked.
-    pub fn all(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.served + self.refused + self.failed + self.lost
     }
 
     /// The time that this share of the answers (0 to 1) took at most; zero without any.
-    pub fn time(&self, share: f64) -> Duration {
-        Duration::from_micros(self.times.0.value_at_quantile(share))
+    pub fn latency_quantile(&self, quantile: f64) -> Duration {
+        Duration::from_micros(self.latencies.0.value_at_quantile(quantile))
     }
 }
 
@@ -93,7 +93,7 @@
     pub body: usize,
     /// How long they wait for an answer.
     pub budget: Duration,
-    /// How often they come again after a refusal.
+    /// How often they come retry after a refusal.
     pub retries: usize,
 }
 
@@ -114,52 +114,52 @@
         }
     }
 
-    /// Asks until all is asked; `tally` shows how far it is. Needs a [`tokio::task::LocalSet`].
-    pub async fn run(&self, tally: &Rc<RefCell<Tally>>) {
+    /// Asks until all is asked; `metrics` shows how far it is. Needs a [`tokio::task::LocalSet`].
+    pub async fn run(&self, metrics: &Rc<RefCell<LoadMetrics>>) {
         let load = Rc::new(self.clone());
         let mut clients = JoinSet::new();
         for client in 0..self.clients {
-            let (load, tally) = (load.clone(), tally.clone());
-            clients.spawn_local(async move { load.client(client, &tally).await });
+            let (load, metrics) = (load.clone(), metrics.clone());
+            clients.spawn_local(async move { load.client(client, &metrics).await });
         }
         while let Some(client) = clients.join_next().await {
             client.expect("a client does not panic");
         }
     }
 
-    async fn client(&self, client: usize, tally: &Rc<RefCell<Tally>>) {
-        let mut dice = Dice::new(self.seed, ("client", client));
+    async fn client(&self, client: usize, metrics: &Rc<RefCell<LoadMetrics>>) {
+        let mut random = RandomStream::new(self.seed, ("client", client));
         let mut stream = None;
         for call in 0..self.calls {
             if self.until.is_some_and(|until| Instant::now() >= until) {
                 return;
             }
             if !self.pause.is_zero() {
-                sleep(dice.time(self.pause)).await;
+                sleep(random.exponential(self.pause)).await;
             }
-            let class = self.class(dice.share());
-            for again in 0..=self.retries {
-                let text = self.text(class, client, call, again);
+            let class = self.class(random.uniform());
+            for retry in 0..=self.retries {
+                let text = self.text(class, client, call, retry);
                 let started = Instant::now();
-                let answer = ask(&mut stream, self.address, &text).await;
+                let answer = exchange(&mut stream, self.address, &text).await;
                 let refused = matches!(answer, Some((429 | 503, _)));
-                if let Some((_, advice)) = answer.filter(|_| refused && again < self.retries) {
-                    tally.borrow_mut().again += 1;
-                    sleep(advice).await;
+                if let Some((_, retry_after)) = answer.filter(|_| refused && retry < self.retries) {
+                    metrics.borrow_mut().retries += 1;
+                    sleep(retry_after).await;
                     continue;
                 }
-                let mut tally = tally.borrow_mut();
+                let mut metrics = metrics.borrow_mut();
                 match answer {
                     Some((200, _)) => {
-                        tally.served += 1;
-                        tally.times.push(started.elapsed());
+                        metrics.served += 1;
+                        metrics.latencies.record(started.elapsed());
                     }
-                    Some(_) if refused => tally.refused += 1,
+                    Some(_) if refused => metrics.refused += 1,
                     Some((status, _)) => {
-                        tally.failed += 1;
-                        *tally.failures.entry(status).or_default() += 1;
+                        metrics.failed += 1;
+                        *metrics.failures.entry(status).or_default() += 1;
                     }
-                    None => tally.lost += 1,
+                    None => metrics.lost += 1,
                 }
                 break;
             }
@@ -177,34 +177,34 @@
     }
 
     /// A request. Its id is new each time that it comes; its key is not.
-    fn text(&self, class: &str, client: usize, call: usize, again: usize) -> String {
+    fn text(&self, class: &str, client: usize, call: usize, retry: usize) -> String {
         let name = format!("{:x}-{client:x}-{call:x}", self.seed);
         let (method, more) = match class {
             "free" => ("GET", String::new()),
             "keyed" => ("POST", format!("Idempotency-Key: k-{name}\r\nContent-Length: {}\r\n", self.body)),
             _ => ("POST", format!("Content-Length: {}\r\n", self.body)),
         };
-        let again_said = if again > 0 { "X-Again: 1\r\n" } else { "" };
+        let retry_header = if retry > 0 { "X-Again: 1\r\n" } else { "" };
         let body = if method == "GET" { String::new() } else { "b".repeat(self.body) };
         format!(
-            "{method} /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {name}-{again}\r\nX-Call-Class: {class}\r\n\
-             X-Budget-Ms: {}\r\n{again_said}{more}\r\n{body}",
+            "{method} /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {name}-{retry}\r\nX-Call-Class: {class}\r\n\
+             X-Budget-Ms: {}\r\n{retry_header}{more}\r\n{body}",
             self.budget.as_millis()
         )
     }
 }
 
 /// Asks on a connection, on a new one if there is none or it turns out closed between two requests. Gives the
-/// status and the advice when to come back.
-async fn ask(
-    kept: &mut Option<Reader<TcpStream>>,
+/// status and the retry_after when to come back.
+async fn exchange(
+    idle: &mut Option<Reader<TcpStream>>,
     address: SocketAddr,
     text: &str,
 ) -> Option<(u16, Duration)> {
     // A server may close between requests; that crosses a request at most once on each connection.
     for _ in 0..2 {
-        let reused = kept.is_some();
-        let mut client = match kept.take() {
+        let reused = idle.is_some();
+        let mut client = match idle.take() {
             Some(client) => client,
             None => {
                 let stream = TcpStream::connect(address).await.ok()?;
@@ -222,12 +222,12 @@
             }
             return None;
         };
-        let advice = answer.header("retry-after").and_then(|seconds| seconds.parse().ok());
-        let advice = advice.and_then(|s| Duration::try_from_secs_f64(s).ok()).unwrap_or_default();
+        let retry_after = answer.header("retry-after").and_then(|seconds| seconds.parse().ok());
+        let retry_after = retry_after.and_then(|s| Duration::try_from_secs_f64(s).ok()).unwrap_or_default();
         if answer.header("connection") != Some("close") {
-            *kept = Some(client);
+            *idle = Some(client);
         }
-        return Some((answer.status(), advice));
+        return Some((answer.status(), retry_after));
     }
     None
 }
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -36,7 +36,7 @@
     let mut out = std::io::stdout();
     let demo = nettleworks_standins::demo::run(seed, None, &mut out);
     match LocalSet::new().block_on(&runtime, demo) {
-        Ok(report) if report.twice == 0 && report.tally.lost == 0 => ExitCode::SUCCESS,
+        Ok(report) if report.duplicates == 0 && report.metrics.lost == 0 => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(error) => {
             eprintln!("{error}");
--- a/standins/src/over.rs
+++ b/standins/src/pooled_sender.rs
@@ -1,8 +1,8 @@
-//! A storm's sends over connections, of which each is kept for the next send that needs one.
+//! A storm's sends over connections, of which each is idle for the next send that needs one.
 
 use crate::client::{request_for, Client};
 use crate::message::Reader;
-use crate::storm::Got;
+use crate::stress::SendOutcome;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,44 +10,44 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Makes a send of a class under a key, for a client that waits so long: [`crate::Storm::run`] takes it as its call. A
+/// Makes a send of a class under a key, for a client that waits so long: [`crate::StressRun::run`] takes it as its call. A
 /// send that is dropped drops its connection, as a client does that leaves.
-pub fn over(
+pub fn pooled_sender(
     address: SocketAddr,
-) -> impl Fn(&'static str, String, Duration) -> Sending + Clone + Send + Sync + 'static {
-    let kept: Arc<Mutex<Vec<Client>>> = Arc::default();
-    move |class, key, patience| {
-        let kept = kept.clone();
-        Box::pin(async move { send(address, &kept, class, &key, patience).await })
+) -> impl Fn(&'static str, String, Duration) -> SendFuture + Clone + Send + Sync + 'static {
+    let idle: Arc<Mutex<Vec<Client>>> = Arc::default();
+    move |class, key, timeout| {
+        let idle = idle.clone();
+        Box::pin(async move { send(address, &idle, class, &key, timeout).await })
     }
 }
 
 /// A send that is out.
-pub type Sending = std::pin::Pin<Box<dyn Future<Output = Got> + Send>>;
+pub type SendFuture = std::pin::Pin<Box<dyn Future<Output = SendOutcome> + Send>>;
 
-fn oldest(kept: &Mutex<Vec<Client>>) -> Option<Client> {
-    let mut idle = kept.lock().unwrap_or_else(PoisonError::into_inner);
+fn take_oldest(idle: &Mutex<Vec<Client>>) -> Option<Client> {
+    let mut idle = idle.lock().unwrap_or_else(PoisonError::into_inner);
     (!idle.is_empty()).then(|| idle.remove(0))
 }
 
 async fn send(
     address: SocketAddr,
-    kept: &Mutex<Vec<Client>>,
+    idle: &Mutex<Vec<Client>>,
     class: &str,
     key: &str,
-    patience: Duration,
-) -> Got {
-    let text = request_for(class, &format!("Idempotency-Key: {key}\r\n"), &format!("pays {key}"), patience);
+    timeout: Duration,
+) -> SendOutcome {
+    let text = request_for(class, &format!("Idempotency-Key: {key}\r\n"), &format!("pays {key}"), timeout);
     // A server may close between two requests: that crosses a request at most once on each connection.
     for _ in 0..2 {
         // The oldest first: sends go over many connections, and so to all that accept them.
-        let again = oldest(kept);
-        let reused = again.is_some();
-        let mut client = match again {
+        let idle_client = take_oldest(idle);
+        let reused = idle_client.is_some();
+        let mut client = match idle_client {
             Some(client) => client,
             None => match TcpStream::connect(address).await {
                 Ok(stream) => Reader::new(stream),
-                Err(_) => return Got::Refused(Duration::from_millis(10)),
+                Err(_) => return SendOutcome::Refused(Duration::from_millis(10)),
             },
         };
         let written = client.stream.write_all(text.as_bytes()).await.is_ok();
@@ -56,24 +56,24 @@
             if reused {
                 continue;
             }
-            return Got::Unsure;
+            return SendOutcome::Unsure;
         };
-        let got = match answer.status() {
+        let outcome = match answer.status() {
             200 => {
                 let replayed = answer.header("idempotency-replayed") == Some("true");
-                Got::Answer { body: answer.body.clone(), replayed }
+                SendOutcome::Answer { body: answer.body.clone(), replayed }
             }
             503 => {
                 let seconds = answer.header("retry-after").and_then(|text| text.parse().ok()).unwrap_or(0.05);
-                Got::Refused(Duration::try_from_secs_f64(seconds).unwrap_or_default())
+                SendOutcome::Refused(Duration::try_from_secs_f64(seconds).unwrap_or_default())
             }
-            _ if answer.body.windows(9).any(|part| part == b"\"running\"") => Got::Running,
-            _ => Got::Unsure,
+            _ if answer.body.windows(9).any(|part| part == b"\"running\"") => SendOutcome::Running,
+            _ => SendOutcome::Unsure,
         };
         if answer.header("connection") != Some("close") {
-            kept.lock().unwrap_or_else(PoisonError::into_inner).push(client);
+            idle.lock().unwrap_or_else(PoisonError::into_inner).push(client);
         }
-        return got;
+        return outcome;
     }
-    Got::Unsure
+    SendOutcome::Unsure
 }
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -45,7 +45,7 @@
 }
 
 /// A form in which the proxy runs.
-pub trait Form: 'static {
+pub trait Deployment: 'static {
     /// Starts it until `stop` is told or dropped. Gives its address, and a task that ends when it has stopped and
     /// that panics if it did not end well.
     fn start(setup: Setup, stop: oneshot::Receiver<()>)
@@ -54,50 +54,54 @@
 
 /// A running proxy.
 #[derive(Debug)]
-pub struct Proxy<F> {
+pub struct Proxy<D> {
     /// Where clients connect.
     pub address: SocketAddr,
     /// Stops it when told or dropped.
     pub stop: Option<oneshot::Sender<()>>,
     /// Ends when it has stopped.
     pub task: JoinHandle<()>,
-    form: PhantomData<F>,
+    deployment: PhantomData<D>,
 }
 
-impl<F: Form> Proxy<F> {
+impl<D: Deployment> Proxy<D> {
     /// A proxy that knows these hosts, with a discovery that says nothing.
     pub async fn start(hosts: &[Host]) -> Self {
-        Self::with(&Discovery::quiet().await, hosts, |_| ()).await
+        Self::start_with(&Discovery::heartbeats_only().await, hosts, |_| ()).await
     }
 
     /// A proxy that knows these hosts; `change` sees its configuration first.
-    pub async fn with(
+    pub async fn start_with(
         discovery: &Discovery,
         hosts: &[Host],
         change: impl FnOnce(&mut serde_json::Value),
     ) -> Self {
-        Self::configured(configuration(discovery.address, hosts, change)).await
+        Self::start_with_setup(configuration(discovery.address, hosts, change)).await
     }
 
     /// A proxy that knows these hosts, with a discovery that says nothing and a store of keys.
-    pub async fn with_keys(hosts: &[Host], keys: &str, change: impl FnOnce(&mut serde_json::Value)) -> Self {
-        let config = configuration(Discovery::quiet().await.address, hosts, change);
-        Self::configured(Setup { config, keys: Some(keys.to_owned()) }).await
+    pub async fn start_with_keys(
+        hosts: &[Host],
+        keys: &str,
+        change: impl FnOnce(&mut serde_json::Value),
+    ) -> Self {
+        let config = configuration(Discovery::heartbeats_only().await.address, hosts, change);
+        Self::start_with_setup(Setup { config, keys: Some(keys.to_owned()) }).await
     }
 
     /// A proxy with this setup.
-    pub async fn configured(setup: impl Into<Setup>) -> Self {
+    pub async fn start_with_setup(setup: impl Into<Setup>) -> Self {
         let (stop, stopped) = oneshot::channel();
-        let (address, task) = F::start(setup.into(), stopped).await;
-        Proxy { address, stop: Some(stop), task, form: PhantomData }
+        let (address, task) = D::start(setup.into(), stopped).await;
+        Proxy { address, stop: Some(stop), task, deployment: PhantomData }
     }
 
     /// Waits until the proxy has seen what clients did before: what it hears comes in order, and two round trips
     /// on new connections end after it. That holds for a proxy with one engine; of several, any may take these two, so
     /// no test's verdict may rest on it there ([`Client::go`] tells the end of a client for all).
-    pub async fn has_noticed(&self) {
+    pub async fn wait_until_processed(&self) {
         for _ in 0..2 {
-            self.client().await.ask(crate::client::HEALTH).await;
+            self.client().await.exchange(crate::client::HEALTH_REQUEST).await;
         }
     }
 
@@ -109,9 +113,9 @@
 
 /// The daemon's front and driver on the test's own thread.
 #[derive(Debug)]
-pub struct Inside;
+pub struct InProcess;
 
-impl Form for Inside {
+impl Deployment for InProcess {
     async fn start(setup: Setup, stop: oneshot::Receiver<()>) -> (SocketAddr, JoinHandle<()>) {
         let config = setup.read();
         let listener = nettleworks::server::listen(config.listen).expect("it listens");
@@ -131,17 +135,17 @@
     /// A folder for its configuration.
     const SCRATCH: &'static str;
     /// Further words of its command line.
-    const WORDS: &'static [&'static str] = &[];
+    const ARGUMENTS: &'static [&'static str] = &[];
 }
 
-impl<P: Program> Form for P {
+impl<P: Program> Deployment for P {
     async fn start(setup: Setup, stop: oneshot::Receiver<()>) -> (SocketAddr, JoinHandle<()>) {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let name = format!("{}-{}.json", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
         let path = PathBuf::from(P::SCRATCH).join(&name);
         std::fs::write(&path, setup.config).expect("written");
         let mut command = Command::new(P::PATH);
-        command.args(P::WORDS);
+        command.args(P::ARGUMENTS);
         let keys = setup.keys.map(|keys| {
             let path = PathBuf::from(P::SCRATCH).join(format!("keys-{name}"));
             std::fs::write(&path, keys).expect("written");
--- a/standins/src/dice.rs
+++ b/standins/src/random_stream.rs
@@ -8,35 +8,35 @@
 
 /// A source of draws that is the same for the same seed and names.
 #[derive(Clone, Debug)]
-pub struct Dice(Pcg32);
+pub struct RandomStream(Pcg32);
 
-impl Dice {
+impl RandomStream {
     /// Draws of a seed, for what these names stand for.
-    pub fn new(seed: u64, names: impl Hash) -> Dice {
+    pub fn new(seed: u64, names: impl Hash) -> RandomStream {
         // The standard library's hasher may change with its version, and draws with it.
         let mut hash = XxHash64::with_seed(seed);
         names.hash(&mut hash);
-        Dice(Pcg32::seed_from_u64(hash.finish()))
+        RandomStream(Pcg32::seed_from_u64(hash.finish()))
     }
 
     /// A number from 0 to under 1.
-    pub fn share(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
     /// Whether something of this chance happens.
-    pub fn happens(&mut self, chance: f64) -> bool {
-        self.share() < chance
+    pub fn chance(&mut self, chance: f64) -> bool {
+        self.uniform() < chance
     }
 
-    /// A whole number below `most`; 0 if that is 0.
-    pub fn below(&mut self, most: usize) -> usize {
-        (self.share() * most as f64) as usize
+    /// A whole number below `bound`; 0 if that is 0.
+    pub fn below(&mut self, bound: usize) -> usize {
+        (self.uniform() * bound as f64) as usize
     }
 
     /// A time with this mean: exponential, no more than eight times the mean.
-    pub fn time(&mut self, mean: Duration) -> Duration {
-        mean.mul_f64((-(1.0 - self.share()).ln()).min(8.0))
+    pub fn exponential(&mut self, mean: Duration) -> Duration {
+        mean.mul_f64((-(1.0 - self.uniform()).ln()).min(8.0))
     }
 
     /// Random bytes.
@@ -53,13 +53,14 @@
 
     #[test]
     fn draws_depend_on_seed_and_names_alone() {
-        let draw = |seed, name: &str| Dice::new(seed, (name, 3)).bytes(16);
+        let draw = |seed, name: &str| RandomStream::new(seed, (name, 3)).bytes(16);
         assert_eq!(draw(7, "a"), draw(7, "a"));
         assert_ne!(draw(7, "a"), draw(8, "a"));
         assert_ne!(draw(7, "a"), draw(7, "b"));
-        let mut dice = Dice::new(1, "mean");
+        let mut random = RandomStream::new(1, "mean");
         let mean: f64 =
-            (0..20_000).map(|_| dice.time(Duration::from_millis(10)).as_secs_f64()).sum::<f64>() / 20_000.0;
+            (0..20_000).map(|_| random.exponential(Duration::from_millis(10)).as_secs_f64()).sum::<f64>()
+                / 20_000.0;
         assert!((0.0095..0.0105).contains(&mean), "{mean}");
     }
 }
--- a/standins/src/registry.rs
+++ b/standins/src/registry.rs
@@ -1,7 +1,7 @@
 //! Discovery that keeps a list, serves any number of watches, and sends heartbeats.
 
 use crate::configuration::list;
-use crate::discovery::{chunk, WATCH};
+use crate::discovery::{chunk, WATCH_HEAD};
 use crate::message::Reader;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -44,7 +44,9 @@
                 spawn_local(async move {
                     let (read, mut write) = stream.split();
                     let mut reader = Reader::new(read);
-                    if reader.message().await.is_none() || write.write_all(WATCH.as_bytes()).await.is_err() {
+                    if reader.message().await.is_none()
+                        || write.write_all(WATCH_HEAD.as_bytes()).await.is_err()
+                    {
                         return;
                     }
                     serving.watches.set(serving.watches.get() + 1);
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay for TCP that stands between a proxy and what it talks to, and does harm on the way.
+//! A relay for TCP that stands between a proxy and what it talks to, and does disruption on the way.
 
 use crate::message::Reader;
 use socket2::SockRef;
@@ -12,52 +12,52 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Most bytes that are passed on at a time.
-const PIECE: usize = 4 << 10;
+/// Most bytes that are forwarded on at a time.
+const BUFFER_BYTES: usize = 4 << 10;
 /// An answer that refuses a call.
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
 /// What meets a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrival {
-    /// It is passed on.
-    Passes,
+pub enum ConnectionMode {
+    /// It is forwarded on.
+    Forward,
     /// Its request is answered 503 after this time.
-    Refused(Duration),
+    Refuse(Duration),
     /// It waits and is answered 503 after this time, unless another one waits: then it is answered 503 at once.
-    Crowded(Duration),
+    RefuseConcurrent(Duration),
     /// It stays open and is never answered.
-    Hangs,
+    Hang,
     /// It is reset.
     Reset,
-    /// It is passed on, and reset when so many bytes have come from the target.
+    /// It is forwarded on, and reset when so many bytes have come from the target.
     ResetAfter(usize),
-    /// It is passed on, and falls silent when so many bytes have come from the target.
+    /// It is forwarded on, and falls silent when so many bytes have come from the target.
     SilentAfter(usize),
 }
 
 /// What happens to the connections that are open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Harm {
+enum Disruption {
     None,
     /// They stay open, and nothing passes any more but so many bytes from the target.
     SilenceAfter(usize),
     /// They are reset when so many more bytes have come from the target.
     ResetAfter(usize),
     /// They are closed in order.
-    End,
+    Close,
 }
 
-/// A relay before one address. Connections are passed on until something else is asked for.
+/// A relay before one address. Connections are forwarded on until something else is asked for.
 #[derive(Clone, Debug)]
 pub struct Relay {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Connections so far.
+    /// Connections so server.
     pub accepted: Rc<Cell<usize>>,
-    arrival: Rc<Cell<Arrival>>,
+    mode: Rc<Cell<ConnectionMode>>,
     waiting: Rc<Cell<usize>>,
-    harm: Rc<RefCell<watch::Sender<Harm>>>,
+    disruption: Rc<RefCell<watch::Sender<Disruption>>>,
 }
 
 impl Relay {
@@ -67,24 +67,24 @@
         let relay = Relay {
             address: listener.local_addr().expect("an address"),
             accepted: Rc::default(),
-            arrival: Rc::new(Cell::new(Arrival::Passes)),
+            mode: Rc::new(Cell::new(ConnectionMode::Forward)),
             waiting: Rc::default(),
-            harm: Rc::new(RefCell::new(watch::Sender::new(Harm::None))),
+            disruption: Rc::new(RefCell::new(watch::Sender::new(Disruption::None))),
         };
         let serving = relay.clone();
         spawn_local(async move {
-            while let Ok((near, _)) = listener.accept().await {
+            while let Ok((client, _)) = listener.accept().await {
                 serving.accepted.set(serving.accepted.get() + 1);
-                let (arrival, harm) = (serving.arrival.get(), serving.harm.borrow().subscribe());
-                spawn_local(meet(near, target, arrival, serving.waiting.clone(), harm));
+                let (mode, disruption) = (serving.mode.get(), serving.disruption.borrow().subscribe());
+                spawn_local(serve_connection(client, target, mode, serving.waiting.clone(), disruption));
             }
         });
         relay
     }
 
     /// What new connections meet from now on.
-    pub fn arrivals(&self, arrival: Arrival) {
-        self.arrival.set(arrival);
+    pub fn set_mode(&self, mode: ConnectionMode) {
+        self.mode.set(mode);
     }
 
     /// The connections that are open fall silent: they stay open, and nothing passes on them any more.
@@ -94,70 +94,70 @@
 
     /// The same when so many more bytes have come from the target.
     pub fn silence_after(&self, bytes: usize) {
-        self.harm(Harm::SilenceAfter(bytes));
+        self.disrupt(Disruption::SilenceAfter(bytes));
     }
 
     /// Each connection that is open is reset when so many more bytes have come from the target.
     pub fn reset_after(&self, bytes: usize) {
-        self.harm(Harm::ResetAfter(bytes));
+        self.disrupt(Disruption::ResetAfter(bytes));
     }
 
     /// The connections that are open are closed in order, with nothing more said on them.
-    pub fn end(&self) {
-        self.harm(Harm::End);
+    pub fn close_connections(&self) {
+        self.disrupt(Disruption::Close);
     }
 
-    /// Does harm to the connections that are open now, and to no later one.
-    fn harm(&self, harm: Harm) {
-        self.harm.replace(watch::Sender::new(Harm::None)).send_replace(harm);
+    /// Does disruption to the connections that are open now, and to no later one.
+    fn disrupt(&self, disruption: Disruption) {
+        self.disruption.replace(watch::Sender::new(Disruption::None)).send_replace(disruption);
     }
 }
 
-async fn meet(
-    near: TcpStream,
+async fn serve_connection(
+    client: TcpStream,
     target: SocketAddr,
-    arrival: Arrival,
+    mode: ConnectionMode,
     waiting: Rc<Cell<usize>>,
-    harm: watch::Receiver<Harm>,
+    disruption: watch::Receiver<Disruption>,
 ) {
-    match arrival {
-        Arrival::Passes => {
-            if let Ok(far) = TcpStream::connect(target).await {
-                pass(near, far, harm, None).await;
+    match mode {
+        ConnectionMode::Forward => {
+            if let Ok(server) = TcpStream::connect(target).await {
+                forward(client, server, disruption, None).await;
             }
         }
-        Arrival::ResetAfter(bytes) => {
-            if let Ok(far) = TcpStream::connect(target).await {
-                pass(near, far, harm, Some(bytes)).await;
+        ConnectionMode::ResetAfter(bytes) => {
+            if let Ok(server) = TcpStream::connect(target).await {
+                forward(client, server, disruption, Some(bytes)).await;
             }
         }
-        Arrival::SilentAfter(bytes) => {
-            if let Ok(mut far) = TcpStream::connect(target).await {
-                let mut near = near;
-                let mut request = [0; PIECE];
-                let count = near.read(&mut request).await.unwrap_or(0);
-                if far.write_all(&request[..count]).await.is_ok() {
-                    fall_silent(near, far, bytes).await;
+        ConnectionMode::SilentAfter(bytes) => {
+            if let Ok(mut server) = TcpStream::connect(target).await {
+                let mut client = client;
+                let mut request = [0; BUFFER_BYTES];
+                let count = client.read(&mut request).await.unwrap_or(0);
+                if server.write_all(&request[..count]).await.is_ok() {
+                    fall_silent(client, server, bytes).await;
                 }
             }
         }
-        Arrival::Refused(after) => refuse(near, after).await,
-        Arrival::Crowded(after) => {
+        ConnectionMode::Refuse(after) => refuse(client, after).await,
+        ConnectionMode::RefuseConcurrent(after) => {
             let others = waiting.replace(waiting.get() + 1);
-            refuse(near, if others == 0 { after } else { Duration::ZERO }).await;
+            refuse(client, if others == 0 { after } else { Duration::ZERO }).await;
             waiting.set(waiting.get() - 1);
         }
-        Arrival::Hangs => {
-            let mut near = near;
-            while near.read(&mut [0; PIECE]).await.is_ok_and(|count| count > 0) {}
+        ConnectionMode::Hang => {
+            let mut client = client;
+            while client.read(&mut [0; BUFFER_BYTES]).await.is_ok_and(|count| count > 0) {}
         }
-        Arrival::Reset => reset(&near),
+        ConnectionMode::Reset => reset(&client),
     }
 }
 
 /// Answers a request 503 after a time.
-async fn refuse(near: TcpStream, after: Duration) {
-    let mut reader = Reader::new(near);
+async fn refuse(client: TcpStream, after: Duration) {
+    let mut reader = Reader::new(client);
     if reader.message().await.is_some() {
         sleep(after).await;
         // It may have gone.
@@ -171,51 +171,51 @@
 }
 
 /// Passes on so many bytes more from the target, and stays open.
-async fn fall_silent(mut near: TcpStream, mut far: TcpStream, bytes: usize) {
-    let (mut left, mut piece) = (bytes, [0; PIECE]);
-    while left > 0 {
-        let count = far.read(&mut piece).await.unwrap_or(0).min(left);
-        if count == 0 || near.write_all(&piece[..count]).await.is_err() {
+async fn fall_silent(mut client: TcpStream, mut server: TcpStream, bytes: usize) {
+    let (mut remaining, mut buffer) = (bytes, [0; BUFFER_BYTES]);
+    while remaining > 0 {
+        let count = server.read(&mut buffer).await.unwrap_or(0).min(remaining);
+        if count == 0 || client.write_all(&buffer[..count]).await.is_err() {
             return;
         }
-        left -= count;
+        remaining -= count;
     }
-    while near.read(&mut piece).await.is_ok_and(|count| count > 0) {}
+    while client.read(&mut buffer).await.is_ok_and(|count| count > 0) {}
 }
 
-/// Passes on what comes either way until a side ends, or what harm asks for.
-async fn pass(
-    mut near: TcpStream,
-    mut far: TcpStream,
-    mut harm: watch::Receiver<Harm>,
-    mut left: Option<usize>,
+/// Passes on what comes either way until a side ends, or what disruption asks for.
+async fn forward(
+    mut client: TcpStream,
+    mut server: TcpStream,
+    mut disruption: watch::Receiver<Disruption>,
+    mut remaining: Option<usize>,
 ) {
     loop {
-        let (mut up, mut down) = ([0; PIECE], [0; PIECE]);
+        let (mut up, mut down) = ([0; BUFFER_BYTES], [0; BUFFER_BYTES]);
         tokio::select! {
             // The sender goes when it has asked for something; what it asked for last stays to be seen.
-            changed = harm.changed(), if left.is_none() => match (changed, *harm.borrow_and_update()) {
-                (_, Harm::ResetAfter(0)) => return reset(&near),
-                (_, Harm::End) => return,
-                (_, Harm::ResetAfter(bytes)) => left = Some(bytes),
-                (_, Harm::SilenceAfter(bytes)) => return fall_silent(near, far, bytes).await,
-                (Err(_), Harm::None) => return,
-                (Ok(()), Harm::None) => {}
+            changed = disruption.changed(), if remaining.is_none() => match (changed, *disruption.borrow_and_update()) {
+                (_, Disruption::ResetAfter(0)) => return reset(&client),
+                (_, Disruption::Close) => return,
+                (_, Disruption::ResetAfter(bytes)) => remaining = Some(bytes),
+                (_, Disruption::SilenceAfter(bytes)) => return fall_silent(client, server, bytes).await,
+                (Err(_), Disruption::None) => return,
+                (Ok(()), Disruption::None) => {}
             },
-            read = near.read(&mut up) => match read {
-                Ok(count) if count > 0 && far.write_all(&up[..count]).await.is_ok() => {}
+            read = client.read(&mut up) => match read {
+                Ok(count) if count > 0 && server.write_all(&up[..count]).await.is_ok() => {}
                 _ => return,
             },
-            read = far.read(&mut down) => {
-                let Ok(count) = read else { return reset(&near) };
-                let passed = left.map_or(count, |left| count.min(left));
-                if near.write_all(&down[..passed]).await.is_err() || count == 0 {
+            read = server.read(&mut down) => {
+                let Ok(count) = read else { return reset(&client) };
+                let forwarded = remaining.map_or(count, |remaining| count.min(remaining));
+                if client.write_all(&down[..forwarded]).await.is_err() || count == 0 {
                     return;
                 }
-                if let Some(left) = &mut left {
-                    *left -= passed;
-                    if *left == 0 {
-                        return reset(&near);
+                if let Some(remaining) = &mut remaining {
+                    *remaining -= forwarded;
+                    if *remaining == 0 {
+                        return reset(&client);
                     }
                 }
             }
--- a/standins/src/wait.rs
+++ b/standins/src/wait.rs
@@ -6,12 +6,12 @@
 use tokio::time::{sleep, timeout};
 
 /// Far longer than any test takes.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Runs a test on a thread of its own runtime, and fails it when it does not end.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let test = async { timeout(PATIENCE, test).await.expect("the test ends in time") };
+    let test = async { timeout(TEST_TIMEOUT, test).await.expect("the test ends in time") };
     LocalSet::new().block_on(&runtime, test)
 }
 
@@ -22,5 +22,5 @@
             sleep(Duration::from_millis(1)).await;
         }
     };
-    timeout(PATIENCE / 2, met).await.unwrap_or_else(|_| panic!("never: {what}"));
+    timeout(TEST_TIMEOUT / 2, met).await.unwrap_or_else(|_| panic!("never: {what}"));
 }
