--- a/standins/src/client.rs
+++ b/standins/src/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection, and requests as text.
+//! The connection of a test client, and HTTP requests as text.
 
 use crate::message::{Message, Reader};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,18 +6,19 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// A client's connection.
+/// The connection of a test client to a proxy.
 pub type Client = Reader<TcpStream>;
 
-/// Asks whether a proxy is ready.
+/// A request for the readiness of a proxy.
 pub const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\n\r\n";
 
-/// A request of a class, with further header lines and a body. Each has an id of its own.
+/// A request of a class, with additional header lines and a body. Each has a call id of its own, and a key of its own
+/// if the class is `keyed` and the headers have none. Its time budget is 8 s.
 pub fn request(class: &str, extra_headers: &str, body: &str) -> String {
     request_for(class, extra_headers, body, Duration::from_secs(8))
 }
 
-/// The same for a client that waits so long.
+/// The same as [`request`] with `timeout` as its time budget.
 pub fn request_for(class: &str, extra_headers: &str, body: &str, timeout: Duration) -> String {
     static IDS: AtomicU64 = AtomicU64::new(0);
     let (id, length) = (IDS.fetch_add(1, Ordering::Relaxed), body.len());
@@ -37,21 +38,22 @@
 }
 
 impl Client {
-    /// Writes text as it is.
+    /// Sends this text unchanged.
     pub async fn send(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).await.expect("written");
     }
 
-    /// Sends a request and reads its answer.
+    /// Sends a request and reads its answer. Panics if the connection ends without one.
     pub async fn exchange(&mut self, text: &str) -> Message {
         self.send(text).await;
         self.message().await.expect("an answer")
     }
 
-    /// Goes, and returns when the proxy has seen it: the close is told by the connection itself, so it holds whichever
-    /// of a proxy's engines has it. What came meanwhile is not read.
+    /// Closes the connection for writing and returns when the proxy has closed it too. The proxy's end of the stream
+    /// shows that it has noticed, whichever of its engines has the connection. Bytes that arrive meanwhile are
+    /// discarded.
     pub async fn close(mut self) {
-        // One that the proxy has closed already is gone, too.
+        // This fails if the proxy has already closed the connection.
         let _ = self.stream.shutdown().await;
         while self.more().await {}
     }
--- a/standins/src/configuration.rs
+++ b/standins/src/configuration.rs
@@ -1,22 +1,22 @@
-//! Configurations and lists of hosts, as text.
+//! Proxy configurations and server lists as text.
 
 use crate::host::Host;
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// An entry of the list.
+/// An entry of the server list: a host of the site `a` and the class `m2` in pod 3, with this health.
 pub fn entry(name: &str, address: SocketAddr, health: &str) -> serde_json::Value {
     json!({"host": name, "dial": address.to_string(), "site": "a", "class": "m2", "block": 3,
            "health": health, "share": 1.0, "born_ms": 0})
 }
 
-/// A list of hosts, or of what has changed in it.
+/// A message of discovery with version `seq`: the full list of hosts if `whole`, else the entries that have changed.
 pub fn list(seq: u64, whole: bool, hosts: &[serde_json::Value]) -> String {
     json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string()
 }
 
-/// A configuration that knows these hosts, with the classes `free`, `keyed` and `unsafe`; `change` sees it before
-/// it is text.
+/// A proxy configuration with these known hosts and the classes `free`, `keyed` and `unsafe`. `change` may modify it
+/// before it becomes text.
 pub fn configuration(
     discovery: SocketAddr,
     hosts: &[Host],
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -1,5 +1,5 @@
 //! The demo: a small fleet, discovery, the proxy and clients on free loopback ports. Hosts are drained, killed and
-//! started again on the way; a table a second shows what comes of it.
+//! restarted while clients send requests; one line per second shows the results so far.
 
 use crate::configuration::{configuration, entry};
 use crate::host::Host;
@@ -18,22 +18,22 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// How long clients ask.
+/// How long clients send requests by default.
 const DEMO_DURATION: Duration = Duration::from_secs(15);
-/// The window in which a pod drops repeats of a key.
+/// The time for which a pod drops repeats of a key.
 const DUPLICATE_WINDOW: Duration = Duration::from_secs(9);
 
-/// What came of a demo.
+/// The results of a demo.
 #[derive(Debug)]
 pub struct Report {
-    /// What clients met.
+    /// Counts and latencies of the clients' requests.
     pub metrics: LoadMetrics,
-    /// How many effects were had duplicates.
+    /// The number of requests that took effect twice although they must not.
     pub duplicates: usize,
 }
 
-/// Runs the demo and writes its progress to `out`; its draws are those of `seed`. Needs a
-/// [`tokio::task::LocalSet`].
+/// Runs the demo with the random draws of `seed`, for `duration` or 15 s, and writes its progress to `out`. Must be
+/// called in a [`tokio::task::LocalSet`]. Fails if the proxy can't be started or `out` can't be written.
 pub async fn run(seed: u64, duration: Option<Duration>, out: &mut dyn Write) -> io::Result<Report> {
     let duration = duration.unwrap_or(DEMO_DURATION);
     let (registry, ledger) = (Registry::start().await, Ledger::default());
@@ -116,13 +116,20 @@
     let (metrics, duplicates) = (metrics.borrow().clone(), ledger.duplicates(DUPLICATE_WINDOW).len());
     writeln!(
         out,
-        "asked {}: served {}, refused {}, failed {}, lost {}; clients came again {} times; hosts ran {}; run duplicates: {duplicates}",
-        metrics.total(), metrics.served, metrics.refused, metrics.failed, metrics.lost, metrics.retries, ledger.len()
+        "sent {} requests: served {}, refused {}, failed {}, lost {}; retried {}; hosts ran {}; \
+         duplicate effects: {duplicates}",
+        metrics.total(),
+        metrics.served,
+        metrics.refused,
+        metrics.failed,
+        metrics.lost,
+        metrics.retries,
+        ledger.len()
     )?;
     Ok(Report { metrics, duplicates })
 }
 
-/// What happens to the fleet at each fifteenth of the demo.
+/// Changes the fleet at a step of the demo (a fifteenth of its duration) and returns a description of the change.
 async fn apply_fleet_event(step: u64, hosts: &[Host], registry: &Registry) -> Option<&'static str> {
     let ready = |host: &Host| registry.set(entry(&host.name, host.address, "Ready"));
     Some(match step {
@@ -133,22 +140,22 @@
         5 => {
             registry.remove(&hosts[0].name);
             hosts[0].kill();
-            "node-0 is gone"
+            "node-0 is removed from the list and killed"
         }
         7 => {
             hosts[1].kill();
-            "node-1 is killed, and the list does not know"
+            "node-1 is killed and still listed"
         }
         9 => {
             registry.remove(&hosts[1].name);
-            "the list knows"
+            "node-1 is removed from the list"
         }
         11 => {
             hosts[0].restart().await;
             hosts[1].restart().await;
             ready(&hosts[0]);
             ready(&hosts[1]);
-            "both are back, cold"
+            "node-0 and node-1 are restarted and listed"
         }
         _ => return None,
     })
--- a/standins/src/discovery.rs
+++ b/standins/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that is scripted answer by answer. [`crate::Registry`] is one that keeps a list by itself.
+//! Stand-in discovery with scripted answers. [`crate::Registry`] is discovery that keeps a server list by itself.
 
 use crate::configuration::list;
 use crate::message::Reader;
@@ -15,50 +15,52 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The head of a watch.
+/// The head of the answer that opens a watch.
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A line of a watch, in a chunk of its own.
+/// A line of a watch as an HTTP chunk.
 pub fn chunk(line: &str) -> String {
     raw_chunk(&format!("{line}\n"))
 }
 
-/// A part of what a watch brings, as a chunk.
+/// This text, unchanged, as an HTTP chunk.
 pub fn raw_chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// How often a watch hears an empty line.
+/// The interval between heartbeats, which are empty lines.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// Discovery: to each watch it says the next of its answers, and then what is pushed. The last watch hears heartbeats, unless
-/// it is a silent one.
+/// Discovery with scripted answers: it answers each watch with the next of them, and sends pushed text on the last
+/// watch. The last watch also gets heartbeats, unless they are switched off. Clones are the same discovery.
 #[derive(Clone, Debug)]
 pub struct Discovery {
-    /// Where it listens.
+    /// The address on which discovery listens.
     pub address: SocketAddr,
-    /// The request lines of the watches so far.
+    /// The request lines of all watches so far.
     pub watch_requests: Rc<RefCell<Vec<String>>>,
     watch: Rc<RefCell<Option<OwnedWriteHalf>>>,
     sends_heartbeats: bool,
 }
 
 impl Discovery {
-    /// Discovery that has nothing to tell: each watch hears that nothing has changed, and then heartbeats.
+    /// Starts discovery that answers each watch that the list has not changed, and then sends heartbeats.
     pub async fn heartbeats_only() -> Discovery {
         Discovery::start([]).await
     }
 
-    /// Discovery that opens each watch and then says nothing at all, not even heartbeats.
+    /// Starts discovery that opens each watch and then sends only what is pushed, not even heartbeats.
     pub async fn without_heartbeats() -> Discovery {
         Discovery::serve([], false).await
     }
 
-    /// Discovery that says these answers, and after them that nothing has changed.
+    /// Starts discovery that answers watches with these texts in turn, and later watches that the list has not
+    /// changed.
     pub async fn start(answers: impl IntoIterator<Item = String>) -> Discovery {
         Discovery::serve(answers, true).await
     }
 
+    /// Starts the tasks that answer watches and send heartbeats.
     async fn serve(answers: impl IntoIterator<Item = String>, sends_heartbeats: bool) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -88,7 +90,8 @@
         discovery
     }
 
-    /// What a watch is answered that has missed nothing.
+    /// The answer to a watch without a scripted one: an empty change of the version that the watch asks for, or only
+    /// the head if heartbeats are switched off.
     fn unchanged(&self, request: &str) -> String {
         if !self.sends_heartbeats {
             return WATCH_HEAD.to_owned();
@@ -97,16 +100,16 @@
         format!("{WATCH_HEAD}{}", chunk(&list(since.unwrap_or(0), false, &[])))
     }
 
-    /// An empty line on the last watch, if there is one.
+    /// Sends an empty line on the last watch, if there is one.
     async fn send_heartbeat(&self) {
         let Some(mut watch) = self.watch.borrow_mut().take() else { return };
-        // Whoever has left it hears nothing.
+        // This fails if the client has closed the watch.
         let _ = watch.write_all(chunk("").as_bytes()).await;
-        // Another may have begun meanwhile.
+        // A new watch may have been opened meanwhile; it stays the last one.
         self.watch.borrow_mut().get_or_insert(watch);
     }
 
-    /// Whether the other side has closed the last watch.
+    /// Whether the client has closed the last watch.
     pub fn watch_is_closed(&self) -> bool {
         let watch = self.watch.borrow();
         let stream: &TcpStream = watch.as_ref().expect("a watch").as_ref();
@@ -116,9 +119,10 @@
         }
     }
 
-    /// Says this on the last watch; where there is none yet, on the first. One that never comes fails the test.
+    /// Sends this text on the last watch. Waits for the first watch if there is none yet, and panics if none is
+    /// opened in time.
     pub async fn push(&self, text: &str) {
-        eventually("a watch to say it on", || self.watch.borrow().is_some()).await;
+        eventually("a watch is opened", || self.watch.borrow().is_some()).await;
         let mut watch = self.watch.borrow_mut().take().expect("a watch");
         watch.write_all(text.as_bytes()).await.expect("written");
         *self.watch.borrow_mut() = Some(watch);
--- a/standins/src/host.rs
+++ b/standins/src/host.rs
@@ -1,4 +1,4 @@
-//! A host: what it is told to do with requests, what it has received, and what it has done.
+//! A stand-in host: its actions are scripted or drawn at random, and it records the requests that it reads and runs.
 
 use crate::host_behavior::HostBehavior;
 use crate::ledger::Ledger;
@@ -15,29 +15,30 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, Instant};
 
-/// What a host does with a request that it has read whole.
+/// What a host does with one request after it has read all of it.
 #[derive(Clone, Debug)]
 pub enum HostAction {
-    /// Writes this, and keeps the connection.
+    /// Writes this text and keeps the connection open.
     Respond(String),
-    /// Writes these bytes, and keeps the connection.
+    /// Writes these bytes and keeps the connection open.
     RespondBytes(Vec<u8>),
-    /// Writes this, and closes.
+    /// Writes this text and closes the connection.
     RespondAndClose(String),
-    /// Says nothing until the other side closes or the host is told to release it.
+    /// Writes nothing until the client closes the connection or [`Host::release`] is notified; then answers
+    /// `released`.
     Stall,
-    /// Says the first now, and the rest when the host is told to release it.
+    /// Writes the first text at once and the second when [`Host::release`] is notified.
     RespondInTwoParts(String, String),
-    /// Resets the connection. The request has run.
+    /// Runs the request and resets the connection without an answer.
     Reset,
-    /// Resets the connection as if the request had not been read: it never runs.
+    /// Resets the connection without running the request.
     ResetBefore,
-    /// Does another action after this time.
+    /// Takes another action after this time.
     Delay(Duration, Box<HostAction>),
 }
 
 impl HostAction {
-    /// Whether a request that meets this has run.
+    /// Whether the host runs the request.
     fn runs(&self) -> bool {
         match self {
             HostAction::Respond(text) | HostAction::RespondAndClose(text) => !text.contains("X-Rejected: 1"),
@@ -51,60 +52,61 @@
     }
 }
 
-/// An answer 200 with this body.
+/// Answers 200 with this body.
 pub fn ok(body: &str) -> HostAction {
     HostAction::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// An answer that says that the request never ran.
+/// Answers 503 with the header that says that the request was rejected and never ran.
 pub fn rejection() -> HostAction {
     HostAction::Respond(
         "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
     )
 }
 
-/// A host: it does one action after the other, and the last for good; or, with a behavior and no actions, what that draws.
+/// A stand-in host. It takes its scripted actions one after the other and repeats the last one; without a script, it
+/// draws each action from its behavior. Clones are the same host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Its name in lists and in the ledger.
+    /// The name in server lists and in the ledger.
     pub name: String,
-    /// The set of hosts that drop each other's repeats.
+    /// The pod: hosts of one pod drop repeats of a key that another of them has run.
     pub pod: u32,
-    /// Where it listens.
+    /// The address on which the host listens.
     pub address: SocketAddr,
-    /// All that it has read, for a host with a script; one with a behavior may see too much to keep.
+    /// All requests read so far, for a scripted host. A host with a behavior keeps none, since there may be too many.
     pub received: Rc<RefCell<Vec<Message>>>,
-    /// How many connections it has taken.
+    /// The number of connections accepted so far.
     pub accepted: Rc<Cell<usize>>,
-    /// How many of them are open_connections.
+    /// The number of connections that are open now.
     pub open_connections: Rc<Cell<usize>>,
-    /// What it does next.
+    /// The scripted actions that are left; the last one is repeated.
     pub actions: Rc<RefCell<VecDeque<HostAction>>>,
-    /// Lets one stalled request be answered.
+    /// Lets a host go on with a stalled request or with the second part of an answer.
     pub release: Rc<Notify>,
-    /// What it does without a script.
+    /// The behavior from which actions are drawn when there is no script.
     pub behavior: Rc<RefCell<Option<HostBehavior>>>,
-    /// What it has run.
+    /// Where the host records the requests that it runs.
     pub ledger: Ledger,
-    /// How many requests it has read; with the time of the last one.
+    /// The number of requests read so far, and when the last one was read.
     pub requests_read: Rc<Cell<(usize, Option<Instant>)>>,
-    /// How often it has received each id, for a host with a behavior.
+    /// How often each call id has been received, for a host with a behavior.
     pub times_received: Rc<RefCell<HashMap<String, usize>>>,
-    /// When it last started.
+    /// When the host last started.
     pub started: Rc<Cell<Instant>>,
-    /// The task that accepts.
+    /// The task that accepts connections; `None` after [`Host::kill`].
     pub accept_task: Rc<RefCell<Option<JoinHandle<()>>>>,
-    /// What its connections hear when it is kill_signal.
+    /// Notifies the open connections that the host is killed.
     pub kill_signal: Rc<watch::Sender<()>>,
 }
 
 impl Host {
-    /// A host with a script.
+    /// Starts a scripted host on a free port.
     pub async fn start(actions: impl IntoIterator<Item = HostAction>) -> Host {
         Host::on_listener(TcpListener::bind("127.0.0.1:0").await.expect("a port"), actions)
     }
 
-    /// A host with a script behind a listener.
+    /// Starts a scripted host on this listener.
     pub fn on_listener(listener: TcpListener, actions: impl IntoIterator<Item = HostAction>) -> Host {
         let host = Host::new(listener.local_addr().expect("an address"), "host", 3, Ledger::default());
         host.actions.borrow_mut().extend(actions);
@@ -112,7 +114,7 @@
         host
     }
 
-    /// A host with a behavior, that notes in a ledger what it runs.
+    /// Starts a host with a behavior on a free port; it records in `ledger` what it runs.
     pub async fn with_behavior(name: &str, pod: u32, behavior: HostBehavior, ledger: &Ledger) -> Host {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let host = Host::new(listener.local_addr().expect("an address"), name, pod, ledger.clone());
@@ -145,6 +147,7 @@
         }
     }
 
+    /// Starts the task that accepts and serves connections.
     fn accept(&self, listener: TcpListener) {
         let host = self.clone();
         let task = spawn_local(async move {
@@ -169,7 +172,7 @@
         *self.accept_task.borrow_mut() = Some(task);
     }
 
-    /// Dies as a process does: its connections are reset, and new ones are refused.
+    /// Stops the host as if its process had been killed: open connections are reset, new ones refused.
     pub fn kill(&self) {
         if let Some(task) = self.accept_task.borrow_mut().take() {
             task.abort();
@@ -177,12 +180,13 @@
         self.kill_signal.send_replace(());
     }
 
-    /// Comes up again at the same address, cold. A port that is no longer free is a panic.
+    /// Starts the host again at the same address, with its slow start from the beginning. Waits for as long as the
+    /// port is in use.
     pub async fn restart(&self) {
         let listener = loop {
             let socket = TcpSocket::new_v4().expect("a socket");
-            socket.set_reuseaddr(true).expect("reused");
-            // The task that accepted may not have ended yet.
+            socket.set_reuseaddr(true).expect("the address can be reused");
+            // The previous accept task may still hold the port.
             match socket.bind(self.address).and_then(|()| socket.listen(1_024)) {
                 Ok(listener) => break listener,
                 Err(_) => sleep(Duration::from_millis(1)).await,
@@ -192,6 +196,7 @@
         self.accept(listener);
     }
 
+    /// The scripted or drawn action for a request.
     fn next_action(&self, message: &Message) -> HostAction {
         let mut actions = self.actions.borrow_mut();
         if let Some(action) = actions.front().cloned() {
@@ -204,7 +209,7 @@
         let mut times_received = self.times_received.borrow_mut();
         let times_received =
             times_received.entry(message.header("x-call-id").unwrap_or_default().to_owned()).or_default();
-        let action = behavior.as_ref().expect("an action or a behavior").next_action(
+        let action = behavior.as_ref().expect("the host has actions or a behavior").next_action(
             &self.name,
             message,
             *times_received,
@@ -214,6 +219,7 @@
         action
     }
 
+    /// Serves one connection until it ends.
     async fn serve(&self, stream: &mut TcpStream) {
         stream.set_nodelay(true).expect("no delay");
         let (read, mut write) = stream.split();
@@ -234,7 +240,7 @@
             if matches!(&action, HostAction::Respond(text) if text.starts_with("HTTP/1.1 200 ")) {
                 self.ledger.record_answer(&message);
             }
-            // What is of no use to the other side may find the connection closed.
+            // The write fails if the client has closed the connection meanwhile.
             let written = match action {
                 HostAction::Respond(text) => write.write_all(text.as_bytes()).await,
                 HostAction::RespondBytes(bytes) => write.write_all(&bytes).await,
@@ -267,27 +273,27 @@
         }
     }
 
-    /// How many requests it has read.
+    /// The number of requests read so far.
     pub fn count(&self) -> usize {
         self.requests_read.get().0
     }
 }
 
-/// A listener with little room and small segments: a request of some 10 kB does not fit into what the two systems keep
-/// of it, as long as nobody reads.
+/// A listener with a small receive buffer and small segments: while nothing is read from a connection, a request of
+/// about 10 kB does not fit into the socket buffers of both sides.
 pub fn small_buffer_listener() -> TcpListener {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    listener.set_recv_buffer_size(2_048).expect("little room");
-    listener.set_tcp_mss(536).expect("small segments");
+    listener.set_recv_buffer_size(2_048).expect("the receive buffer can be set");
+    listener.set_tcp_mss(536).expect("the segment size can be set");
     listener.set_nonblocking(true).expect("nonblocking");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     listener.bind(&any.into()).expect("a port");
-    listener.listen(8).expect("it listens");
+    listener.listen(8).expect("the socket listens");
     TcpListener::from_std(listener.into()).expect("a listener")
 }
 
-/// The next close of this stream resets it.
+/// Makes the next close of this stream send a reset.
 fn reset(stream: &TcpStream) {
-    // A stream that the other side has reset already needs none.
+    // This fails for a stream that the peer has already reset, which needs no other reset.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/standins/src/host_behavior.rs
+++ b/standins/src/host_behavior.rs
@@ -1,53 +1,54 @@
-//! What a host does with requests, drawn from a seed.
+//! How a stand-in host behaves: service times and faults, drawn from a seed.
 
 use crate::host::{ok, rejection, HostAction};
 use crate::message::Message;
 use crate::random_stream::RandomStream;
 use std::time::Duration;
 
-/// What goes wrong with a request.
+/// A fault that a host injects into the handling of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It runs, and nothing is ever said.
+    /// The request runs and is never answered.
     Stall,
-    /// The connection is reset before the request is read; it never runs.
+    /// The connection is reset and the request does not run.
     ResetBefore,
-    /// It runs, and the connection is reset without an answer.
+    /// The request runs and the connection is reset without an answer.
     ResetAfter,
-    /// It is turned away, unseen.
+    /// The request is rejected and does not run; the answer says so.
     Reject,
-    /// It runs, and its answer comes twice.
+    /// The request runs and its answer is sent twice.
     DuplicateAnswer,
-    /// It runs, and noise is said.
+    /// The request runs and random bytes are sent in place of an answer.
     GarbledAnswer,
-    /// It runs, and its answer is cut short.
+    /// The request runs, and the connection is closed in the middle of its answer.
     TruncatedAnswer,
-    /// It runs, and an error is said.
+    /// The request runs and is answered 500.
     Error,
 }
 
-/// How a host behaves. Each request's draw depends on the seed, the host's name, the request's id and how often
-/// this host has seen it, so the same requests meet the same faults in whatever order they come.
+/// How a host behaves. The draws for a request depend on the seed, the host's name, the call id and how often this
+/// host has received that id, so the same requests get the same faults in any order of arrival.
 #[derive(Clone, Debug)]
 pub struct HostBehavior {
-    /// The seed of all draws.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Mean time that a request takes.
+    /// The mean service time of a request.
     pub service: Duration,
-    /// What goes wrong, and with what share of the requests each.
+    /// Each fault with its probability.
     pub faults: Vec<(Fault, f64)>,
-    /// How long a host is cold after its start: a request takes up to `slow_start_factor` as long, falling evenly.
+    /// The duration of the slow start. At the start of a host its service times are multiplied by
+    /// `slow_start_factor`; the factor falls linearly to 1 over this time.
     pub slow_start: Duration,
-    /// How many times_received as long a request takes on a host that has just started.
+    /// The factor on service times at the start of a host.
     pub slow_start_factor: f64,
-    /// Size of an answer's body in bytes.
+    /// The size of the body of an answer, in bytes.
     pub answer_bytes: usize,
-    /// An answer's body is the request's id instead: whose answer it is can be told.
+    /// Whether the body of an answer is the call id instead, so that a test can tell which request was answered.
     pub echo: bool,
 }
 
 impl Default for HostBehavior {
-    /// Answers of 16 bytes after 2 ms in the mean, and no fault.
+    /// Answers of 16 bytes after 2 ms on average, without faults or slow start.
     fn default() -> Self {
         let (seed, service, faults) = (1, Duration::from_millis(2), Vec::new());
         HostBehavior {
@@ -63,7 +64,8 @@
 }
 
 impl HostBehavior {
-    /// What host `host` does with a request that it sees for the `times_received`th time (from 0), `up` after its start.
+    /// Draws the action of host `host` for a request. `times_received` is how often the host received its id before,
+    /// and `uptime` is the time since the start of the host.
     pub(crate) fn next_action(
         &self,
         host: &str,
@@ -102,7 +104,7 @@
             Fault::ResetAfter => HostAction::Reset,
             Fault::Reject => rejection(),
             Fault::DuplicateAnswer => {
-                let HostAction::Respond(text) = self.ok(id) else { unreachable!("an answer is said") };
+                let HostAction::Respond(text) = self.ok(id) else { unreachable!("ok() responds") };
                 HostAction::Respond(text.repeat(2))
             }
             Fault::GarbledAnswer => HostAction::RespondBytes([&random.bytes(48)[..], b"\r\n\r\n"].concat()),
--- a/standins/src/ledger.rs
+++ b/standins/src/ledger.rs
@@ -1,4 +1,5 @@
-//! What hosts have done: rule 2 is about effects, and answers do not tell of them.
+//! A ledger of the requests that took effect at hosts. Whether a request took effect twice can't be seen from
+//! answers, so tests count effects here.
 
 use crate::message::Message;
 use std::collections::BTreeMap;
@@ -8,38 +9,38 @@
 /// A request that took effect.
 #[derive(Clone, Debug)]
 pub struct Effect {
-    /// At which host.
+    /// The name of the host that ran the request.
     pub host: String,
-    /// The set of hosts that drop each other's repeats.
+    /// The pod of the host: hosts of one pod drop each other's repeats of a key.
     pub pod: u32,
-    /// Its `X-Call-Id`.
+    /// The call id, from `X-Call-Id`; empty without one.
     pub call: String,
-    /// Its `Idempotency-Key`, where it has one.
+    /// The idempotency key, if the request has one.
     pub key: Option<String>,
-    /// Whether it can do harm to run it duplicates: anything but a GET.
+    /// Whether running the request twice can do harm: true for any method but GET.
     pub unsafe_method: bool,
-    /// When.
+    /// When the host ran the request.
     pub at: Instant,
 }
 
-/// An effect that was had duplicates.
+/// A request that took effect twice although it must not.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DuplicateEffect {
-    /// A call without a key ran more than once.
+    /// A call without a key ran more than once; its call id.
     Call(String),
-    /// A key ran in more than one pod, or again past the window in which its pod drops repeats.
+    /// A key ran in more than one pod, or again after the window in which its pod drops repeats.
     Key(String),
 }
 
-/// The effects at all hosts that share this ledger; clones are the same one. It grows with every effect: it is for
-/// tests and measurements, which end.
+/// The effects at all hosts that share this ledger; clones are the same ledger. It grows with every effect, so it is
+/// only for tests and measurements, which end.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger(Arc<Mutex<LedgerState>>);
 
 #[derive(Clone, Debug, Default)]
 struct LedgerState {
     effects: Vec<Effect>,
-    /// Keys to which an answer was given, and when.
+    /// The keys of answered requests, and when each was answered.
     answers: Vec<(String, Instant)>,
 }
 
@@ -48,7 +49,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that a host has run a request.
+    /// Records that a host has run a request.
     pub fn record(&self, host: &str, pod: u32, message: &Message) {
         let text = |name| message.header(name).map(str::to_owned);
         self.lock().effects.push(Effect {
@@ -61,24 +62,25 @@
         });
     }
 
-    /// Notes that a host gives a whole answer to a request, whoever may still listen.
+    /// Records that a host sends a complete answer to a request, whether or not the client still waits. Requests
+    /// without a key are ignored.
     pub fn record_answer(&self, message: &Message) {
         if let Some(key) = message.header("idempotency-key") {
             self.lock().answers.push((key.to_owned(), Instant::now()));
         }
     }
 
-    /// The answers so far to requests with a key, and when each was given.
+    /// The keys of all answered requests so far, and when each was answered.
     pub fn answers(&self) -> Vec<(String, Instant)> {
         self.lock().answers.clone()
     }
 
-    /// All effects so far, in their order.
+    /// All effects so far, in the order in which they were recorded.
     pub fn effects(&self) -> Vec<Effect> {
         self.lock().effects.clone()
     }
 
-    /// How often each key ran, wherever.
+    /// How often each key ran, at all hosts together.
     pub fn runs(&self) -> BTreeMap<String, usize> {
         let mut runs = BTreeMap::new();
         for key in self.lock().effects.iter().filter_map(|effect| effect.key.clone()) {
@@ -87,17 +89,18 @@
         runs
     }
 
-    /// How many effects there are so far.
+    /// The number of effects so far.
     pub fn len(&self) -> usize {
         self.lock().effects.len()
     }
 
-    /// Whether nothing has taken effect.
+    /// Whether no request has taken effect.
     pub fn is_empty(&self) -> bool {
         self.lock().effects.is_empty()
     }
 
-    /// Which effects were had duplicates, where pods drop repeats of a key for `window` from its first run.
+    /// The requests that took effect twice although they must not. A pod drops repeats of a key for `window` after
+    /// its first run, so a repeat in the same pod within that time does not count.
     pub fn duplicates(&self, window: Duration) -> Vec<DuplicateEffect> {
         let effects = &self.lock().effects;
         let mut calls: BTreeMap<&str, usize> = BTreeMap::new();
@@ -106,8 +109,9 @@
             match &effect.key {
                 None => *calls.entry(&effect.call).or_default() += 1,
                 Some(key) => {
-                    let (pod, first, duplicates) = keys.entry(key).or_insert((effect.pod, effect.at, false));
-                    *duplicates |= *pod != effect.pod || effect.at > *first + window;
+                    let (pod, first, is_duplicate) =
+                        keys.entry(key).or_insert((effect.pod, effect.at, false));
+                    *is_duplicate |= *pod != effect.pod || effect.at > *first + window;
                 }
             }
         }
@@ -117,7 +121,7 @@
             .map(|(call, _)| DuplicateEffect::Call(call.into()));
         let keys = keys
             .into_iter()
-            .filter(|(_, (.., duplicates))| *duplicates)
+            .filter(|(_, (.., is_duplicate))| *is_duplicate)
             .map(|(key, _)| DuplicateEffect::Key(key.into()));
         calls.chain(keys).collect()
     }
@@ -134,7 +138,7 @@
     }
 
     #[test]
-    fn a_repeat_counts_by_its_kind() {
+    fn duplicates_depend_on_method_key_and_pod() {
         let ledger = Ledger::default();
         let window = Duration::from_secs(60);
         for _ in 0..2 {
@@ -153,7 +157,7 @@
     }
 
     #[test]
-    fn a_key_that_runs_again_past_its_window_ran_twice() {
+    fn a_key_that_runs_again_after_its_window_is_a_duplicate() {
         let ledger = Ledger::default();
         ledger.record("a", 1, &message("POST", "1", Some("k")));
         ledger.record("a", 1, &message("POST", "2", Some("k")));
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,13 +1,13 @@
-//! Stand-ins for what nettleworks meets: hosts, discovery and clients, on loopback sockets.
+//! Stand-ins for what surrounds the proxy in production: hosts, discovery and clients on loopback sockets, for tests.
 //!
-//! They are scripted, act by act ([`Host::start`]), or drawn from a seed ([`HostBehavior`]): a draw depends on the seed, the
-//! host and the request alone, never on the order in which requests come. What hosts have *done* is in a
-//! [`Ledger`], by call and by key, so that a test can count effects rather than trust answers.
+//! Hosts take scripted actions ([`Host::start`]) or draw them from a seed ([`HostBehavior`]). A draw depends only on
+//! the seed, the host and the request, never on the order in which requests arrive. Hosts record what they run in a
+//! [`Ledger`], by call and by key, so that tests can count effects and need not trust answers.
 //!
-//! All of a test runs on one thread ([`run`]); what it waits for are conditions ([`eventually`]), and it ends with
-//! a failure when they do not come.
+//! A test runs on one thread ([`run`]) and waits for conditions ([`eventually`]); it fails if they are not met in
+//! time.
 //!
-//! What cannot be had (a port, a thread) is a panic here, as in any test.
+//! This crate panics when it can't get a resource such as a port or a thread, as tests do.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/standins/src/load.rs
+++ b/standins/src/load.rs
@@ -1,4 +1,4 @@
-//! Clients that ask, one request at a time on each connection, and come retry as real ones do.
+//! Clients that each send one request at a time on a connection of their own, and retry refused requests.
 
 use crate::message::Reader;
 use crate::random_stream::RandomStream;
@@ -13,26 +13,26 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// What came of the requests so far. A request is counted once, however often its client came retry.
+/// Counts and latencies of the requests that have ended. A request is counted once, however often it was retried.
 #[derive(Clone, Debug, Default)]
 pub struct LoadMetrics {
-    /// Answered by a host.
+    /// Requests answered 200.
     pub served: u64,
-    /// Turned away, and given up by its client.
+    /// Requests refused with 429 or 503 for more often than their client retries.
     pub refused: u64,
-    /// Failed; it may have run.
+    /// Requests answered with any other status; they may have run.
     pub failed: u64,
-    /// The statuses of those that failed.
+    /// The number of failed requests by status.
     pub failures: BTreeMap<u16, u64>,
-    /// Its connection ended without an answer.
+    /// Requests whose connection failed or ended without an answer.
     pub lost: u64,
-    /// How often clients came retry after a refusal.
+    /// The number of retries after a refusal.
     pub retries: u64,
-    /// Times of the answers that hosts gave, in microseconds.
+    /// The latencies of the served requests, without earlier refused attempts.
     pub latencies: LatencyHistogram,
 }
 
-/// Times in microseconds, to three digits. It does not grow with their number.
+/// A histogram of latencies in microseconds, with three significant digits. Its size does not grow with their number.
 #[derive(Clone, Debug)]
 pub struct LatencyHistogram(Histogram<u64>);
 
@@ -45,60 +45,60 @@
 }
 
 impl LatencyHistogram {
-    /// One more.
+    /// Adds a latency.
     pub fn record(&mut self, time: Duration) {
-        // It grows as far as any time here goes.
+        // Cannot fail: the histogram resizes itself.
         let _ = self.0.record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
     }
 
-    /// Those that are not in an earlier state of this.
+    /// The latencies added since `earlier`, which must be an earlier state of this histogram.
     pub fn since(&self, earlier: &LatencyHistogram) -> LatencyHistogram {
         let mut since = self.clone();
-        // What is subtracted is part of it.
+        // Cannot fail: `earlier` is contained in this histogram.
         let _ = since.0.subtract(&earlier.0);
         since
     }
 }
 
 impl LoadMetrics {
-    /// All that were asked.
+    /// The number of requests that have ended.
     pub fn total(&self) -> u64 {
         self.served + self.refused + self.failed + self.lost
     }
 
-    /// The time that this share of the answers (0 to 1) took at most; zero without any.
+    /// The latency at this quantile (0 to 1) of the served requests; zero if there are none.
     pub fn latency_quantile(&self, quantile: f64) -> Duration {
         Duration::from_micros(self.latencies.0.value_at_quantile(quantile))
     }
 }
 
-/// Clients and what they ask for.
+/// A load: clients and the requests that they send.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Where they connect.
+    /// The address to which clients connect.
     pub address: SocketAddr,
-    /// The seed of all draws; part of every id.
+    /// The seed of all random draws; also a part of every call id.
     pub seed: u64,
-    /// How many connections ask side by side.
+    /// The number of clients, each with one connection.
     pub clients: usize,
-    /// How many requests each asks at most.
+    /// The largest number of requests per client, retries not counted.
     pub calls: usize,
-    /// Until when they begin new ones.
+    /// The time after which clients start no new request.
     pub until: Option<Instant>,
-    /// Mean pause between two requests of a client.
+    /// The mean pause of a client before each request.
     pub pause: Duration,
-    /// Classes (`free`, `keyed`, `unsafe`) and the share of each; together 1.
+    /// The classes (`free`, `keyed`, `unsafe`) with their shares of the requests, which add up to 1.
     pub classes: Vec<(&'static str, f64)>,
-    /// Bytes of a POST's body.
+    /// The size of the body of a POST request, in bytes.
     pub body: usize,
-    /// How long they wait for an answer.
+    /// The time budget of a request, sent as `X-Budget-Ms`.
     pub budget: Duration,
-    /// How often they come retry after a refusal.
+    /// The largest number of retries of a refused request.
     pub retries: usize,
 }
 
 impl Load {
-    /// A few clients with a mix of all classes.
+    /// Eight clients with a mix of all classes and no pause, until [`Load::run`] is dropped.
     pub fn new(address: SocketAddr, seed: u64) -> Load {
         Load {
             address,
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Asks until all is asked; `metrics` shows how far it is. Needs a [`tokio::task::LocalSet`].
+    /// Sends the requests of all clients and returns when they have ended. `metrics` is updated as requests end. Must
+    /// be called in a [`tokio::task::LocalSet`].
     pub async fn run(&self, metrics: &Rc<RefCell<LoadMetrics>>) {
         let load = Rc::new(self.clone());
         let mut clients = JoinSet::new();
@@ -127,6 +128,7 @@
         }
     }
 
+    /// Sends the requests of one client.
     async fn client(&self, client: usize, metrics: &Rc<RefCell<LoadMetrics>>) {
         let mut random = RandomStream::new(self.seed, ("client", client));
         let mut stream = None;
@@ -166,6 +168,7 @@
         }
     }
 
+    /// The class for a draw from 0 to 1.
     fn class(&self, mut draw: f64) -> &'static str {
         for &(class, share) in &self.classes {
             if draw < share {
@@ -176,7 +179,7 @@
         self.classes.last().expect("a class").0
     }
 
-    /// A request. Its id is new each time that it comes; its key is not.
+    /// The text of a request. A retry has a new call id and the same idempotency key.
     fn text(&self, class: &str, client: usize, call: usize, retry: usize) -> String {
         let name = format!("{:x}-{client:x}-{call:x}", self.seed);
         let (method, more) = match class {
@@ -194,14 +197,14 @@
     }
 }
 
-/// Asks on a connection, on a new one if there is none or it turns out closed between two requests. Gives the
-/// status and the retry_after when to come back.
+/// Sends a request on the idle connection, or on a new one if there is none or the server has closed it. Returns the
+/// status of the answer and the time in its `Retry-After`, or `None` if the request was not answered.
 async fn exchange(
     idle: &mut Option<Reader<TcpStream>>,
     address: SocketAddr,
     text: &str,
 ) -> Option<(u16, Duration)> {
-    // A server may close between requests; that crosses a request at most once on each connection.
+    // The server may close an idle connection just as a request is sent on it; a new connection is not closed so.
     for _ in 0..2 {
         let reused = idle.is_some();
         let mut client = match idle.take() {
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! `demo [SEED]`: a small fleet, the proxy and clients, for a quarter of a minute.
+//! Program with the command `demo [SEED]`: runs a small fleet, the proxy and clients for 15 s.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -6,7 +6,7 @@
 use tokio::runtime;
 use tokio::task::LocalSet;
 
-/// Stand-ins for what nettleworks meets.
+/// Stand-ins for the hosts, discovery and clients of a proxy
 #[derive(Debug, Parser)]
 #[command(name = "nettleworks-standins", version)]
 struct Arguments {
@@ -16,9 +16,9 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// A fleet, the proxy and clients on loopback; ends by itself within 30 s
+    /// Runs a fleet, the proxy and clients on loopback; ends by itself within 30 s
     Demo {
-        /// The seed of all draws
+        /// Seed of all random draws
         #[arg(default_value_t = 1)]
         seed: u64,
     },
--- a/standins/src/message.rs
+++ b/standins/src/message.rs
@@ -1,50 +1,52 @@
-//! HTTP/1.1 messages as plain text: what a stand-in reads must be what was sent, not what a library makes of it.
+//! HTTP/1.1 messages as plain text. They are parsed here and not by a library, so that tests see exactly the bytes
+//! that were sent.
 
 use tokio::io::AsyncReadExt;
 
-/// A message as it came: its first line, its headers in lower case, its body.
+/// A message as it was received.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// The request or status line.
     pub first: String,
-    /// The headers, names in lower case.
+    /// The headers in their order, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The first header of this name (in lower case).
+    /// The value of the first header with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
-    /// An answer's status.
+    /// The status code of an answer. Panics for a message without one.
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
     }
 }
 
-/// Reads messages off a stream.
+/// Reads messages from a stream.
 #[derive(Debug)]
 pub struct Reader<R> {
-    /// The stream.
+    /// The stream from which messages are read.
     pub stream: R,
     buffer: Vec<u8>,
 }
 
 impl<R: AsyncReadExt + Unpin> Reader<R> {
-    /// A reader from the stream's next byte on.
+    /// A reader that starts at the next byte of the stream.
     pub fn new(stream: R) -> Self {
         Reader { stream, buffer: Vec::new() }
     }
 
-    /// Waits for more to come; `false` at the stream's end.
+    /// Reads more bytes into the buffer; `false` at the end of the stream or on an error.
     pub async fn more(&mut self) -> bool {
         self.stream.read_buf(&mut self.buffer).await.is_ok_and(|count| count > 0)
     }
 
-    /// The next message; `None` if the stream ends before it is whole.
+    /// Reads the next message; `None` if the stream ends before the message is complete. A body needs a
+    /// `Content-Length`.
     pub async fn message(&mut self) -> Option<Message> {
         let end = loop {
             match self.buffer.windows(4).position(|w| w == b"\r\n\r\n") {
--- a/standins/src/pooled_sender.rs
+++ b/standins/src/pooled_sender.rs
@@ -1,4 +1,4 @@
-//! A storm's sends over connections, of which each is idle for the next send that needs one.
+//! Sends the requests of a stress run over HTTP, with a pool of idle connections that are reused.
 
 use crate::client::{request_for, Client};
 use crate::message::Reader;
@@ -10,8 +10,9 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Makes a send of a class under a key, for a client that waits so long: [`crate::StressRun::run`] takes it as its call. A
-/// send that is dropped drops its connection, as a client does that leaves.
+/// A function for [`crate::StressRun::run`] that sends a request to this address. Its arguments are the class, the
+/// key and the client's timeout, which is sent as `X-Budget-Ms`. Dropping a send closes its connection, as a client
+/// does that abandons its request.
 pub fn pooled_sender(
     address: SocketAddr,
 ) -> impl Fn(&'static str, String, Duration) -> SendFuture + Clone + Send + Sync + 'static {
@@ -22,14 +23,16 @@
     }
 }
 
-/// A send that is out.
+/// A send in flight.
 pub type SendFuture = std::pin::Pin<Box<dyn Future<Output = SendOutcome> + Send>>;
 
+/// Takes the connection that has been idle for longest.
 fn take_oldest(idle: &Mutex<Vec<Client>>) -> Option<Client> {
     let mut idle = idle.lock().unwrap_or_else(PoisonError::into_inner);
     (!idle.is_empty()).then(|| idle.remove(0))
 }
 
+/// Sends a request and returns its outcome; a refused connection counts as a refusal.
 async fn send(
     address: SocketAddr,
     idle: &Mutex<Vec<Client>>,
@@ -38,9 +41,9 @@
     timeout: Duration,
 ) -> SendOutcome {
     let text = request_for(class, &format!("Idempotency-Key: {key}\r\n"), &format!("pays {key}"), timeout);
-    // A server may close between two requests: that crosses a request at most once on each connection.
+    // The server may close an idle connection just as a request is sent on it; a new connection is not closed so.
     for _ in 0..2 {
-        // The oldest first: sends go over many connections, and so to all that accept them.
+        // Taking the oldest first spreads the sends over many connections, and so over all engines that accept them.
         let idle_client = take_oldest(idle);
         let reused = idle_client.is_some();
         let mut client = match idle_client {
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A running proxy, in one of the forms that it comes in. One suite of tests runs against all of them.
+//! A running proxy in one of its deployments. One test suite runs against all of them.
 
 use crate::client::Client;
 use crate::configuration::configuration;
@@ -19,12 +19,12 @@
 use tokio::sync::oneshot;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// What a proxy is started with.
+/// The configuration files of a proxy.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
-    /// Its configuration, which says port 0.
+    /// The configuration of the proxy, with port 0 to listen on.
     pub config: String,
-    /// The configuration of its store of keys, where it is to have one.
+    /// The configuration of the store of idempotency keys, if the proxy has one.
     pub keys: Option<String>,
 }
 
@@ -35,19 +35,20 @@
 }
 
 impl Setup {
+    /// Parses both configurations.
     fn read(&self) -> Config {
-        let config = Config::parse(&self.config).expect("a good configuration");
+        let config = Config::parse(&self.config).expect("a valid configuration");
         match &self.keys {
-            Some(keys) => config.with_keys(keys).expect("a good configuration of keys"),
+            Some(keys) => config.with_keys(keys).expect("a valid configuration of keys"),
             None => config,
         }
     }
 }
 
-/// A form in which the proxy runs.
+/// A way in which the proxy runs, for example as a program.
 pub trait Deployment: 'static {
-    /// Starts it until `stop` is told or dropped. Gives its address, and a task that ends when it has stopped and
-    /// that panics if it did not end well.
+    /// Starts the proxy; it stops when `stop` receives a message or its sender is dropped. Returns the address of the
+    /// proxy and a task that ends when the proxy has stopped and panics if the proxy failed.
     fn start(setup: Setup, stop: oneshot::Receiver<()>)
         -> impl Future<Output = (SocketAddr, JoinHandle<()>)>;
 }
@@ -55,22 +56,22 @@
 /// A running proxy.
 #[derive(Debug)]
 pub struct Proxy<D> {
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub address: SocketAddr,
-    /// Stops it when told or dropped.
+    /// Stops the proxy when a message is sent on it or it is dropped.
     pub stop: Option<oneshot::Sender<()>>,
-    /// Ends when it has stopped.
+    /// Ends when the proxy has stopped.
     pub task: JoinHandle<()>,
     deployment: PhantomData<D>,
 }
 
 impl<D: Deployment> Proxy<D> {
-    /// A proxy that knows these hosts, with a discovery that says nothing.
+    /// Starts a proxy with these known hosts and a discovery that only sends heartbeats.
     pub async fn start(hosts: &[Host]) -> Self {
         Self::start_with(&Discovery::heartbeats_only().await, hosts, |_| ()).await
     }
 
-    /// A proxy that knows these hosts; `change` sees its configuration first.
+    /// Starts a proxy with these known hosts. `change` may modify its configuration.
     pub async fn start_with(
         discovery: &Discovery,
         hosts: &[Host],
@@ -79,7 +80,8 @@
         Self::start_with_setup(configuration(discovery.address, hosts, change)).await
     }
 
-    /// A proxy that knows these hosts, with a discovery that says nothing and a store of keys.
+    /// Starts a proxy with these known hosts, a discovery that only sends heartbeats and a store of idempotency keys.
+    /// `keys` configures the store; `change` may modify the configuration of the proxy.
     pub async fn start_with_keys(
         hosts: &[Host],
         keys: &str,
@@ -89,36 +91,37 @@
         Self::start_with_setup(Setup { config, keys: Some(keys.to_owned()) }).await
     }
 
-    /// A proxy with this setup.
+    /// Starts a proxy with these configurations.
     pub async fn start_with_setup(setup: impl Into<Setup>) -> Self {
         let (stop, stopped) = oneshot::channel();
         let (address, task) = D::start(setup.into(), stopped).await;
         Proxy { address, stop: Some(stop), task, deployment: PhantomData }
     }
 
-    /// Waits until the proxy has seen what clients did before: what it hears comes in order, and two round trips
-    /// on new connections end after it. That holds for a proxy with one engine; of several, any may take these two, so
-    /// no test's verdict may rest on it there ([`Client::go`] tells the end of a client for all).
+    /// Waits until the proxy has processed what clients did before. It processes events in order, so two round trips
+    /// on new connections end after those events. This holds only for a proxy with one engine: with several, any of
+    /// them may accept the two connections, so no test's result may depend on it there ([`Client::close`] works with
+    /// any number).
     pub async fn wait_until_processed(&self) {
         for _ in 0..2 {
             self.client().await.exchange(crate::client::HEALTH_REQUEST).await;
         }
     }
 
-    /// A client's new connection.
+    /// Opens a client connection to the proxy.
     pub async fn client(&self) -> Client {
         Reader::new(TcpStream::connect(self.address).await.expect("the proxy accepts"))
     }
 }
 
-/// The daemon's front and driver on the test's own thread.
+/// The proxy's server and engine on the thread of the test.
 #[derive(Debug)]
 pub struct InProcess;
 
 impl Deployment for InProcess {
     async fn start(setup: Setup, stop: oneshot::Receiver<()>) -> (SocketAddr, JoinHandle<()>) {
         let config = setup.read();
-        let listener = nettleworks::server::listen(config.listen).expect("it listens");
+        let listener = nettleworks::server::listen(config.listen).expect("the proxy can listen");
         let address = listener.local_addr().expect("an address");
         let stop = async {
             let _ = stop.await;
@@ -128,13 +131,13 @@
     }
 }
 
-/// The program as a process of its own, stopped by SIGTERM.
+/// The proxy as a process of its own, stopped by SIGTERM. Every type with this trait is a [`Deployment`].
 pub trait Program: 'static {
-    /// Where the program is.
+    /// The path of the program.
     const PATH: &'static str;
-    /// A folder for its configuration.
+    /// The folder for its configuration files.
     const SCRATCH: &'static str;
-    /// Further words of its command line.
+    /// Additional command-line arguments.
     const ARGUMENTS: &'static [&'static str] = &[];
 }
 
@@ -158,18 +161,18 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .expect("it starts");
+            .expect("the program starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
         let address = loop {
-            let line = log.next_line().await.expect("a log").expect("it says where it serves");
+            let line = log.next_line().await.expect("a log").expect("the log has a line with the address");
             if let Some((_, address)) = line.split_once("serving at ") {
                 break address.parse().expect("an address");
             }
         };
-        // It has read its files.
+        // The program reads its files before it serves.
         [path].iter().chain(&keys).for_each(|path| std::fs::remove_file(path).expect("removed"));
         let task = spawn_local(async move {
-            // Read to its end, else the program would wait to write.
+            // The log is read to its end: a full pipe would block the program.
             let log = spawn_local(async move {
                 let mut panicked = false;
                 while let Ok(Some(line)) = log.next_line().await {
@@ -182,9 +185,9 @@
                 let killed = Command::new("kill").arg(id.to_string()).status().await;
                 assert!(killed.expect("kill runs").success());
             }
-            let status = child.wait().await.expect("it can be waited for");
+            let status = child.wait().await.expect("the program can be waited for");
             assert_eq!(status.code(), Some(0));
-            assert!(!log.await.expect("its log is read"), "it panicked");
+            assert!(!log.await.expect("the log is read"), "the program panicked");
         });
         (address, task)
     }
--- a/standins/src/random_stream.rs
+++ b/standins/src/random_stream.rs
@@ -1,4 +1,4 @@
-//! Draws from a seed.
+//! Random draws from a seed.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -6,40 +6,40 @@
 use std::time::Duration;
 use twox_hash::XxHash64;
 
-/// A source of draws that is the same for the same seed and names.
+/// A stream of random draws that is the same for the same seed and the same names.
 #[derive(Clone, Debug)]
 pub struct RandomStream(Pcg32);
 
 impl RandomStream {
-    /// Draws of a seed, for what these names stand for.
+    /// The stream of a seed that these names identify.
     pub fn new(seed: u64, names: impl Hash) -> RandomStream {
-        // The standard library's hasher may change with its version, and draws with it.
+        // The standard library's hasher may change between versions, which would change the draws.
         let mut hash = XxHash64::with_seed(seed);
         names.hash(&mut hash);
         RandomStream(Pcg32::seed_from_u64(hash.finish()))
     }
 
-    /// A number from 0 to under 1.
+    /// A number from 0 (included) to 1 (excluded).
     pub fn uniform(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// Whether something of this chance happens.
-    pub fn chance(&mut self, chance: f64) -> bool {
-        self.uniform() < chance
+    /// `true` with this probability.
+    pub fn chance(&mut self, probability: f64) -> bool {
+        self.uniform() < probability
     }
 
-    /// A whole number below `bound`; 0 if that is 0.
+    /// A whole number from 0 to below `bound`; 0 if `bound` is 0.
     pub fn below(&mut self, bound: usize) -> usize {
         (self.uniform() * bound as f64) as usize
     }
 
-    /// A time with this mean: exponential, no more than eight times the mean.
+    /// An exponentially distributed time with this mean, limited to eight times the mean.
     pub fn exponential(&mut self, mean: Duration) -> Duration {
         mean.mul_f64((-(1.0 - self.uniform()).ln()).min(8.0))
     }
 
-    /// Random bytes.
+    /// This number of random bytes.
     pub fn bytes(&mut self, count: usize) -> Vec<u8> {
         let mut bytes = vec![0; count];
         self.0.fill_bytes(&mut bytes);
--- a/standins/src/registry.rs
+++ b/standins/src/registry.rs
@@ -1,4 +1,4 @@
-//! Discovery that keeps a list, serves any number of watches, and sends heartbeats.
+//! Stand-in discovery that keeps a server list, serves any number of watches and sends heartbeats.
 
 use crate::configuration::list;
 use crate::discovery::{chunk, WATCH_HEAD};
@@ -15,23 +15,23 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// How often a watch hears an empty line while nothing changes.
+/// The interval between heartbeats, which are empty lines, while the list does not change.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// Discovery with a list of its own. A watch gets the whole list first, and the whole list again whenever it has
-/// changed: a slow watch may miss versions, never the last one.
+/// Discovery with a server list of its own. A watch gets the full list at first and after each change. A slow watch
+/// may miss versions, but never the latest one. Clones are the same registry.
 #[derive(Clone, Debug)]
 pub struct Registry {
-    /// Where it listens.
+    /// The address on which the registry listens.
     pub address: SocketAddr,
-    /// How many watches were opened.
+    /// The number of watches opened so far.
     pub watches: Rc<Cell<usize>>,
     entries: Rc<RefCell<BTreeMap<String, Value>>>,
     seq: Rc<watch::Sender<u64>>,
 }
 
 impl Registry {
-    /// An empty list.
+    /// Starts a registry with an empty list.
     pub async fn start() -> Registry {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -71,19 +71,20 @@
         registry
     }
 
+    /// The current version of the list as a line of a watch.
     fn line(&self) -> String {
         let hosts: Vec<Value> = self.entries.borrow().values().cloned().collect();
         list(*self.seq.borrow(), true, &hosts)
     }
 
-    /// Adds or changes an entry; see [`crate::entry`].
+    /// Adds or replaces the entry of a host, made by [`crate::entry`].
     pub fn set(&self, entry: Value) {
         let name = entry["host"].as_str().expect("an entry has a name").to_owned();
         self.entries.borrow_mut().insert(name, entry);
         self.seq.send_modify(|seq| *seq += 1);
     }
 
-    /// Takes an entry away: its host is gone.
+    /// Removes the entry of the host with this name.
     pub fn remove(&self, name: &str) {
         self.entries.borrow_mut().remove(name);
         self.seq.send_modify(|seq| *seq += 1);
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay for TCP that stands between a proxy and what it talks to, and does disruption on the way.
+//! A TCP relay between a proxy and a server. It can refuse, delay, silence, reset and close connections.
 
 use crate::message::Reader;
 use socket2::SockRef;
@@ -12,48 +12,50 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Most bytes that are forwarded on at a time.
+/// The largest number of bytes that are forwarded at a time.
 const BUFFER_BYTES: usize = 4 << 10;
-/// An answer that refuses a call.
+/// The answer to a refused request.
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// What meets a new connection.
+/// What the relay does with a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionMode {
-    /// It is forwarded on.
+    /// Forwards it to the target.
     Forward,
-    /// Its request is answered 503 after this time.
+    /// Answers its request 503 after this time.
     Refuse(Duration),
-    /// It waits and is answered 503 after this time, unless another one waits: then it is answered 503 at once.
+    /// Answers its request 503 after this time, or at once while another request waits for its answer.
     RefuseConcurrent(Duration),
-    /// It stays open and is never answered.
+    /// Keeps it open and never answers.
     Hang,
-    /// It is reset.
+    /// Resets it.
     Reset,
-    /// It is forwarded on, and reset when so many bytes have come from the target.
+    /// Forwards it, and resets it after this number of bytes from the target.
     ResetAfter(usize),
-    /// It is forwarded on, and falls silent when so many bytes have come from the target.
+    /// Forwards the start of its request and this number of bytes from the target; then keeps it open and forwards
+    /// nothing more.
     SilentAfter(usize),
 }
 
-/// What happens to the connections that are open.
+/// What the relay does to connections that are already open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disruption {
     None,
-    /// They stay open, and nothing passes any more but so many bytes from the target.
+    /// Forwards this number of bytes more from the target; then keeps the connection open and forwards nothing more.
     SilenceAfter(usize),
-    /// They are reset when so many more bytes have come from the target.
+    /// Resets the connection after this number of bytes more from the target.
     ResetAfter(usize),
-    /// They are closed in order.
+    /// Closes the connection without a reset.
     Close,
 }
 
-/// A relay before one address. Connections are forwarded on until something else is asked for.
+/// A relay in front of one address. It forwards connections until it is given another mode. Clones are the same
+/// relay.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Where it listens.
+    /// The address on which the relay listens.
     pub address: SocketAddr,
-    /// Connections so server.
+    /// The number of connections accepted so far.
     pub accepted: Rc<Cell<usize>>,
     mode: Rc<Cell<ConnectionMode>>,
     waiting: Rc<Cell<usize>>,
@@ -61,7 +63,7 @@
 }
 
 impl Relay {
-    /// A relay before this address.
+    /// Starts a relay in front of this address.
     pub async fn start(target: SocketAddr) -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let relay = Relay {
@@ -82,37 +84,38 @@
         relay
     }
 
-    /// What new connections meet from now on.
+    /// Sets what the relay does with new connections from now on.
     pub fn set_mode(&self, mode: ConnectionMode) {
         self.mode.set(mode);
     }
 
-    /// The connections that are open fall silent: they stay open, and nothing passes on them any more.
+    /// Silences the connections that are open: they stay open, and nothing more is forwarded on them.
     pub fn silence(&self) {
         self.silence_after(0);
     }
 
-    /// The same when so many more bytes have come from the target.
+    /// Silences the connections that are open after this number of bytes more from the target on each.
     pub fn silence_after(&self, bytes: usize) {
         self.disrupt(Disruption::SilenceAfter(bytes));
     }
 
-    /// Each connection that is open is reset when so many more bytes have come from the target.
+    /// Resets each connection that is open after this number of bytes more from the target on it.
     pub fn reset_after(&self, bytes: usize) {
         self.disrupt(Disruption::ResetAfter(bytes));
     }
 
-    /// The connections that are open are closed in order, with nothing more said on them.
+    /// Closes the connections that are open without a reset; nothing more is forwarded on them.
     pub fn close_connections(&self) {
         self.disrupt(Disruption::Close);
     }
 
-    /// Does disruption to the connections that are open now, and to no later one.
+    /// Disrupts the connections that are open now; later ones are not affected.
     fn disrupt(&self, disruption: Disruption) {
         self.disruption.replace(watch::Sender::new(Disruption::None)).send_replace(disruption);
     }
 }
 
+/// Serves a new connection in the mode that was set when it was accepted.
 async fn serve_connection(
     client: TcpStream,
     target: SocketAddr,
@@ -155,22 +158,22 @@
     }
 }
 
-/// Answers a request 503 after a time.
+/// Reads a request and answers it 503 after this time.
 async fn refuse(client: TcpStream, after: Duration) {
     let mut reader = Reader::new(client);
     if reader.message().await.is_some() {
         sleep(after).await;
-        // It may have gone.
+        // The client may have closed the connection meanwhile.
         let _ = reader.stream.write_all(REFUSAL).await;
     }
 }
 
-/// A connection without time to linger is reset when it is closed.
+/// Makes the close of this stream send a reset, by a linger time of zero.
 fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Passes on so many bytes more from the target, and stays open.
+/// Forwards this number of bytes more from the target; then keeps the connection open until the client closes it.
 async fn fall_silent(mut client: TcpStream, mut server: TcpStream, bytes: usize) {
     let (mut remaining, mut buffer) = (bytes, [0; BUFFER_BYTES]);
     while remaining > 0 {
@@ -183,7 +186,8 @@
     while client.read(&mut buffer).await.is_ok_and(|count| count > 0) {}
 }
 
-/// Passes on what comes either way until a side ends, or what disruption asks for.
+/// Forwards bytes in both directions until a side closes the connection or it is disrupted. With `remaining`, resets
+/// the connection after this number of bytes from the target.
 async fn forward(
     mut client: TcpStream,
     mut server: TcpStream,
@@ -193,7 +197,7 @@
     loop {
         let (mut up, mut down) = ([0; BUFFER_BYTES], [0; BUFFER_BYTES]);
         tokio::select! {
-            // The sender goes when it has asked for something; what it asked for last stays to be seen.
+            // The sender is dropped once it has sent a disruption; the last value can still be read.
             changed = disruption.changed(), if remaining.is_none() => match (changed, *disruption.borrow_and_update()) {
                 (_, Disruption::ResetAfter(0)) => return reset(&client),
                 (_, Disruption::Close) => return,
--- a/standins/src/stress.rs
+++ b/standins/src/stress.rs
@@ -1,6 +1,6 @@
-//! Clients that send a request under a key again and again, and leave early: the load that a store of keys is for.
+//! A stress run for the store of idempotency keys: clients repeat requests with the same key, and some abandon them.
 //!
-//! It knows nothing of how a call is made: whoever runs it brings that.
+//! The run does not depend on how a request is sent: its caller passes a function for that.
 
 use crate::fleet::StandInFleet;
 use crate::host_behavior::{Fault, HostBehavior};
@@ -12,55 +12,57 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// How one send ended.
+/// How one sent request ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// An answer, and whether it says that it is an earlier request's.
+    /// A host answered this request or an earlier one with the same key.
     Answer {
-        /// Its body.
+        /// The body of the answer.
         body: Vec<u8>,
-        /// Whether it is marked as replayed.
+        /// Whether the answer is marked as replayed, that is as the answer to an earlier request.
         replayed: bool,
     },
-    /// Turned away: to come again after this time.
+    /// The request was refused before it ran; it may be retried after this time.
     Refused(Duration),
-    /// It runs, and no answer has come in the client's time.
+    /// A request with the key is running, and no answer came before the client's timeout.
     Running,
-    /// It may have run.
+    /// The request ended without an answer; it may have run.
     Unsure,
 }
 
-/// Clients and their keys.
+/// The settings of a stress run.
 #[derive(Clone, Debug)]
 pub struct StressRun {
-    /// The seed of all draws.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// How many keys there are, of the classes in turn.
+    /// The number of keys; they are assigned to the classes in turn.
     pub keys: usize,
-    /// The classes.
+    /// The classes of the requests, as the configuration names them.
     pub classes: Vec<&'static str>,
-    /// Most sends of a key; each has from one to so many.
-    pub sends: usize,
-    /// Share of the sends whose client abandon_after early, all but the last of each key.
+    /// The largest number of sends per key, besides the final ones; the number is drawn from 1 to this.
+    pub max_sends: usize,
+    /// The probability that a client abandons its send early. The final sends of a key are never abandoned.
     pub abandon_share: f64,
-    /// Mean time after which such a client abandon_after, and between two sends of a key.
+    /// The mean time after which a send is abandoned, and the mean time between two sends of a key.
     pub mean_delay: Duration,
-    /// How long a client waits that stays.
+    /// How long a client waits for an answer.
     pub client_timeout: Duration,
-    /// The class's time: whoever asks once more for a key that runs goes on sending for so long.
+    /// The deadline of the classes. While the key is still running, its final send is repeated for up to twice this
+    /// time.
     pub class_deadline: Duration,
-    /// How many keys are in_flight at a time.
+    /// The number of keys that are in flight at a time.
     pub concurrent_keys: usize,
 }
 
 impl Default for StressRun {
-    /// A few charges and entries, up to four sends each, of which 15% leave after 3 ms in the mean.
+    /// 200 keys of the classes `unsafe` and `keyed`, up to four sends each, of which 15% are abandoned after 3 ms on
+    /// average.
     fn default() -> Self {
         StressRun {
             seed: 23,
             keys: 200,
             classes: vec!["unsafe", "keyed"],
-            sends: 4,
+            max_sends: 4,
             abandon_share: 0.15,
             mean_delay: Duration::from_millis(3),
             client_timeout: Duration::from_millis(400),
@@ -70,50 +72,53 @@
     }
 }
 
-/// What came of one key.
+/// The results of all sends of one key.
 #[derive(Clone, Debug)]
 struct KeyResult {
     key: String,
     started_at: Instant,
     bodies: Vec<Vec<u8>>,
+    /// Sends that were abandoned.
     left: usize,
     sends: usize,
+    /// Refusals that were retried.
     refusals: usize,
-    /// Repeats that came to an end, and those of them that outcome an answer.
+    /// Repeats that were neither abandoned nor refused.
     repeats: usize,
+    /// Those of the repeats that were answered.
     answered: usize,
     last: SendOutcome,
 }
 
-/// What came of a run.
+/// The results of a stress run.
 #[derive(Clone, Debug, Default)]
 pub struct StressReport {
-    /// Sends in all, those that came again after a refusal not counted.
+    /// All sends; a send that is retried after a refusal counts once.
     pub sends: usize,
-    /// Sends whose client left early.
+    /// Sends that their client abandoned early.
     pub left: usize,
-    /// Refusals.
+    /// Refusals that were retried, by sends that were not abandoned.
     pub refusals: usize,
-    /// Sends but the first of their key that came to an end other than a refusal, and those that outcome an answer.
+    /// Sends after the first one of their key that were neither abandoned nor refused.
     pub repeats: usize,
-    /// Those of them that outcome an answer.
+    /// Those of the repeats that were answered.
     pub answered: usize,
-    /// Keys to which a host gave an answer within the class's time.
+    /// Keys that a host answered within the deadline of the class, counted from the first send.
     pub answerable: usize,
-    /// Those of them whose answer the last who asked outcome.
+    /// Those of the answerable keys whose last send was answered.
     pub replayed: usize,
-    /// Charges that ran more than once.
+    /// Keys of the class `unsafe` that ran more than once.
     pub charges_twice: usize,
-    /// Entries that ran in more than one pod, or past their window.
+    /// Requests that took effect twice although they must not: see [`Ledger::duplicates`].
     pub entries_twice: usize,
-    /// Keys with two answers that differ.
+    /// Keys whose clients received different answers.
     pub two_answers: usize,
-    /// Effects at hosts.
+    /// All effects at the hosts.
     pub effects: usize,
 }
 
 impl StressRun {
-    /// So many hosts in two pods, with faults of every kind.
+    /// Starts this number of hosts, alternating between two pods, with faults of all kinds but duplicated answers.
     pub fn start_fleet(&self, hosts: u32) -> StandInFleet {
         let behavior = HostBehavior {
             seed: self.seed,
@@ -132,8 +137,8 @@
         StandInFleet::start_with_pods((0..hosts).map(|host| (1 + host % 2, behavior.clone())).collect())
     }
 
-    /// A configuration for such a fleet with the run's times. Clients come again soon after a refusal: waiting proves
-    /// nothing.
+    /// A proxy configuration for that fleet, with the deadlines of this run. `max_retry_after_us` is short, so that
+    /// clients retry soon after a refusal: a longer wait would test nothing more.
     pub fn configuration(&self, fleet: &StandInFleet) -> String {
         fleet.configuration(|config| {
             config["settings"]["limits"]["max_retry_after_us"] = 20_000.into();
@@ -145,8 +150,9 @@
         })
     }
 
-    /// Sends all, and sums up what came of it. `call` sends a request of a class under a key, for a client that waits
-    /// so long; dropped, its client has gone. `on_key_start` hears of the number of each key that begins.
+    /// Sends all requests and returns the results. `call` sends one request: its arguments are the class, the key and
+    /// the client's timeout; dropping its future abandons the request. `on_key_start` is called with the number of
+    /// each key before its first send. `window` is the time for which a pod drops repeats of a key.
     pub async fn run<F, C>(
         &self,
         ledger: &Ledger,
@@ -174,6 +180,7 @@
         self.report(&results, ledger, window)
     }
 
+    /// Sends all requests with one key, and then one more that is not abandoned.
     async fn send_key<F, C>(&self, number: usize, call: C) -> KeyResult
     where
         C: Fn(&'static str, String, Duration) -> F + Clone + Send + Sync + 'static,
@@ -182,7 +189,7 @@
         let class = self.classes[number % self.classes.len()];
         let key = format!("{class}-{number}-of-{}", self.seed);
         let mut random = RandomStream::new(self.seed, ("key", number));
-        let sends = 1 + random.below(self.sends);
+        let sends = 1 + random.below(self.max_sends);
         let mut result = KeyResult {
             key: key.clone(),
             started_at: Instant::now(),
@@ -218,7 +225,7 @@
                 Some((outcome, refusals)) => result.record(send > 0, outcome, refusals),
             }
         }
-        // Whoever wants to know asks once more, and for as long as it may still run.
+        // The final send asks for the result of the key, and is repeated while the key may still be running.
         let until = Instant::now() + 2 * self.class_deadline;
         loop {
             let (outcome, refusals) = self.retry_while_refused(class, &key, &call).await;
@@ -232,7 +239,8 @@
         }
     }
 
-    /// A client comes again after a refusal, as it is told to.
+    /// Sends a request and retries it after each refusal, as late as the refusal asks for, at most 400 times. Returns
+    /// the outcome and the number of refusals.
     async fn retry_while_refused<F, C>(
         &self,
         class: &'static str,
@@ -255,6 +263,7 @@
         }
     }
 
+    /// Sums up the results of all keys, and adds what the ledger recorded.
     fn report(&self, results: &[KeyResult], ledger: &Ledger, window: Duration) -> StressReport {
         let mut answers: BTreeMap<String, Instant> = BTreeMap::new();
         for (key, at) in ledger.answers() {
@@ -283,6 +292,7 @@
 }
 
 impl KeyResult {
+    /// Adds the outcome of a send that was not abandoned, after so many refusals that were retried.
     fn record(&mut self, repeat: bool, outcome: SendOutcome, refusals: usize) {
         self.refusals += refusals;
         if matches!(outcome, SendOutcome::Refused(_)) {
