--- a/library/tests/suite/keys.rs
+++ b/library/tests/suite/keys.rs
@@ -397,7 +397,7 @@
     // Without the store a request of an unsafe class must not have a key, so only entries are compared.
     let classes = if keys.is_some() { vec!["unsafe", "keyed"] } else { vec!["keyed"] };
     let storm = StressRun { keys: 400, classes, ..StressRun::default() };
-    let site = storm.start_fleet(4);
+    let site = storm.start_hosts(4);
     let text = storm.configuration(&site);
     let builder = fleet_builder().text(&text);
     let fleet = keys.into_iter().fold(builder, Builder::keys).start().expect("the fleet starts");
--- a/measure/src/cores.rs
+++ b/measure/src/cores.rs
@@ -438,7 +438,7 @@
 /// took, come too.
 fn storm(keys: usize) -> (StressReport, u64, f64) {
     let storm = StressRun { keys, ..StressRun::default() };
-    let site = storm.start_fleet(4);
+    let site = storm.start_hosts(4);
     let text = r#"{"entries": 100000, "entries_a_tenant": 100000, "classes": {"unsafe": {"forward": true}}}"#;
     let config = Config::parse(&storm.configuration(&site)).and_then(|config| config.with_keys(text));
     let process = Process::start(&config.expect("a good configuration"));
--- a/measure/src/storm.rs
+++ b/measure/src/storm.rs
@@ -41,7 +41,7 @@
 }
 
 fn play(storm: &StressRun, keys: &str) -> StressReport {
-    let site = storm.start_fleet(4);
+    let site = storm.start_hosts(4);
     let fleet = Fleet::builder().text(&storm.configuration(&site)).keys(keys).start().expect("it starts");
     runtime().block_on(async {
         fleet.ready().await.expect("it runs");
--- a/proxy/tests/cores.rs
+++ b/proxy/tests/cores.rs
@@ -564,7 +564,7 @@
 #[test]
 fn a_retry_storm_over_all_shards_runs_nothing_twice() {
     let storm = StressRun { keys: 300, ..StressRun::default() };
-    let site = storm.start_fleet(4);
+    let site = storm.start_hosts(4);
     run(async {
         let config = storm.configuration(&site);
         let process = Process::start_configured(&config, ShardOptions::new(SHARDS));
--- a/standins/src/host.rs
+++ b/standins/src/host.rs
@@ -185,7 +185,7 @@
     pub async fn restart(&self) {
         let listener = loop {
             let socket = TcpSocket::new_v4().expect("a socket");
-            socket.set_reuseaddr(true).expect("the address can be reused");
+            socket.set_reuseaddr(true).expect("reused");
             // The previous accept task may still hold the port.
             match socket.bind(self.address).and_then(|()| socket.listen(1_024)) {
                 Ok(listener) => break listener,
--- a/standins/src/load.rs
+++ b/standins/src/load.rs
@@ -204,7 +204,7 @@
     address: SocketAddr,
     text: &str,
 ) -> Option<(u16, Duration)> {
-    // The server may close an idle connection just as a request is sent on it; a new connection is not closed so.
+    // The server may close a reused connection just as a request is sent on it; then the request is sent once more.
     for _ in 0..2 {
         let reused = idle.is_some();
         let mut client = match idle.take() {
--- a/standins/src/pooled_sender.rs
+++ b/standins/src/pooled_sender.rs
@@ -41,7 +41,7 @@
     timeout: Duration,
 ) -> SendOutcome {
     let text = request_for(class, &format!("Idempotency-Key: {key}\r\n"), &format!("pays {key}"), timeout);
-    // The server may close an idle connection just as a request is sent on it; a new connection is not closed so.
+    // The server may close a reused connection just as a request is sent on it; then the request is sent once more.
     for _ in 0..2 {
         // Taking the oldest first spreads the sends over many connections, and so over all engines that accept them.
         let idle_client = take_oldest(idle);
--- a/standins/src/stress.rs
+++ b/standins/src/stress.rs
@@ -119,7 +119,7 @@
 
 impl StressRun {
     /// Starts this number of hosts, alternating between two pods, with faults of all kinds but duplicated answers.
-    pub fn start_fleet(&self, hosts: u32) -> StandInFleet {
+    pub fn start_hosts(&self, hosts: u32) -> StandInFleet {
         let behavior = HostBehavior {
             seed: self.seed,
             faults: vec![
