--- a/standins/src/host.rs
+++ b/standins/src/host.rs
@@ -1,8 +1,8 @@
-//! A host: what it is told to do with requests, what it has seen, and what it has done.
+//! A stand-in host: its actions are scripted or drawn at random, and it records the requests that it reads and runs.
 
+use crate::host_behavior::HostBehavior;
 use crate::ledger::Ledger;
 use crate::message::{Message, Reader};
-use crate::plan::Plan;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -15,169 +15,178 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, Instant};
 
-/// What a host does with a request that it has read whole.
+/// What a host does with one request after it has read all of it.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Writes this, and keeps the connection.
-    Say(String),
-    /// Writes these bytes, and keeps the connection.
-    SayBytes(Vec<u8>),
-    /// Writes this, and closes.
-    SayAndClose(String),
-    /// Says nothing until the other side closes or the host is told to release it.
+pub enum HostAction {
+    /// Writes this text and keeps the connection open.
+    Respond(String),
+    /// Writes these bytes and keeps the connection open.
+    RespondBytes(Vec<u8>),
+    /// Writes this text and closes the connection.
+    RespondAndClose(String),
+    /// Writes nothing until the client closes the connection or [`Host::release`] is notified; then answers
+    /// `released`.
     Stall,
-    /// Says the first now, and the rest when the host is told to release it.
-    SayInTwo(String, String),
-    /// Resets the connection. The request has run.
+    /// Writes the first text at once and the second when [`Host::release`] is notified.
+    RespondInTwoParts(String, String),
+    /// Runs the request and resets the connection without an answer.
     Reset,
-    /// Resets the connection as if the request had not been read: it never runs.
+    /// Resets the connection without running the request.
     ResetBefore,
-    /// Does another act after this time.
-    Late(Duration, Box<Act>),
+    /// Takes another action after this time.
+    Delay(Duration, Box<HostAction>),
 }
 
-impl Act {
-    /// Whether a request that meets this has run.
+impl HostAction {
+    /// Whether the host runs the request.
     fn runs(&self) -> bool {
         match self {
-            Act::Say(text) | Act::SayAndClose(text) => !text.contains("X-Rejected: 1"),
-            Act::SayBytes(_) | Act::SayInTwo(..) | Act::Stall | Act::Reset => true,
-            Act::ResetBefore => false,
-            Act::Late(_, act) => act.runs(),
+            HostAction::Respond(text) | HostAction::RespondAndClose(text) => !text.contains("X-Rejected: 1"),
+            HostAction::RespondBytes(_)
+            | HostAction::RespondInTwoParts(..)
+            | HostAction::Stall
+            | HostAction::Reset => true,
+            HostAction::ResetBefore => false,
+            HostAction::Delay(_, action) => action.runs(),
         }
     }
 }
 
-/// An answer 200 with this body.
-pub fn ok(body: &str) -> Act {
-    Act::Say(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+/// Answers 200 with this body.
+pub fn ok(body: &str) -> HostAction {
+    HostAction::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// An answer that says that the request never ran.
-pub fn turn_away() -> Act {
-    Act::Say("HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".to_owned())
+/// Answers 503 with the header that says that the request was rejected and never ran.
+pub fn rejection() -> HostAction {
+    HostAction::Respond(
+        "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".to_owned(),
+    )
 }
 
-/// A host: it does one act after the other, and the last for good; or, with a plan and no acts, what that draws.
+/// A stand-in host. It takes its scripted actions one after the other and repeats the last one; without a script, it
+/// draws each action from its behavior. Clones are the same host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Its name in lists and in the ledger.
+    /// The name in server lists and in the ledger.
     pub name: String,
-    /// The set of hosts that drop each other's repeats.
+    /// The pod: hosts of one pod drop repeats of a key that another of them has run.
     pub pod: u32,
-    /// Where it listens.
+    /// The address on which the host listens.
     pub address: SocketAddr,
-    /// All that it has read, for a host with a script; one with a plan may see too much to keep.
-    pub seen: Rc<RefCell<Vec<Message>>>,
-    /// How many connections it has taken.
-    pub opened: Rc<Cell<usize>>,
-    /// How many of them are open.
-    pub open: Rc<Cell<usize>>,
-    /// What it does next.
-    pub acts: Rc<RefCell<VecDeque<Act>>>,
-    /// Lets one stalled request be answered.
+    /// All requests read so far, for a scripted host. A host with a behavior keeps none, since there may be too many.
+    pub received: Rc<RefCell<Vec<Message>>>,
+    /// The number of connections accepted so far.
+    pub accepted: Rc<Cell<usize>>,
+    /// The number of connections that are open now.
+    pub open_connections: Rc<Cell<usize>>,
+    /// The scripted actions that are left; the last one is repeated.
+    pub actions: Rc<RefCell<VecDeque<HostAction>>>,
+    /// Lets a host go on with a stalled request or with the second part of an answer.
     pub release: Rc<Notify>,
-    /// What it does without a script.
-    pub plan: Rc<RefCell<Option<Plan>>>,
-    /// What it has run.
+    /// The behavior from which actions are drawn when there is no script.
+    pub behavior: Rc<RefCell<Option<HostBehavior>>>,
+    /// Where the host records the requests that it runs.
     pub ledger: Ledger,
-    /// How many requests it has read; with the time of the last one.
-    pub read: Rc<Cell<(usize, Option<Instant>)>>,
-    /// How often it has seen each id, for a host with a plan.
-    pub times: Rc<RefCell<HashMap<String, usize>>>,
-    /// When it last started.
+    /// The number of requests read so far, and when the last one was read.
+    pub requests_read: Rc<Cell<(usize, Option<Instant>)>>,
+    /// How often each call id has been received, for a host with a behavior.
+    pub times_received: Rc<RefCell<HashMap<String, usize>>>,
+    /// When the host last started.
     pub started: Rc<Cell<Instant>>,
-    /// The task that accepts.
-    pub accepting: Rc<RefCell<Option<JoinHandle<()>>>>,
-    /// What its connections hear when it is killed.
-    pub killed: Rc<watch::Sender<()>>,
+    /// The task that accepts connections; `None` after [`Host::kill`].
+    pub accept_task: Rc<RefCell<Option<JoinHandle<()>>>>,
+    /// Notifies the open connections that the host is killed.
+    pub kill_signal: Rc<watch::Sender<()>>,
 }
 
 impl Host {
-    /// A host with a script.
-    pub async fn start(acts: impl IntoIterator<Item = Act>) -> Host {
-        Host::on(TcpListener::bind("127.0.0.1:0").await.expect("a port"), acts)
+    /// Starts a scripted host on a free port.
+    pub async fn start(actions: impl IntoIterator<Item = HostAction>) -> Host {
+        Host::on_listener(TcpListener::bind("127.0.0.1:0").await.expect("a port"), actions)
     }
 
-    /// A host with a script behind a listener.
-    pub fn on(listener: TcpListener, acts: impl IntoIterator<Item = Act>) -> Host {
+    /// Starts a scripted host on this listener.
+    pub fn on_listener(listener: TcpListener, actions: impl IntoIterator<Item = HostAction>) -> Host {
         let host = Host::new(listener.local_addr().expect("an address"), "host", 3, Ledger::default());
-        host.acts.borrow_mut().extend(acts);
+        host.actions.borrow_mut().extend(actions);
         host.accept(listener);
         host
     }
 
-    /// A host with a plan, that notes in a ledger what it runs.
-    pub async fn planned(name: &str, pod: u32, plan: Plan, ledger: &Ledger) -> Host {
+    /// Starts a host with a behavior on a free port; it records in `ledger` what it runs.
+    pub async fn with_behavior(name: &str, pod: u32, behavior: HostBehavior, ledger: &Ledger) -> Host {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let host = Host::new(listener.local_addr().expect("an address"), name, pod, ledger.clone());
-        *host.plan.borrow_mut() = Some(plan);
+        *host.behavior.borrow_mut() = Some(behavior);
         host.accept(listener);
         host
     }
 
     fn new(address: SocketAddr, name: &str, pod: u32, ledger: Ledger) -> Host {
-        let (seen, opened, open, acts, release) = Default::default();
-        let (plan, read, times, accepting) = Default::default();
-        let killed = Rc::new(watch::Sender::new(()));
+        let (received, accepted, open_connections, actions, release) = Default::default();
+        let (behavior, requests_read, times_received, accept_task) = Default::default();
+        let kill_signal = Rc::new(watch::Sender::new(()));
         let (name, started) = (name.to_owned(), Rc::new(Cell::new(Instant::now())));
         Host {
             name,
             pod,
             address,
-            seen,
-            opened,
-            open,
-            acts,
+            received,
+            accepted,
+            open_connections,
+            actions,
             release,
-            plan,
+            behavior,
             ledger,
-            read,
-            times,
+            requests_read,
+            times_received,
             started,
-            accepting,
-            killed,
+            accept_task,
+            kill_signal,
         }
     }
 
+    /// Starts the task that accepts and serves connections.
     fn accept(&self, listener: TcpListener) {
         let host = self.clone();
         let task = spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 let host = host.clone();
-                host.opened.set(host.opened.get() + 1);
-                host.open.set(host.open.get() + 1);
-                let mut killed = host.killed.subscribe();
+                host.accepted.set(host.accepted.get() + 1);
+                host.open_connections.set(host.open_connections.get() + 1);
+                let mut kill_signal = host.kill_signal.subscribe();
                 spawn_local(async move {
-                    let died = tokio::select! {
+                    let is_killed = tokio::select! {
                         () = host.serve(&mut stream) => false,
-                        _ = killed.changed() => true,
+                        _ = kill_signal.changed() => true,
                     };
-                    if died {
+                    if is_killed {
                         reset(&stream);
                     }
                     drop(stream);
-                    host.open.set(host.open.get() - 1);
+                    host.open_connections.set(host.open_connections.get() - 1);
                 });
             }
         });
-        *self.accepting.borrow_mut() = Some(task);
+        *self.accept_task.borrow_mut() = Some(task);
     }
 
-    /// Dies as a process does: its connections are reset, and new ones are refused.
+    /// Stops the host as if its process had been killed: open connections are reset, new ones refused.
     pub fn kill(&self) {
-        if let Some(task) = self.accepting.borrow_mut().take() {
+        if let Some(task) = self.accept_task.borrow_mut().take() {
             task.abort();
         }
-        self.killed.send_replace(());
+        self.kill_signal.send_replace(());
     }
 
-    /// Comes up again at the same address, cold. A port that is no longer free is a panic.
+    /// Starts the host again at the same address, with its slow start from the beginning. Waits for as long as the
+    /// port is in use.
     pub async fn restart(&self) {
         let listener = loop {
             let socket = TcpSocket::new_v4().expect("a socket");
             socket.set_reuseaddr(true).expect("reused");
-            // The task that accepted may not have ended yet.
+            // The previous accept task may still hold the port.
             match socket.bind(self.address).and_then(|()| socket.listen(1_024)) {
                 Ok(listener) => break listener,
                 Err(_) => sleep(Duration::from_millis(1)).await,
@@ -187,52 +196,55 @@
         self.accept(listener);
     }
 
-    fn next_act(&self, message: &Message) -> Act {
-        let mut acts = self.acts.borrow_mut();
-        if let Some(act) = acts.front().cloned() {
-            if acts.len() > 1 {
-                acts.pop_front();
+    /// The scripted or drawn action for a request.
+    fn next_action(&self, message: &Message) -> HostAction {
+        let mut actions = self.actions.borrow_mut();
+        if let Some(action) = actions.front().cloned() {
+            if actions.len() > 1 {
+                actions.pop_front();
             }
-            return act;
+            return action;
         }
-        let plan = self.plan.borrow();
-        let mut times = self.times.borrow_mut();
-        let times = times.entry(message.header("x-call-id").unwrap_or_default().to_owned()).or_default();
-        let act = plan.as_ref().expect("an act or a plan").act(
+        let behavior = self.behavior.borrow();
+        let mut times_received = self.times_received.borrow_mut();
+        let times_received =
+            times_received.entry(message.header("x-call-id").unwrap_or_default().to_owned()).or_default();
+        let action = behavior.as_ref().expect("the host has actions or a behavior").next_action(
             &self.name,
             message,
-            *times,
+            *times_received,
             self.started.get().elapsed(),
         );
-        *times += 1;
-        act
+        *times_received += 1;
+        action
     }
 
+    /// Serves one connection until it ends.
     async fn serve(&self, stream: &mut TcpStream) {
         stream.set_nodelay(true).expect("no delay");
         let (read, mut write) = stream.split();
         let mut reader = Reader::new(read);
         while let Some(message) = reader.message().await {
-            self.read.set((self.read.get().0 + 1, Some(Instant::now())));
-            let mut act = self.next_act(&message);
-            if act.runs() {
+            self.requests_read.set((self.requests_read.get().0 + 1, Some(Instant::now())));
+            let mut action = self.next_action(&message);
+            if action.runs() {
                 self.ledger.record(&self.name, self.pod, &message);
             }
-            if self.plan.borrow().is_none() {
-                self.seen.borrow_mut().push(message.clone());
+            if self.behavior.borrow().is_none() {
+                self.received.borrow_mut().push(message.clone());
             }
-            while let Act::Late(time, then) = act {
+            while let HostAction::Delay(time, then) = action {
                 sleep(time).await;
-                act = *then;
+                action = *then;
             }
-            if matches!(&act, Act::Say(text) if text.starts_with("HTTP/1.1 200 ")) {
-                self.ledger.answered(&message);
+            if matches!(&action, HostAction::Respond(text) if text.starts_with("HTTP/1.1 200 ")) {
+                self.ledger.record_answer(&message);
             }
-            // What is of no use to the other side may find the connection closed.
-            let said = match act {
-                Act::Say(text) => write.write_all(text.as_bytes()).await,
-                Act::SayBytes(bytes) => write.write_all(&bytes).await,
-                Act::SayInTwo(first, rest) => {
+            // The write fails if the client has closed the connection meanwhile.
+            let written = match action {
+                HostAction::Respond(text) => write.write_all(text.as_bytes()).await,
+                HostAction::RespondBytes(bytes) => write.write_all(&bytes).await,
+                HostAction::RespondInTwoParts(first, rest) => {
                     if write.write_all(first.as_bytes()).await.is_err() {
                         return;
                     }
@@ -241,47 +253,47 @@
                         () = self.release.notified() => write.write_all(rest.as_bytes()).await,
                     }
                 }
-                Act::SayAndClose(text) => {
+                HostAction::RespondAndClose(text) => {
                     let _ = write.write_all(text.as_bytes()).await;
                     return;
                 }
-                Act::Stall => tokio::select! {
+                HostAction::Stall => tokio::select! {
                     _ = reader.more() => return,
                     () = self.release.notified() => {
-                        let Act::Say(text) = ok("released") else { return };
+                        let HostAction::Respond(text) = ok("released") else { return };
                         write.write_all(text.as_bytes()).await
                     }
                 },
-                Act::Reset | Act::ResetBefore => return reset(write.as_ref()),
-                Act::Late(..) => return,
+                HostAction::Reset | HostAction::ResetBefore => return reset(write.as_ref()),
+                HostAction::Delay(..) => return,
             };
-            if said.is_err() {
+            if written.is_err() {
                 return;
             }
         }
     }
 
-    /// How many requests it has read.
+    /// The number of requests read so far.
     pub fn count(&self) -> usize {
-        self.read.get().0
+        self.requests_read.get().0
     }
 }
 
-/// A listener with little room and small segments: a request of some 10 kB does not fit into what the two systems keep
-/// of it, as long as nobody reads.
-pub fn narrow_listener() -> TcpListener {
+/// A listener with a small receive buffer and small segments: while nothing is read from a connection, a request of
+/// about 10 kB does not fit into the socket buffers of both sides.
+pub fn small_buffer_listener() -> TcpListener {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    listener.set_recv_buffer_size(2_048).expect("little room");
-    listener.set_tcp_mss(536).expect("small segments");
+    listener.set_recv_buffer_size(2_048).expect("the receive buffer can be set");
+    listener.set_tcp_mss(536).expect("the segment size can be set");
     listener.set_nonblocking(true).expect("nonblocking");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     listener.bind(&any.into()).expect("a port");
-    listener.listen(8).expect("it listens");
+    listener.listen(8).expect("the socket listens");
     TcpListener::from_std(listener.into()).expect("a listener")
 }
 
-/// The next close of this stream resets it.
+/// Makes the next close of this stream send a reset.
 fn reset(stream: &TcpStream) {
-    // A stream that the other side has reset already needs none.
+    // This fails for a stream that the peer has already reset, which needs no other reset.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/standins/src/load.rs
+++ b/standins/src/load.rs
@@ -1,7 +1,7 @@
-//! Clients that ask, one request at a time on each connection, and come again as real ones do.
+//! Clients that each send one request at a time on a connection of their own, and retry refused requests.
 
-use crate::dice::Dice;
 use crate::message::Reader;
+use crate::random_stream::RandomStream;
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,92 +13,92 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// What came of the requests so far. A request is counted once, however often its client came again.
+/// Counts and latencies of the requests that have ended. A request is counted once, however often it was retried.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
-    /// Answered by a host.
+pub struct LoadMetrics {
+    /// Requests answered 200.
     pub served: u64,
-    /// Turned away, and given up by its client.
+    /// Requests refused with 429 or 503 for more often than their client retries.
     pub refused: u64,
-    /// Failed; it may have run.
+    /// Requests answered with any other status; they may have run.
     pub failed: u64,
-    /// The statuses of those that failed.
+    /// The number of failed requests by status.
     pub failures: BTreeMap<u16, u64>,
-    /// Its connection ended without an answer.
+    /// Requests whose connection failed or ended without an answer.
     pub lost: u64,
-    /// How often clients came again after a refusal.
-    pub again: u64,
-    /// Times of the answers that hosts gave, in microseconds.
-    pub times: Times,
+    /// The number of retries after a refusal.
+    pub retries: u64,
+    /// The latencies of the served requests, without earlier refused attempts.
+    pub latencies: LatencyHistogram,
 }
 
-/// Times in microseconds, to three digits. It does not grow with their number.
+/// A histogram of latencies in microseconds, with three significant digits. Its size does not grow with their number.
 #[derive(Clone, Debug)]
-pub struct Times(Histogram<u64>);
+pub struct LatencyHistogram(Histogram<u64>);
 
-impl Default for Times {
+impl Default for LatencyHistogram {
     fn default() -> Self {
-        let mut times = Histogram::new(3).unwrap_or_else(|_| unreachable!("at most 5 digits"));
-        times.auto(true);
-        Times(times)
+        let mut histogram = Histogram::new(3).unwrap_or_else(|_| unreachable!("at most 5 digits"));
+        histogram.auto(true);
+        LatencyHistogram(histogram)
     }
 }
 
-impl Times {
-    /// One more.
-    pub fn push(&mut self, time: Duration) {
-        // It grows as far as any time here goes.
+impl LatencyHistogram {
+    /// Adds a latency.
+    pub fn record(&mut self, time: Duration) {
+        // Cannot fail: the histogram resizes itself.
         let _ = self.0.record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
     }
 
-    /// Those that are not in an earlier state of this.
-    pub fn since(&self, before: &Times) -> Times {
+    /// The latencies added since `earlier`, which must be an earlier state of this histogram.
+    pub fn since(&self, earlier: &LatencyHistogram) -> LatencyHistogram {
         let mut since = self.clone();
-        // What is subtracted is part of it.
-        let _ = since.0.subtract(&before.0);
+        // Cannot fail: `earlier` is contained in this histogram.
+        let _ = since.0.subtract(&earlier.0);
         since
     }
 }
 
-impl Tally {
-    /// All that were asked.
-    pub fn all(&self) -> u64 {
+impl LoadMetrics {
+    /// The number of requests that have ended.
+    pub fn total(&self) -> u64 {
         self.served + self.refused + self.failed + self.lost
     }
 
-    /// The time that this share of the answers (0 to 1) took at most; zero without any.
-    pub fn time(&self, share: f64) -> Duration {
-        Duration::from_micros(self.times.0.value_at_quantile(share))
+    /// The latency at this quantile (0 to 1) of the served requests; zero if there are none.
+    pub fn latency_quantile(&self, quantile: f64) -> Duration {
+        Duration::from_micros(self.latencies.0.value_at_quantile(quantile))
     }
 }
 
-/// Clients and what they ask for.
+/// A load: clients and the requests that they send.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Where they connect.
+    /// The address to which clients connect.
     pub address: SocketAddr,
-    /// The seed of all draws; part of every id.
+    /// The seed of all random draws; also a part of every call id.
     pub seed: u64,
-    /// How many connections ask side by side.
+    /// The number of clients, each with one connection.
     pub clients: usize,
-    /// How many requests each asks at most.
+    /// The largest number of requests per client, retries not counted.
     pub calls: usize,
-    /// Until when they begin new ones.
+    /// The time after which clients start no new request.
     pub until: Option<Instant>,
-    /// Mean pause between two requests of a client.
+    /// The mean pause of a client before each request.
     pub pause: Duration,
-    /// Classes (`free`, `keyed`, `unsafe`) and the share of each; together 1.
+    /// The classes (`free`, `keyed`, `unsafe`) with their shares of the requests, which add up to 1.
     pub classes: Vec<(&'static str, f64)>,
-    /// Bytes of a POST's body.
+    /// The size of the body of a POST request, in bytes.
     pub body: usize,
-    /// How long they wait for an answer.
+    /// The time budget of a request, sent as `X-Budget-Ms`.
     pub budget: Duration,
-    /// How often they come again after a refusal.
+    /// The largest number of retries of a refused request.
     pub retries: usize,
 }
 
 impl Load {
-    /// A few clients with a mix of all classes.
+    /// Eight clients with a mix of all classes and no pause, until [`Load::run`] is dropped.
     pub fn new(address: SocketAddr, seed: u64) -> Load {
         Load {
             address,
@@ -114,58 +114,61 @@
         }
     }
 
-    /// Asks until all is asked; `tally` shows how far it is. Needs a [`tokio::task::LocalSet`].
-    pub async fn run(&self, tally: &Rc<RefCell<Tally>>) {
+    /// Sends the requests of all clients and returns when they have ended. `metrics` is updated as requests end. Must
+    /// be called in a [`tokio::task::LocalSet`].
+    pub async fn run(&self, metrics: &Rc<RefCell<LoadMetrics>>) {
         let load = Rc::new(self.clone());
         let mut clients = JoinSet::new();
         for client in 0..self.clients {
-            let (load, tally) = (load.clone(), tally.clone());
-            clients.spawn_local(async move { load.client(client, &tally).await });
+            let (load, metrics) = (load.clone(), metrics.clone());
+            clients.spawn_local(async move { load.client(client, &metrics).await });
         }
         while let Some(client) = clients.join_next().await {
             client.expect("a client does not panic");
         }
     }
 
-    async fn client(&self, client: usize, tally: &Rc<RefCell<Tally>>) {
-        let mut dice = Dice::new(self.seed, ("client", client));
+    /// Sends the requests of one client.
+    async fn client(&self, client: usize, metrics: &Rc<RefCell<LoadMetrics>>) {
+        let mut random = RandomStream::new(self.seed, ("client", client));
         let mut stream = None;
         for call in 0..self.calls {
             if self.until.is_some_and(|until| Instant::now() >= until) {
                 return;
             }
             if !self.pause.is_zero() {
-                sleep(dice.time(self.pause)).await;
+                sleep(random.exponential(self.pause)).await;
             }
-            let class = self.class(dice.share());
-            for again in 0..=self.retries {
-                let text = self.text(class, client, call, again);
+            let class = self.class(random.uniform());
+            for retry in 0..=self.retries {
+                let text = self.text(class, client, call, retry);
                 let started = Instant::now();
-                let answer = ask(&mut stream, self.address, &text).await;
+                let answer = exchange(&mut stream, self.address, &text).await;
                 let refused = matches!(answer, Some((429 | 503, _)));
-                if let Some((_, advice)) = answer.filter(|_| refused && again < self.retries) {
-                    tally.borrow_mut().again += 1;
-                    sleep(advice).await;
+                if let Some((_, retry_after)) = answer.filter(|_| refused && retry < self.retries) {
+                    metrics.borrow_mut().retries += 1;
+                    sleep(retry_after).await;
                     continue;
                 }
-                let mut tally = tally.borrow_mut();
+                let mut metrics = metrics.borrow_mut();
                 match answer {
                     Some((200, _)) => {
-                        tally.served += 1;
-                        tally.times.push(started.elapsed());
+                        metrics.served += 1;
+                        metrics.latencies.record(started.elapsed());
                     }
-                    Some(_) if refused => tally.refused += 1,
+                    Some(_) if refused => metrics.refused += 1,
                     Some((status, _)) => {
-                        tally.failed += 1;
-                        *tally.failures.entry(status).or_default() += 1;
+                        metrics.failed += 1;
+                        *metrics.failures.entry(status).or_default() += 1;
                     }
-                    None => tally.lost += 1,
+                    None => metrics.lost += 1,
                 }
                 break;
             }
         }
     }
 
+    /// The class for a draw from 0 to 1.
     fn class(&self, mut draw: f64) -> &'static str {
         for &(class, share) in &self.classes {
             if draw < share {
@@ -176,35 +179,35 @@
         self.classes.last().expect("a class").0
     }
 
-    /// A request. Its id is new each time that it comes; its key is not.
-    fn text(&self, class: &str, client: usize, call: usize, again: usize) -> String {
+    /// The text of a request. A retry has a new call id and the same idempotency key.
+    fn text(&self, class: &str, client: usize, call: usize, retry: usize) -> String {
         let name = format!("{:x}-{client:x}-{call:x}", self.seed);
         let (method, more) = match class {
             "free" => ("GET", String::new()),
             "keyed" => ("POST", format!("Idempotency-Key: k-{name}\r\nContent-Length: {}\r\n", self.body)),
             _ => ("POST", format!("Content-Length: {}\r\n", self.body)),
         };
-        let again_said = if again > 0 { "X-Again: 1\r\n" } else { "" };
+        let retry_header = if retry > 0 { "X-Again: 1\r\n" } else { "" };
         let body = if method == "GET" { String::new() } else { "b".repeat(self.body) };
         format!(
-            "{method} /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {name}-{again}\r\nX-Call-Class: {class}\r\n\
-             X-Budget-Ms: {}\r\n{again_said}{more}\r\n{body}",
+            "{method} /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: {name}-{retry}\r\nX-Call-Class: {class}\r\n\
+             X-Budget-Ms: {}\r\n{retry_header}{more}\r\n{body}",
             self.budget.as_millis()
         )
     }
 }
 
-/// Asks on a connection, on a new one if there is none or it turns out closed between two requests. Gives the
-/// status and the advice when to come back.
-async fn ask(
-    kept: &mut Option<Reader<TcpStream>>,
+/// Sends a request on the idle connection, or on a new one if there is none or the server has closed it. Returns the
+/// status of the answer and the time in its `Retry-After`, or `None` if the request was not answered.
+async fn exchange(
+    idle: &mut Option<Reader<TcpStream>>,
     address: SocketAddr,
     text: &str,
 ) -> Option<(u16, Duration)> {
-    // A server may close between requests; that crosses a request at most once on each connection.
+    // The server may close a reused connection just as a request is sent on it; then the request is sent once more.
     for _ in 0..2 {
-        let reused = kept.is_some();
-        let mut client = match kept.take() {
+        let reused = idle.is_some();
+        let mut client = match idle.take() {
             Some(client) => client,
             None => {
                 let stream = TcpStream::connect(address).await.ok()?;
@@ -222,12 +225,12 @@
             }
             return None;
         };
-        let advice = answer.header("retry-after").and_then(|seconds| seconds.parse().ok());
-        let advice = advice.and_then(|s| Duration::try_from_secs_f64(s).ok()).unwrap_or_default();
+        let retry_after = answer.header("retry-after").and_then(|seconds| seconds.parse().ok());
+        let retry_after = retry_after.and_then(|s| Duration::try_from_secs_f64(s).ok()).unwrap_or_default();
         if answer.header("connection") != Some("close") {
-            *kept = Some(client);
+            *idle = Some(client);
         }
-        return Some((answer.status(), advice));
+        return Some((answer.status(), retry_after));
     }
     None
 }
