--- a/lab/src/compare.rs
+++ b/lab/src/compare.rs
@@ -1,8 +1,8 @@
 //! The same seeds under our module and under what a team would pick instead, in fleet depth.
 
 use crate::baseline::Picks;
-use crate::judge::Rule;
-use crate::run::{play_with, Depth, Limits};
+use crate::invariants::Invariant;
+use crate::run::{run_scenario_with, Depth, RunOptions};
 use crate::scenario::Scenario;
 use rayon::prelude::*;
 use serde::Serialize;
@@ -44,7 +44,7 @@
     /// Attempts for each thing that was wanted.
     pub sends: Spread,
     /// Broken rules, over all seeds; at most 1,000 are noted of a run.
-    pub broken: BTreeMap<Rule, usize>,
+    pub broken: BTreeMap<Invariant, usize>,
 }
 
 /// Plays each scenario under each seed and each of those compared. `done` hears of each run.
@@ -58,7 +58,7 @@
     picks: &[Picks],
     done: impl Fn() + Sync,
 ) -> Result<Vec<Line>, String> {
-    let limits = Limits { stops: false, ..Limits::default() };
+    let limits = RunOptions { stop_on_violation: false, ..RunOptions::default() };
     let mut lines = Vec::new();
     for scenario in scenarios {
         for &picks in picks {
@@ -66,18 +66,21 @@
                 .clone()
                 .into_par_iter()
                 .map(|seed| {
-                    let outcome = play_with(scenario, seed, Depth::Fleet, &limits, picks, None);
+                    let outcome = run_scenario_with(scenario, seed, Depth::Fleet, &limits, picks, None);
                     done();
                     outcome.map(|outcome| {
-                        let all = &outcome.tally.all;
-                        let mut broken = BTreeMap::<Rule, usize>::new();
-                        outcome.breaks.iter().for_each(|at| *broken.entry(at.rule).or_default() += 1);
-                        let sends = outcome.tally.sent as f64 / all.wanted.max(1) as f64;
-                        (all.served(), all.ms(99.0), sends, broken)
+                        let all = &outcome.metrics.all;
+                        let mut broken = BTreeMap::<Invariant, usize>::new();
+                        outcome
+                            .violations
+                            .iter()
+                            .for_each(|at| *broken.entry(at.invariant).or_default() += 1);
+                        let sends = outcome.metrics.attempts as f64 / all.operations.max(1) as f64;
+                        (all.served_share(), all.latency_ms(99.0), sends, broken)
                     })
                 })
                 .collect::<Result<_, _>>()?;
-            let mut broken = BTreeMap::<Rule, usize>::new();
+            let mut broken = BTreeMap::<Invariant, usize>::new();
             for (rule, count) in runs.iter().flat_map(|(.., broken)| broken) {
                 *broken.entry(*rule).or_default() += count;
             }
@@ -99,7 +102,12 @@
     let mut text = String::from("| scenario | who | served | p99 ms | sends | broken: 1, 2, 3, 4 |\n");
     text += "| --- | --- | --- | --- | --- | --- |\n";
     for line in lines {
-        let rules = [Rule::OneAnswer, Rule::NoEffectTwice, Rule::NothingToTheGone, Rule::ColdHostStands];
+        let rules = [
+            Invariant::OneAnswer,
+            Invariant::NoEffectTwice,
+            Invariant::NothingToTheGone,
+            Invariant::ColdHostStands,
+        ];
         let broken =
             rules.map(|rule| line.broken.get(&rule).copied().unwrap_or_default().to_string()).join(", ");
         let Line { served, p99_ms, sends, .. } = line;
--- a/lab/src/crowd.rs
+++ b/lab/src/crowd.rs
@@ -1,8 +1,8 @@
 //! Members on virtual time: the real core (`nettleworks-members`), up to thousands of them, and a network that loses,
 //! delays and cuts. The same seed plays the same course.
 
-use crate::draw::Draw;
-use crate::queue::Queue;
+use crate::event_queue::EventQueue;
+use crate::random::RandomStream;
 use crate::Micros;
 use nettleworks_members::{Card, Condition, Config, Members, Message, Name, News, Out, What};
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
 pub struct Crowd {
     nodes: Vec<Node>,
     config: Config,
-    queue: Queue<Ev>,
+    queue: EventQueue<Ev>,
     /// The present moment.
     pub now: Micros,
     /// What the network does.
     pub network: Network,
     /// Which part each is in: nothing passes between two parts.
     parts: Vec<u8>,
-    draw: Draw,
+    draw: RandomStream,
     /// What was told, by whom, when.
     pub news: Vec<(Micros, usize, News)>,
     /// Datagrams that were sent, and their bytes by the core's own bound.
@@ -90,11 +90,11 @@
         let mut crowd = Crowd {
             nodes: Vec::with_capacity(count),
             config: config.clone(),
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             now: 0,
             network: Network::default(),
             parts: vec![0; count],
-            draw: Draw::new(seed, "crowd", count as u64, 0),
+            draw: RandomStream::new(seed, "crowd", count as u64, 0),
             news: Vec::new(),
             sent: (0, 0),
         };
@@ -102,7 +102,7 @@
             let members = crowd.born(node, config)?;
             crowd.nodes.push(Node { members, up: false, wake: 0, wakes_at: None });
             let at = crowd.draw.below(1_000_000) as Micros;
-            crowd.queue.put(at, Ev::Start { node });
+            crowd.queue.schedule(at, Ev::Start { node });
         }
         let whole =
             |crowd: &Crowd| crowd.agree() && crowd.nodes[0].members.view(crowd.now).members.len() == count;
@@ -121,7 +121,7 @@
 
     /// Another course from here on: what the network draws is drawn anew.
     pub fn reseed(&mut self, seed: u64) {
-        self.draw = Draw::new(seed, "crowd goes on", self.nodes.len() as u64, self.now);
+        self.draw = RandomStream::new(seed, "crowd goes on", self.nodes.len() as u64, self.now);
     }
 
     /// How many there are, those that are down among them.
@@ -167,7 +167,7 @@
     /// Goes on for so long.
     pub fn run(&mut self, time: Micros) {
         let until = self.now + time;
-        while let Some((at, event)) = self.queue.take(until) {
+        while let Some((at, event)) = self.queue.pop_due(until) {
             self.now = at;
             self.play(event);
         }
@@ -228,7 +228,7 @@
             at.wake += 1;
             at.wakes_at = wakes_at;
             if let Some(wakes_at) = wakes_at {
-                self.queue.put(wakes_at, Ev::Wake { node, wake: at.wake });
+                self.queue.schedule(wakes_at, Ev::Wake { node, wake: at.wake });
             }
         }
     }
@@ -236,14 +236,12 @@
     fn send(&mut self, from: usize, to: usize, message: Message) {
         self.sent.0 += 1;
         self.sent.1 += message.size_most() as u64 + HEAD;
-        if to >= self.nodes.len()
-            || self.parts[from] != self.parts[to]
-            || self.draw.happens(self.network.loss)
+        if to >= self.nodes.len() || self.parts[from] != self.parts[to] || self.draw.chance(self.network.loss)
         {
             return;
         }
         let (least, most) = self.network.delay;
         let delay = least + self.draw.below((most - least) as usize + 1) as Micros;
-        self.queue.put(self.now + delay, Ev::Arrive { to, from, message: Box::new(message) });
+        self.queue.schedule(self.now + delay, Ev::Arrive { to, from, message: Box::new(message) });
     }
 }
--- a/lab/src/log.rs
+++ b/lab/src/event_log.rs
@@ -7,12 +7,12 @@
 use twox_hash::XxHash64;
 
 /// How many of the last events are kept.
-const LAST: usize = 48;
+const RECENT_EVENTS_MAX: usize = 48;
 
 /// What an event is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Of {
+pub enum EventKind {
     /// A client asks: call, proxy, class.
     Asked,
     /// An attempt's first byte is written: call, host, attempt.
@@ -41,54 +41,61 @@
 
 /// An event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Noted {
+pub struct LoggedEvent {
     /// Virtual time, in microseconds from the start.
     pub at: Micros,
     /// What it is about.
-    pub of: Of,
+    #[serde(rename = "of")]
+    pub kind: EventKind,
     /// Its figures, by what it is about.
-    pub is: [u64; 3],
+    #[serde(rename = "is")]
+    pub values: [u64; 3],
 }
 
-impl std::fmt::Display for Noted {
+impl std::fmt::Display for LoggedEvent {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let [first, second, third] = self.is;
-        write!(f, "{:>12.6} {:?} {first} {second} {third}", self.at as f64 / 1e6, self.of)
+        let [first, second, third] = self.values;
+        write!(f, "{:>12.6} {:?} {first} {second} {third}", self.at as f64 / 1e6, self.kind)
     }
 }
 
 /// The log.
 #[derive(Debug)]
-pub struct Log {
+pub struct EventLog {
     hash: XxHash64,
     count: u64,
-    last: VecDeque<Noted>,
+    recent: VecDeque<LoggedEvent>,
     /// Whether each event is told to the thread's `tracing` subscriber too.
-    pub tells: bool,
+    pub emits_tracing: bool,
 }
 
-impl Default for Log {
+impl Default for EventLog {
     fn default() -> Self {
-        Log { hash: XxHash64::with_seed(0), count: 0, last: VecDeque::with_capacity(LAST), tells: false }
+        EventLog {
+            hash: XxHash64::with_seed(0),
+            count: 0,
+            recent: VecDeque::with_capacity(RECENT_EVENTS_MAX),
+            emits_tracing: false,
+        }
     }
 }
 
-impl Log {
+impl EventLog {
     /// Notes an event.
-    pub fn note(&mut self, at: Micros, of: Of, is: [u64; 3]) {
+    pub fn record(&mut self, at: Micros, kind: EventKind, values: [u64; 3]) {
         let mut bytes = [0; 33];
-        bytes[0] = of as u8;
-        for (place, figure) in [at, is[0], is[1], is[2]].into_iter().enumerate() {
+        bytes[0] = kind as u8;
+        for (place, figure) in [at, values[0], values[1], values[2]].into_iter().enumerate() {
             bytes[1 + 8 * place..9 + 8 * place].copy_from_slice(&figure.to_le_bytes());
         }
         self.hash.write(&bytes);
         self.count += 1;
-        if self.last.len() == LAST {
-            self.last.pop_front();
+        if self.recent.len() == RECENT_EVENTS_MAX {
+            self.recent.pop_front();
         }
-        self.last.push_back(Noted { at, of, is });
-        if self.tells {
-            tracing::info!(t_us = at, of = ?of, first = is[0], second = is[1], third = is[2]);
+        self.recent.push_back(LoggedEvent { at, kind, values });
+        if self.emits_tracing {
+            tracing::info!(t_us = at, of = ?kind, first = values[0], second = values[1], third = values[2]);
         }
     }
 
@@ -103,7 +110,7 @@
     }
 
     /// The last ones.
-    pub fn last(&self) -> Vec<Noted> {
-        self.last.iter().copied().collect()
+    pub fn recent(&self) -> Vec<LoggedEvent> {
+        self.recent.iter().copied().collect()
     }
 }
--- a/lab/src/queue.rs
+++ b/lab/src/event_queue.rs
@@ -7,14 +7,14 @@
 #[derive(Clone)]
 struct Entry<E> {
     at: Micros,
-    number: u64,
+    sequence: u64,
     event: E,
 }
 
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> Ordering {
         // The heap gives its greatest first.
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
@@ -34,31 +34,31 @@
 
 /// The queue.
 #[derive(Clone)]
-pub struct Queue<E> {
+pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
-    next: u64,
+    next_sequence: u64,
 }
 
-impl<E> Default for Queue<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), next: 0 }
+        EventQueue { heap: BinaryHeap::new(), next_sequence: 0 }
     }
 }
 
-impl<E> Queue<E> {
+impl<E> EventQueue<E> {
     /// Puts an event in.
-    pub fn put(&mut self, at: Micros, event: E) {
-        self.next += 1;
-        self.heap.push(Entry { at, number: self.next, event });
+    pub fn schedule(&mut self, at: Micros, event: E) {
+        self.next_sequence += 1;
+        self.heap.push(Entry { at, sequence: self.next_sequence, event });
     }
 
     /// When the first is due.
-    pub fn next_at(&self) -> Option<Micros> {
+    pub fn next_time(&self) -> Option<Micros> {
         self.heap.peek().map(|entry| entry.at)
     }
 
     /// The first, if it is due by `until`.
-    pub fn take(&mut self, until: Micros) -> Option<(Micros, E)> {
+    pub fn pop_due(&mut self, until: Micros) -> Option<(Micros, E)> {
         let due = self.heap.peek().is_some_and(|entry| entry.at <= until);
         due.then(|| self.heap.pop()).flatten().map(|entry| (entry.at, entry.event))
     }
--- a/lab/src/explore.rs
+++ b/lab/src/explore.rs
@@ -1,9 +1,9 @@
 //! Sweeps seeds on all cores, and makes a break that was found small: fewer faults, proxies, hosts and calls, a shorter
 //! time, as long as the same rule breaks under the same seed.
 
-use crate::fault::{settle, Which};
-use crate::judge::{Break, Rule};
-use crate::run::{play, Depth, Limits};
+use crate::fault::{resolve_faults, Targets};
+use crate::invariants::{Invariant, Violation};
+use crate::run::{run_scenario, Depth, RunOptions};
 use crate::scenario::Scenario;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -48,7 +48,7 @@
     /// Seeds that were played.
     pub seeds: usize,
     /// Those under which a rule broke, with the first break.
-    pub broken: BTreeMap<u64, Break>,
+    pub broken: BTreeMap<u64, Violation>,
     /// Those that could not be played, and why.
     pub failed: BTreeMap<u64, String>,
     /// Seconds of virtual time.
@@ -62,17 +62,17 @@
     scenario: &Scenario,
     seeds: RangeInclusive<u64>,
     depth: Depth,
-    limits: &Limits,
+    limits: &RunOptions,
     done: impl Fn() + Sync,
 ) -> Sweep {
     let each: Vec<_> = seeds
         .into_par_iter()
         .map(|seed| {
-            let outcome = play(scenario, seed, depth, limits).map(|mut outcome| {
+            let outcome = run_scenario(scenario, seed, depth, limits).map(|mut outcome| {
                 (
                     outcome.hash,
-                    outcome.ended,
-                    (!outcome.breaks.is_empty()).then(|| outcome.breaks.swap_remove(0)),
+                    outcome.end_time,
+                    (!outcome.violations.is_empty()).then(|| outcome.violations.swap_remove(0)),
                 )
             });
             done();
@@ -99,7 +99,7 @@
     /// The smaller one.
     pub found: Found,
     /// Its break.
-    pub broken: Break,
+    pub broken: Violation,
     /// Runs that this took.
     pub runs: usize,
 }
@@ -108,9 +108,15 @@
 const RUNS_MOST: usize = 400;
 
 /// Makes a break small. `None`: the scenario does not break this rule under this seed.
-pub fn shrink(scenario: &Scenario, seed: u64, depth: Depth, rule: Rule, limits: &Limits) -> Option<Shrunk> {
+pub fn shrink(
+    scenario: &Scenario,
+    seed: u64,
+    depth: Depth,
+    rule: Invariant,
+    limits: &RunOptions,
+) -> Option<Shrunk> {
     let mut shrinker = Shrinker { seed, depth, rule, limits: *limits, runs: 0 };
-    let mut best = settle(scenario, seed);
+    let mut best = resolve_faults(scenario, seed);
     let mut broken = shrinker.breaks(&best)?;
     loop {
         let before = size(&best);
@@ -135,24 +141,26 @@
 struct Shrinker {
     seed: u64,
     depth: Depth,
-    rule: Rule,
-    limits: Limits,
+    rule: Invariant,
+    limits: RunOptions,
     runs: usize,
 }
 
 impl Shrinker {
     /// The break of the same rule, if it is still there.
-    fn breaks(&mut self, scenario: &Scenario) -> Option<Break> {
+    fn breaks(&mut self, scenario: &Scenario) -> Option<Violation> {
         scenario.check().ok()?;
         self.runs += 1;
-        let outcome = play(scenario, self.seed, self.depth, &Limits { tells: false, ..self.limits }).ok()?;
-        outcome.breaks.into_iter().find(|broken| broken.rule == self.rule)
+        let outcome =
+            run_scenario(scenario, self.seed, self.depth, &RunOptions { emit_events: false, ..self.limits })
+                .ok()?;
+        outcome.violations.into_iter().find(|broken| broken.invariant == self.rule)
     }
 }
 
 /// What is to become less. Two scenarios of one size are taken for the same.
 fn size(scenario: &Scenario) -> (usize, usize, usize, u64, u64, u64) {
-    let lasts: f64 = scenario.faults.iter().map(|fault| fault.lasts).sum();
+    let lasts: f64 = scenario.faults.iter().map(|fault| fault.duration).sum();
     (
         scenario.faults.len(),
         scenario.load.proxies,
@@ -164,13 +172,13 @@
 }
 
 /// Scenarios that are smaller in one way each, those that take the most away first.
-fn smaller(scenario: &Scenario, broken: &Break) -> Vec<Scenario> {
+fn smaller(scenario: &Scenario, broken: &Violation) -> Vec<Scenario> {
     let mut all = Vec::new();
     let mut with = |change: &dyn Fn(&mut Scenario)| {
         let mut next = scenario.clone();
         change(&mut next);
         next.warm_up = next.warm_up.min(next.seconds);
-        next.must = Default::default();
+        next.expectations = Default::default();
         if size(&next) != size(scenario) {
             all.push(next);
         }
@@ -207,15 +215,15 @@
         with(&|next| next.load.rate = (next.load.rate / by as f64).max(1.0));
     }
     for number in 0..count {
-        with(&|next| next.faults[number].lasts = (next.faults[number].lasts / 2.0).max(0.05));
+        with(&|next| next.faults[number].duration = (next.faults[number].duration / 2.0).max(0.05));
     }
     with(&|next| next.seconds = (next.seconds * 0.9 * 1e3).ceil() / 1e3);
     all
 }
 
 /// Leaves those below a number; one at the least.
-fn keep(which: &mut Which, below: usize) {
-    if let Which::These(these) = which {
+fn keep(which: &mut Targets, below: usize) {
+    if let Targets::These(these) = which {
         these.retain(|&one| one < below);
         if these.is_empty() {
             these.push(0);
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -1,8 +1,8 @@
 //! What goes wrong, as data: at a time or between two, on what, for how long. Before a scenario is played, what a seed
-//! draws is put in place ([`settle`]): a settled scenario has the same course without its seed's draws of faults.
+//! draws is put in place ([`resolve_faults`]): a resolved scenario has the same course without its seed's draws of faults.
 
-use crate::draw::Draw;
-use crate::scenario::{wrong, Scenario, Wrong};
+use crate::random::RandomStream;
+use crate::scenario::{invalid, Scenario, ScenarioError};
 use serde::{Deserialize, Serialize};
 
 /// A fault.
@@ -10,7 +10,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// What goes wrong.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// When, in seconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub at: Option<f64>,
@@ -18,23 +19,23 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub between: Option<(f64, f64)>,
     /// For how long, in seconds.
-    #[serde(default = "short", rename = "for")]
-    pub lasts: f64,
+    #[serde(default = "default_duration", rename = "for")]
+    pub duration: f64,
     /// To which hosts.
-    #[serde(default, skip_serializing_if = "Which::is_all")]
-    pub hosts: Which,
+    #[serde(default, skip_serializing_if = "Targets::is_all")]
+    pub hosts: Targets,
     /// To which proxies, where it is about them as well.
-    #[serde(default, skip_serializing_if = "Which::is_all")]
-    pub proxies: Which,
+    #[serde(default, skip_serializing_if = "Targets::is_all")]
+    pub proxies: Targets,
     /// One host after the other begins this much later, in seconds.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub stagger: f64,
     /// How much: a share, or a factor, by what it is.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub much: Option<f64>,
+    #[serde(default, skip_serializing_if = "Option::is_none", rename = "much")]
+    pub magnitude: Option<f64>,
 }
 
-fn short() -> f64 {
+fn default_duration() -> f64 {
     1.0
 }
 
@@ -46,26 +47,26 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// The host's process dies: its connections are reset, and new ones are refused. It comes back cold, at its address.
     Kill,
     /// The host's machine is gone: nothing is said any more, and what it had is lost. It comes back cold.
     Vanish,
     /// The host is taken out: listed as draining, it ends 1.5 s later and comes back cold at the end.
     Drain,
-    /// The host's work takes `much` times as long (10).
+    /// The host's work takes `magnitude` times as long (10).
     Slow,
     /// The host does its work and says nothing.
     Silent,
     /// The host does nothing at all for the time, and then goes on (a stop for garbage).
     Stall,
-    /// The host answers a `much` share of requests with an error (0.5); half of them have run.
+    /// The host answers a `magnitude` share of requests with an error (0.5); half of them have run.
     Errors,
-    /// Of the host's exchanges a `much` share is reset (0.3), half of them after they have run.
+    /// Of the host's exchanges a `magnitude` share is reset (0.3), half of them after they have run.
     Resets,
-    /// Of the host's kept connections a `much` share is closed when it is used again (0.4).
+    /// Of the host's kept connections a `magnitude` share is closed when it is used again (0.4).
     Stale,
-    /// The host turns away a `much` share of requests (0.5).
+    /// The host turns away a `magnitude` share of requests (0.5).
     TurnAway,
     /// Nothing passes between these proxies and hosts, either way; what was on its way passes when it ends.
     Cut,
@@ -73,69 +74,69 @@
     CutThere,
     /// Nothing passes from these hosts to these proxies; the other way all does.
     CutBack,
-    /// Each way from these hosts takes `much` milliseconds longer (50); the way there does not.
+    /// Each way from these hosts takes `magnitude` milliseconds longer (50); the way there does not.
     DelayBack,
     /// Discovery is down: watches end, and connections to it are refused.
     DiscoveryDown,
     /// Discovery says nothing more; connections to it come up.
     DiscoverySilent,
-    /// Discovery answers asks for the list in turn, each for `much` milliseconds (10); those that wait for over a second
+    /// Discovery answers asks for the list in turn, each for `magnitude` milliseconds (10); those that wait for over a second
     /// fail, and so do those beyond three seconds' work.
     DiscoveryBusy,
     /// Discovery tells that these hosts are gone, though they are not.
     DiscoveryWrong,
-    /// Discovery takes these hosts off the list and puts them back, over and over, `much` times a second (2).
+    /// Discovery takes these hosts off the list and puts them back, over and over, `magnitude` times a second (2).
     DiscoveryFlaps,
     /// The proxies' processes die and are back after the time.
     Restart,
-    /// The proxies' wall clocks jump by `much` seconds (3,600); they notice when they start.
+    /// The proxies' wall clocks jump by `magnitude` seconds (3,600); they notice when they start.
     Clock,
-    /// `much` times as many calls come (3).
+    /// `magnitude` times as many calls come (3).
     Crowd,
     /// The proxies' clients read nothing: answers wait in what the systems keep.
     SlowReader,
 }
 
-impl What {
+impl FaultKind {
     /// All of them.
-    pub const ALL: [What; 23] = [
-        What::Kill,
-        What::Vanish,
-        What::Drain,
-        What::Slow,
-        What::Silent,
-        What::Stall,
-        What::Errors,
-        What::Resets,
-        What::Stale,
-        What::TurnAway,
-        What::Cut,
-        What::CutThere,
-        What::CutBack,
-        What::DelayBack,
-        What::DiscoveryDown,
-        What::DiscoverySilent,
-        What::DiscoveryBusy,
-        What::DiscoveryWrong,
-        What::DiscoveryFlaps,
-        What::Restart,
-        What::Clock,
-        What::Crowd,
-        What::SlowReader,
+    pub const ALL: [FaultKind; 23] = [
+        FaultKind::Kill,
+        FaultKind::Vanish,
+        FaultKind::Drain,
+        FaultKind::Slow,
+        FaultKind::Silent,
+        FaultKind::Stall,
+        FaultKind::Errors,
+        FaultKind::Resets,
+        FaultKind::Stale,
+        FaultKind::TurnAway,
+        FaultKind::Cut,
+        FaultKind::CutThere,
+        FaultKind::CutBack,
+        FaultKind::DelayBack,
+        FaultKind::DiscoveryDown,
+        FaultKind::DiscoverySilent,
+        FaultKind::DiscoveryBusy,
+        FaultKind::DiscoveryWrong,
+        FaultKind::DiscoveryFlaps,
+        FaultKind::Restart,
+        FaultKind::Clock,
+        FaultKind::Crowd,
+        FaultKind::SlowReader,
     ];
 
     /// Its figure where none is given, and its bounds.
-    fn usual(self) -> (f64, f64, f64) {
+    fn magnitude_bounds(self) -> (f64, f64, f64) {
         match self {
-            What::Slow => (10.0, 1.0, 10_000.0),
-            What::Errors | What::TurnAway => (0.5, 0.0, 1.0),
-            What::Resets => (0.3, 0.0, 1.0),
-            What::Stale => (0.4, 0.0, 1.0),
-            What::DelayBack => (50.0, 0.0, 60_000.0),
-            What::DiscoveryBusy => (10.0, 0.1, 10_000.0),
-            What::DiscoveryFlaps => (2.0, 0.1, 100.0),
-            What::Clock => (3_600.0, -1e9, 1e9),
-            What::Crowd => (3.0, 0.0, 1_000.0),
+            FaultKind::Slow => (10.0, 1.0, 10_000.0),
+            FaultKind::Errors | FaultKind::TurnAway => (0.5, 0.0, 1.0),
+            FaultKind::Resets => (0.3, 0.0, 1.0),
+            FaultKind::Stale => (0.4, 0.0, 1.0),
+            FaultKind::DelayBack => (50.0, 0.0, 60_000.0),
+            FaultKind::DiscoveryBusy => (10.0, 0.1, 10_000.0),
+            FaultKind::DiscoveryFlaps => (2.0, 0.1, 100.0),
+            FaultKind::Clock => (3_600.0, -1e9, 1e9),
+            FaultKind::Crowd => (3.0, 0.0, 1_000.0),
             _ => (0.0, 0.0, 0.0),
         }
     }
@@ -144,7 +145,7 @@
 /// Which hosts, or which proxies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Which {
+pub enum Targets {
     /// All.
     #[default]
     All,
@@ -158,85 +159,89 @@
     Zone(usize),
 }
 
-impl Which {
+impl Targets {
     fn is_all(&self) -> bool {
-        *self == Which::All
+        *self == Targets::All
     }
 
-    fn check(&self, place: &str, most: usize, pods: usize, zones: usize) -> Result<(), Wrong> {
+    fn check(&self, place: &str, most: usize, pods: usize, zones: usize) -> Result<(), ScenarioError> {
         match self {
-            Which::All => Ok(()),
-            Which::These(these) => match these.iter().find(|&&one| one >= most) {
-                Some(one) => wrong(place, format!("there is no number {one}")),
-                None if these.is_empty() => wrong(place, "none is named"),
+            Targets::All => Ok(()),
+            Targets::These(these) => match these.iter().find(|&&one| one >= most) {
+                Some(one) => invalid(place, format!("there is no number {one}")),
+                None if these.is_empty() => invalid(place, "none is named"),
                 None => Ok(()),
             },
-            Which::Any(count) if (1..=most).contains(count) => Ok(()),
-            Which::Any(count) => wrong(place, format!("{count} is not from 1 to {most}")),
-            Which::Pod(pod) if *pod < pods => Ok(()),
-            Which::Zone(zone) if *zone < zones => Ok(()),
-            Which::Pod(one) | Which::Zone(one) => wrong(place, format!("there is no number {one}")),
+            Targets::Any(count) if (1..=most).contains(count) => Ok(()),
+            Targets::Any(count) => invalid(place, format!("{count} is not from 1 to {most}")),
+            Targets::Pod(pod) if *pod < pods => Ok(()),
+            Targets::Zone(zone) if *zone < zones => Ok(()),
+            Targets::Pod(one) | Targets::Zone(one) => invalid(place, format!("there is no number {one}")),
         }
     }
 
-    fn settle(&self, draw: &mut Draw, most: usize, pods: usize, zones: usize) -> Which {
+    fn resolve(&self, draw: &mut RandomStream, most: usize, pods: usize, zones: usize) -> Targets {
         match *self {
-            Which::All => Which::All,
-            Which::These(ref these) => Which::These(these.clone()),
-            Which::Any(count) => Which::These(draw.some_of(count, most)),
-            Which::Pod(pod) => Which::These((0..most).filter(|one| one % pods == pod).collect()),
-            Which::Zone(zone) => Which::These((0..most).filter(|one| one % pods % zones == zone).collect()),
+            Targets::All => Targets::All,
+            Targets::These(ref these) => Targets::These(these.clone()),
+            Targets::Any(count) => Targets::These(draw.sample_indices(count, most)),
+            Targets::Pod(pod) => Targets::These((0..most).filter(|one| one % pods == pod).collect()),
+            Targets::Zone(zone) => {
+                Targets::These((0..most).filter(|one| one % pods % zones == zone).collect())
+            }
         }
     }
 
-    /// Whether this number is one of them; of settled ones.
-    pub fn holds(&self, number: usize) -> bool {
+    /// Whether this number is one of them; of resolved ones.
+    pub fn contains(&self, number: usize) -> bool {
         match self {
-            Which::All => true,
-            Which::These(these) => these.contains(&number),
-            Which::Any(_) | Which::Pod(_) | Which::Zone(_) => false,
+            Targets::All => true,
+            Targets::These(these) => these.contains(&number),
+            Targets::Any(_) | Targets::Pod(_) | Targets::Zone(_) => false,
         }
     }
 
-    /// They, in order; of settled ones.
-    pub fn numbers(&self, most: usize) -> Vec<usize> {
-        (0..most).filter(|&number| self.holds(number)).collect()
+    /// They, in order; of resolved ones.
+    pub fn indices(&self, most: usize) -> Vec<usize> {
+        (0..most).filter(|&number| self.contains(number)).collect()
     }
 }
 
 impl Fault {
     /// Its figure.
-    pub fn much(&self) -> f64 {
-        self.much.unwrap_or(self.what.usual().0)
+    pub fn magnitude(&self) -> f64 {
+        self.magnitude.unwrap_or(self.kind.magnitude_bounds().0)
     }
 
-    pub(crate) fn check(&self, place: &str, scenario: &Scenario) -> Result<(), Wrong> {
+    pub(crate) fn check(&self, place: &str, scenario: &Scenario) -> Result<(), ScenarioError> {
         let at = |key: &str| format!("{place}.{key}");
         match (self.at, self.between) {
             (Some(time), None) if (0.0..=scenario.seconds).contains(&time) => {}
             (None, Some((from, to))) if 0.0 <= from && from <= to && to <= scenario.seconds => {}
-            (Some(_), Some(_)) => return wrong(place, "it has both at and between"),
-            (None, None) => return wrong(place, "it has neither at nor between"),
-            _ => return wrong(place, "it is not within the scenario's seconds"),
+            (Some(_), Some(_)) => return invalid(place, "it has both at and between"),
+            (None, None) => return invalid(place, "it has neither at nor between"),
+            _ => return invalid(place, "it is not within the scenario's seconds"),
         }
-        if !(0.001..=86_400.0).contains(&self.lasts) {
-            return wrong(at("for"), format!("{} is not from 0.001 to 86,400", self.lasts));
+        if !(0.001..=86_400.0).contains(&self.duration) {
+            return invalid(at("for"), format!("{} is not from 0.001 to 86,400", self.duration));
         }
         if !(0.0..=3_600.0).contains(&self.stagger) {
-            return wrong(at("stagger"), format!("{} is not from 0 to 3,600", self.stagger));
+            return invalid(at("stagger"), format!("{} is not from 0 to 3,600", self.stagger));
         }
-        let (_, least, most) = self.what.usual();
-        if let Some(much) = self.much.filter(|much| !(least..=most).contains(much) || least == most) {
+        let (_, least, most) = self.kind.magnitude_bounds();
+        if let Some(magnitude) =
+            self.magnitude.filter(|magnitude| !(least..=most).contains(magnitude) || least == most)
+        {
             let reason = match least == most {
                 true => "this fault has no figure".to_owned(),
-                false => format!("{much} is not from {least} to {most}"),
+                false => format!("{magnitude} is not from {least} to {most}"),
             };
-            return wrong(at("much"), reason);
+            return invalid(at("much"), reason);
         }
         let (fleet, zones) = (&scenario.fleet, scenario.fleet.zones);
         self.hosts.check(&at("hosts"), fleet.hosts, fleet.pods, zones)?;
-        if let Which::Pod(_) = self.proxies {
-            return wrong(at("proxies"), "proxies are in no pod");
+        if let Targets::Pod(_) = self.proxies {
+            return invalid(at("proxies"), "proxies are in no pod");
         }
         self.proxies.check(&at("proxies"), scenario.load.proxies, zones, zones)
     }
@@ -250,79 +255,80 @@
     pub faults: usize,
     /// Of which kinds; none named: of all.
     #[serde(default)]
-    pub what: Vec<What>,
+    #[serde(rename = "what")]
+    pub kinds: Vec<FaultKind>,
     /// Shortest and longest, in seconds.
-    #[serde(default = "chaos_spans")]
-    pub lasts: (f64, f64),
+    #[serde(default = "chaos_duration", rename = "lasts")]
+    pub duration: (f64, f64),
 }
 
-fn chaos_spans() -> (f64, f64) {
+fn chaos_duration() -> (f64, f64) {
     (0.05, 4.0)
 }
 
 impl Chaos {
-    pub(crate) fn check(&self, place: &str, _: &Scenario) -> Result<(), Wrong> {
+    pub(crate) fn check(&self, place: &str, _: &Scenario) -> Result<(), ScenarioError> {
         if self.faults > 200 {
-            return wrong(format!("{place}.faults"), format!("{} are over 200", self.faults));
+            return invalid(format!("{place}.faults"), format!("{} are over 200", self.faults));
         }
-        let (least, most) = self.lasts;
+        let (least, most) = self.duration;
         match 0.001 <= least && least <= most && most <= 600.0 {
             true => Ok(()),
-            false => wrong(format!("{place}.lasts"), "it is not from 0.001 to 600, the least first"),
+            false => invalid(format!("{place}.lasts"), "it is not from 0.001 to 600, the least first"),
         }
     }
 
     fn draw(&self, seed: u64, number: u64, scenario: &Scenario) -> Fault {
-        let mut draw = Draw::new(seed, "chaos", number, 0);
-        let kinds = if self.what.is_empty() { &What::ALL[..] } else { &self.what[..] };
-        let what = kinds[draw.below(kinds.len())];
-        let (least, most) = self.lasts;
+        let mut draw = RandomStream::new(seed, "chaos", number, 0);
+        let kinds = if self.kinds.is_empty() { &FaultKind::ALL[..] } else { &self.kinds[..] };
+        let kind = kinds[draw.below(kinds.len())];
+        let (least, most) = self.duration;
         let (hosts, proxies) = (scenario.fleet.hosts, scenario.load.proxies);
-        let some = |draw: &mut Draw, most: usize| 1 + draw.below(most.div_ceil(2));
-        let at = scenario.warm_up + draw.share() * (scenario.seconds - scenario.warm_up);
-        let lasts = least + (most - least) * draw.share().powi(2);
-        let hosts = Which::Any(some(&mut draw, hosts));
-        let proxies = Which::Any(some(&mut draw, proxies));
-        Fault { what, at: Some(at), between: None, lasts, hosts, proxies, stagger: 0.0, much: None }
+        let some = |draw: &mut RandomStream, most: usize| 1 + draw.below(most.div_ceil(2));
+        let at = scenario.warm_up + draw.uniform() * (scenario.seconds - scenario.warm_up);
+        let duration = least + (most - least) * draw.uniform().powi(2);
+        let hosts = Targets::Any(some(&mut draw, hosts));
+        let proxies = Targets::Any(some(&mut draw, proxies));
+        Fault { kind, at: Some(at), between: None, duration, hosts, proxies, stagger: 0.0, magnitude: None }
     }
 }
 
 /// The same scenario with every draw of faults made: times, hosts and proxies are named, staggered faults are one each.
-pub fn settle(scenario: &Scenario, seed: u64) -> Scenario {
-    let mut settled = scenario.clone();
-    let chaos = settled.chaos.take();
+pub fn resolve_faults(scenario: &Scenario, seed: u64) -> Scenario {
+    let mut resolved = scenario.clone();
+    let chaos = resolved.chaos.take();
     let drawn =
         chaos.iter().flat_map(|chaos| (0..chaos.faults as u64).map(|n| chaos.draw(seed, n, scenario)));
     let all: Vec<Fault> = scenario.faults.iter().cloned().chain(drawn).collect();
     let fleet = &scenario.fleet;
-    settled.faults = Vec::new();
+    resolved.faults = Vec::new();
     for (number, fault) in (0..).zip(all) {
-        let mut draw = Draw::new(seed, "fault", number, 0);
+        let mut draw = RandomStream::new(seed, "fault", number, 0);
         let at = fault.at.unwrap_or_else(|| {
             let (from, to) = fault.between.unwrap_or_default();
-            from + (to - from) * draw.share()
+            from + (to - from) * draw.uniform()
         });
-        let hosts = fault.hosts.settle(&mut draw, fleet.hosts, fleet.pods, fleet.zones);
-        let proxies = fault.proxies.settle(&mut draw, scenario.load.proxies, fleet.zones, fleet.zones);
-        // To the microsecond, as it is played: a settled scenario that is written down and read is the same.
+        let hosts = fault.hosts.resolve(&mut draw, fleet.hosts, fleet.pods, fleet.zones);
+        let proxies = fault.proxies.resolve(&mut draw, scenario.load.proxies, fleet.zones, fleet.zones);
+        // To the microsecond, as it is played: a resolved scenario that is written down and read is the same.
         let round = |time: f64| (time * 1e6).round() / 1e6;
         let one = |at: f64, hosts| Fault {
             at: Some(round(at)),
             between: None,
-            lasts: round(fault.lasts).max(0.001),
+            duration: round(fault.duration).max(0.001),
             hosts,
             proxies: proxies.clone(),
             stagger: 0.0,
             ..fault.clone()
         };
         if fault.stagger > 0.0 {
-            let numbers = (0_u32..).zip(hosts.numbers(fleet.hosts));
+            let numbers = (0_u32..).zip(hosts.indices(fleet.hosts));
             let each = numbers
-                .map(|(place, host)| one(at + f64::from(place) * fault.stagger, Which::These(vec![host])));
-            settled.faults.extend(each.filter(|fault| fault.at <= Some(scenario.seconds)));
+                .map(|(place, host)| one(at + f64::from(place) * fault.stagger, Targets::These(vec![host])));
+            resolved.faults.extend(each.filter(|fault| fault.at <= Some(scenario.seconds)));
         } else {
-            settled.faults.push(one(at, hosts));
+            resolved.faults.push(one(at, hosts));
         }
     }
-    settled
+    resolved
 }
--- a/lab/src/truth.rs
+++ b/lab/src/fidelity.rs
@@ -1,6 +1,6 @@
 //! How true to life the lab is: the same scenarios in full stack, in fleet depth, and on real loopback sockets.
 
-use crate::run::{play, Depth, Limits, Outcome};
+use crate::run::{run_scenario, Depth, Outcome, RunOptions};
 use crate::scenario::Scenario;
 use serde::Serialize;
 
@@ -16,15 +16,15 @@
 }
 
 impl Figures {
-    fn of(outcome: &Outcome) -> Figures {
-        let all = &outcome.tally.all;
-        Figures { served: all.served(), p50_ms: all.ms(50.0), p99_ms: all.ms(99.0) }
+    fn from_outcome(outcome: &Outcome) -> Figures {
+        let all = &outcome.metrics.all;
+        Figures { served: all.served_share(), p50_ms: all.latency_ms(50.0), p99_ms: all.latency_ms(99.0) }
     }
 }
 
 /// One scenario.
 #[derive(Clone, Debug, Serialize)]
-pub struct Truth {
+pub struct FidelityReport {
     /// Its name.
     pub scenario: String,
     /// On real sockets.
@@ -35,15 +35,16 @@
     pub fleet: Figures,
 }
 
-impl Truth {
+impl FidelityReport {
     /// How far a depth is off the real run at the most: goodput, median and 99th percentile, as shares of the real one's.
-    pub fn off(&self, depth: Depth) -> [f64; 3] {
+    pub fn relative_errors(&self, depth: Depth) -> [f64; 3] {
         let lab = if depth == Depth::Full { &self.full } else { &self.fleet };
-        let off = |real: f64, lab: f64| if real > 0.0 { (lab / real - 1.0).abs() } else { f64::NAN };
+        let relative_error =
+            |real: f64, lab: f64| if real > 0.0 { (lab / real - 1.0).abs() } else { f64::NAN };
         [
-            off(self.real.served, lab.served),
-            off(self.real.p50_ms, lab.p50_ms),
-            off(self.real.p99_ms, lab.p99_ms),
+            relative_error(self.real.served, lab.served),
+            relative_error(self.real.p50_ms, lab.p50_ms),
+            relative_error(self.real.p99_ms, lab.p99_ms),
         ]
     }
 }
@@ -53,23 +54,23 @@
 /// # Errors
 ///
 /// A scenario that cannot be played, or sockets that cannot be had.
-pub fn compare(scenario: &Scenario, seed: u64) -> Result<Truth, String> {
-    let limits = Limits { stops: false, ..Limits::default() };
-    Ok(Truth {
+pub fn compare(scenario: &Scenario, seed: u64) -> Result<FidelityReport, String> {
+    let limits = RunOptions { stop_on_violation: false, ..RunOptions::default() };
+    Ok(FidelityReport {
         scenario: scenario.name.clone(),
-        real: Figures::of(&crate::real::play(scenario, seed)?),
-        full: Figures::of(&play(scenario, seed, Depth::Full, &limits)?),
-        fleet: Figures::of(&play(scenario, seed, Depth::Fleet, &limits)?),
+        real: Figures::from_outcome(&crate::loopback::run_scenario(scenario, seed)?),
+        full: Figures::from_outcome(&run_scenario(scenario, seed, Depth::Full, &limits)?),
+        fleet: Figures::from_outcome(&run_scenario(scenario, seed, Depth::Fleet, &limits)?),
     })
 }
 
 /// The table, as Markdown.
-pub fn table(all: &[Truth]) -> String {
+pub fn table(all: &[FidelityReport]) -> String {
     let mut text = String::from(
         "| scenario | served: real, full, fleet | p50 ms | p99 ms |\n| --- | --- | --- | --- |\n",
     );
-    for truth in all {
-        let Truth { scenario, real, full, fleet } = truth;
+    for report in all {
+        let FidelityReport { scenario, real, full, fleet } = report;
         text += &format!(
             "| {scenario} | {:.3}, {:.3}, {:.3} | {:.1}, {:.1}, {:.1} | {:.1}, {:.1}, {:.1} |\n",
             real.served,
--- a/lab/src/fleet/exchange.rs
+++ b/lab/src/fleet/exchange.rs
@@ -2,10 +2,10 @@
 
 use super::proxy::Kept;
 use super::{Ev, Fleet};
-use crate::draw::Draw;
-use crate::log::Of;
-use crate::model::host::{Ends, Up};
+use crate::event_log::EventKind;
+use crate::model::host::{ExchangeResult, HostStatus};
 use crate::model::Answer;
+use crate::random::RandomStream;
 use crate::Micros;
 use nettleworks_policy as policy;
 use policy::{CallId, Load, Outcome};
@@ -52,7 +52,7 @@
     /// Its request is at the host.
     Arrives,
     /// The host's word is back.
-    Back(Ends, Load2),
+    Back(ExchangeResult, Load2),
     /// Its connection has broken.
     Broken { stale: bool },
     /// Its time is up.
@@ -77,20 +77,20 @@
 
 impl Fleet {
     fn put_way(&mut self, exchange: u64, after: Micros, way: Way) {
-        self.queue.put(self.model.now + after, Ev::Exchange { exchange, way });
+        self.queue.schedule(self.model.now + after, Ev::Exchange { exchange, way });
     }
 
     /// Sends something on its way between an exchange's proxy and host.
     fn goes(&mut self, number: u64, way: Way) {
         let at = &self.exchanges[&number];
         let back = way.back() == Some(true);
-        let (_, longer) = self.model.way(at.proxy, at.host, back);
+        let (_, longer) = self.model.link(at.proxy, at.host, back);
         let network = &self.model.scenario.network;
         let near = self.model.proxies[at.proxy].zone == self.model.hosts[at.host].zone;
         let mean = if near { network.near_us } else { network.far_us };
         let stage = u64::from(back) << 1 | u64::from(at.stage == Stage::Written);
         let name = u64::from(at.call) << 8 | u64::from(at.attempt);
-        let share = Draw::new(self.model.seed, "way", name, stage).share();
+        let share = RandomStream::new(self.model.seed, "way", name, stage).uniform();
         let after = (mean * (1.0 + network.jitter * share)) as Micros + longer;
         self.put_way(number, after, way);
     }
@@ -125,7 +125,7 @@
             self.put_way(number, self.site.connect.min(until - now), Way::TooSlow);
             return self.goes(number, Way::Knocks);
         }
-        if same && self.model.hosts[host].up == Up::Up && self.model.is_stale(call, host) {
+        if same && self.model.hosts[host].status == HostStatus::Up && self.model.is_stale(call, host) {
             // It is written to what its host has closed: it never comes there.
             self.written(number);
             return self.goes(number, Way::Broken { stale: true });
@@ -172,7 +172,7 @@
         let Some(at) = self.exchanges.get_mut(&number) else { return };
         at.stage = Stage::Written;
         let (call, host) = (at.call, at.host);
-        self.model.sent(call, host, self.model.now);
+        self.model.record_attempt(call, host, self.model.now);
     }
 
     fn writes(&mut self, number: u64) {
@@ -183,7 +183,7 @@
     pub(super) fn exchange(&mut self, number: u64, way: Way) {
         let Some(at) = self.exchanges.get(&number) else { return };
         if let Some(back) = way.back() {
-            if self.model.way(at.proxy, at.host, back).0 {
+            if self.model.link(at.proxy, at.host, back).0 {
                 return self.put_way(number, AGAIN, way);
             }
         }
@@ -197,13 +197,13 @@
                 }
             }
             Way::Refused => self.ends(number, Outcome::NoConnection, None, false),
-            Way::Arrives => match self.model.hosts[host].up {
-                Up::Up if self.model.hosts[host].epoch == epoch => {
-                    self.model.reached(call, host, number, until, first, &mut self.queue);
+            Way::Arrives => match self.model.hosts[host].status {
+                HostStatus::Up if self.model.hosts[host].epoch == epoch => {
+                    self.model.request_arrived(call, host, number, until, first, &mut self.queue);
                 }
                 // It knows nothing of this connection.
-                Up::Up | Up::Dead => self.goes(number, Way::Broken { stale: !first }),
-                Up::Vanished => {}
+                HostStatus::Up | HostStatus::Dead => self.goes(number, Way::Broken { stale: !first }),
+                HostStatus::Vanished => {}
             },
             Way::Back(ends, load) => self.back(number, ends, load),
             Way::Broken { stale } => {
@@ -226,46 +226,48 @@
     fn knocks(&mut self, number: u64, host: usize) {
         let most = self.model.scenario.fleet.connections;
         let at = &mut self.model.hosts[host];
-        match at.up {
-            Up::Vanished => {}
-            Up::Up if at.connections < most => {
+        match at.status {
+            HostStatus::Vanished => {}
+            HostStatus::Up if at.connections < most => {
                 at.connections += 1;
                 let (open, epoch) = (at.connections, at.epoch);
-                self.model.tally.opened += 1;
-                self.model.tally.connections = self.model.tally.connections.max(open);
+                self.model.metrics.opened_connections += 1;
+                self.model.metrics.peak_connections = self.model.metrics.peak_connections.max(open);
                 if let Some(exchange) = self.exchanges.get_mut(&number) {
                     exchange.counted = true;
                     exchange.epoch = epoch;
                 }
                 self.goes(number, Way::Opened);
             }
-            Up::Up | Up::Dead => {
-                self.model.log.note(self.model.now, Of::Connection, [number, host as u64, 0]);
+            HostStatus::Up | HostStatus::Dead => {
+                self.model.log.record(self.model.now, EventKind::Connection, [number, host as u64, 0]);
                 self.goes(number, Way::Refused);
             }
         }
     }
 
     /// A host has a word on an exchange.
-    pub(super) fn says(&mut self, number: u64, ends: Ends) {
+    pub(super) fn says(&mut self, number: u64, ends: ExchangeResult) {
         let Some(at) = self.exchanges.get(&number) else { return };
         let host = at.host;
         let reports = self.model.scenario.fleet.reports;
         let report = self.model.hosts[host].report(self.model.now, host, reports);
         let report = report.map(|(in_hand, waiting)| (in_hand as u32, waiting as u32));
         match ends {
-            Ends::Reset => self.goes(number, Way::Broken { stale: false }),
-            Ends::Never => {}
-            Ends::Served | Ends::TurnedAway | Ends::Error => self.goes(number, Way::Back(ends, report)),
+            ExchangeResult::Reset => self.goes(number, Way::Broken { stale: false }),
+            ExchangeResult::NoReply => {}
+            ExchangeResult::Served | ExchangeResult::TurnedAway | ExchangeResult::Error => {
+                self.goes(number, Way::Back(ends, report))
+            }
         }
     }
 
-    fn back(&mut self, number: u64, ends: Ends, load: Load2) {
+    fn back(&mut self, number: u64, ends: ExchangeResult, load: Load2) {
         let outcome = match ends {
-            Ends::Served => Outcome::Served,
-            Ends::TurnedAway => Outcome::TurnedAway,
-            Ends::Error => Outcome::Error,
-            Ends::Reset | Ends::Never => Outcome::Unknown,
+            ExchangeResult::Served => Outcome::Served,
+            ExchangeResult::TurnedAway => Outcome::TurnedAway,
+            ExchangeResult::Error => Outcome::Error,
+            ExchangeResult::Reset | ExchangeResult::NoReply => Outcome::Unknown,
         };
         self.ends(number, outcome, load, true);
     }
@@ -282,7 +284,7 @@
             Outcome::NoConnection => Some("no connection"),
             _ => None,
         };
-        said.into_iter().for_each(|said| self.model.ended_by(at.call, said));
+        said.into_iter().for_each(|said| self.model.record_failure_cause(at.call, said));
         let proxy = &mut self.proxies[at.proxy];
         let Some(open) = proxy.calls.get_mut(&at.call) else { return };
         open.attempts[at.attempt as usize] = None;
@@ -290,7 +292,7 @@
         open.answered |= answers;
         let closed = open.answered;
         if answers {
-            self.model.answered(at.call, Answer::Served, now, &mut self.queue);
+            self.model.record_answer(at.call, Answer::Served, now, &mut self.queue);
         }
         let load = load.map_or_else(Load::default, |(in_hand, waiting)| Load {
             active: Some(in_hand.into()),
@@ -310,7 +312,7 @@
             let since = kept.last().map_or(now, |last| now.max(last.since + 1));
             kept.push(Kept { since, epoch: at.epoch });
             let old = Ev::Old { proxy: at.proxy, host: at.host, since };
-            return self.queue.put(now + self.site.keep, old);
+            return self.queue.schedule(now + self.site.keep, old);
         }
         let proxy = &mut self.proxies[at.proxy];
         proxy.open = proxy.open.saturating_sub(1);
@@ -318,7 +320,7 @@
             self.closed(at.host, at.epoch);
         }
         if !keeps && at.stage == Stage::Written {
-            self.model.hosts[at.host].forget(number);
+            self.model.hosts[at.host].cancel(number);
         }
     }
 
@@ -335,7 +337,7 @@
         let closed = open.answered;
         let Some(at) = self.exchanges.remove(&number) else { return };
         self.leaves_connection(number, &at, false);
-        self.model.ended_by(call, "called off");
+        self.model.record_failure_cause(call, "called off");
         let elapsed = self.model.now - at.sent;
         self.outcome(proxy, call, attempt, Outcome::CalledOff, elapsed, closed, Load::default());
         self.proxies[proxy].tidy(call);
@@ -391,7 +393,7 @@
 
     /// A host went down or came up.
     pub(super) fn host(&mut self, host: usize) {
-        if self.model.hosts[host].up == Up::Vanished {
+        if self.model.hosts[host].status == HostStatus::Vanished {
             return;
         }
         // Its system resets what it does not know, and what its dead process had.
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -5,10 +5,10 @@
 mod proxy;
 
 use crate::baseline::{Decide, Picks};
-use crate::log::Of;
-use crate::model::{Answer, Event, Leak, Model, Out};
-use crate::queue::Queue;
-use crate::run::{Limits, Outcome};
+use crate::event_log::EventKind;
+use crate::event_queue::EventQueue;
+use crate::model::{Answer, Event, Model, Nondeterminism, Output};
+use crate::run::{Outcome, RunOptions};
 use crate::scenario::Scenario;
 use crate::Micros;
 use exchange::{Exchange, Way};
@@ -75,7 +75,7 @@
 /// A fleet that plays a scenario.
 pub struct Fleet {
     model: Model,
-    queue: Queue<Ev>,
+    queue: EventQueue<Ev>,
     proxies: Vec<Proxy>,
     exchanges: BTreeMap<u64, Exchange>,
     next_exchange: u64,
@@ -92,9 +92,10 @@
     ///
     /// What the daemon's checks say of the configuration.
     pub fn new(scenario: Rc<Scenario>, seed: u64, picks: Picks) -> Result<Fleet, String> {
-        let mut queue = Queue::default();
+        let mut queue = EventQueue::default();
         let model = Model::new(scenario.clone(), seed, &mut queue);
-        let config = crate::site::config(&scenario, seed, 0, crate::site::discovery_address(), None)?;
+        let config =
+            crate::proxy_config::config(&scenario, seed, 0, crate::proxy_config::discovery_address(), None)?;
         let site = Site {
             connect: config.connect_timeout.as_micros() as Micros,
             // As the engine keeps them.
@@ -124,7 +125,7 @@
     }
 
     fn decide(&self, proxy: usize, epoch: u32) -> Box<dyn Decide> {
-        let seed = crate::draw::name(self.model.seed, "proxy", proxy as u64) ^ u64::from(epoch);
+        let seed = crate::random::derive_seed(self.model.seed, "proxy", proxy as u64) ^ u64::from(epoch);
         let settings = policy::Settings { balancer_index: proxy as u32, ..self.site.config.settings.clone() };
         self.picks.make(seed, settings)
     }
@@ -134,28 +135,28 @@
         if let Some(known) = self.model.proxies[proxy].known.clone() {
             self.takes(proxy, &known, policy::ListKind::Cached);
         }
-        if !self.model.scenario.discovery.asked {
+        if !self.model.scenario.discovery.pull {
             self.subscribe(proxy);
         }
     }
 
     /// Plays to the end, or to what ends it before.
-    pub fn play(mut self, limits: &Limits, leak: Option<Leak>) -> Outcome {
-        self.model.leak = leak;
-        self.model.log.tells = limits.tells;
-        let end = self.model.end();
-        while let Some((at, event)) = self.queue.take(end) {
+    pub fn play(mut self, limits: &RunOptions, leak: Option<Nondeterminism>) -> Outcome {
+        self.model.nondeterminism = leak;
+        self.model.log.emits_tracing = limits.emit_events;
+        let end = self.model.end_time();
+        while let Some((at, event)) = self.queue.pop_due(end) {
             self.model.now = at;
             self.events += 1;
             self.handle(event);
-            while let Some(out) = self.model.out.pop_front() {
+            while let Some(out) = self.model.outputs.pop_front() {
                 self.carry(out);
             }
-            if !self.model.breaks.is_empty() && limits.stops {
+            if !self.model.violations.is_empty() && limits.stop_on_violation {
                 break;
             }
         }
-        Outcome::of(self.model, self.events)
+        Outcome::from_model(self.model, self.events)
     }
 
     fn handle(&mut self, event: Ev) {
@@ -178,18 +179,18 @@
         }
     }
 
-    fn carry(&mut self, out: Out) {
+    fn carry(&mut self, out: Output) {
         match out {
-            Out::Ask(call) => self.ask(call),
-            Out::Leave(call) => self.leave(call),
-            Out::Says { exchange, ends, .. } => self.says(exchange, ends),
-            Out::Host(host) => self.host(host),
-            Out::News => self.news(),
-            Out::Proxy { proxy, starts } => self.process(proxy, starts),
+            Output::SendRequest(call) => self.ask(call),
+            Output::CloseClient(call) => self.leave(call),
+            Output::EndExchange { exchange, result: ends, .. } => self.says(exchange, ends),
+            Output::HostChanged(host) => self.host(host),
+            Output::ListChanged => self.news(),
+            Output::ProxyProcess { proxy, starts } => self.process(proxy, starts),
             // What is held back looks again by itself.
-            Out::Ways => {}
+            Output::LinksChanged => {}
             // There is nothing to read.
-            Out::Readers => {}
+            Output::ReadersChanged => {}
         }
     }
 
@@ -198,7 +199,7 @@
         let (proxy, class, tenant) = (at.proxy as usize, at.class, at.tenant);
         // As the engine keeps some of the client's time for the way back.
         let deadline = at.deadline.saturating_sub(10_000);
-        let (time_left, resent) = (deadline - self.model.now, at.again);
+        let (time_left, resent) = (deadline - self.model.now, at.is_retry);
         self.proxies[proxy].open(call, deadline);
         let (call, class) = (policy::CallId(call.into()), policy::ClassId(class.into()));
         let tenant = Some(policy::TenantId(tenant.into()));
@@ -218,7 +219,7 @@
         let proxy = self.model.call(call).proxy as usize;
         let Some(open) = self.proxies[proxy].calls.get_mut(&call) else { return };
         if !std::mem::replace(&mut open.answered, true) {
-            self.model.answered(call, answer, self.model.now, &mut self.queue);
+            self.model.record_answer(call, answer, self.model.now, &mut self.queue);
         }
         self.proxies[proxy].tidy(call);
     }
@@ -260,7 +261,7 @@
                 let at = &mut self.proxies[proxy];
                 at.wake += 1;
                 let (epoch, number) = (at.epoch, at.wake);
-                self.queue.put(self.model.now + after.max(1), Ev::Wake { proxy, epoch, number });
+                self.queue.schedule(self.model.now + after.max(1), Ev::Wake { proxy, epoch, number });
             }
             Action::Subscribe => self.subscribe(proxy),
             Action::Log { .. } | Action::ShareObservation { .. } | Action::HealthCheck { .. } => {}
@@ -283,10 +284,10 @@
             kept.into_iter().for_each(|kept| self.closed(host, kept.epoch));
         }
         self.proxies[proxy].calls.clear();
-        self.model.proxy_has_died(proxy, &mut self.queue);
-        self.model.log.note(self.model.now, Of::Proxy, [proxy as u64, 0, 1]);
+        self.model.abort_open_calls(proxy, &mut self.queue);
+        self.model.log.record(self.model.now, EventKind::Proxy, [proxy as u64, 0, 1]);
     }
 }
 
 /// Virtual time 0 in the module's clock.
-const EPOCH: Micros = crate::site::EPOCH * 1_000_000;
+const EPOCH: Micros = crate::proxy_config::EPOCH * 1_000_000;
--- a/lab/src/fleet/proxy.rs
+++ b/lab/src/fleet/proxy.rs
@@ -2,8 +2,8 @@
 
 use super::{Ev, Fleet, Watch};
 use crate::baseline::Decide;
-use crate::draw::Draw;
-use crate::model::registry::{Listed, News, Turn};
+use crate::model::registry::{ListUpdate, ListingState, ReplySchedule};
+use crate::random::RandomStream;
 use crate::Micros;
 use nettleworks_policy as policy;
 use policy::{CellId, Entry, Event, ListKind, ServerId, ServerState, ZoneId};
@@ -91,12 +91,12 @@
     fn way(&self, proxy: usize, what: u64) -> Micros {
         let network = &self.model.scenario.network;
         let mut draw =
-            Draw::new(self.model.seed, "watch", proxy as u64, self.proxies[proxy].watch << 32 | what);
-        (network.near_us * (1.0 + network.jitter * draw.share())) as Micros
+            RandomStream::new(self.model.seed, "watch", proxy as u64, self.proxies[proxy].watch << 32 | what);
+        (network.near_us * (1.0 + network.jitter * draw.uniform())) as Micros
     }
 
     pub(super) fn subscribe(&mut self, proxy: usize) {
-        self.model.tally.watches += 1;
+        self.model.metrics.watches += 1;
         let at = &mut self.proxies[proxy];
         at.watch += 1;
         at.hears = false;
@@ -108,7 +108,7 @@
     fn put_watch(&mut self, proxy: usize, after: Micros, what: Watch) {
         let at = &self.proxies[proxy];
         let (epoch, watch) = (at.epoch, at.watch);
-        self.queue.put(self.model.now + after, Ev::Watch { proxy, epoch, watch, what });
+        self.queue.schedule(self.model.now + after, Ev::Watch { proxy, epoch, watch, what });
     }
 
     pub(super) fn watch(&mut self, proxy: usize, what: Watch) {
@@ -120,15 +120,15 @@
             Watch::Opens if self.model.registry.silent => self.put_watch(proxy, SILENCE, Watch::Fails),
             Watch::Opens => {
                 let (back, now) = (self.way(proxy, 1), self.model.now);
-                match self.model.registry.asked(now) {
-                    Turn::Answered(at) if at == now => self.begins(proxy),
-                    Turn::Answered(at) => self.put_watch(proxy, at - now, Watch::Begins),
-                    Turn::Fails(at) => self.put_watch(proxy, at - now + back, Watch::Fails),
+                match self.model.registry.schedule_reply(now) {
+                    ReplySchedule::Answered(at) if at == now => self.begins(proxy),
+                    ReplySchedule::Answered(at) => self.put_watch(proxy, at - now, Watch::Begins),
+                    ReplySchedule::Fails(at) => self.put_watch(proxy, at - now + back, Watch::Fails),
                 }
             }
             Watch::Begins => self.begins(proxy),
             Watch::Hears => {
-                if let Some(news) = self.model.registry.news(self.proxies[proxy].seq) {
+                if let Some(news) = self.model.registry.changes_since(self.proxies[proxy].seq) {
                     self.hears(proxy, &news);
                 }
             }
@@ -139,7 +139,7 @@
                     _ => (ListKind::Failed, PUSH_RETRY),
                 };
                 self.module(proxy, Event::ServerList { kind, entries: Vec::new() });
-                if !self.model.scenario.discovery.asked {
+                if !self.model.scenario.discovery.pull {
                     self.put_watch(proxy, retry, Watch::Retries);
                 }
             }
@@ -174,27 +174,27 @@
     }
 
     /// A proxy takes news in, as the engine does.
-    fn hears(&mut self, proxy: usize, news: &News) {
-        self.model.told(proxy, news);
-        self.takes(proxy, news, if news.whole { ListKind::Full } else { ListKind::Delta });
+    fn hears(&mut self, proxy: usize, news: &ListUpdate) {
+        self.model.record_list_update(proxy, news);
+        self.takes(proxy, news, if news.is_full { ListKind::Full } else { ListKind::Delta });
     }
 
     /// Takes a list in, from whomever.
-    pub(super) fn takes(&mut self, proxy: usize, news: &News, kind: ListKind) {
+    pub(super) fn takes(&mut self, proxy: usize, news: &ListUpdate, kind: ListKind) {
         let hosts = &self.model.hosts;
         let at = &mut self.proxies[proxy];
         at.seq = Some(news.seq);
         at.ready.resize(hosts.len(), false);
-        if news.whole {
+        if news.is_full {
             at.ready.fill(false);
         }
         let mut entries = Vec::with_capacity(news.entries.len());
         for entry in &news.entries {
-            at.ready[entry.host] = entry.listed == Listed::Ready;
-            let state = match entry.listed {
-                Listed::Ready => ServerState::Ready,
-                Listed::Terminating => ServerState::Draining,
-                Listed::Gone => ServerState::Removed,
+            at.ready[entry.host] = entry.state == ListingState::Ready;
+            let state = match entry.state {
+                ListingState::Ready => ServerState::Ready,
+                ListingState::Terminating => ServerState::Draining,
+                ListingState::Removed => ServerState::Removed,
             };
             let started =
                 if entry.started == 0 { 0 } else { (entry.started / 1_000 * 1_000).max(1) + super::EPOCH };
--- a/lab/src/full/bridge.rs
+++ b/lab/src/full/bridge.rs
@@ -2,11 +2,11 @@
 
 use super::net::World;
 use super::socket::{Door, Node, Shared};
+use crate::event_queue::EventQueue;
 use crate::model::Model;
-use crate::queue::Queue;
+use crate::proxy_config;
 use crate::run::Outcome;
 use crate::scenario::Scenario;
-use crate::site;
 use crate::Micros;
 use nettleworks_engine::net::{Network, VirtualListener, VirtualStream};
 use std::cell::RefCell;
@@ -26,9 +26,9 @@
 /// Plays a settled scenario on real time.
 pub(crate) fn play(scenario: Scenario, seed: u64) -> Result<Outcome, String> {
     let scenario = Rc::new(scenario);
-    let mut queue = Queue::default();
+    let mut queue = EventQueue::default();
     let mut model = Model::new(scenario.clone(), seed, &mut queue);
-    model.stores = scenario.load.keys > 0;
+    model.has_key_stores = scenario.load.keys > 0;
     let (hosts, proxies) = (scenario.fleet.hosts, scenario.load.proxies);
     let world = Rc::new(RefCell::new(World::new(model, queue)));
     let built = runtime::Builder::new_current_thread().enable_all().build();
@@ -50,16 +50,17 @@
         for proxy in 0..proxies {
             let (started, address) = mpsc::channel();
             let (stop, stopped) = oneshot::channel::<()>();
-            let config = site::config(&scenario, seed, proxy, discovery.local_addr().map_err(bad)?, None)?;
+            let config =
+                proxy_config::config(&scenario, seed, proxy, discovery.local_addr().map_err(bad)?, None)?;
             threads.push(std::thread::spawn(move || serve(config, &started, stopped)));
             stops.push(stop);
             let address = address.recv_timeout(Duration::from_secs(10)).map_err(|error| error.to_string())?;
             spawn_local(clients(world.clone(), proxy, address));
         }
         for (host, listener) in listeners.into_iter().enumerate() {
-            spawn_local(peer(world.clone(), listener, site::host_address(host), proxies));
+            spawn_local(peer(world.clone(), listener, proxy_config::host_address(host), proxies));
         }
-        spawn_local(peer(world.clone(), discovery, site::discovery_address(), proxies));
+        spawn_local(peer(world.clone(), discovery, proxy_config::discovery_address(), proxies));
         let events = Clock { world: world.clone(), start: Instant::now(), events: 0 }.await;
         drop(stops);
         for thread in threads {
@@ -70,7 +71,7 @@
     drop(tasks);
     drop(runtime);
     let world = Rc::try_unwrap(world).map_err(|_| "an end outlives its run".to_owned())?.into_inner();
-    Ok(Outcome::of(world.model, events))
+    Ok(Outcome::from_model(world.model, events))
 }
 
 /// A real proxy, until it is told to stop.
@@ -152,17 +153,17 @@
         let mut count = 0;
         {
             let mut world = self.world.borrow_mut();
-            if now >= world.model.end() {
+            if now >= world.model.end_time() {
                 return Poll::Ready(self.events);
             }
             loop {
                 world.model.now = now;
-                if let Some(out) = world.model.out.pop_front() {
+                if let Some(out) = world.model.outputs.pop_front() {
                     // Processes stay up here.
                     let _ = world.carry(out);
                     continue;
                 }
-                let Some((_, event)) = world.queue.take(now) else { break };
+                let Some((_, event)) = world.queue.pop_due(now) else { break };
                 count += 1;
                 world.handle(event);
             }
--- a/lab/src/full/net.rs
+++ b/lab/src/full/net.rs
@@ -1,12 +1,12 @@
 //! The simulated network: connections of two ends, pieces on their way, what a cut holds back, and doors.
 
-use crate::draw::Draw;
-use crate::log::Of;
-use crate::model::host::Up;
-use crate::model::registry::News;
+use crate::event_log::EventKind;
+use crate::event_queue::EventQueue;
+use crate::model::host::HostStatus;
+use crate::model::registry::ListUpdate;
 use crate::model::{Event, Model};
-use crate::queue::Queue;
-use crate::site;
+use crate::proxy_config;
+use crate::random::RandomStream;
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -68,7 +68,7 @@
     /// It is open.
     Open,
     /// Bytes, written then; with what they tell of the list.
-    Bytes(Vec<u8>, Micros, Option<Box<News>>),
+    Bytes(Vec<u8>, Micros, Option<Box<ListUpdate>>),
     /// Nothing more comes.
     End,
     /// It is broken; or refused.
@@ -146,7 +146,7 @@
 /// All of a run but the proxies' tasks.
 pub(super) struct World {
     pub model: Model,
-    pub queue: Queue<Ev>,
+    pub queue: EventQueue<Ev>,
     pub conns: BTreeMap<ConnId, Conn>,
     pub doors: Vec<Door>,
     /// Idle connections of clients, by proxy.
@@ -159,7 +159,7 @@
 }
 
 impl World {
-    pub fn new(model: Model, queue: Queue<Ev>) -> World {
+    pub fn new(model: Model, queue: EventQueue<Ev>) -> World {
         let proxies = model.proxies.len();
         World {
             model,
@@ -198,13 +198,13 @@
 
     /// A proxy opens a connection.
     pub fn dial(&mut self, proxy: usize, address: SocketAddr) -> ConnId {
-        match site::host_at(address).filter(|&host| host < self.model.hosts.len()) {
+        match proxy_config::host_at(address).filter(|&host| host < self.model.hosts.len()) {
             Some(host) => {
                 let epoch = self.model.hosts[host].epoch;
                 self.open(proxy, For::Host { host, epoch })
             }
             None => {
-                self.model.tally.watches += 1;
+                self.model.metrics.watches += 1;
                 self.open(proxy, For::Discovery)
             }
         }
@@ -217,7 +217,7 @@
             For::Client => (false, network.beside_us, 0),
             For::Discovery => (false, network.near_us, 0),
             For::Host { host, .. } => {
-                let (cut, longer) = self.model.way(conn.proxy, host, side == OPENER);
+                let (cut, longer) = self.model.link(conn.proxy, host, side == OPENER);
                 let near = self.model.proxies[conn.proxy].zone == self.model.hosts[host].zone;
                 (cut, if near { network.near_us } else { network.far_us }, longer)
             }
@@ -240,7 +240,7 @@
         let Some(conn) = self.conns.get(&number) else { return };
         let (cut, mean, longer) = self.way(conn, side);
         let network = &self.model.scenario.network;
-        let draw = |pieces| Draw::new(self.model.seed, "piece", number, pieces).share();
+        let draw = |pieces| RandomStream::new(self.model.seed, "piece", number, pieces).uniform();
         let after = mean * (1.0 + network.jitter * draw(conn.pieces)) + longer as f64;
         let at = self.model.now + (after as Micros).max(1);
         // One piece after the other goes through what the connection has of the line.
@@ -252,11 +252,11 @@
         conn.pieces += 1;
         let to = &mut conn.sides[side];
         if cut || !to.held.is_empty() {
-            self.model.tally.held += 1;
+            self.model.metrics.held_segments += 1;
             return to.held.push_back(piece);
         }
         to.last = to.last.max(at) + takes as Micros;
-        self.queue.put(to.last, Ev::Piece { conn: number, side, piece });
+        self.queue.schedule(to.last, Ev::Piece { conn: number, side, piece });
     }
 
     /// Ways have changed: what is held back and may pass goes on.
@@ -281,7 +281,7 @@
         // A cut that began while it was under way keeps it too.
         if self.way(conn, side).0 {
             if let Some(conn) = self.conns.get_mut(&number) {
-                self.model.tally.held += 1;
+                self.model.metrics.held_segments += 1;
                 conn.sides[side].held.push_back(piece);
             }
             return;
@@ -315,7 +315,7 @@
                 to.come.extend(&bytes);
                 to.written = written;
                 if let (Some(news), proxy) = (told, conn.proxy) {
-                    self.model.told(proxy, &news);
+                    self.model.record_list_update(proxy, &news);
                 }
             }
             Piece::End => to.ended = true,
@@ -339,23 +339,27 @@
     fn lost_at_host(&mut self, number: ConnId, host: usize, epoch: u32, piece: &Piece) -> bool {
         let at = &self.model.hosts[host];
         if matches!(piece, Piece::Opens) {
-            return at.up == Up::Vanished;
+            return at.status == HostStatus::Vanished;
         }
         let stale = self.conns.get(&number).is_some_and(|conn| conn.stale);
         let call = self.conns.get(&number).and_then(|conn| conn.call);
-        if let Some(call) = call.filter(|_| stale && at.up == Up::Up && matches!(piece, Piece::Bytes(..))) {
-            self.model.ended_by(call, "stale");
+        if let Some(call) =
+            call.filter(|_| stale && at.status == HostStatus::Up && matches!(piece, Piece::Bytes(..)))
+        {
+            self.model.record_failure_cause(call, "stale");
         }
         let at = &self.model.hosts[host];
         let ends = matches!(piece, Piece::End | Piece::Reset);
-        match at.up {
-            Up::Up if at.epoch == epoch && !stale => return false,
+        match at.status {
+            HostStatus::Up if at.epoch == epoch && !stale => return false,
             // Nothing is said; but who ends it there will not hear of it again.
-            Up::Vanished => {}
-            Up::Up | Up::Dead if !matches!(piece, Piece::Reset) => self.put(number, OPENER, Piece::Reset),
-            Up::Up | Up::Dead => {}
+            HostStatus::Vanished => {}
+            HostStatus::Up | HostStatus::Dead if !matches!(piece, Piece::Reset) => {
+                self.put(number, OPENER, Piece::Reset)
+            }
+            HostStatus::Up | HostStatus::Dead => {}
         }
-        if ends || self.model.hosts[host].up != Up::Vanished {
+        if ends || self.model.hosts[host].status != HostStatus::Vanished {
             self.uncount(number);
             self.abandon(number, TAKER);
         }
@@ -375,7 +379,9 @@
                 let door = &mut self.doors[proxy];
                 if door.waiting.len() >= backlog {
                     let at = self.model.now + SAID_AGAIN;
-                    return self.queue.put(at, Ev::Piece { conn: number, side: TAKER, piece: Piece::Opens });
+                    return self
+                        .queue
+                        .schedule(at, Ev::Piece { conn: number, side: TAKER, piece: Piece::Opens });
                 }
                 door.waiting.push_back(number);
                 if let Some(waker) = door.waker.take() {
@@ -386,8 +392,12 @@
             For::Host { host, .. } => {
                 let most = self.model.scenario.fleet.connections;
                 let at = &mut self.model.hosts[host];
-                if at.up != Up::Up || at.connections >= most {
-                    self.model.log.note(self.model.now, Of::Connection, [proxy as u64, host as u64, 0]);
+                if at.status != HostStatus::Up || at.connections >= most {
+                    self.model.log.record(
+                        self.model.now,
+                        EventKind::Connection,
+                        [proxy as u64, host as u64, 0],
+                    );
                     self.put(number, OPENER, Piece::Reset);
                     return self.abandon(number, TAKER);
                 }
@@ -395,8 +405,8 @@
                 conn.of = For::Host { host, epoch: at.epoch };
                 conn.counted = true;
                 let open = at.connections;
-                self.model.tally.opened += 1;
-                self.model.tally.connections = self.model.tally.connections.max(open);
+                self.model.metrics.opened_connections += 1;
+                self.model.metrics.peak_connections = self.model.metrics.peak_connections.max(open);
                 self.put(number, OPENER, Piece::Open);
             }
             For::Discovery if self.model.registry.down => {
@@ -548,7 +558,7 @@
     }
 
     /// Sends bytes to a side.
-    pub fn write(&mut self, number: ConnId, to: usize, bytes: Vec<u8>, told: Option<Box<News>>) {
+    pub fn write(&mut self, number: ConnId, to: usize, bytes: Vec<u8>, told: Option<Box<ListUpdate>>) {
         let Some(conn) = self.conns.get_mut(&number) else { return };
         conn.sides[to].under_way += bytes.len();
         let piece = Piece::Bytes(bytes, self.model.now, told);
--- a/lab/src/full/peers.rs
+++ b/lab/src/full/peers.rs
@@ -2,12 +2,12 @@
 
 use super::net::{ConnId, Ev, For, Piece, World, OPENER, TAKER};
 use super::wire::{self, Read};
-use crate::judge::Rule;
-use crate::model::host::{Ends, Up};
-use crate::model::registry::{Listed, News, Turn};
-use crate::model::{Answer, At, Out};
-use crate::scenario::Kind;
-use crate::site;
+use crate::invariants::Invariant;
+use crate::model::host::{ExchangeResult, HostStatus};
+use crate::model::registry::{ListUpdate, ListingState, ReplySchedule};
+use crate::model::{Answer, CallState, Output};
+use crate::proxy_config;
+use crate::scenario::Idempotency;
 use crate::Micros;
 use serde_json::json;
 
@@ -16,16 +16,16 @@
 
 impl World {
     /// Does what the model wants of its carrier, but for proxies' processes: those come back.
-    pub fn carry(&mut self, out: Out) -> Option<(usize, bool)> {
+    pub fn carry(&mut self, out: Output) -> Option<(usize, bool)> {
         match out {
-            Out::Ask(call) => self.client_asks(call, false),
-            Out::Leave(call) => self.client_leaves(call),
-            Out::Says { host, exchange, ends } => self.host_says(host, exchange, ends),
-            Out::Host(host) => self.host_changed(host),
-            Out::News => self.news(),
-            Out::Proxy { proxy, starts } => return Some((proxy, starts)),
-            Out::Ways => self.ways(),
-            Out::Readers => {
+            Output::SendRequest(call) => self.client_asks(call, false),
+            Output::CloseClient(call) => self.client_leaves(call),
+            Output::EndExchange { host, exchange, result: ends } => self.host_says(host, exchange, ends),
+            Output::HostChanged(host) => self.host_changed(host),
+            Output::ListChanged => self.news(),
+            Output::ProxyProcess { proxy, starts } => return Some((proxy, starts)),
+            Output::LinksChanged => self.ways(),
+            Output::ReadersChanged => {
                 let open: Vec<ConnId> = self.conns.keys().copied().collect();
                 for number in open {
                     if self.conns.get(&number).is_some_and(|conn| conn.of == For::Client) {
@@ -63,26 +63,26 @@
         let scenario = self.model.scenario.clone();
         let at = self.model.call(call);
         let class = &scenario.classes[usize::from(at.class)];
-        let method = if class.kind == Kind::Free { "GET" } else { "POST" };
+        let method = if class.idempotency == Idempotency::Free { "GET" } else { "POST" };
         // What is left of the client's time when it sends.
         let budget = (at.deadline.saturating_sub(self.model.now) / 1_000).max(1);
         let mut text = format!(
             "{method} /api HTTP/1.1\r\nHost: api\r\nX-Call-Id: {}\r\nX-Call-Class: {}\r\nX-Caller: {}\r\nX-Budget-Ms: {budget}\r\n",
             wire::id(call),
             class.name,
-            site::tenant(at.tenant.into()),
+            proxy_config::tenant(at.tenant.into()),
         );
         if at.key != 0 {
             text += &format!("Idempotency-Key: {:016x}\r\n", at.key);
         }
-        if at.again {
+        if at.is_retry {
             text += "X-Again: 1\r\n";
         }
-        if class.kind != Kind::Free {
+        if class.idempotency != Idempotency::Free {
             text += &format!("Content-Length: {}\r\n", scenario.load.body);
         }
         let mut bytes = (text + "\r\n").into_bytes();
-        if class.kind != Kind::Free {
+        if class.idempotency != Idempotency::Free {
             // A repeat with a key is the same request: its body says the key, and nothing of the call.
             let body = if at.key == 0 { format!("{call:08}") } else { format!("{:08}", at.key % 99_999_989) };
             bytes.extend(body.bytes().cycle().take(scenario.load.body));
@@ -104,8 +104,8 @@
                 Read::Head(head) if side.come.len() >= head.head + head.body => head,
                 Read::Bad if !side.come.is_empty() => {
                     if let Some(call) = call {
-                        self.model.broken(
-                            Rule::OneAnswer,
+                        self.model.record_violation(
+                            Invariant::OneAnswer,
                             call,
                             None,
                             "what was said is no answer".to_owned(),
@@ -122,8 +122,8 @@
             self.read(number, OPENER, head.head + head.body);
             let Some(call) = call else {
                 // Nothing was asked.
-                self.model.broken(
-                    Rule::OneAnswer,
+                self.model.record_violation(
+                    Invariant::OneAnswer,
                     u32::MAX,
                     None,
                     "an answer that nobody asked for".to_owned(),
@@ -141,12 +141,17 @@
             };
             if answer == Answer::Served && !self.is_its_answer(call, &head, &body) {
                 let said = String::from_utf8_lossy(&body[..body.len().min(16)]).into_owned();
-                self.model.broken(Rule::OneAnswer, call, None, format!("another call's answer: {said}"));
+                self.model.record_violation(
+                    Invariant::OneAnswer,
+                    call,
+                    None,
+                    format!("another call's answer: {said}"),
+                );
             }
             if let (Answer::Served, Some(made_for)) =
                 (answer, std::str::from_utf8(&body).ok().and_then(wire::call))
             {
-                self.model.answer_was_made_for(call, made_for);
+                self.model.record_answer_source(call, made_for);
             }
             let close = head.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
             if close || ended {
@@ -154,7 +159,7 @@
             } else {
                 self.idle[proxy].push(number);
             }
-            self.model.answered(call, answer, written, &mut self.queue);
+            self.model.record_answer(call, answer, written, &mut self.queue);
         }
     }
 
@@ -186,10 +191,10 @@
         self.client_closes(number);
         let Some(call) = call else { return };
         let up = self.model.proxies[self.model.call(call).proxy as usize].up;
-        if crossed && up && self.model.call(call).at == At::Open {
+        if crossed && up && self.model.call(call).state == CallState::Open {
             return self.client_asks(call, true);
         }
-        self.model.answered(call, Answer::Broken, self.model.now, &mut self.queue);
+        self.model.record_answer(call, Answer::NoResponse, self.model.now, &mut self.queue);
     }
 
     fn client_leaves(&mut self, call: u32) {
@@ -214,7 +219,7 @@
             conn.call = Some(call);
             conn.stale = stale && conn.served > 0;
         }
-        self.model.sent(call, host, self.model.now);
+        self.model.record_attempt(call, host, self.model.now);
     }
 
     /// Something has come to a host.
@@ -225,7 +230,7 @@
         if side.ended {
             if let Some(exchange) = conn.exchange.take() {
                 self.exchanges.remove(&exchange);
-                self.model.hosts[host].forget(exchange);
+                self.model.hosts[host].cancel(exchange);
             }
             self.uncount(number);
             return self.close(number, TAKER);
@@ -247,10 +252,10 @@
             conn.exchange = Some(exchange);
         }
         let until = self.model.now + budget * 1_000;
-        self.model.reached(call, host, exchange, until, first, &mut self.queue);
+        self.model.request_arrived(call, host, exchange, until, first, &mut self.queue);
     }
 
-    fn host_says(&mut self, host: usize, exchange: u64, ends: Ends) {
+    fn host_says(&mut self, host: usize, exchange: u64, ends: ExchangeResult) {
         let Some(number) = self.exchanges.remove(&exchange) else { return };
         let (scenario, now) = (self.model.scenario.clone(), self.model.now);
         let report = self.model.hosts[host].report(now, host, scenario.fleet.reports);
@@ -264,25 +269,27 @@
             format!("X-Load-Report: active={in_hand},waiting={waiting}\r\n")
         });
         let text = match ends {
-            Ends::Served => {
+            ExchangeResult::Served => {
                 let body: String = wire::id(call).chars().cycle().take(scenario.load.answer).collect();
                 format!("HTTP/1.1 200 OK\r\n{load}Content-Length: {}\r\n\r\n{body}", body.len())
             }
-            Ends::TurnedAway => {
+            ExchangeResult::TurnedAway => {
                 format!(
                     "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\n{load}Content-Length: 0\r\n\r\n"
                 )
             }
-            Ends::Error => format!("HTTP/1.1 500 Internal Server Error\r\n{load}Content-Length: 0\r\n\r\n"),
-            Ends::Reset => {
+            ExchangeResult::Error => {
+                format!("HTTP/1.1 500 Internal Server Error\r\n{load}Content-Length: 0\r\n\r\n")
+            }
+            ExchangeResult::Reset => {
                 self.put(number, OPENER, Piece::Reset);
                 self.uncount(number);
                 return self.close(number, TAKER);
             }
-            Ends::Never => return,
+            ExchangeResult::NoReply => return,
         };
         self.write(number, OPENER, text.into_bytes(), None);
-        self.queue.put(now + scenario.fleet.keep_ms * 1_000, Ev::Idle { conn: number, served });
+        self.queue.schedule(now + scenario.fleet.idle_timeout_ms * 1_000, Ev::Idle { conn: number, served });
     }
 
     /// A host closes what has been idle for too long.
@@ -296,7 +303,7 @@
 
     /// A host has died, or has come up: its system resets what it does not know.
     fn host_changed(&mut self, host: usize) {
-        let (up, epoch) = (self.model.hosts[host].up, self.model.hosts[host].epoch);
+        let (up, epoch) = (self.model.hosts[host].status, self.model.hosts[host].epoch);
         let of_before =
             |of: For| matches!(of, For::Host { host: at, epoch: of } if at == host && of != epoch);
         let lost: Vec<ConnId> =
@@ -307,7 +314,7 @@
             if let Some(exchange) = conn.exchange.take() {
                 self.exchanges.remove(&exchange);
             }
-            if up == Up::Dead && conn.up {
+            if up == HostStatus::Dead && conn.up {
                 self.put(number, OPENER, Piece::Reset);
                 self.abandon(number, TAKER);
             }
@@ -325,10 +332,14 @@
         wire::take(&mut side.come, &head);
         let since = head.first.split_once("since=").and_then(|(_, since)| since.parse().ok());
         let now = self.model.now;
-        match self.model.registry.asked(now) {
-            Turn::Answered(at) if at == now => self.turn(number, since, false),
-            Turn::Answered(at) => self.queue.put(at, Ev::Turn { conn: number, since, fails: false }),
-            Turn::Fails(at) => self.queue.put(at, Ev::Turn { conn: number, since, fails: true }),
+        match self.model.registry.schedule_reply(now) {
+            ReplySchedule::Answered(at) if at == now => self.turn(number, since, false),
+            ReplySchedule::Answered(at) => {
+                self.queue.schedule(at, Ev::Turn { conn: number, since, fails: false })
+            }
+            ReplySchedule::Fails(at) => {
+                self.queue.schedule(at, Ev::Turn { conn: number, since, fails: true })
+            }
         }
     }
 
@@ -343,7 +354,7 @@
         if !self.model.registry.silent {
             self.tell(number);
         }
-        self.queue.put(self.model.now + BEAT, Ev::Beat { conn: number });
+        self.queue.schedule(self.model.now + BEAT, Ev::Beat { conn: number });
     }
 
     /// Tells a watch what it has not heard.
@@ -356,7 +367,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
             self.write(number, OPENER, answer.as_bytes().to_vec(), None);
         }
-        let Some(news) = self.model.registry.news(heard) else { return };
+        let Some(news) = self.model.registry.changes_since(heard) else { return };
         if let Some(conn) = self.conns.get_mut(&number) {
             conn.heard = Some(Some(news.seq));
         }
@@ -370,30 +381,30 @@
         Some(self.listed(known))
     }
 
-    fn line(&self, news: &News) -> String {
+    fn line(&self, news: &ListUpdate) -> String {
         self.listed(news).to_string() + "\n"
     }
 
-    fn listed(&self, news: &News) -> serde_json::Value {
+    fn listed(&self, news: &ListUpdate) -> serde_json::Value {
         let hosts: Vec<_> = news
             .entries
             .iter()
             .map(|entry| {
-                let health = match entry.listed {
-                    Listed::Ready => "Ready",
-                    Listed::Terminating => "Terminating",
-                    Listed::Gone => "Gone",
+                let health = match entry.state {
+                    ListingState::Ready => "Ready",
+                    ListingState::Terminating => "Terminating",
+                    ListingState::Removed => "Gone",
                 };
-                let born = if entry.started == 0 { 0 } else { site::EPOCH * 1_000 + entry.started / 1_000 };
+                let born = if entry.started == 0 { 0 } else { proxy_config::EPOCH * 1_000 + entry.started / 1_000 };
                 let host = &self.model.hosts[entry.host];
                 let real = self.addresses.as_ref().and_then(|real| real.get(entry.host).copied());
-                let dial = real.unwrap_or_else(|| site::host_address(entry.host));
+                let dial = real.unwrap_or_else(|| proxy_config::host_address(entry.host));
                 json!({"host": format!("h-{}", entry.host), "dial": dial.to_string(),
                        "site": format!("zone-{}", host.zone), "class": "m", "block": host.pod, "health": health,
                        "share": 1.0, "born_ms": born})
             })
             .collect();
-        json!({"seq": news.seq, "whole": news.whole, "hosts": hosts})
+        json!({"seq": news.seq, "whole": news.is_full, "hosts": hosts})
     }
 
     pub fn beat(&mut self, number: ConnId) {
@@ -404,7 +415,7 @@
         if begun && !self.model.registry.silent {
             self.write(number, OPENER, wire::chunk("\n"), None);
         }
-        self.queue.put(self.model.now + BEAT, Ev::Beat { conn: number });
+        self.queue.schedule(self.model.now + BEAT, Ev::Beat { conn: number });
     }
 
     /// The list has changed, or discovery is down.
--- a/lab/src/full/play.rs
+++ b/lab/src/full/play.rs
@@ -2,11 +2,11 @@
 
 use super::net::World;
 use super::socket::{Door, Node, Shared};
-use crate::model::{Leak, Model};
-use crate::queue::Queue;
-use crate::run::{Limits, Outcome};
+use crate::event_queue::EventQueue;
+use crate::model::{Model, Nondeterminism};
+use crate::proxy_config;
+use crate::run::{Outcome, RunOptions};
 use crate::scenario::Scenario;
-use crate::site;
 use crate::Micros;
 use nettleworks_engine::net::{enter, Listener};
 use std::cell::RefCell;
@@ -28,16 +28,16 @@
 pub(crate) fn play(
     scenario: Rc<Scenario>,
     seed: u64,
-    limits: &Limits,
-    leak: Option<Leak>,
+    limits: &RunOptions,
+    leak: Option<Nondeterminism>,
 ) -> Result<Outcome, String> {
     #[cfg(feature = "mutants")]
     nettleworks_engine::mutant::activate(limits.mutant);
-    let mut queue = Queue::default();
+    let mut queue = EventQueue::default();
     let mut model = Model::new(scenario.clone(), seed, &mut queue);
-    model.leak = leak;
-    model.stores = scenario.load.keys > 0;
-    model.log.tells = limits.tells;
+    model.nondeterminism = leak;
+    model.has_key_stores = scenario.load.keys > 0;
+    model.log.emits_tracing = limits.emit_events;
     let proxies = scenario.load.proxies;
     let world = Rc::new(RefCell::new(World::new(model, queue)));
     // Without the system's sockets: nothing of them is used.
@@ -50,7 +50,7 @@
         start: Instant::now(),
         sleep: Box::pin(tokio::time::sleep(Duration::ZERO)),
         settled: false,
-        stops: limits.stops,
+        stops: limits.stop_on_violation,
         events: 0,
     };
     for process in &mut run.processes {
@@ -63,7 +63,7 @@
     #[cfg(feature = "mutants")]
     nettleworks_engine::mutant::activate(None);
     let world = Rc::try_unwrap(world).map_err(|_| "an end outlives its run".to_owned())?.into_inner();
-    Ok(Outcome::of(world.model, events?))
+    Ok(Outcome::from_model(world.model, events?))
 }
 
 /// Notes that a process's tasks can go on, and wakes the run.
@@ -103,7 +103,8 @@
         let seed = seed ^ self.starts << 48;
         self.starts += 1;
         let known = self.node.world.borrow().known(self.proxy);
-        let config = site::config(scenario, seed, self.proxy, site::discovery_address(), known)?;
+        let config =
+            proxy_config::config(scenario, seed, self.proxy, proxy_config::discovery_address(), known)?;
         let door = Listener::Virtual(Box::new(Door { world: self.node.world.clone(), proxy: self.proxy }));
         let tasks = LocalSet::new();
         let proxy = self.proxy;
@@ -157,7 +158,7 @@
         loop {
             let mut world = self.world.borrow_mut();
             world.model.now = now;
-            if let Some(out) = world.model.out.pop_front() {
+            if let Some(out) = world.model.outputs.pop_front() {
                 let process = world.carry(out);
                 drop(world);
                 if let Some((proxy, starts)) = process {
@@ -166,7 +167,7 @@
                 any = true;
                 continue;
             }
-            let Some((_, event)) = world.queue.take(now) else { return Ok(any) };
+            let Some((_, event)) = world.queue.pop_due(now) else { return Ok(any) };
             any = true;
             self.events += 1;
             world.handle(event);
@@ -216,7 +217,7 @@
             }
             {
                 let world = run.world.borrow();
-                if run.stops && !world.model.breaks.is_empty() {
+                if run.stops && !world.model.violations.is_empty() {
                     return Poll::Ready(Ok(run.events));
                 }
             }
@@ -232,7 +233,7 @@
             }
             let (next, end) = {
                 let world = run.world.borrow();
-                (world.queue.next_at().unwrap_or(Micros::MAX), world.model.end())
+                (world.queue.next_time().unwrap_or(Micros::MAX), world.model.end_time())
             };
             if now >= end {
                 return Poll::Ready(Ok(run.events));
--- a/lab/src/full/socket.rs
+++ b/lab/src/full/socket.rs
@@ -31,7 +31,7 @@
     fn unix_time(&self) -> Duration {
         let world = self.world.borrow();
         let off = world.model.proxies[self.proxy].clock;
-        let now = (crate::site::EPOCH * 1_000_000 + world.model.now) as i64;
+        let now = (crate::proxy_config::EPOCH * 1_000_000 + world.model.now) as i64;
         Duration::from_micros(now.saturating_add(off).max(0) as u64)
     }
 }
--- a/lab/src/full/tests.rs
+++ b/lab/src/full/tests.rs
@@ -1,11 +1,11 @@
 //! The simulated network by itself: what a side writes comes in order and late, or is held, or is lost, as it should.
 
 use super::net::{ConnId, Ev, For, World, OPENER, TAKER};
-use crate::fault::settle;
+use crate::event_queue::EventQueue;
+use crate::fault::resolve_faults;
 use crate::model::Model;
-use crate::queue::Queue;
+use crate::proxy_config;
 use crate::scenario::Scenario;
-use crate::site;
 use crate::Micros;
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -37,17 +37,17 @@
         let text = format!("name = \"x\"\nseconds = 60.0\n{more}");
         let mut scenario = Scenario::parse(&text).unwrap_or_else(|error| panic!("{error}"));
         scenario.load.rate = 1e-4;
-        let mut queue = Queue::<Ev>::default();
-        let model = Model::new(Rc::new(settle(&scenario, 1)), 1, &mut queue);
+        let mut queue = EventQueue::<Ev>::default();
+        let model = Model::new(Rc::new(resolve_faults(&scenario, 1)), 1, &mut queue);
         let woken = Arc::new(Woken::default());
         Net { world: World::new(model, queue), waker: Waker::from(woken.clone()), woken }
     }
 
     fn until(&mut self, at: Micros) {
-        while let Some((now, event)) = self.world.queue.take(at) {
+        while let Some((now, event)) = self.world.queue.pop_due(at) {
             self.world.model.now = now;
             self.world.handle(event);
-            while let Some(out) = self.world.model.out.pop_front() {
+            while let Some(out) = self.world.model.outputs.pop_front() {
                 self.world.carry(out);
             }
         }
@@ -56,7 +56,7 @@
 
     /// A proxy dials a host, and is connected within `wait` if it is at all.
     fn dial(&mut self, host: usize, wait: Micros) -> Poll<Result<ConnId, ErrorKind>> {
-        let conn = self.world.dial(0, site::host_address(host));
+        let conn = self.world.dial(0, proxy_config::host_address(host));
         self.until(self.world.model.now + wait);
         let context = Context::from_waker(&self.waker);
         self.world.poll_up(conn, &context).map(|up| up.map(|()| conn).map_err(|error| error.kind()))
@@ -179,7 +179,7 @@
         assert_eq!(come(&net, cut), 5);
         let rest = if back { Poll::Pending } else { Poll::Ready(Ok(vec![0, 1, 2, 3, 4])) };
         assert_eq!(net.read(cut, OPENER), rest, "{what}");
-        assert!(net.world.model.tally.held > 0);
+        assert!(net.world.model.metrics.held_segments > 0);
     }
 }
 
@@ -236,7 +236,7 @@
     net.until(net.world.model.now + 10 * MS);
     assert_eq!(net.connections(0), 1);
     net.connected(0);
-    assert_eq!((net.connections(0), net.world.model.tally.connections), (2, 2));
+    assert_eq!((net.connections(0), net.world.model.metrics.peak_connections), (2, 2));
 }
 
 #[test]
@@ -293,7 +293,7 @@
         // One is closed meanwhile, one written to, one dialled and given up, and the rest found lost later.
         net.world.close(open[0], OPENER);
         let _ = net.write(open[1], OPENER, b"x");
-        let dialled = net.world.dial(0, site::host_address(0));
+        let dialled = net.world.dial(0, proxy_config::host_address(0));
         net.until(2_500 * MS);
         net.world.close(dialled, OPENER);
         net.until(3_500 * MS);
@@ -315,7 +315,7 @@
                  [[fault]]\nwhat = \"discovery-silent\"\nat = 10.0\nfor = 10.0\n\
                  [[fault]]\nwhat = \"discovery-down\"\nat = 30.0\nfor = 5.0";
     let mut net = Net::new(fault);
-    let conn = net.world.dial(0, site::discovery_address());
+    let conn = net.world.dial(0, proxy_config::discovery_address());
     net.until(10 * MS);
     let asks = b"GET /catalog/members?follow=1 HTTP/1.1\r\nHost: d\r\n\r\n";
     assert!(matches!(net.write(conn, OPENER, asks), Poll::Ready(Ok(_))));
@@ -345,7 +345,7 @@
     assert!(!said(&mut net).is_empty());
     net.until(30_100 * MS);
     assert_eq!(said(&mut net), "ConnectionReset");
-    assert_eq!(net.world.model.tally.watches, 1);
+    assert_eq!(net.world.model.metrics.watches, 1);
 }
 
 /// Found by a sweep (chaos, seed 679): a watch that began while discovery was silent was sent changes without an answer's head,
@@ -357,7 +357,7 @@
          [[fault]]\nwhat = \"discovery-wrong\"\nat = 2.0\nfor = 9.0\nhosts = { these = [2] }",
     );
     net.until(1_500 * MS);
-    let conn = net.world.dial(0, site::discovery_address());
+    let conn = net.world.dial(0, proxy_config::discovery_address());
     net.until(1_510 * MS);
     let asks = b"GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: d\r\n\r\n";
     assert!(matches!(net.write(conn, OPENER, asks), Poll::Ready(Ok(_))));
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -10,22 +10,22 @@
 pub mod baseline;
 pub mod compare;
 pub mod crowd;
-pub mod draw;
+pub mod event_log;
+pub mod event_queue;
 pub mod explore;
 pub mod fault;
+pub mod fidelity;
 pub mod fleet;
 pub mod full;
-pub mod judge;
-pub mod log;
+pub mod invariants;
+pub mod loopback;
+pub mod metrics;
 pub mod model;
-pub mod queue;
-pub mod real;
+pub mod proxy_config;
+pub mod random;
 pub mod report;
 pub mod run;
 pub mod scenario;
-pub mod site;
-pub mod tally;
-pub mod truth;
 
 /// A moment or a span, in microseconds of virtual time.
 pub type Micros = u64;
--- a/lab/src/real.rs
+++ b/lab/src/loopback.rs
@@ -12,6 +12,6 @@
 /// # Errors
 ///
 /// What the daemon's checks say of its configuration, or a socket that cannot be had.
-pub fn play(scenario: &Scenario, seed: u64) -> Result<Outcome, String> {
-    bridge::play(crate::fault::settle(scenario, seed), seed)
+pub fn run_scenario(scenario: &Scenario, seed: u64) -> Result<Outcome, String> {
+    bridge::play(crate::fault::resolve_faults(scenario, seed), seed)
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -6,10 +6,10 @@
 use nettleworks_lab::baseline::Picks;
 use nettleworks_lab::compare;
 use nettleworks_lab::explore::{shrink, sweep, Found};
+use nettleworks_lab::fidelity;
 use nettleworks_lab::report;
-use nettleworks_lab::run::{play, play_with, Depth, Limits, Outcome};
+use nettleworks_lab::run::{run_scenario, run_scenario_with, Depth, Outcome, RunOptions};
 use nettleworks_lab::scenario::Scenario;
-use nettleworks_lab::truth;
 use serde_json::json;
 use std::fs::File;
 use std::io::Write;
@@ -176,16 +176,20 @@
     match command {
         Command::Run { scenario, seed, depth, picks, events, goes_on, json } => {
             let scenario = load(&scenario)?;
-            let limits = Limits { stops: !goes_on, tells: log_to(events.as_deref())?, ..Limits::default() };
+            let limits = RunOptions {
+                stop_on_violation: !goes_on,
+                emit_events: log_to(events.as_deref())?,
+                ..RunOptions::default()
+            };
             let start = Instant::now();
-            let outcome = play_with(&scenario, seed, depth, &limits, picks, None)?;
+            let outcome = run_scenario_with(&scenario, seed, depth, &limits, picks, None)?;
             tell(&outcome, start.elapsed().as_secs_f64(), json);
-            Ok(outcome.breaks.is_empty() && outcome.missed.is_empty())
+            Ok(outcome.violations.is_empty() && outcome.missed_expectations.is_empty())
         }
         Command::Explore { scenarios, seeds, depth, light, out } => {
             let mut scenarios = load_all(&scenarios)?;
             if light {
-                scenarios = scenarios.iter().map(|scenario| scenario.light(16.0, 150.0)).collect();
+                scenarios = scenarios.iter().map(|scenario| scenario.scaled_down(16.0, 150.0)).collect();
                 scenarios.iter().try_for_each(Scenario::check).map_err(|error| error.to_string())?;
             }
             let depths = depth.map_or(vec![Depth::Fleet, Depth::Full], |depth| vec![depth]);
@@ -218,19 +222,19 @@
         Command::Truth { scenarios, seed } => {
             let all = load_all(&scenarios)?;
             let all: Vec<_> =
-                all.iter().map(|scenario| truth::compare(scenario, seed)).collect::<Result<_, _>>()?;
-            say!("{}", truth::table(&all).trim_end());
+                all.iter().map(|scenario| fidelity::compare(scenario, seed)).collect::<Result<_, _>>()?;
+            say!("{}", fidelity::table(&all).trim_end());
             Ok(true)
         }
         Command::Replay { found, events } => {
             let text =
                 std::fs::read_to_string(&found).map_err(|error| format!("{}: {error}", found.display()))?;
             let found = Found::parse(&text).map_err(|error| format!("{}: {error}", found.display()))?;
-            let limits = Limits { tells: log_to(events.as_deref())?, ..Limits::default() };
+            let limits = RunOptions { emit_events: log_to(events.as_deref())?, ..RunOptions::default() };
             let start = Instant::now();
-            let outcome = play(&found.scenario, found.seed, found.depth, &limits)?;
+            let outcome = run_scenario(&found.scenario, found.seed, found.depth, &limits)?;
             tell(&outcome, start.elapsed().as_secs_f64(), false);
-            Ok(outcome.breaks.is_empty())
+            Ok(outcome.violations.is_empty())
         }
     }
 }
@@ -246,7 +250,7 @@
         for &depth in depths {
             let start = Instant::now();
             let bar = bar(count(seeds), &scenario.name);
-            let swept = sweep(scenario, seeds.clone(), depth, &Limits::default(), || bar.inc(1));
+            let swept = sweep(scenario, seeds.clone(), depth, &RunOptions::default(), || bar.inc(1));
             bar.finish_and_clear();
             let (seconds, broken) = (start.elapsed().as_secs_f64(), swept.broken.len());
             say!(
@@ -261,16 +265,17 @@
             // The first of each rule is made small.
             let mut rules = Vec::new();
             for (&seed, at) in &swept.broken {
-                if rules.contains(&at.rule) {
+                if rules.contains(&at.invariant) {
                     continue;
                 }
-                rules.push(at.rule);
+                rules.push(at.invariant);
                 say!("  seed {seed}: {at}");
-                at.last.iter().rev().take(12).rev().for_each(|noted| say!("    {noted}"));
-                let Some(small) = shrink(scenario, seed, depth, at.rule, &Limits::default()) else {
+                at.recent_events.iter().rev().take(12).rev().for_each(|noted| say!("    {noted}"));
+                let Some(small) = shrink(scenario, seed, depth, at.invariant, &RunOptions::default()) else {
                     continue;
                 };
-                let name = format!("{}-{depth:?}-{:?}-{seed}.toml", scenario.name, at.rule).to_lowercase();
+                let name =
+                    format!("{}-{depth:?}-{:?}-{seed}.toml", scenario.name, at.invariant).to_lowercase();
                 let path = out.join(name);
                 std::fs::write(&path, small.found.text())
                     .map_err(|error| format!("{}: {error}", path.display()))?;
@@ -283,16 +288,16 @@
 }
 
 fn tell(outcome: &Outcome, seconds: f64, as_json: bool) {
-    let (tally, all) = (&outcome.tally, &outcome.tally.all);
-    let faster = outcome.ended as f64 / 1e6 / seconds.max(1e-9);
+    let (metrics, all) = (&outcome.metrics, &outcome.metrics.all);
+    let faster = outcome.end_time as f64 / 1e6 / seconds.max(1e-9);
     if as_json {
         let object = json!({
             "scenario": outcome.scenario.name, "seed": outcome.seed, "hash": format!("{:016x}", outcome.hash),
-            "virtual_seconds": outcome.ended as f64 / 1e6, "seconds": seconds, "served": all.served(),
-            "wanted": all.wanted, "ended": all.ended, "p50_ms": all.ms(50.0), "p99_ms": all.ms(99.0),
-            "sent": tally.sent, "repeats": tally.repeats, "opened": tally.opened, "connections": tally.connections,
-            "watches": tally.watches, "held": tally.held, "held_up": tally.held_up, "keys": tally.keys, "key_repeats": tally.key_repeats,
-            "replays": tally.replays, "two_answers": tally.two_answers, "broken": outcome.breaks, "missed": outcome.missed,
+            "virtual_seconds": outcome.end_time as f64 / 1e6, "seconds": seconds, "served": all.served_share(),
+            "wanted": all.operations, "ended": all.outcomes, "p50_ms": all.latency_ms(50.0), "p99_ms": all.latency_ms(99.0),
+            "sent": metrics.attempts, "repeats": metrics.repeats, "opened": metrics.opened_connections, "connections": metrics.peak_connections,
+            "watches": metrics.watches, "held": metrics.held_segments, "held_up": metrics.late_duplicates, "keys": metrics.keys, "key_repeats": metrics.key_repeats,
+            "replays": metrics.replays, "two_answers": metrics.two_answers, "broken": outcome.violations, "missed": outcome.missed_expectations,
         });
         return say!("{object}");
     }
@@ -301,24 +306,35 @@
         outcome.scenario.name,
         outcome.seed,
         outcome.hash,
-        outcome.logged
+        outcome.logged_events
     );
-    say!("  {:.3} virtual seconds in {seconds:.2}, {faster:.0} times as fast", outcome.ended as f64 / 1e6);
-    say!("  {:.4} of the worth served of {} wanted: {:?}", all.served(), all.wanted, all.ended);
-    say!("  p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms", all.ms(50.0), all.ms(99.0), all.ms(99.9));
-    for (class, part) in outcome.scenario.classes.iter().zip(&tally.classes) {
-        say!("    {:24} {:.4} of {}, p99 {:.1} ms", class.name, part.served(), part.wanted, part.ms(99.0));
+    say!("  {:.3} virtual seconds in {seconds:.2}, {faster:.0} times as fast", outcome.end_time as f64 / 1e6);
+    say!("  {:.4} of the worth served of {} wanted: {:?}", all.served_share(), all.operations, all.outcomes);
+    say!(
+        "  p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms",
+        all.latency_ms(50.0),
+        all.latency_ms(99.0),
+        all.latency_ms(99.9)
+    );
+    for (class, part) in outcome.scenario.classes.iter().zip(&metrics.classes) {
+        say!(
+            "    {:24} {:.4} of {}, p99 {:.1} ms",
+            class.name,
+            part.served_share(),
+            part.operations,
+            part.latency_ms(99.0)
+        );
     }
-    say!("  {} attempts, repeats {:?}", tally.sent, tally.repeats);
+    say!("  {} attempts, repeats {:?}", metrics.attempts, metrics.repeats);
     say!(
         "  {} connections opened, {} at one host at the most; {} watches",
-        tally.opened,
-        tally.connections,
-        tally.watches
+        metrics.opened_connections,
+        metrics.peak_connections,
+        metrics.watches
     );
-    for at in outcome.breaks.iter().take(5) {
+    for at in outcome.violations.iter().take(5) {
         say!("  BROKEN {at}");
-        at.last.iter().for_each(|noted| say!("    {noted}"));
+        at.recent_events.iter().for_each(|noted| say!("    {noted}"));
     }
-    outcome.missed.iter().for_each(|missed| say!("  MISSED {missed}"));
+    outcome.missed_expectations.iter().for_each(|missed| say!("  MISSED {missed}"));
 }
--- a/lab/src/tally.rs
+++ b/lab/src/metrics.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 /// Longest time that is told apart from a longer one, in microseconds: 10 minutes.
-const LONGEST: u64 = 600_000_000;
+const LATENCY_MAX: u64 = 600_000_000;
 
 /// How a client's thing ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ended {
+pub enum OperationOutcome {
     /// Served.
     Served,
     /// Refused to the last.
@@ -24,59 +24,65 @@
 }
 
 /// Times with so many significant digits. It grows with the longest.
-fn times(digits: u8) -> Histogram<u64> {
-    let mut times = Histogram::new(digits).unwrap_or_else(|_| unreachable!("at most 5 digits"));
-    times.auto(true);
-    times
+fn latency_histogram(digits: u8) -> Histogram<u64> {
+    let mut histogram = Histogram::new(digits).unwrap_or_else(|_| unreachable!("at most 5 digits"));
+    histogram.auto(true);
+    histogram
 }
 
 /// Of a class, or of a second.
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct RequestMetrics {
     /// Things that clients wanted.
-    pub wanted: u64,
+    pub operations: u64,
     /// Worth of them.
-    pub offered: f64,
+    pub offered_value: f64,
     /// Worth that was served.
-    pub got: f64,
+    pub earned_value: f64,
     /// How they ended.
-    pub ended: BTreeMap<Ended, u64>,
+    pub outcomes: BTreeMap<OperationOutcome, u64>,
     /// From the first asking to the answer, in microseconds, of those that were served.
-    pub times: Histogram<u64>,
+    pub latencies: Histogram<u64>,
 }
 
-impl Default for Part {
+impl Default for RequestMetrics {
     fn default() -> Self {
-        Part { wanted: 0, offered: 0.0, got: 0.0, ended: BTreeMap::new(), times: times(2) }
+        RequestMetrics {
+            operations: 0,
+            offered_value: 0.0,
+            earned_value: 0.0,
+            outcomes: BTreeMap::new(),
+            latencies: latency_histogram(2),
+        }
     }
 }
 
-impl Part {
+impl RequestMetrics {
     /// Share of the worth that was served; of none, all.
-    pub fn served(&self) -> f64 {
-        if self.offered > 0.0 {
-            self.got / self.offered
+    pub fn served_share(&self) -> f64 {
+        if self.offered_value > 0.0 {
+            self.earned_value / self.offered_value
         } else {
             1.0
         }
     }
 
     /// So many ended so.
-    pub fn count(&self, ended: Ended) -> u64 {
-        self.ended.get(&ended).copied().unwrap_or_default()
+    pub fn count(&self, outcome: OperationOutcome) -> u64 {
+        self.outcomes.get(&outcome).copied().unwrap_or_default()
     }
 
     /// A percentile of the times, in milliseconds.
-    pub fn ms(&self, percentile: f64) -> f64 {
-        self.times.value_at_percentile(percentile) as f64 / 1e3
+    pub fn latency_ms(&self, percentile: f64) -> f64 {
+        self.latencies.value_at_percentile(percentile) as f64 / 1e3
     }
 }
 
 /// Of a second.
 #[derive(Clone, Debug, Default)]
-pub struct Second {
+pub struct SecondMetrics {
     /// What began in it.
-    pub part: Option<Box<Part>>,
+    pub requests: Option<Box<RequestMetrics>>,
     /// Requests that hosts took in it, by host.
     pub host: BTreeMap<usize, u32>,
     /// Repeats sent in it, by their cause.
@@ -87,28 +93,28 @@
 
 /// The counts of a run.
 #[derive(Clone, Debug)]
-pub struct Tally {
-    warm: Micros,
+pub struct Metrics {
+    counted_from: Micros,
     /// By class.
-    pub classes: Vec<Part>,
+    pub classes: Vec<RequestMetrics>,
     /// All.
-    pub all: Part,
+    pub all: RequestMetrics,
     /// By second, from the start.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondMetrics>,
     /// Attempts sent.
-    pub sent: u64,
+    pub attempts: u64,
     /// Repeats among them, by cause.
     pub repeats: BTreeMap<&'static str, u64>,
     /// Most open connections to one host at a time.
-    pub connections: usize,
+    pub peak_connections: usize,
     /// Connections to hosts that were opened.
-    pub opened: u64,
+    pub opened_connections: u64,
     /// Watches of the list that were begun.
     pub watches: u64,
     /// Pieces that a cut has held back.
-    pub held: u64,
+    pub held_segments: u64,
     /// Repeats that were sent within their pod and window, and ran past it: effects twice that no proxy can prevent.
-    pub held_up: u64,
+    pub late_duplicates: u64,
     /// Keys that were asked for at proxies with a store of them, and asks beyond the first of each.
     pub keys: u64,
     /// See `keys`.
@@ -119,21 +125,24 @@
     pub two_answers: u64,
 }
 
-impl Tally {
+impl Metrics {
     /// Nothing yet.
-    pub fn new(scenario: &Scenario) -> Tally {
-        Tally {
-            warm: crate::draw::micros(scenario.warm_up),
-            classes: vec![Part { times: times(3), ..Part::default() }; scenario.classes.len()],
-            all: Part { times: times(3), ..Part::default() },
+    pub fn new(scenario: &Scenario) -> Metrics {
+        Metrics {
+            counted_from: crate::random::micros_from_seconds(scenario.warm_up),
+            classes: vec![
+                RequestMetrics { latencies: latency_histogram(3), ..RequestMetrics::default() };
+                scenario.classes.len()
+            ],
+            all: RequestMetrics { latencies: latency_histogram(3), ..RequestMetrics::default() },
             seconds: Vec::new(),
-            sent: 0,
+            attempts: 0,
             repeats: BTreeMap::new(),
-            connections: 0,
-            opened: 0,
+            peak_connections: 0,
+            opened_connections: 0,
             watches: 0,
-            held: 0,
-            held_up: 0,
+            held_segments: 0,
+            late_duplicates: 0,
             keys: 0,
             key_repeats: 0,
             replays: 0,
@@ -142,43 +151,50 @@
     }
 
     /// The second of a time.
-    pub fn second(&mut self, at: Micros) -> &mut Second {
+    pub fn second(&mut self, at: Micros) -> &mut SecondMetrics {
         let second = (at / 1_000_000) as usize;
         if self.seconds.len() <= second {
-            self.seconds.resize_with(second + 1, Second::default);
+            self.seconds.resize_with(second + 1, SecondMetrics::default);
         }
         &mut self.seconds[second]
     }
 
     /// A client's thing that began then has ended.
-    pub fn ended(&mut self, scenario: &Scenario, class: usize, began: Micros, now: Micros, how: Ended) {
+    pub fn record_outcome(
+        &mut self,
+        scenario: &Scenario,
+        class: usize,
+        began: Micros,
+        now: Micros,
+        how: OperationOutcome,
+    ) {
         let spec = &scenario.classes[class];
         let time = now - began;
         let got = match how {
-            Ended::Served if time as f64 <= spec.aim_ms * 1e3 => spec.worth,
-            Ended::Served => spec.worth * spec.late,
+            OperationOutcome::Served if time as f64 <= spec.latency_target_ms * 1e3 => spec.worth,
+            OperationOutcome::Served => spec.worth * spec.late,
             _ => 0.0,
         };
-        let add = |part: &mut Part| {
-            part.wanted += 1;
-            part.offered += spec.worth;
-            part.got += got;
-            *part.ended.entry(how).or_default() += 1;
-            if how == Ended::Served {
+        let add = |requests: &mut RequestMetrics| {
+            requests.operations += 1;
+            requests.offered_value += spec.worth;
+            requests.earned_value += got;
+            *requests.outcomes.entry(how).or_default() += 1;
+            if how == OperationOutcome::Served {
                 // It grows as far as that.
-                let _ = part.times.record(time.clamp(1, LONGEST));
+                let _ = requests.latencies.record(time.clamp(1, LATENCY_MAX));
             }
         };
-        add(self.second(began).part.get_or_insert_default());
-        if began >= self.warm {
+        add(self.second(began).requests.get_or_insert_default());
+        if began >= self.counted_from {
             add(&mut self.classes[class]);
             add(&mut self.all);
         }
     }
 
     /// An attempt was sent to a host; a repeat has a cause.
-    pub fn sent(&mut self, now: Micros, host: usize, cause: Option<&'static str>) {
-        self.sent += 1;
+    pub fn record_attempt(&mut self, now: Micros, host: usize, cause: Option<&'static str>) {
+        self.attempts += 1;
         let second = self.second(now);
         *second.host.entry(host).or_default() += 1;
         if let Some(cause) = cause {
--- a/lab/src/model/mod.rs
+++ b/lab/src/model/mod.rs
@@ -1,19 +1,19 @@
 //! The model of what a proxy serves, with no I/O and no clock: clients, hosts, discovery and faults, on events that whoever
 //! carries it puts in order. Carriers (full stack, fleet depth, loopback) bring it what reaches hosts and clients, and
-//! take [`Out`]s from it; all that is drawn, counted and judged is here, so it is the same in every depth.
+//! take [`Output`]s from it; all that is drawn, counted and judged is here, so it is the same in every depth.
 
+mod faults;
 pub mod host;
 pub mod registry;
-mod trouble;
-
-use crate::draw::{micros, Draw};
-use crate::judge::{Break, Rule, Told, GRACE};
-use crate::log::{Log, Of};
-use crate::queue::Queue;
-use crate::scenario::{Kind, Scenario};
-use crate::tally::{Ended, Tally};
+
+use crate::event_log::{EventKind, EventLog};
+use crate::event_queue::EventQueue;
+use crate::invariants::{Invariant, UnavailableHosts, Violation, GRACE};
+use crate::metrics::{Metrics, OperationOutcome};
+use crate::random::{micros_from_seconds, RandomStream};
+use crate::scenario::{Idempotency, Scenario};
 use crate::Micros;
-use host::{Ends, Host, Job, Taken, Up};
+use host::{Admission, ExchangeResult, Host, HostStatus, Job};
 use registry::Registry;
 use std::collections::{HashMap, VecDeque};
 use std::hash::BuildHasherDefault;
@@ -21,10 +21,10 @@
 use twox_hash::XxHash64;
 
 /// Most taps that follow a first one.
-const TAPS_MOST: usize = 3;
+const DUPLICATES_MAX: usize = 3;
 
 /// Tables that are only looked up in, never walked: hashed the same in each run all the same.
-pub(crate) type Table<K, V> = HashMap<K, V, BuildHasherDefault<XxHash64>>;
+pub(crate) type DeterministicMap<K, V> = HashMap<K, V, BuildHasherDefault<XxHash64>>;
 
 /// What the model has put in the queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,13 +32,13 @@
     /// A client's next thing may begin.
     Arrival(u32),
     /// A client asks.
-    Ask(u32),
+    SendRequest(u32),
     /// A client's time is up.
-    Patience(u32),
+    ClientDeadline(u32),
     /// A client leaves early.
-    Leave(u32),
+    ClientCancel(u32),
     /// A host is done with an exchange.
-    Done {
+    ExchangeDone {
         /// Which host.
         host: usize,
         /// Of which start.
@@ -47,7 +47,7 @@
         exchange: u64,
     },
     /// A request that came while its host stalled.
-    Take {
+    RetryAdmission {
         /// Which host.
         host: usize,
         /// Of which start.
@@ -63,16 +63,16 @@
         begins: bool,
     },
     /// Discovery flaps.
-    Flap(usize),
+    DiscoveryFlap(usize),
     /// Discovery learns of a host.
-    Learned {
+    DiscoveryUpdate {
         /// Of the host's start.
         epoch: u32,
         /// What.
         entry: registry::Entry,
     },
-    /// A host that drains ends.
-    DrainEnds {
+    /// A host that draining ends.
+    DrainDeadline {
         /// Which.
         host: usize,
         /// Of which start.
@@ -82,35 +82,35 @@
 
 /// What a carrier is to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     /// A client asks its proxy: [`Model::call`] has it.
-    Ask(u32),
+    SendRequest(u32),
     /// A client leaves, whatever is open.
-    Leave(u32),
+    CloseClient(u32),
     /// A host ends an exchange.
-    Says {
+    EndExchange {
         /// Which host.
         host: usize,
         /// Which exchange.
         exchange: u64,
         /// How.
-        ends: Ends,
+        result: ExchangeResult,
     },
     /// A host went down, or came up.
-    Host(usize),
+    HostChanged(usize),
     /// The list has changed, or what discovery says of it.
-    News,
+    ListChanged,
     /// A proxy's process dies, or starts.
-    Proxy {
+    ProxyProcess {
         /// Which.
         proxy: usize,
         /// Whether it starts.
         starts: bool,
     },
     /// Ways between proxies and hosts have changed.
-    Ways,
+    LinksChanged,
     /// Clients of a proxy read again, or no longer.
-    Readers,
+    ReadersChanged,
 }
 
 /// What a client hears.
@@ -123,27 +123,27 @@
     /// Any other status.
     Failed,
     /// The connection ended without an answer.
-    Broken,
+    NoResponse,
 }
 
 /// Where a call is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum At {
+pub enum CallState {
     /// Not asked yet.
-    Before,
+    NotSent,
     /// Asked.
     Open,
     /// Its client has its answer, written then.
     Answered(Micros),
     /// Nobody waits any more, since then.
-    Over(Micros),
+    Abandoned(Micros),
 }
 
 /// One try of a client.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The thing that it is for.
-    pub thing: u32,
+    pub operation: u32,
     /// Its proxy.
     pub proxy: u32,
     /// Its class.
@@ -151,44 +151,44 @@
     /// Its tenant.
     pub tenant: u8,
     /// The client says that it has tried before.
-    pub again: bool,
+    pub is_retry: bool,
     /// Where it is.
-    pub at: At,
+    pub state: CallState,
     /// Its key, where it has one.
     pub key: u64,
     /// When it was asked.
-    pub asked: Micros,
+    pub sent_at: Micros,
     /// By when its client wants its answer.
     pub deadline: Micros,
     /// Attempts that were sent for it.
-    pub sent: u16,
+    pub attempt_count: u16,
     /// How the last of them ended, in a word.
     pub cause: &'static str,
     /// It was refused, as what never ran.
     refused: bool,
     /// Where and when it ran first.
-    ran: Option<(u16, u16, Micros)>,
+    first_run: Option<(u16, u16, Micros)>,
     /// To which hosts it was written, and when.
-    written: Vec<(u16, Micros)>,
+    attempts: Vec<(u16, Micros)>,
 }
 
 /// What a client wants: one entry, one charge, one look.
 #[derive(Clone, Debug)]
-struct Thing {
+struct Operation {
     class: u8,
     proxy: u32,
     tries: u16,
-    over: bool,
-    ran: u16,
-    began: Micros,
+    finished: bool,
+    runs: u16,
+    started: Micros,
     key: u64,
 }
 
 /// A key at a proxy that has a store of them.
 #[derive(Clone, Copy, Debug, Default)]
-struct OfKey {
-    asked: u32,
-    ran: u32,
+struct KeyRecord {
+    requests: u32,
+    runs: u32,
     /// The call that its first answer was made for.
     made_for: Option<u32>,
 }
@@ -197,7 +197,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Proxy {
     /// What it was told of hosts.
-    pub told: Told,
+    pub unavailable_hosts: UnavailableHosts,
     /// Whether its process runs.
     pub up: bool,
     /// How far its wall clock is off, in microseconds.
@@ -207,12 +207,12 @@
     /// Its clients read nothing.
     pub slow_reader: bool,
     /// The list that its next process starts with.
-    pub known: Option<registry::News>,
+    pub known: Option<registry::ListUpdate>,
 }
 
 /// Something planted that must not be: the tests of determinism look whether it is noticed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leak {
+pub enum Nondeterminism {
     /// The machine's clock.
     Clock,
     /// The order of a map with random state.
@@ -238,41 +238,41 @@
     /// Calls, by number.
     pub calls: Vec<Call>,
     /// What is counted.
-    pub tally: Tally,
+    pub metrics: Metrics,
     /// What has happened.
-    pub log: Log,
+    pub log: EventLog,
     /// Rules that were broken.
-    pub breaks: Vec<Break>,
+    pub violations: Vec<Violation>,
     /// For the carrier.
-    pub out: VecDeque<Out>,
+    pub outputs: VecDeque<Output>,
     /// Faults that are on.
-    pub(crate) on: Vec<bool>,
+    pub(crate) active_faults: Vec<bool>,
     /// Proxies have their stores of keys; in fleet depth there are none.
-    pub stores: bool,
+    pub has_key_stores: bool,
     /// What must not be, planted.
-    pub leak: Option<Leak>,
-    things: Vec<Thing>,
+    pub nondeterminism: Option<Nondeterminism>,
+    operations: Vec<Operation>,
     arrivals: Vec<u64>,
     /// Mean time between arrivals at each proxy at the highest rate, in microseconds.
-    gaps: Vec<f64>,
+    mean_gaps: Vec<f64>,
     /// Keys that a pod has run, and when, for its window.
-    keys: Table<(usize, u64), Micros>,
-    key_ends: VecDeque<(Micros, usize, u64)>,
+    keys: DeterministicMap<(usize, u64), Micros>,
+    key_expiries: VecDeque<(Micros, usize, u64)>,
     /// What is known of keys, where proxies have stores of them.
-    of_keys: Table<(u32, u64), OfKey>,
+    key_records: DeterministicMap<(u32, u64), KeyRecord>,
     /// Calls that are open, by proxy and key.
-    open_keys: Table<(u32, u64), u32>,
-    shares: Vec<f64>,
-    rate_most: f64,
+    open_keys: DeterministicMap<(u32, u64), u32>,
+    class_shares: Vec<f64>,
+    peak_rate: f64,
 }
 
 /// Mean times between arrivals at each proxy, where all have so many a second.
-fn gaps(scenario: &Scenario, seed: u64, rate: f64) -> Vec<f64> {
+fn mean_gaps(scenario: &Scenario, seed: u64, rate: f64) -> Vec<f64> {
     let load = &scenario.load;
     if load.skew == 0.0 {
         return vec![1e6 * load.proxies as f64 / rate; load.proxies];
     }
-    let drawn = |proxy: usize| Draw::new(seed, "busy", proxy as u64, 0).share();
+    let drawn = |proxy: usize| RandomStream::new(seed, "busy", proxy as u64, 0).uniform();
     let mut order: Vec<usize> = (0..load.proxies).collect();
     order.sort_by(|&one, &other| drawn(one).total_cmp(&drawn(other)));
     let mut gaps = vec![0.0; load.proxies];
@@ -286,11 +286,11 @@
 
 impl Model {
     /// At the start of a settled scenario. `put` takes what is to come first.
-    pub fn new(scenario: Rc<Scenario>, seed: u64, queue: &mut Queue<impl From<Event>>) -> Model {
+    pub fn new(scenario: Rc<Scenario>, seed: u64, queue: &mut EventQueue<impl From<Event>>) -> Model {
         let fleet = &scenario.fleet;
         let hosts = (0..fleet.hosts + fleet.spares).map(|number| Host::new(number, fleet)).collect();
         let registry = Registry::new(fleet.hosts);
-        let known = registry.news(None).filter(|_| scenario.discovery.known);
+        let known = registry.changes_since(None).filter(|_| scenario.discovery.starts_with_cached_list);
         let proxies = (0..scenario.load.proxies)
             .map(|number| Proxy {
                 up: true,
@@ -305,11 +305,11 @@
             sum += class.share / total;
             sum
         });
-        let crowd: f64 = scenario
+        let surge: f64 = scenario
             .faults
             .iter()
-            .filter(|fault| fault.what == crate::fault::What::Crowd)
-            .map(|fault| fault.much().max(1.0))
+            .filter(|fault| fault.kind == crate::fault::FaultKind::Crowd)
+            .map(|fault| fault.magnitude().max(1.0))
             .product();
         let curve = scenario.load.curve.iter().map(|&(_, times)| times).fold(f64::NAN, f64::max);
         let most = if curve.is_nan() { 1.0 } else { curve };
@@ -320,28 +320,31 @@
             registry,
             proxies,
             calls: Vec::new(),
-            tally: Tally::new(&scenario),
-            log: Log::default(),
-            breaks: Vec::new(),
-            out: VecDeque::new(),
-            on: vec![false; scenario.faults.len()],
-            stores: false,
-            leak: None,
-            things: Vec::new(),
+            metrics: Metrics::new(&scenario),
+            log: EventLog::default(),
+            violations: Vec::new(),
+            outputs: VecDeque::new(),
+            active_faults: vec![false; scenario.faults.len()],
+            has_key_stores: false,
+            nondeterminism: None,
+            operations: Vec::new(),
             arrivals: vec![0; scenario.load.proxies],
-            gaps: gaps(&scenario, seed, scenario.load.rate * most * crowd),
-            keys: Table::default(),
-            key_ends: VecDeque::new(),
-            of_keys: Table::default(),
-            open_keys: Table::default(),
-            shares: shares.collect(),
-            rate_most: scenario.load.rate * most * crowd,
+            mean_gaps: mean_gaps(&scenario, seed, scenario.load.rate * most * surge),
+            keys: DeterministicMap::default(),
+            key_expiries: VecDeque::new(),
+            key_records: DeterministicMap::default(),
+            open_keys: DeterministicMap::default(),
+            class_shares: shares.collect(),
+            peak_rate: scenario.load.rate * most * surge,
             scenario: scenario.clone(),
         };
         for (number, fault) in scenario.faults.iter().enumerate() {
-            let begins = micros(fault.at.unwrap_or_default());
-            queue.put(begins, Event::Fault { number, begins: true }.into());
-            queue.put(begins + micros(fault.lasts), Event::Fault { number, begins: false }.into());
+            let begins = micros_from_seconds(fault.at.unwrap_or_default());
+            queue.schedule(begins, Event::Fault { number, begins: true }.into());
+            queue.schedule(
+                begins + micros_from_seconds(fault.duration),
+                Event::Fault { number, begins: false }.into(),
+            );
         }
         for proxy in 0..scenario.load.proxies {
             model.next_arrival(proxy as u32, 0, queue);
@@ -350,111 +353,124 @@
     }
 
     /// When clients ask for the last time.
-    pub fn last_ask(&self) -> Micros {
-        micros(self.scenario.seconds)
+    pub fn load_end(&self) -> Micros {
+        micros_from_seconds(self.scenario.seconds)
     }
 
     /// When all must be over: the longest deadline after the last asking, and every try that follows.
-    pub fn end(&self) -> Micros {
+    pub fn end_time(&self) -> Micros {
         let longest = self.scenario.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
-        self.last_ask() + micros(longest / 1e3) + 2 * GRACE
+        self.load_end() + micros_from_seconds(longest / 1e3) + 2 * GRACE
     }
 
     /// Takes an event of its own.
-    pub fn handle(&mut self, event: Event, queue: &mut Queue<impl From<Event>>) {
+    pub fn handle(&mut self, event: Event, queue: &mut EventQueue<impl From<Event>>) {
         match event {
             Event::Arrival(proxy) => self.arrival(proxy, queue),
-            Event::Ask(call) => self.ask(call, queue),
-            Event::Patience(call) => self.patience(call),
-            Event::Leave(call) => {
-                if self.calls[call as usize].at == At::Open {
-                    self.leaves(call);
+            Event::SendRequest(call) => self.send_request(call, queue),
+            Event::ClientDeadline(call) => self.client_deadline(call),
+            Event::ClientCancel(call) => {
+                if self.calls[call as usize].state == CallState::Open {
+                    self.abandon(call);
                 }
             }
-            Event::Done { host, epoch, exchange } => self.done(host, epoch, exchange, queue),
-            Event::Take { host, epoch, job } => {
+            Event::ExchangeDone { host, epoch, exchange } => self.exchange_done(host, epoch, exchange, queue),
+            Event::RetryAdmission { host, epoch, job } => {
                 if self.hosts[host].epoch == epoch {
-                    self.take(host, job, queue);
+                    self.admit(host, job, queue);
                 }
             }
-            Event::Fault { number, begins } => self.fault(number, begins, queue),
-            Event::Flap(number) => self.flap(number, queue),
-            Event::Learned { epoch, entry } => self.learned(epoch, entry),
-            Event::DrainEnds { host, epoch } => {
+            Event::Fault { number, begins } => self.toggle_fault(number, begins, queue),
+            Event::DiscoveryFlap(number) => self.flap_listing(number, queue),
+            Event::DiscoveryUpdate { epoch, entry } => self.discovery_update(epoch, entry),
+            Event::DrainDeadline { host, epoch } => {
                 if self.hosts[host].epoch == epoch {
-                    self.host_down(host, Up::Dead);
+                    self.stop_host(host, HostStatus::Dead);
                 }
             }
         }
     }
 
-    fn next_arrival(&mut self, proxy: u32, from: Micros, queue: &mut Queue<impl From<Event>>) {
+    fn next_arrival(&mut self, proxy: u32, from: Micros, queue: &mut EventQueue<impl From<Event>>) {
         let count = &mut self.arrivals[proxy as usize];
         *count += 1;
         // At the highest rate that there is; what is over the present one is thinned out.
-        let mean = self.gaps[proxy as usize];
-        let gap = Draw::new(self.seed, "gap", u64::from(proxy), *count).gap(mean);
+        let mean = self.mean_gaps[proxy as usize];
+        let gap = RandomStream::new(self.seed, "gap", u64::from(proxy), *count).exponential(mean);
         let at = from.saturating_add(gap.max(1.0) as Micros);
-        if at <= self.last_ask() {
-            queue.put(at, Event::Arrival(proxy).into());
+        if at <= self.load_end() {
+            queue.schedule(at, Event::Arrival(proxy).into());
         }
     }
 
-    fn arrival(&mut self, proxy: u32, queue: &mut Queue<impl From<Event>>) {
+    fn arrival(&mut self, proxy: u32, queue: &mut EventQueue<impl From<Event>>) {
         self.next_arrival(proxy, self.now, queue);
         let number = self.arrivals[proxy as usize];
-        let mut draw = Draw::new(self.seed, "thing", u64::from(proxy), number);
-        let rate = self.scenario.load.rate * self.scenario.curve(self.now as f64 / 1e6) * self.crowd();
-        if !draw.happens(rate / self.rate_most) {
+        let mut draw = RandomStream::new(self.seed, "thing", u64::from(proxy), number);
+        let rate =
+            self.scenario.load.rate * self.scenario.load_factor(self.now as f64 / 1e6) * self.surge_factor();
+        if !draw.chance(rate / self.peak_rate) {
             return;
         }
-        let share = draw.share();
-        let class = self.shares.iter().position(|&upto| share < upto).unwrap_or(self.shares.len() - 1);
+        let share = draw.uniform();
+        let class =
+            self.class_shares.iter().position(|&upto| share < upto).unwrap_or(self.class_shares.len() - 1);
         let load = &self.scenario.load;
-        let key = match self.scenario.classes[class].kind {
-            Kind::Free | Kind::Unsafe => 0,
-            Kind::Keyed => {
-                let member = draw.rank(load.members, load.zipf);
+        let key = match self.scenario.classes[class].idempotency {
+            Idempotency::Free | Idempotency::Unsafe => 0,
+            Idempotency::Keyed => {
+                let member = draw.zipf_rank(load.members, load.zipf);
                 // A member who taps within the window means the same entry.
                 (member << 24) | (self.now / (self.scenario.fleet.window_ms * 1_000).max(1)) & 0xff_ffff
             }
         };
         // Charges have keys too, of their own, for the store of keys.
-        let key = match self.scenario.classes[class].kind {
-            Kind::Unsafe if load.keys > 0 => 1 << 63 | self.things.len() as u64,
+        let key = match self.scenario.classes[class].idempotency {
+            Idempotency::Unsafe if load.keys > 0 => 1 << 63 | self.operations.len() as u64,
             _ => key,
         };
         let mut taps = Vec::new();
-        while key != 0 && taps.len() < TAPS_MOST && draw.happens(load.taps) {
-            taps.push(30_000 + (draw.share() * 400_000.0) as Micros);
+        while key != 0 && taps.len() < DUPLICATES_MAX && draw.chance(load.taps) {
+            taps.push(30_000 + (draw.uniform() * 400_000.0) as Micros);
         }
-        let (leaves, leave_share) = (draw.happens(load.leaves), draw.share());
-        let call = self.begin(proxy, class as u8, key);
+        let (leaves, leave_share) = (draw.chance(load.leaves), draw.uniform());
+        let call = self.start_operation(proxy, class as u8, key);
         if leaves {
-            let patience = self.scenario.classes[class].deadline_ms * 1e3;
-            queue.put(self.now + (leave_share * patience * 0.2) as Micros, Event::Leave(call).into());
+            let client_deadline = self.scenario.classes[class].deadline_ms * 1e3;
+            queue.schedule(
+                self.now + (leave_share * client_deadline * 0.2) as Micros,
+                Event::ClientCancel(call).into(),
+            );
         }
-        self.ask(call, queue);
+        self.send_request(call, queue);
         for later in taps {
-            let tap = self.begin(proxy, class as u8, key);
-            queue.put(self.now + later, Event::Ask(tap).into());
+            let tap = self.start_operation(proxy, class as u8, key);
+            queue.schedule(self.now + later, Event::SendRequest(tap).into());
         }
     }
 
     /// Something that a client wants, and the first try for it.
-    fn begin(&mut self, proxy: u32, class: u8, key: u64) -> u32 {
-        let thing = self.things.len() as u32;
-        self.things.push(Thing { class, proxy, tries: 0, over: false, ran: 0, began: self.now, key });
-        self.try_for(thing)
+    fn start_operation(&mut self, proxy: u32, class: u8, key: u64) -> u32 {
+        let operation = self.operations.len() as u32;
+        self.operations.push(Operation {
+            class,
+            proxy,
+            tries: 0,
+            finished: false,
+            runs: 0,
+            started: self.now,
+            key,
+        });
+        self.new_call(operation)
     }
 
-    fn try_for(&mut self, number: u32) -> u32 {
-        let thing = &mut self.things[number as usize];
-        thing.tries += 1;
-        let again = thing.tries > 1;
+    fn new_call(&mut self, number: u32) -> u32 {
+        let operation = &mut self.operations[number as usize];
+        operation.tries += 1;
+        let again = operation.tries > 1;
         // Whoever taps again is the same.
-        let whose = if thing.key == 0 { u64::from(number) } else { thing.key };
-        let share = Draw::new(self.seed, "tenant", whose, 0).share();
+        let whose = if operation.key == 0 { u64::from(number) } else { operation.key };
+        let share = RandomStream::new(self.seed, "tenant", whose, 0).uniform();
         let tenants = &self.scenario.load.tenants;
         let total: f64 = tenants.iter().sum();
         let mut sum = 0.0;
@@ -463,78 +479,78 @@
             share < sum
         });
         let call = Call {
-            thing: number,
-            proxy: thing.proxy,
-            class: thing.class,
+            operation: number,
+            proxy: operation.proxy,
+            class: operation.class,
             tenant: upto.unwrap_or_default() as u8,
-            again,
-            at: At::Before,
-            key: thing.key,
-            asked: 0,
+            is_retry: again,
+            state: CallState::NotSent,
+            key: operation.key,
+            sent_at: 0,
             deadline: 0,
-            sent: 0,
+            attempt_count: 0,
             cause: "",
             refused: false,
-            ran: None,
-            written: Vec::new(),
+            first_run: None,
+            attempts: Vec::new(),
         };
         self.calls.push(call);
         (self.calls.len() - 1) as u32
     }
 
-    fn ask(&mut self, number: u32, queue: &mut Queue<impl From<Event>>) {
+    fn send_request(&mut self, number: u32, queue: &mut EventQueue<impl From<Event>>) {
         let now = self.now;
         let call = &mut self.calls[number as usize];
-        if call.at != At::Before {
+        if call.state != CallState::NotSent {
             return;
         }
-        call.at = At::Open;
-        call.asked = now;
+        call.state = CallState::Open;
+        call.sent_at = now;
         call.deadline = now + (self.scenario.classes[usize::from(call.class)].deadline_ms * 1e3) as Micros;
         let (proxy, class, deadline) = (call.proxy, call.class, call.deadline);
         if call.key != 0 {
             *self.open_keys.entry((proxy, call.key)).or_default() += 1;
-            if self.stores {
-                let key = self.of_keys.entry((proxy, call.key)).or_default();
-                key.asked += 1;
-                self.tally.keys += u64::from(key.asked == 1);
-                self.tally.key_repeats += u64::from(key.asked > 1);
+            if self.has_key_stores {
+                let key = self.key_records.entry((proxy, call.key)).or_default();
+                key.requests += 1;
+                self.metrics.keys += u64::from(key.requests == 1);
+                self.metrics.key_repeats += u64::from(key.requests > 1);
             }
         }
-        let thing = &mut self.things[call.thing as usize];
-        if thing.tries == 1 {
+        let operation = &mut self.operations[call.operation as usize];
+        if operation.tries == 1 {
             // A tap comes later than it was drawn.
-            thing.began = now;
+            operation.started = now;
         }
-        self.log.note(now, Of::Asked, [number.into(), proxy.into(), class.into()]);
-        queue.put(deadline + GRACE, Event::Patience(number).into());
+        self.log.record(now, EventKind::Asked, [number.into(), proxy.into(), class.into()]);
+        queue.schedule(deadline + GRACE, Event::ClientDeadline(number).into());
         if self.proxies[proxy as usize].up {
-            self.out.push_back(Out::Ask(number));
+            self.outputs.push_back(Output::SendRequest(number));
         } else {
-            self.answered(number, Answer::Broken, now, queue);
+            self.record_answer(number, Answer::NoResponse, now, queue);
         }
     }
 
     /// The client's time is up and there is no answer.
-    fn patience(&mut self, number: u32) {
+    fn client_deadline(&mut self, number: u32) {
         let call = &self.calls[number as usize];
-        if call.at != At::Open {
+        if call.state != CallState::Open {
             return;
         }
         // An answer that nobody reads may well be there.
         if !self.proxies[call.proxy as usize].slow_reader {
-            self.broken(
-                Rule::OneAnswer,
+            self.record_violation(
+                Invariant::OneAnswer,
                 number,
                 None,
                 "its client's time is up, and there is no answer".to_owned(),
             );
         }
-        self.leaves(number);
+        self.abandon(number);
     }
 
     /// A call is no longer open.
-    fn shut_key(&mut self, number: u32) {
+    fn release_key(&mut self, number: u32) {
         let call = &self.calls[number as usize];
         let key = (call.proxy, call.key);
         if let Some(open) = self.open_keys.get_mut(&key) {
@@ -545,203 +561,246 @@
         }
     }
 
-    fn leaves(&mut self, number: u32) {
+    fn abandon(&mut self, number: u32) {
         let now = self.now;
-        self.shut_key(number);
+        self.release_key(number);
         let call = &mut self.calls[number as usize];
-        call.at = At::Over(now);
-        let (thing, proxy) = (call.thing, call.proxy);
-        self.log.note(now, Of::Left, [number.into(), proxy.into(), 0]);
-        self.out.push_back(Out::Leave(number));
-        self.over(thing, Ended::Left);
+        call.state = CallState::Abandoned(now);
+        let (operation, proxy) = (call.operation, call.proxy);
+        self.log.record(now, EventKind::Left, [number.into(), proxy.into(), 0]);
+        self.outputs.push_back(Output::CloseClient(number));
+        self.finish_operation(operation, OperationOutcome::Left);
     }
 
-    fn over(&mut self, thing: u32, how: Ended) {
-        let thing = &mut self.things[thing as usize];
-        if !std::mem::replace(&mut thing.over, true) {
-            self.tally.ended(&self.scenario, usize::from(thing.class), thing.began, self.now, how);
+    fn finish_operation(&mut self, operation: u32, how: OperationOutcome) {
+        let operation = &mut self.operations[operation as usize];
+        if !std::mem::replace(&mut operation.finished, true) {
+            self.metrics.record_outcome(
+                &self.scenario,
+                usize::from(operation.class),
+                operation.started,
+                self.now,
+                how,
+            );
         }
     }
 
     /// A client has an answer, of which the last byte was written then.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         number: u32,
         answer: Answer,
         written: Micros,
-        queue: &mut Queue<impl From<Event>>,
+        queue: &mut EventQueue<impl From<Event>>,
     ) {
         let now = self.now;
-        if self.calls[number as usize].at == At::Open {
-            self.shut_key(number);
+        if self.calls[number as usize].state == CallState::Open {
+            self.release_key(number);
         }
         let call = &mut self.calls[number as usize];
-        match call.at {
-            At::Open => {}
-            At::Answered(_) if answer != Answer::Broken => {
-                return self.broken(Rule::OneAnswer, number, None, "a second answer".to_owned());
+        match call.state {
+            CallState::Open => {}
+            CallState::Answered(_) if answer != Answer::NoResponse => {
+                return self.record_violation(
+                    Invariant::OneAnswer,
+                    number,
+                    None,
+                    "a second answer".to_owned(),
+                );
             }
             _ => return,
         }
-        call.at = At::Answered(written);
+        call.state = CallState::Answered(written);
         let late = now > call.deadline + GRACE;
-        let (thing, proxy, asked, ran, asked_kind) = (
-            call.thing,
+        let (operation, proxy, asked, ran, idempotency) = (
+            call.operation,
             call.proxy,
-            call.asked,
-            call.ran,
-            self.scenario.classes[usize::from(call.class)].kind,
+            call.sent_at,
+            call.first_run,
+            self.scenario.classes[usize::from(call.class)].idempotency,
         );
         call.refused = matches!(answer, Answer::Refused(_));
         let code = match answer {
             Answer::Served => 200,
             Answer::Refused(_) => 503,
             Answer::Failed => 502,
-            Answer::Broken => 0,
+            Answer::NoResponse => 0,
         };
-        self.log.note(now, Of::Answered, [number.into(), code, now - asked]);
-        if late && answer != Answer::Broken {
-            self.broken(Rule::OneAnswer, number, None, format!("its answer came {} us late", now - asked));
+        self.log.record(now, EventKind::Answered, [number.into(), code, now - asked]);
+        if late && answer != Answer::NoResponse {
+            self.record_violation(
+                Invariant::OneAnswer,
+                number,
+                None,
+                format!("its answer came {} us late", now - asked),
+            );
         }
-        if answer == Answer::Broken && self.proxies[proxy as usize].up {
-            self.broken(Rule::OneAnswer, number, None, "its connection ended without an answer".to_owned());
+        if answer == Answer::NoResponse && self.proxies[proxy as usize].up {
+            self.record_violation(
+                Invariant::OneAnswer,
+                number,
+                None,
+                "its connection ended without an answer".to_owned(),
+            );
         }
         if matches!(answer, Answer::Refused(_)) {
-            self.tally.second(now).refused += 1;
-            if let (Some((host, ..)), Kind::Unsafe) = (ran, asked_kind) {
+            self.metrics.second(now).refused += 1;
+            if let (Some((host, ..)), Idempotency::Unsafe) = (ran, idempotency) {
                 let host = Some(usize::from(host));
-                self.broken(Rule::NoEffectTwice, number, host, "refused, though it has run".to_owned());
+                self.record_violation(
+                    Invariant::NoEffectTwice,
+                    number,
+                    host,
+                    "refused, though it has run".to_owned(),
+                );
             }
         }
         match answer {
-            Answer::Served => self.over(thing, Ended::Served),
-            Answer::Refused(after) => self.again(thing, number, after, Ended::Refused, queue),
+            Answer::Served => self.finish_operation(operation, OperationOutcome::Served),
+            Answer::Refused(after) => {
+                self.retry_or_finish(operation, number, after, OperationOutcome::Refused, queue)
+            }
             // What may have run is the client's to repeat only where that does no harm.
-            Answer::Failed | Answer::Broken if asked_kind != Kind::Unsafe => {
-                self.again(thing, number, None, Ended::Failed, queue);
+            Answer::Failed | Answer::NoResponse if idempotency != Idempotency::Unsafe => {
+                self.retry_or_finish(operation, number, None, OperationOutcome::Failed, queue);
             }
-            Answer::Failed => self.over(thing, Ended::Failed),
-            Answer::Broken => self.over(thing, Ended::Left),
+            Answer::Failed => self.finish_operation(operation, OperationOutcome::Failed),
+            Answer::NoResponse => self.finish_operation(operation, OperationOutcome::Left),
         }
     }
 
     /// A served answer was made for another call, or for this one: all of one key must be the same.
-    pub fn answer_was_made_for(&mut self, number: u32, made_for: u32) {
+    pub fn record_answer_source(&mut self, number: u32, made_for: u32) {
         let call = &self.calls[number as usize];
-        let Some(key) = self.of_keys.get_mut(&(call.proxy, call.key)).filter(|_| call.key != 0) else {
+        let Some(key) = self.key_records.get_mut(&(call.proxy, call.key)).filter(|_| call.key != 0) else {
             return;
         };
-        self.tally.replays += u64::from(made_for != number);
-        self.tally.two_answers += u64::from(*key.made_for.get_or_insert(made_for) != made_for);
+        self.metrics.replays += u64::from(made_for != number);
+        self.metrics.two_answers += u64::from(*key.made_for.get_or_insert(made_for) != made_for);
     }
 
     /// The client tries again, or gives up.
-    fn again(
+    fn retry_or_finish(
         &mut self,
-        thing: u32,
+        operation: u32,
         number: u32,
         after: Option<Micros>,
-        ended: Ended,
-        queue: &mut Queue<impl From<Event>>,
+        ended: OperationOutcome,
+        queue: &mut EventQueue<impl From<Event>>,
     ) {
         let load = &self.scenario.load;
-        let tries = self.things[thing as usize].tries;
+        let tries = self.operations[operation as usize].tries;
         if u32::from(tries) >= load.tries {
-            return self.over(thing, ended);
+            return self.finish_operation(operation, ended);
         }
-        let share = Draw::new(self.seed, "pause", u64::from(number), 0).share();
+        let share = RandomStream::new(self.seed, "pause", u64::from(number), 0).uniform();
         let pause = load.pause_ms * 1e3 * f64::from(1_u32 << (tries - 1).min(10)) * (0.5 + share);
         let at = self.now + (pause as Micros).max(after.unwrap_or_default());
-        if at > self.last_ask() {
-            return self.over(thing, ended);
+        if at > self.load_end() {
+            return self.finish_operation(operation, ended);
         }
-        let call = self.try_for(thing);
-        queue.put(at, Event::Ask(call).into());
+        let call = self.new_call(operation);
+        queue.schedule(at, Event::SendRequest(call).into());
     }
 
     /// A proxy's word for a call whose client is gone was never sent: its process has died.
-    pub fn proxy_has_died(&mut self, proxy: usize, queue: &mut Queue<impl From<Event>>) {
+    pub fn abort_open_calls(&mut self, proxy: usize, queue: &mut EventQueue<impl From<Event>>) {
         let open: Vec<u32> = (0..self.calls.len() as u32)
             .filter(|&call| {
                 let call = &self.calls[call as usize];
-                call.proxy as usize == proxy && call.at == At::Open
+                call.proxy as usize == proxy && call.state == CallState::Open
             })
             .collect();
         for call in open {
-            self.answered(call, Answer::Broken, self.now, queue);
+            self.record_answer(call, Answer::NoResponse, self.now, queue);
         }
     }
 
     /// An attempt's first byte was written to a host then.
-    pub fn sent(&mut self, number: u32, host: usize, written: Micros) {
+    pub fn record_attempt(&mut self, number: u32, host: usize, written: Micros) {
         let (now, scenario) = (self.now, self.scenario.clone());
         let call = &mut self.calls[number as usize];
-        call.sent += 1;
-        call.written.push((host as u16, written));
-        let cause = (call.sent > 1).then_some(if call.cause.is_empty() { "no answer" } else { call.cause });
-        let (proxy, at, sent) = (call.proxy as usize, call.at, call.sent);
+        call.attempt_count += 1;
+        call.attempts.push((host as u16, written));
+        let cause =
+            (call.attempt_count > 1).then_some(if call.cause.is_empty() { "no answer" } else { call.cause });
+        let (proxy, at, sent) = (call.proxy as usize, call.state, call.attempt_count);
         let mean = scenario.classes[usize::from(call.class)].work.mean();
-        self.tally.sent(now, host, cause);
-        self.log.note(now, Of::Sent, [number.into(), host as u64, sent.into()]);
+        self.metrics.record_attempt(now, host, cause);
+        self.log.record(now, EventKind::Sent, [number.into(), host as u64, sent.into()]);
         // A repeat that joined it waits with the store of keys: then it is sent for that one.
         let joined = self
             .open_keys
             .contains_key(&(self.calls[number as usize].proxy, self.calls[number as usize].key));
         // What crosses the word that nobody waits is no fault: on one machine that takes no time, but a turn.
         let over = match at {
-            _ if joined && self.stores => None,
-            At::Answered(then) => (written > then).then_some("after its answer"),
-            At::Over(then) => (written > then + GRACE).then_some("after its client had left"),
-            At::Before | At::Open => None,
+            _ if joined && self.has_key_stores => None,
+            CallState::Answered(then) => (written > then).then_some("after its answer"),
+            CallState::Abandoned(then) => (written > then + GRACE).then_some("after its client had left"),
+            CallState::NotSent | CallState::Open => None,
         };
         if let Some(over) = over {
-            self.broken(Rule::OneAnswer, number, Some(host), format!("sent {over}"));
+            self.record_violation(Invariant::OneAnswer, number, Some(host), format!("sent {over}"));
         }
-        if self.proxies[proxy].told.forbids(written, host) {
-            self.broken(
-                Rule::NothingToTheGone,
+        if self.proxies[proxy].unavailable_hosts.forbids(written, host) {
+            self.record_violation(
+                Invariant::NothingToTheGone,
                 number,
                 Some(host),
                 "sent over 1 s after the telling".to_owned(),
             );
         }
-        if self.hosts[host].up == Up::Up && self.hosts[host].is_pushed_over(now, mean, &scenario.fleet) {
-            self.broken(Rule::ColdHostStands, number, Some(host), "pushed over while cold".to_owned());
-            self.host_down(host, Up::Dead);
+        if self.hosts[host].status == HostStatus::Up
+            && self.hosts[host].is_overloaded_cold(now, mean, &scenario.fleet)
+        {
+            self.record_violation(
+                Invariant::ColdHostStands,
+                number,
+                Some(host),
+                "pushed over while cold".to_owned(),
+            );
+            self.stop_host(host, HostStatus::Dead);
         }
     }
 
     /// A request has come whole to a host; the first on its connection costs more.
-    pub fn reached(
+    pub fn request_arrived(
         &mut self,
         number: u32,
         host: usize,
         exchange: u64,
         until: Micros,
         first: bool,
-        queue: &mut Queue<impl From<Event>>,
+        queue: &mut EventQueue<impl From<Event>>,
     ) {
         let (seed, scenario) = (self.seed, self.scenario.clone());
         let call = &self.calls[number as usize];
         let class = &scenario.classes[usize::from(call.class)];
-        let mut work = class.work.draw(&mut Draw::new(seed, "work", number.into(), host as u64));
+        let mut work = class.work.sample(&mut RandomStream::new(seed, "work", number.into(), host as u64));
         work += if first { scenario.fleet.handshake_us } else { 0.0 };
-        let ill = self.hosts[host].ill;
-        let mut draw = Draw::new(seed, "fate", number.into(), (host as u64) << 16 | u64::from(call.sent));
+        let impairment = self.hosts[host].impairment;
+        let mut draw = RandomStream::new(
+            seed,
+            "fate",
+            number.into(),
+            (host as u64) << 16 | u64::from(call.attempt_count),
+        );
         // Each draw is made, whatever the one before has given.
         let (away, resets, errors, runs) = (
-            draw.happens(ill.turned_away),
-            draw.happens(ill.resets),
-            draw.happens(ill.errors),
-            draw.happens(0.5),
+            draw.chance(impairment.turned_away),
+            draw.chance(impairment.resets),
+            draw.chance(impairment.errors),
+            draw.chance(0.5),
         );
-        match self.leak {
-            Some(Leak::Clock) => work += f64::from(std::time::Instant::now().elapsed().subsec_nanos() % 7),
-            Some(Leak::MapOrder) => {
+        match self.nondeterminism {
+            Some(Nondeterminism::Clock) => {
+                work += f64::from(std::time::Instant::now().elapsed().subsec_nanos() % 7)
+            }
+            Some(Nondeterminism::MapOrder) => {
                 let map: std::collections::HashMap<u32, u32> = (0..16).map(|n| (n, n)).collect();
                 work += f64::from(map.into_keys().next().unwrap_or_default());
             }
-            Some(Leak::Thread) => {
+            Some(Nondeterminism::Thread) => {
                 // No two threads of a process have one id.
                 let id = std::thread::spawn(|| format!("{:?}", std::thread::current().id())).join();
                 let id = id.unwrap_or_default();
@@ -751,84 +810,86 @@
             }
             None => {}
         }
-        let ends = match (away, resets, errors) {
-            (true, ..) => Ends::TurnedAway,
-            (_, true, _) => Ends::Reset,
-            (_, _, true) => Ends::Error,
-            _ if ill.silent => Ends::Never,
-            _ => Ends::Served,
+        let result = match (away, resets, errors) {
+            (true, ..) => ExchangeResult::TurnedAway,
+            (_, true, _) => ExchangeResult::Reset,
+            (_, _, true) => ExchangeResult::Error,
+            _ if impairment.silent => ExchangeResult::NoReply,
+            _ => ExchangeResult::Served,
         };
-        if ends == Ends::TurnedAway || matches!(ends, Ends::Reset | Ends::Error) && !runs {
-            return self.says(host, exchange, number, ends);
+        if result == ExchangeResult::TurnedAway
+            || matches!(result, ExchangeResult::Reset | ExchangeResult::Error) && !runs
+        {
+            return self.end_exchange(host, exchange, number, result);
         }
-        self.take(host, Job { exchange, call: number, until, work, ends }, queue);
+        self.admit(host, Job { exchange, call: number, until, work, result }, queue);
     }
 
-    fn take(&mut self, host: usize, job: Job, queue: &mut Queue<impl From<Event>>) {
+    fn admit(&mut self, host: usize, job: Job, queue: &mut EventQueue<impl From<Event>>) {
         let (now, scenario) = (self.now, self.scenario.clone());
         let at = &mut self.hosts[host];
-        if at.up != Up::Up {
+        if at.status != HostStatus::Up {
             return;
         }
         if at.stalled_until > now {
             let (until, epoch) = (at.stalled_until, at.epoch);
-            return queue.put(until, Event::Take { host, epoch, job }.into());
+            return queue.schedule(until, Event::RetryAdmission { host, epoch, job }.into());
         }
-        match at.take(now, job, &scenario.fleet) {
-            Taken::Begun(end) => self.begun(host, job, end, queue),
-            Taken::Waits => {}
-            Taken::Not(ends) => self.says(host, job.exchange, job.call, ends),
+        match at.admit(now, job, &scenario.fleet) {
+            Admission::Started(end) => self.work_started(host, job, end, queue),
+            Admission::Queued => {}
+            Admission::Rejected(result) => self.end_exchange(host, job.exchange, job.call, result),
         }
     }
 
-    fn begun(&mut self, host: usize, job: Job, end: Micros, queue: &mut Queue<impl From<Event>>) {
+    fn work_started(&mut self, host: usize, job: Job, end: Micros, queue: &mut EventQueue<impl From<Event>>) {
         let epoch = self.hosts[host].epoch;
-        queue.put(end, Event::Done { host, epoch, exchange: job.exchange }.into());
-        self.runs(host, job.call);
+        queue.schedule(end, Event::ExchangeDone { host, epoch, exchange: job.exchange }.into());
+        self.record_run(host, job.call);
     }
 
     /// A host runs a request: what it does cannot be undone.
-    fn runs(&mut self, host: usize, number: u32) {
+    fn record_run(&mut self, host: usize, number: u32) {
         let (now, pod) = (self.now, self.hosts[host].pod);
         let window = self.scenario.fleet.window_ms * 1_000;
         let call = &self.calls[number as usize];
-        let kind = self.scenario.classes[usize::from(call.class)].kind;
-        while self.key_ends.front().is_some_and(|&(end, ..)| end <= now) {
-            if let Some((_, pod, key)) = self.key_ends.pop_front() {
+        let kind = self.scenario.classes[usize::from(call.class)].idempotency;
+        while self.key_expiries.front().is_some_and(|&(end, ..)| end <= now) {
+            if let Some((_, pod, key)) = self.key_expiries.pop_front() {
                 if self.keys.get(&(pod, key)).is_some_and(|&at| at + window <= now) {
                     self.keys.remove(&(pod, key));
                 }
             }
         }
-        if kind == Kind::Keyed {
+        if kind == Idempotency::Keyed {
             let known = self.keys.get(&(pod, call.key)).copied();
             if known.is_some_and(|at| now < at + window) {
                 // Dropped as a repeat: no effect.
                 return;
             }
             self.keys.insert((pod, call.key), now);
-            self.key_ends.push_back((now + window, pod, call.key));
+            self.key_expiries.push_back((now + window, pod, call.key));
         }
-        self.log.note(now, Of::Ran, [number.into(), host as u64, pod as u64]);
-        if kind == Kind::Free {
+        self.log.record(now, EventKind::Ran, [number.into(), host as u64, pod as u64]);
+        if kind == Idempotency::Free {
             return;
         }
         let call = &mut self.calls[number as usize];
-        let before = call.ran;
-        call.ran = before.or(Some((host as u16, pod as u16, now)));
-        let written = call.written.iter().rev().find(|(at, _)| usize::from(*at) == host).map(|(_, at)| *at);
+        let before = call.first_run;
+        call.first_run = before.or(Some((host as u16, pod as u16, now)));
+        let written = call.attempts.iter().rev().find(|(at, _)| usize::from(*at) == host).map(|(_, at)| *at);
         // A repeat that was written while its pod dropped repeats, and was held up on its way past that, is not its proxy's
         // fault: it can't know.
         let in_time = |&(_, first, at): &(u16, u16, Micros)| {
             usize::from(first) == pod && written.is_some_and(|written| written < at + window)
         };
-        let (refused, thing) = (call.refused, call.thing);
-        let thing = &mut self.things[thing as usize];
-        thing.ran += 1;
+        let (refused, operation) = (call.refused, call.operation);
+        let operation = &mut self.operations[operation as usize];
+        operation.runs += 1;
         let twice = match kind {
-            Kind::Unsafe => thing.ran > 1,
+            Idempotency::Unsafe => operation.runs > 1,
             _ if before.as_ref().is_some_and(in_time) => {
-                self.tally.held_up += 1;
+                self.metrics.late_duplicates += 1;
                 false
             }
             _ => before.is_some(),
@@ -837,76 +898,94 @@
             let first =
                 before.map(|(host, pod, at)| format!(", first at host {host} of pod {pod} at {at} us"));
             let what = format!("it has run again{}", first.unwrap_or_default());
-            self.broken(Rule::NoEffectTwice, number, Some(host), what);
+            self.record_violation(Invariant::NoEffectTwice, number, Some(host), what);
         }
         let call = &self.calls[number as usize];
-        if let Some(key) = self.of_keys.get_mut(&(call.proxy, call.key)).filter(|_| kind == Kind::Unsafe) {
-            key.ran += 1;
-            if key.ran > 1 && !twice {
-                self.broken(Rule::NoEffectTwice, number, Some(host), "its key has run before".to_owned());
+        if let Some(key) =
+            self.key_records.get_mut(&(call.proxy, call.key)).filter(|_| kind == Idempotency::Unsafe)
+        {
+            key.runs += 1;
+            if key.runs > 1 && !twice {
+                self.record_violation(
+                    Invariant::NoEffectTwice,
+                    number,
+                    Some(host),
+                    "its key has run before".to_owned(),
+                );
             }
         }
-        if refused && kind == Kind::Unsafe {
-            self.broken(Rule::NoEffectTwice, number, Some(host), "it runs, though it was refused".to_owned());
+        if refused && kind == Idempotency::Unsafe {
+            self.record_violation(
+                Invariant::NoEffectTwice,
+                number,
+                Some(host),
+                "it runs, though it was refused".to_owned(),
+            );
         }
     }
 
-    fn done(&mut self, host: usize, epoch: u32, exchange: u64, queue: &mut Queue<impl From<Event>>) {
+    fn exchange_done(
+        &mut self,
+        host: usize,
+        epoch: u32,
+        exchange: u64,
+        queue: &mut EventQueue<impl From<Event>>,
+    ) {
         let (now, scenario) = (self.now, self.scenario.clone());
         let at = &mut self.hosts[host];
         if at.epoch != epoch {
             return;
         }
         if at.stalled_until > now {
-            return queue.put(at.stalled_until, Event::Done { host, epoch, exchange }.into());
+            return queue.schedule(at.stalled_until, Event::ExchangeDone { host, epoch, exchange }.into());
         }
-        let Some(job) = at.done(exchange) else { return };
+        let Some(job) = at.finish(exchange) else { return };
         let mut late = Vec::new();
-        let next = at.next(now, &scenario.fleet, &mut late);
-        if job.ends != Ends::Never && !self.hosts[host].ill.silent {
-            self.says(host, exchange, job.call, job.ends);
+        let next = at.start_next(now, &scenario.fleet, &mut late);
+        if job.result != ExchangeResult::NoReply && !self.hosts[host].impairment.silent {
+            self.end_exchange(host, exchange, job.call, job.result);
         }
         for job in late {
-            self.says(host, job.exchange, job.call, Ends::TurnedAway);
+            self.end_exchange(host, job.exchange, job.call, ExchangeResult::TurnedAway);
         }
         if let Some((job, end)) = next {
-            self.begun(host, job, end, queue);
+            self.work_started(host, job, end, queue);
         }
     }
 
-    fn says(&mut self, host: usize, exchange: u64, number: u32, ends: Ends) {
-        self.log.note(self.now, Of::Said, [number.into(), host as u64, ends as u64]);
-        self.calls[number as usize].cause = match ends {
-            Ends::Served => "answer lost",
-            Ends::TurnedAway => "turned away",
-            Ends::Error => "error",
-            Ends::Reset => "reset",
-            Ends::Never => "no answer",
+    fn end_exchange(&mut self, host: usize, exchange: u64, number: u32, result: ExchangeResult) {
+        self.log.record(self.now, EventKind::Said, [number.into(), host as u64, result as u64]);
+        self.calls[number as usize].cause = match result {
+            ExchangeResult::Served => "answer lost",
+            ExchangeResult::TurnedAway => "turned away",
+            ExchangeResult::Error => "error",
+            ExchangeResult::Reset => "reset",
+            ExchangeResult::NoReply => "no answer",
         };
-        self.out.push_back(Out::Says { host, exchange, ends });
+        self.outputs.push_back(Output::EndExchange { host, exchange, result });
     }
 
     /// Notes why an attempt has ended that no host has a word on.
-    pub fn ended_by(&mut self, number: u32, cause: &'static str) {
+    pub fn record_failure_cause(&mut self, number: u32, cause: &'static str) {
         self.calls[number as usize].cause = cause;
     }
 
     /// A proxy has been told of the list.
-    pub fn told(&mut self, proxy: usize, news: &registry::News) {
+    pub fn record_list_update(&mut self, proxy: usize, news: &registry::ListUpdate) {
         let (now, hosts) = (self.now, self.hosts.len());
-        if self.scenario.discovery.known {
-            self.proxies[proxy].known = self.registry.news(None);
+        if self.scenario.discovery.starts_with_cached_list {
+            self.proxies[proxy].known = self.registry.changes_since(None);
         }
-        let ready = |entry: &registry::Entry| entry.listed == registry::Listed::Ready;
-        let told = &mut self.proxies[proxy].told;
-        if news.whole {
+        let ready = |entry: &registry::Entry| entry.state == registry::ListingState::Ready;
+        let told = &mut self.proxies[proxy].unavailable_hosts;
+        if news.is_full {
             let mut all: Vec<usize> = news.entries.iter().filter(|e| ready(e)).map(|e| e.host).collect();
             all.sort_unstable();
-            told.only(now, &all, hosts);
+            told.replace_all(now, &all, hosts);
         } else {
-            news.entries.iter().for_each(|entry| told.of(now, entry.host, ready(entry)));
+            news.entries.iter().for_each(|entry| told.set(now, entry.host, ready(entry)));
         }
-        self.log.note(now, Of::Told, [proxy as u64, news.seq, news.entries.len() as u64]);
+        self.log.record(now, EventKind::Told, [proxy as u64, news.seq, news.entries.len() as u64]);
     }
 
     /// A call.
@@ -915,12 +994,25 @@
     }
 
     /// Notes a broken rule.
-    pub fn broken(&mut self, rule: Rule, call: u32, host: Option<usize>, what: String) {
+    pub fn record_violation(
+        &mut self,
+        invariant: Invariant,
+        call: u32,
+        host: Option<usize>,
+        description: String,
+    ) {
         let place = host.map_or(u64::MAX, |host| host as u64);
-        self.log.note(self.now, Of::Broken, [rule as u64, call.into(), place]);
-        if self.breaks.len() < 1_000 {
-            let last = self.log.last();
-            self.breaks.push(Break { rule, at: self.now, call, host, what, last });
+        self.log.record(self.now, EventKind::Broken, [invariant as u64, call.into(), place]);
+        if self.violations.len() < 1_000 {
+            let recent_events = self.log.recent();
+            self.violations.push(Violation {
+                invariant,
+                at: self.now,
+                call,
+                host,
+                description,
+                recent_events,
+            });
         }
     }
 }
@@ -935,7 +1027,7 @@
             let text =
                 format!("name = \"x\"\nseconds = 1.0\n[load]\nproxies = 10\nrate = 200.0\nskew = {skew}");
             let scenario = Scenario::parse(&text).expect("a good scenario");
-            let gaps = gaps(&scenario, 4, 200.0);
+            let gaps = mean_gaps(&scenario, 4, 200.0);
             let rate: f64 = gaps.iter().map(|gap| 1e6 / gap).sum();
             assert!((rate - 200.0).abs() < 1e-6, "{rate} a second in all");
             let (least, most) = gaps.iter().fold((f64::MAX, 0.0_f64), |s, &gap| (s.0.min(gap), s.1.max(gap)));
--- a/lab/src/model/registry.rs
+++ b/lab/src/model/registry.rs
@@ -4,13 +4,13 @@
 
 /// What the list says of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListingState {
     /// It takes requests.
     Ready,
     /// It finishes what it has.
     Terminating,
     /// It is not on the list.
-    Gone,
+    Removed,
 }
 
 /// An entry.
@@ -19,33 +19,33 @@
     /// The host, by number.
     pub host: usize,
     /// What the list says of it.
-    pub listed: Listed,
+    pub state: ListingState,
     /// When it last started, in microseconds of virtual time; 0: before all.
     pub started: Micros,
 }
 
 /// News for one watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct ListUpdate {
     /// The version with which the list is as told.
     pub seq: u64,
     /// Whether it is the whole list.
-    pub whole: bool,
+    pub is_full: bool,
     /// The entries.
     pub entries: Vec<Entry>,
 }
 
 /// Changes that are kept for watches that come back; one that has missed more gets the whole list.
-const KEPT: usize = 4_096;
+const CHANGES_KEPT: usize = 4_096;
 
 /// An ask that waits for longer is given up, though its turn is spent; in microseconds.
-const WAITS_MOST: Micros = 1_000_000;
+const REPLY_DELAY_MAX: Micros = 1_000_000;
 /// Work that may wait at a busy discovery, in microseconds: asks beyond are turned away at once and take no turn.
-const QUEUED_MOST: Micros = 3_000_000;
+const BACKLOG_MAX: Micros = 3_000_000;
 
 /// What becomes of an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum ReplySchedule {
     /// It is answered then.
     Answered(Micros),
     /// It fails then.
@@ -64,7 +64,7 @@
     /// It says nothing.
     pub silent: bool,
     /// It answers asks in turn, each for so long, in microseconds; 0: all at once.
-    pub each: Micros,
+    pub service_time: Micros,
     /// When it is done with the asks that have come.
     busy_until: Micros,
 }
@@ -72,31 +72,31 @@
 impl Registry {
     /// All hosts ready.
     pub fn new(hosts: usize) -> Registry {
-        let entries = (0..hosts).map(|host| Entry { host, listed: Listed::Ready, started: 0 }).collect();
+        let entries = (0..hosts).map(|host| Entry { host, state: ListingState::Ready, started: 0 }).collect();
         Registry {
             entries,
             seq: 1,
             changes: Default::default(),
             down: false,
             silent: false,
-            each: 0,
+            service_time: 0,
             busy_until: 0,
         }
     }
 
     /// An ask has come.
-    pub fn asked(&mut self, now: Micros) -> Turn {
-        if self.each == 0 {
-            return Turn::Answered(now);
+    pub fn schedule_reply(&mut self, now: Micros) -> ReplySchedule {
+        if self.service_time == 0 {
+            return ReplySchedule::Answered(now);
         }
         let begins = self.busy_until.max(now);
-        if begins - now > QUEUED_MOST {
-            return Turn::Fails(now);
+        if begins - now > BACKLOG_MAX {
+            return ReplySchedule::Fails(now);
         }
-        self.busy_until = begins + self.each;
-        match self.busy_until - now <= WAITS_MOST {
-            true => Turn::Answered(self.busy_until),
-            false => Turn::Fails(now + WAITS_MOST),
+        self.busy_until = begins + self.service_time;
+        match self.busy_until - now <= REPLY_DELAY_MAX {
+            true => ReplySchedule::Answered(self.busy_until),
+            false => ReplySchedule::Fails(now + REPLY_DELAY_MAX),
         }
     }
 
@@ -113,7 +113,7 @@
         self.entries[entry.host] = entry;
         self.seq += 1;
         self.changes.push_back(entry.host);
-        if self.changes.len() > KEPT {
+        if self.changes.len() > CHANGES_KEPT {
             self.changes.pop_front();
         }
         true
@@ -125,21 +125,21 @@
     }
 
     /// What a watch is to hear that has heard all up to `since`; `None`: nothing.
-    pub fn news(&self, since: Option<u64>) -> Option<News> {
+    pub fn changes_since(&self, since: Option<u64>) -> Option<ListUpdate> {
         if since == Some(self.seq) {
             return None;
         }
         let missed = since.and_then(|since| usize::try_from(self.seq.checked_sub(since)?).ok());
         let known = missed.filter(|&missed| missed <= self.changes.len());
         let Some(missed) = known else {
-            let listed = self.entries.iter().filter(|entry| entry.listed != Listed::Gone);
-            return Some(News { seq: self.seq, whole: true, entries: listed.copied().collect() });
+            let listed = self.entries.iter().filter(|entry| entry.state != ListingState::Removed);
+            return Some(ListUpdate { seq: self.seq, is_full: true, entries: listed.copied().collect() });
         };
         let mut hosts: Vec<usize> = self.changes.iter().rev().take(missed).copied().collect();
         hosts.sort_unstable();
         hosts.dedup();
         let entries = hosts.into_iter().map(|host| self.entries[host]).collect();
-        Some(News { seq: self.seq, whole: false, entries })
+        Some(ListUpdate { seq: self.seq, is_full: false, entries })
     }
 }
 
@@ -150,30 +150,37 @@
     #[test]
     fn a_watch_hears_what_it_has_missed_or_all() {
         let mut registry = Registry::new(3);
-        let gone = Entry { host: 1, listed: Listed::Gone, started: 0 };
+        let gone = Entry { host: 1, state: ListingState::Removed, started: 0 };
         assert!(registry.set(gone) && !registry.set(gone));
-        assert_eq!(registry.news(Some(2)), None);
-        assert_eq!(registry.news(Some(1)), Some(News { seq: 2, whole: false, entries: vec![gone] }));
-        let all = registry.news(None).expect("news");
-        assert!(all.whole && all.entries.len() == 2);
+        assert_eq!(registry.changes_since(Some(2)), None);
+        assert_eq!(
+            registry.changes_since(Some(1)),
+            Some(ListUpdate { seq: 2, is_full: false, entries: vec![gone] })
+        );
+        let all = registry.changes_since(None).expect("news");
+        assert!(all.is_full && all.entries.len() == 2);
         // A version that is not this registry's.
-        assert!(registry.news(Some(9)).is_some_and(|news| news.whole));
+        assert!(registry.changes_since(Some(9)).is_some_and(|news| news.is_full));
     }
 
     #[test]
     fn a_busy_discovery_answers_in_turn_and_fails_the_late() {
         let mut registry = Registry::new(1);
-        assert_eq!(registry.asked(5), Turn::Answered(5), "it has time for all");
-        registry.each = 400_000;
-        assert_eq!(registry.asked(0), Turn::Answered(400_000));
-        assert_eq!(registry.asked(0), Turn::Answered(800_000));
+        assert_eq!(registry.schedule_reply(5), ReplySchedule::Answered(5), "it has time for all");
+        registry.service_time = 400_000;
+        assert_eq!(registry.schedule_reply(0), ReplySchedule::Answered(400_000));
+        assert_eq!(registry.schedule_reply(0), ReplySchedule::Answered(800_000));
         // Its turn comes after a second; it is spent all the same.
-        assert_eq!(registry.asked(0), Turn::Fails(WAITS_MOST));
-        assert_eq!(registry.asked(400_000), Turn::Fails(400_000 + WAITS_MOST));
-        assert_eq!(registry.asked(1_000_000), Turn::Answered(2_000_000));
+        assert_eq!(registry.schedule_reply(0), ReplySchedule::Fails(REPLY_DELAY_MAX));
+        assert_eq!(registry.schedule_reply(400_000), ReplySchedule::Fails(400_000 + REPLY_DELAY_MAX));
+        assert_eq!(registry.schedule_reply(1_000_000), ReplySchedule::Answered(2_000_000));
         for _ in 0..7 {
-            registry.asked(1_000_000);
+            registry.schedule_reply(1_000_000);
         }
-        assert_eq!(registry.asked(1_000_000), Turn::Fails(1_000_000), "no room, and no turn");
+        assert_eq!(
+            registry.schedule_reply(1_000_000),
+            ReplySchedule::Fails(1_000_000),
+            "no room, and no turn"
+        );
     }
 }
--- a/lab/src/site.rs
+++ b/lab/src/proxy_config.rs
@@ -1,6 +1,6 @@
 //! A scenario as a proxy's configuration, in the daemon's own form and through its own checks.
 
-use crate::scenario::{Kind, Scenario};
+use crate::scenario::{Idempotency, Scenario};
 use nettleworks_engine::config::Config;
 use nettleworks_keys_station::WithKeys;
 use serde_json::{json, Value};
@@ -54,12 +54,12 @@
         .classes
         .iter()
         .map(|class| {
-            let kind = match class.kind {
-                Kind::Free => "free",
-                Kind::Keyed => "guarded",
-                Kind::Unsafe => "single_shot",
+            let kind = match class.idempotency {
+                Idempotency::Free => "free",
+                Idempotency::Keyed => "guarded",
+                Idempotency::Unsafe => "single_shot",
             };
-            json!({"name": class.name, "objective_us": micros(class.aim_ms), "deadline_us": micros(class.deadline_ms),
+            json!({"name": class.name, "objective_us": micros(class.latency_target_ms), "deadline_us": micros(class.deadline_ms),
                    "worth": class.worth, "late_value": class.late, "idempotency": kind, "dedup_scope": "cell",
                    "repeat_window_us": window})
         })
@@ -71,15 +71,15 @@
     let fleet = &scenario.fleet;
     let mut text = json!({
         "name": format!("proxy-{proxy}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
-        "seed": format!("{:x}", crate::draw::name(seed, "proxy", proxy as u64)),
+        "seed": format!("{:x}", crate::random::derive_seed(seed, "proxy", proxy as u64)),
         "limits": {"sockets": scenario.load.sockets},
         "settings": {
             "balancers": scenario.load.proxies, "me": proxy, "tick_us": 1_000,
-            "discovery": if scenario.discovery.asked { "ask" } else { "push" },
+            "discovery": if scenario.discovery.pull { "ask" } else { "push" },
             "classes": classes, "tenants": tenants,
             "limits": {"cancel": true, "probes": false, "second_copies": false, "max_attempts": 3,
                        "max_retry_after_us": 1_000_000, "connect_timeout_us": 250_000,
-                       "conn_idle_us": fleet.keep_ms * 1_000},
+                       "conn_idle_us": fleet.idle_timeout_ms * 1_000},
             "invariants": {"cold_from": fleet.cold_share, "cold_us": micros(fleet.cold_seconds * 1e3),
                            "ask_every_us": 5_000_000},
             "result_mix": {"whole": 0.7, "worst_class": 0.3}
@@ -92,10 +92,10 @@
     if scenario.load.keys == 0 {
         return Ok(config);
     }
-    let kept = scenario.classes.iter().filter(|class| class.kind != Kind::Free);
+    let kept = scenario.classes.iter().filter(|class| class.idempotency != Idempotency::Free);
     let classes: serde_json::Map<String, Value> = kept
         .map(|class| {
-            let unsure = if class.kind == Kind::Unsafe { 86_400_000 } else { 10_000 };
+            let unsure = if class.idempotency == Idempotency::Unsafe { 86_400_000 } else { 10_000 };
             (class.name.clone(), json!({"answered_ms": 60_000, "unsure_ms": unsure}))
         })
         .collect();
--- a/lab/src/draw.rs
+++ b/lab/src/random.rs
@@ -3,7 +3,7 @@
 
 use crate::Micros;
 use rand::{RngExt, SeedableRng};
-use rand_distr::{Distribution, Exp1, LogNormal, Pareto, Zipf};
+use rand_distr::{Distribution as _, Exp1, LogNormal, Pareto, Zipf};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 use std::hash::Hasher;
@@ -11,50 +11,50 @@
 
 /// A source of draws: PCG XSL 128/64 (MCG), seeded by XXH64 of seed and name, both the same on every machine.
 #[derive(Clone, Debug)]
-pub struct Draw(Pcg64Mcg);
+pub struct RandomStream(Pcg64Mcg);
 
 /// A number that stands for a seed, a name and a number.
-pub fn name(seed: u64, what: &str, first: u64) -> u64 {
+pub fn derive_seed(seed: u64, purpose: &str, first: u64) -> u64 {
     let mut hash = XxHash64::with_seed(seed);
-    hash.write(what.as_bytes());
+    hash.write(purpose.as_bytes());
     hash.write(&first.to_le_bytes());
     hash.finish()
 }
 
-impl Draw {
+impl RandomStream {
     /// Draws of a seed for what these stand for.
-    pub fn new(seed: u64, what: &str, first: u64, second: u64) -> Draw {
-        Draw(Pcg64Mcg::seed_from_u64(name(name(seed, what, first), "", second)))
+    pub fn new(seed: u64, purpose: &str, first: u64, second: u64) -> RandomStream {
+        RandomStream(Pcg64Mcg::seed_from_u64(derive_seed(derive_seed(seed, purpose, first), "", second)))
     }
 
     /// A number from 0 to under 1.
-    pub fn share(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.0.random::<f64>()
     }
 
     /// Whether something of this chance happens.
-    pub fn happens(&mut self, chance: f64) -> bool {
-        chance > 0.0 && self.share() < chance
+    pub fn chance(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.uniform() < probability
     }
 
     /// A whole number below `most`; 0 if that is 0.
     pub fn below(&mut self, most: usize) -> usize {
-        ((self.share() * most as f64) as usize).min(most.saturating_sub(1))
+        ((self.uniform() * most as f64) as usize).min(most.saturating_sub(1))
     }
 
     /// A span with this mean between two of many independent events.
-    pub fn gap(&mut self, mean: f64) -> f64 {
+    pub fn exponential(&mut self, mean: f64) -> f64 {
         let drawn: f64 = Exp1.sample(&mut self.0);
         drawn * mean
     }
 
     /// A rank from 1 to `most` by Zipf's law.
-    pub fn rank(&mut self, most: u64, exponent: f64) -> u64 {
+    pub fn zipf_rank(&mut self, most: u64, exponent: f64) -> u64 {
         Zipf::new(most as f64, exponent).map_or(1, |law| law.sample(&mut self.0) as u64)
     }
 
     /// So many of `0..most`, each as likely, in rising order.
-    pub fn some_of(&mut self, count: usize, most: usize) -> Vec<usize> {
+    pub fn sample_indices(&mut self, count: usize, most: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..most).collect();
         for place in 0..count.min(most) {
             let other = place + self.below(most - place);
@@ -69,7 +69,7 @@
 /// How long work takes on a warm host that has nothing else to do.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "law", rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Law {
+pub enum Distribution {
     /// Always the same.
     Fixed {
         /// Milliseconds.
@@ -96,17 +96,17 @@
     },
 }
 
-impl Law {
+impl Distribution {
     /// A time in microseconds.
-    pub fn draw(&self, draw: &mut Draw) -> f64 {
+    pub fn sample(&self, stream: &mut RandomStream) -> f64 {
         let ms = match *self {
-            Law::Fixed { ms } => ms,
-            Law::Exponential { mean_ms } => draw.gap(mean_ms).min(20.0 * mean_ms),
-            Law::LogNormal { median_ms, sigma } => {
-                LogNormal::new(median_ms.ln(), sigma).map_or(median_ms, |law| law.sample(&mut draw.0))
+            Distribution::Fixed { ms } => ms,
+            Distribution::Exponential { mean_ms } => stream.exponential(mean_ms).min(20.0 * mean_ms),
+            Distribution::LogNormal { median_ms, sigma } => {
+                LogNormal::new(median_ms.ln(), sigma).map_or(median_ms, |law| law.sample(&mut stream.0))
             }
-            Law::Pareto { least_ms, alpha } => Pareto::new(least_ms, alpha)
-                .map_or(least_ms, |law| law.sample(&mut draw.0))
+            Distribution::Pareto { least_ms, alpha } => Pareto::new(least_ms, alpha)
+                .map_or(least_ms, |law| law.sample(&mut stream.0))
                 .min(100.0 * least_ms),
         };
         ms * 1e3
@@ -115,21 +115,21 @@
     /// Its mean in microseconds, for a Pareto's without its cut.
     pub fn mean(&self) -> f64 {
         1e3 * match *self {
-            Law::Fixed { ms } => ms,
-            Law::Exponential { mean_ms } => mean_ms,
-            Law::LogNormal { median_ms, sigma } => median_ms * (sigma * sigma / 2.0).exp(),
-            Law::Pareto { least_ms, alpha } if alpha > 1.0 => least_ms * alpha / (alpha - 1.0),
-            Law::Pareto { least_ms, .. } => 10.0 * least_ms,
+            Distribution::Fixed { ms } => ms,
+            Distribution::Exponential { mean_ms } => mean_ms,
+            Distribution::LogNormal { median_ms, sigma } => median_ms * (sigma * sigma / 2.0).exp(),
+            Distribution::Pareto { least_ms, alpha } if alpha > 1.0 => least_ms * alpha / (alpha - 1.0),
+            Distribution::Pareto { least_ms, .. } => 10.0 * least_ms,
         }
     }
 
     /// What is wrong with its figures, if anything is.
-    pub(crate) fn fault(&self) -> Option<&'static str> {
+    pub(crate) fn parameter_error(&self) -> Option<&'static str> {
         let (time, shape) = match *self {
-            Law::Fixed { ms } => (ms, 1.0),
-            Law::Exponential { mean_ms } => (mean_ms, 1.0),
-            Law::LogNormal { median_ms, sigma } => (median_ms, sigma + 1e-9),
-            Law::Pareto { least_ms, alpha } => (least_ms, alpha),
+            Distribution::Fixed { ms } => (ms, 1.0),
+            Distribution::Exponential { mean_ms } => (mean_ms, 1.0),
+            Distribution::LogNormal { median_ms, sigma } => (median_ms, sigma + 1e-9),
+            Distribution::Pareto { least_ms, alpha } => (least_ms, alpha),
         };
         if !(time > 0.0 && time <= 60_000.0) {
             return Some("a time must be above 0 and at most 60,000 ms");
@@ -139,7 +139,7 @@
 }
 
 /// Whole microseconds of a number of seconds.
-pub fn micros(seconds: f64) -> Micros {
+pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds * 1e6).round().max(0.0) as Micros
 }
 
@@ -149,7 +149,7 @@
 
     #[test]
     fn draws_depend_on_seed_and_name_alone() {
-        let draw = |seed, what, first| Draw::new(seed, what, first, 0).share();
+        let draw = |seed, purpose, first| RandomStream::new(seed, purpose, first, 0).uniform();
         assert_eq!(draw(1, "service", 2), draw(1, "service", 2));
         assert!(draw(1, "service", 2) != draw(2, "service", 2));
         assert!(draw(1, "service", 2) != draw(1, "gap", 2) && draw(1, "service", 2) != draw(1, "service", 3));
@@ -157,17 +157,18 @@
 
     #[test]
     fn laws_have_the_mean_that_they_say() {
-        let laws = [
-            Law::Fixed { ms: 4.0 },
-            Law::Exponential { mean_ms: 4.0 },
-            Law::LogNormal { median_ms: 4.0, sigma: 0.5 },
-            Law::Pareto { least_ms: 4.0, alpha: 3.0 },
+        let distributions = [
+            Distribution::Fixed { ms: 4.0 },
+            Distribution::Exponential { mean_ms: 4.0 },
+            Distribution::LogNormal { median_ms: 4.0, sigma: 0.5 },
+            Distribution::Pareto { least_ms: 4.0, alpha: 3.0 },
         ];
-        for law in laws {
+        for distribution in distributions {
             let count = 40_000;
-            let sum: f64 = (0..count).map(|n| law.draw(&mut Draw::new(7, "law", n, 0))).sum();
-            let by_mean = sum / count as f64 / law.mean();
-            assert!((0.97..1.03).contains(&by_mean), "{law:?}: {by_mean}");
+            let sum: f64 =
+                (0..count).map(|n| distribution.sample(&mut RandomStream::new(7, "law", n, 0))).sum();
+            let by_mean = sum / count as f64 / distribution.mean();
+            assert!((0.97..1.03).contains(&by_mean), "{distribution:?}: {by_mean}");
         }
     }
 }
