--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -2,7 +2,7 @@
 //! goodput against offered load beside what a team would pick instead.
 
 use crate::baseline::Picks;
-use crate::run::{play, play_with, Depth, Limits, Outcome};
+use crate::run::{run_scenario, run_scenario_with, Depth, Outcome, RunOptions};
 use crate::scenario::Scenario;
 use plotters::prelude::*;
 use rayon::prelude::*;
@@ -34,12 +34,12 @@
     depth: Depth,
     done: impl Fn() + Sync,
 ) -> Result<String, String> {
-    let limits = Limits { stops: false, ..Limits::default() };
+    let limits = RunOptions { stop_on_violation: false, ..RunOptions::default() };
     let runs: Vec<Outcome> = seeds
         .clone()
         .into_par_iter()
         .map(|seed| {
-            let outcome = play(scenario, seed, depth, &limits);
+            let outcome = run_scenario(scenario, seed, depth, &limits);
             done();
             outcome
         })
@@ -84,13 +84,14 @@
 }
 
 fn over_time(run: &Outcome) -> Vec<(&'static str, &'static str, Vec<Series>)> {
-    let seconds = || (0_u32..).zip(&run.tally.seconds);
-    let line = |name: &str, value: &dyn Fn(&crate::tally::Part) -> f64| Series {
+    let seconds = || (0_u32..).zip(&run.metrics.seconds);
+    let line = |name: &str, value: &dyn Fn(&crate::metrics::RequestMetrics) -> f64| Series {
         name: name.to_owned(),
-        points: seconds().filter_map(|(at, of)| Some((at.into(), value(of.part.as_ref()?)))).collect(),
+        points: seconds().filter_map(|(at, of)| Some((at.into(), value(of.requests.as_ref()?)))).collect(),
     };
-    let goodput = vec![line("offered", &|part| part.offered), line("served", &|part| part.got)];
-    let times = [50.0, 90.0, 99.0].map(|at| line(&format!("p{at}"), &move |part| part.ms(at)));
+    let goodput =
+        vec![line("offered", &|part| part.offered_value), line("served", &|part| part.earned_value)];
+    let times = [50.0, 90.0, 99.0].map(|at| line(&format!("p{at}"), &move |part| part.latency_ms(at)));
     let hosts = run.scenario.fleet.hosts.min(HOSTS_MOST);
     let load = (0..hosts).map(|host| Series {
         name: format!("host {host}"),
@@ -98,7 +99,7 @@
             .map(|(at, of)| (at.into(), of.host.get(&host).copied().unwrap_or_default().into()))
             .collect(),
     });
-    let causes = run.tally.repeats.keys().map(|&cause| Series {
+    let causes = run.metrics.repeats.keys().map(|&cause| Series {
         name: cause.to_owned(),
         points: seconds()
             .map(|(at, of)| (at.into(), of.repeats.get(cause).copied().unwrap_or_default().into()))
@@ -118,23 +119,25 @@
 
 /// When faults are on.
 fn bands(scenario: &Scenario) -> Vec<(f64, f64)> {
-    let band = |fault: &crate::fault::Fault| fault.at.map(|at| (at, at + fault.lasts));
+    let band = |fault: &crate::fault::Fault| fault.at.map(|at| (at, at + fault.duration));
     scenario.faults.iter().filter_map(band).collect()
 }
 
 fn against_load(scenario: &Scenario, seed: u64, done: &(impl Fn() + Sync)) -> Result<Vec<Series>, String> {
     let all: Vec<(Picks, f64)> =
         Picks::ALL.iter().flat_map(|&picks| TIMES.map(|times| (picks, times))).collect();
-    let limits = Limits { stops: false, ..Limits::default() };
+    let limits = RunOptions { stop_on_violation: false, ..RunOptions::default() };
     let runs: Vec<_> = all
         .into_par_iter()
         .map(|(picks, times)| {
             let mut scenario = scenario.clone();
             scenario.load.rate = (scenario.load.rate * times).min(200_000.0);
-            let outcome = play_with(&scenario, seed, Depth::Fleet, &limits, picks, None);
+            let outcome = run_scenario_with(&scenario, seed, Depth::Fleet, &limits, picks, None);
             done();
             let seconds = scenario.seconds - scenario.warm_up;
-            outcome.map(|run| (picks, (run.tally.all.offered / seconds, run.tally.all.got / seconds)))
+            outcome.map(|run| {
+                (picks, (run.metrics.all.offered_value / seconds, run.metrics.all.earned_value / seconds))
+            })
         })
         .collect::<Result<_, _>>()?;
     let mut series = BTreeMap::<Picks, Vec<(f64, f64)>>::new();
@@ -191,16 +194,16 @@
     }
     let mut text = "<h2>Faults</h2><table><tr><th>what<th>at s<th>for s<th>hosts<th>proxies</tr>".to_owned();
     for fault in &scenario.faults {
-        let which = |which: &crate::fault::Which| match which {
-            crate::fault::Which::These(these) => escape(&format!("{these:?}")),
+        let which = |which: &crate::fault::Targets| match which {
+            crate::fault::Targets::These(these) => escape(&format!("{these:?}")),
             _ => "all".to_owned(),
         };
         let _ = write!(
             text,
             "<tr><td>{:?}<td>{:.3}<td>{:.3}<td>{}<td>{}</tr>",
-            fault.what,
+            fault.kind,
             fault.at.unwrap_or_default(),
-            fault.lasts,
+            fault.duration,
             which(&fault.hosts),
             which(&fault.proxies)
         );
@@ -213,17 +216,17 @@
         "<h2>Seeds</h2><table><tr><th>seed<th>served<th>p50 ms<th>p99 ms<th>attempts<th>broken<th>log</tr>"
             .to_owned();
     for run in runs {
-        let all = &run.tally.all;
-        let class = if run.breaks.is_empty() { "" } else { " class=bad" };
+        let all = &run.metrics.all;
+        let class = if run.violations.is_empty() { "" } else { " class=bad" };
         let _ = write!(
             text,
             "<tr><td>{}<td>{:.4}<td>{:.1}<td>{:.1}<td>{}<td{class}>{}<td><code>{:016x}</code></tr>",
             run.seed,
-            all.served(),
-            all.ms(50.0),
-            all.ms(99.0),
-            run.tally.sent,
-            run.breaks.len(),
+            all.served_share(),
+            all.latency_ms(50.0),
+            all.latency_ms(99.0),
+            run.metrics.attempts,
+            run.violations.len(),
             run.hash
         );
     }
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -1,17 +1,17 @@
 //! A scenario: fleet, load, a timeline of faults, what must hold. It is a TOML file; whatever is wrong in it is an error
 //! that names its place, and nothing is run.
 
-use crate::draw::Law;
 use crate::fault::{Chaos, Fault};
+use crate::random::Distribution;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
 /// Most hosts, proxies and calls a second of a scenario: what one machine plays.
-const HOSTS_MOST: usize = 2_000;
-const PROXIES_MOST: usize = 10_000;
-const RATE_MOST: f64 = 200_000.0;
-const SECONDS_MOST: f64 = 7.0 * 86_400.0;
-const FAULTS_MOST: usize = 1_000;
+const HOSTS_MAX: usize = 2_000;
+const PROXIES_MAX: usize = 10_000;
+const RATE_MAX: f64 = 200_000.0;
+const SECONDS_MAX: f64 = 7.0 * 86_400.0;
+const FAULTS_MAX: usize = 1_000;
 
 /// A scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     #[serde(default)]
     pub load: Load,
     /// Classes of calls; none are those of the gymnasium's doors and charges.
-    #[serde(default = "doors", rename = "class")]
+    #[serde(default = "default_classes", rename = "class")]
     pub classes: Vec<Class>,
     /// What goes wrong, and when.
     #[serde(default, rename = "fault", skip_serializing_if = "Vec::is_empty")]
@@ -49,8 +49,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub chaos: Option<Chaos>,
     /// What must hold beside the rules.
-    #[serde(default)]
-    pub must: Must,
+    #[serde(default, rename = "must")]
+    pub expectations: Expectations,
 }
 
 /// The hosts. Host `n` is in pod `n % pods`, and pods lie in zones in turn.
@@ -91,7 +91,8 @@
     /// What hosts report of their load.
     pub reports: Reports,
     /// How long a host keeps an idle connection, in milliseconds.
-    pub keep_ms: u64,
+    #[serde(rename = "keep_ms")]
+    pub idle_timeout_ms: u64,
 }
 
 /// What hosts report of their load.
@@ -128,7 +129,7 @@
             window_ms: 1_200,
             handshake_us: 300.0,
             reports: Reports::None,
-            keep_ms: 15_000,
+            idle_timeout_ms: 15_000,
         }
     }
 }
@@ -173,14 +174,16 @@
     /// From a host's death to the list that says so, in milliseconds.
     pub notice_ms: f64,
     /// Whether proxies ask for the list; else it is pushed.
-    pub asked: bool,
+    #[serde(rename = "asked")]
+    pub pull: bool,
     /// Whether a proxy starts with the list that it had last, the first time with that of the start.
-    pub known: bool,
+    #[serde(rename = "known")]
+    pub starts_with_cached_list: bool,
 }
 
 impl Default for Discovery {
     fn default() -> Self {
-        Discovery { lag_ms: 50.0, notice_ms: 3_000.0, asked: true, known: false }
+        Discovery { lag_ms: 50.0, notice_ms: 3_000.0, pull: true, starts_with_cached_list: false }
     }
 }
 
@@ -247,7 +250,7 @@
 /// Whether a call may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum Idempotency {
     /// Harmless.
     Free,
     /// Harmless within a pod and its window.
@@ -263,11 +266,13 @@
     /// Its name.
     pub name: String,
     /// Whether its calls may run again.
-    pub kind: Kind,
+    #[serde(rename = "kind")]
+    pub idempotency: Idempotency,
     /// Share of the load; all are added up to one.
     pub share: f64,
     /// Answers are wanted within this, in milliseconds.
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: f64,
     /// How long a client waits, in milliseconds.
     pub deadline_ms: f64,
     /// What an answer in time is worth.
@@ -276,13 +281,13 @@
     #[serde(default)]
     pub late: f64,
     /// How long its work takes.
-    pub work: Law,
+    pub work: Distribution,
 }
 
 /// What must hold beside the rules. A miss is told, and ends a run with a failure; it is no broken rule.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Must {
+pub struct Expectations {
     /// Least share of the worth that is served.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub served: Option<f64>,
@@ -296,50 +301,51 @@
 }
 
 /// The classes of the gymnasium's doors and charges, with times of its site's order.
-fn doors() -> Vec<Class> {
-    let class = |name: &str, kind, share, aim_ms, deadline_ms, worth, late, median_ms| Class {
-        name: name.to_owned(),
-        kind,
-        share,
-        aim_ms,
-        deadline_ms,
-        worth,
-        late,
-        work: Law::LogNormal { median_ms, sigma: 0.5 },
-    };
+fn default_classes() -> Vec<Class> {
+    let class =
+        |name: &str, idempotency, share, latency_target_ms, deadline_ms, worth, late, median_ms| Class {
+            name: name.to_owned(),
+            idempotency,
+            share,
+            latency_target_ms,
+            deadline_ms,
+            worth,
+            late,
+            work: Distribution::LogNormal { median_ms, sigma: 0.5 },
+        };
     vec![
-        class("consulta", Kind::Free, 0.5, 120.0, 600.0, 1.0, 0.2, 5.0),
-        class("registro-entrada", Kind::Keyed, 0.35, 200.0, 900.0, 2.0, 0.5, 8.0),
-        class("cobro-mensual", Kind::Unsafe, 0.15, 500.0, 2_000.0, 4.0, 0.8, 15.0),
+        class("consulta", Idempotency::Free, 0.5, 120.0, 600.0, 1.0, 0.2, 5.0),
+        class("registro-entrada", Idempotency::Keyed, 0.35, 200.0, 900.0, 2.0, 0.5, 8.0),
+        class("cobro-mensual", Idempotency::Unsafe, 0.15, 500.0, 2_000.0, 4.0, 0.8, 15.0),
     ]
 }
 
 /// Most first tries of a run, and most pairs of a proxy and a host: what a run keeps of each is for its whole time.
-const CALLS_MOST: f64 = 20e6;
-const PAIRS_MOST: usize = 10_000_000;
+const CALLS_MAX: f64 = 20e6;
+const PAIRS_MAX: usize = 10_000_000;
 
 /// What is wrong with a scenario, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ScenarioError {
     /// The place, as keys from the top; empty: the whole file.
-    pub place: String,
+    pub path: String,
     /// What is wrong there.
     pub reason: String,
 }
 
-impl std::fmt::Display for Wrong {
+impl std::fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self.place.as_str() {
+        match self.path.as_str() {
             "" => f.write_str(&self.reason),
-            place => write!(f, "{place}: {}", self.reason),
+            path => write!(f, "{path}: {}", self.reason),
         }
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for ScenarioError {}
 
-pub(crate) fn wrong<T>(place: impl Into<String>, reason: impl Into<String>) -> Result<T, Wrong> {
-    Err(Wrong { place: place.into(), reason: reason.into() })
+pub(crate) fn invalid<T>(path: impl Into<String>, reason: impl Into<String>) -> Result<T, ScenarioError> {
+    Err(ScenarioError { path: path.into(), reason: reason.into() })
 }
 
 impl Scenario {
@@ -348,10 +354,10 @@
     /// # Errors
     ///
     /// A file that cannot be read, is not TOML, has a key that is not known, or a figure that cannot be played.
-    pub fn load(path: &Path) -> Result<Scenario, Wrong> {
-        let place = path.display().to_string();
-        let text = std::fs::read_to_string(path).or_else(|error| wrong(&place, error.to_string()))?;
-        Scenario::parse(&text).map_err(|error| Wrong { place, reason: error.to_string() })
+    pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
+        let file = path.display().to_string();
+        let text = std::fs::read_to_string(path).or_else(|error| invalid(&file, error.to_string()))?;
+        Scenario::parse(&text).map_err(|error| ScenarioError { path: file, reason: error.to_string() })
     }
 
     /// Reads and checks a scenario's text.
@@ -359,15 +365,15 @@
     /// # Errors
     ///
     /// As [`Scenario::load`].
-    pub fn parse(text: &str) -> Result<Scenario, Wrong> {
-        let whole = |error: String| Wrong { place: String::new(), reason: error };
+    pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
+        let whole = |error: String| ScenarioError { path: String::new(), reason: error };
         let from = toml::Deserializer::parse(text).map_err(|error| whole(error.to_string()))?;
         let read: Result<Scenario, _> = serde_path_to_error::deserialize(from);
         let scenario = read.map_err(|error| {
-            let place = error.path().to_string();
+            let path = error.path().to_string();
             // The path has its place already; what is left says where in the text.
             let reason = error.into_inner().to_string().trim_end().replace('\n', " ");
-            Wrong { place: if place == "." { String::new() } else { place }, reason }
+            ScenarioError { path: if path == "." { String::new() } else { path }, reason }
         })?;
         scenario.check()?;
         Ok(scenario)
@@ -383,24 +389,24 @@
     /// # Errors
     ///
     /// The first figure that cannot be.
-    pub fn check(&self) -> Result<(), Wrong> {
-        let span = |place: &str, value: f64, least: f64, most: f64| match (least..=most).contains(&value) {
+    pub fn check(&self) -> Result<(), ScenarioError> {
+        let span = |path: &str, value: f64, least: f64, most: f64| match (least..=most).contains(&value) {
             true => Ok(()),
-            false => wrong(place, format!("{value} is not from {least} to {most}")),
+            false => invalid(path, format!("{value} is not from {least} to {most}")),
         };
         let count =
-            |place: &str, value: usize, least: usize, most: usize| match (least..=most).contains(&value) {
+            |path: &str, value: usize, least: usize, most: usize| match (least..=most).contains(&value) {
                 true => Ok(()),
-                false => wrong(place, format!("{value} is not from {least} to {most}")),
+                false => invalid(path, format!("{value} is not from {least} to {most}")),
             };
         if self.name.is_empty() {
-            return wrong("name", "it is empty");
+            return invalid("name", "it is empty");
         }
-        span("seconds", self.seconds, 0.1, SECONDS_MOST)?;
+        span("seconds", self.seconds, 0.1, SECONDS_MAX)?;
         span("warm_up", self.warm_up, 0.0, self.seconds)?;
         let (fleet, network, load) = (&self.fleet, &self.network, &self.load);
-        count("fleet.hosts", fleet.hosts, 1, HOSTS_MOST)?;
-        count("fleet.spares", fleet.spares, 0, HOSTS_MOST)?;
+        count("fleet.hosts", fleet.hosts, 1, HOSTS_MAX)?;
+        count("fleet.spares", fleet.spares, 0, HOSTS_MAX)?;
         count("fleet.pods", fleet.pods, 1, fleet.hosts)?;
         count("fleet.zones", fleet.zones, 1, fleet.pods)?;
         count("fleet.workers", fleet.workers, 1, 10_000)?;
@@ -412,25 +418,25 @@
         span("fleet.topple_times", fleet.topple_times, 1.0, 100.0)?;
         span("fleet.topple_seconds", fleet.topple_seconds, 0.1, 60.0)?;
         span("fleet.handshake_us", fleet.handshake_us, 0.0, 1e6)?;
-        count("fleet.keep_ms", fleet.keep_ms as usize, 10, 3_600_000)?;
-        for (place, value) in
+        count("fleet.idle_timeout_ms", fleet.idle_timeout_ms as usize, 10, 3_600_000)?;
+        for (path, value) in
             [("near_us", network.near_us), ("far_us", network.far_us), ("beside_us", network.beside_us)]
         {
-            span(&format!("network.{place}"), value, 1.0, 1e6)?;
+            span(&format!("network.{path}"), value, 1.0, 1e6)?;
         }
         span("network.jitter", network.jitter, 0.0, 10.0)?;
         span("network.megabits", network.megabits, 0.0, 1e6)?;
         count("network.backlog", network.backlog, 1, 65_536)?;
         span("discovery.lag_ms", self.discovery.lag_ms, 0.0, 60_000.0)?;
         span("discovery.notice_ms", self.discovery.notice_ms, 0.0, 600_000.0)?;
-        count("load.proxies", load.proxies, 1, PROXIES_MOST)?;
-        span("load.rate", load.rate, 0.0001, RATE_MOST)?;
+        count("load.proxies", load.proxies, 1, PROXIES_MAX)?;
+        span("load.rate", load.rate, 0.0001, RATE_MAX)?;
         span("load.skew", load.skew, 0.0, 3.0)?;
         for (at, &(time, times)) in load.curve.iter().enumerate() {
-            span(&format!("load.curve[{at}][0]"), time, 0.0, SECONDS_MOST)?;
+            span(&format!("load.curve[{at}][0]"), time, 0.0, SECONDS_MAX)?;
             span(&format!("load.curve[{at}][1]"), times, 0.0, 1_000.0)?;
             if at > 0 && load.curve[at - 1].0 >= time {
-                return wrong(format!("load.curve[{at}][0]"), "times must rise");
+                return invalid(format!("load.curve[{at}][0]"), "times must rise");
             }
         }
         count("load.tries", load.tries as usize, 1, 100)?;
@@ -444,39 +450,39 @@
         count("load.answer", load.answer, 16, 60_000)?;
         count("load.sockets", load.sockets, 64, 1_000_000)?;
         count("load.keys", load.keys, 0, 1_000_000)?;
-        if load.proxies * (fleet.hosts + fleet.spares) > PAIRS_MOST {
-            return wrong("load.proxies", format!("proxies times hosts are over {PAIRS_MOST}"));
+        if load.proxies * (fleet.hosts + fleet.spares) > PAIRS_MAX {
+            return invalid("load.proxies", format!("proxies times hosts are over {PAIRS_MAX}"));
         }
         let times = load.curve.iter().map(|point| point.1).fold(1.0, f64::max);
-        if load.rate * self.seconds * times > CALLS_MOST {
-            return wrong("load.rate", format!("over {CALLS_MOST} calls in all are more than a run keeps"));
+        if load.rate * self.seconds * times > CALLS_MAX {
+            return invalid("load.rate", format!("over {CALLS_MAX} calls in all are more than a run keeps"));
         }
         for (at, &share) in load.tenants.iter().enumerate() {
             span(&format!("load.tenants[{at}]"), share, 0.0, 1.0)?;
         }
         count("class", self.classes.len(), 1, 64)?;
         for (at, class) in self.classes.iter().enumerate() {
-            let place = |key: &str| format!("class[{at}].{key}");
+            let path = |key: &str| format!("class[{at}].{key}");
             if self.classes[..at].iter().any(|other| other.name == class.name) || class.name.is_empty() {
-                return wrong(place("name"), "it is empty, or another's");
+                return invalid(path("name"), "it is empty, or another's");
             }
-            span(&place("share"), class.share, 1e-6, 1e6)?;
-            span(&place("aim_ms"), class.aim_ms, 1.0, 600_000.0)?;
-            span(&place("deadline_ms"), class.deadline_ms, class.aim_ms, 600_000.0)?;
-            span(&place("worth"), class.worth, 0.0, 1e6)?;
-            span(&place("late"), class.late, 0.0, 1.0)?;
-            if let Some(reason) = class.work.fault() {
-                return wrong(place("work"), reason);
+            span(&path("share"), class.share, 1e-6, 1e6)?;
+            span(&path("aim_ms"), class.latency_target_ms, 1.0, 600_000.0)?;
+            span(&path("deadline_ms"), class.deadline_ms, class.latency_target_ms, 600_000.0)?;
+            span(&path("worth"), class.worth, 0.0, 1e6)?;
+            span(&path("late"), class.late, 0.0, 1.0)?;
+            if let Some(reason) = class.work.parameter_error() {
+                return invalid(path("work"), reason);
             }
         }
-        count("fault", self.faults.len(), 0, FAULTS_MOST)?;
+        count("fault", self.faults.len(), 0, FAULTS_MAX)?;
         for (at, fault) in self.faults.iter().enumerate() {
             fault.check(&format!("fault[{at}]"), self)?;
         }
         if let Some(chaos) = &self.chaos {
             chaos.check("chaos", self)?;
         }
-        if let Some(served) = self.must.served {
+        if let Some(served) = self.expectations.served {
             span("must.served", served, 0.0, 1.0)?;
         }
         Ok(())
@@ -484,33 +490,33 @@
 
     /// The same timeline within so many seconds, and no more than so many calls a second by hosts that are as much smaller:
     /// for sweeps of many seeds. How long faults last stays as it is.
-    pub fn light(&self, seconds: f64, rate: f64) -> Scenario {
-        let mut light = self.clone();
-        if light.seconds > seconds {
-            let times = light.seconds / seconds;
-            light.seconds = seconds;
-            light.warm_up = light.warm_up.min(1.0);
-            for fault in &mut light.faults {
+    pub fn scaled_down(&self, seconds: f64, rate: f64) -> Scenario {
+        let mut scaled = self.clone();
+        if scaled.seconds > seconds {
+            let times = scaled.seconds / seconds;
+            scaled.seconds = seconds;
+            scaled.warm_up = scaled.warm_up.min(1.0);
+            for fault in &mut scaled.faults {
                 fault.at = fault.at.map(|at| at / times);
                 fault.between = fault.between.map(|(from, to)| (from / times, to / times));
                 fault.stagger /= times;
             }
-            light.load.curve.iter_mut().for_each(|point| point.0 /= times);
+            scaled.load.curve.iter_mut().for_each(|point| point.0 /= times);
         }
-        if light.load.rate > rate {
-            let share = rate / light.load.rate;
+        if scaled.load.rate > rate {
+            let share = rate / scaled.load.rate;
             let less = |count: usize| ((count as f64 * share).ceil() as usize).max(1);
-            light.fleet.workers = less(light.fleet.workers);
-            light.fleet.queue = less(light.fleet.queue);
-            light.fleet.choke_from = less(light.fleet.choke_from);
-            light.fleet.choke_slope /= share;
-            light.load.rate = rate;
+            scaled.fleet.workers = less(scaled.fleet.workers);
+            scaled.fleet.queue = less(scaled.fleet.queue);
+            scaled.fleet.choke_from = less(scaled.fleet.choke_from);
+            scaled.fleet.choke_slope /= share;
+            scaled.load.rate = rate;
         }
-        light
+        scaled
     }
 
     /// Times of the load at a moment, in seconds.
-    pub fn curve(&self, at: f64) -> f64 {
+    pub fn load_factor(&self, at: f64) -> f64 {
         let curve = &self.load.curve;
         let after = curve.partition_point(|&(time, _)| time <= at);
         match (after.checked_sub(1).map(|before| curve[before]), curve.get(after)) {
--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! What the lab's tests share.
 #![allow(dead_code)]
 
-use nettleworks_lab::fault::{Fault, What, Which};
-use nettleworks_lab::run::{play, Depth, Limits, Outcome};
+use nettleworks_lab::fault::{Fault, FaultKind, Targets};
+use nettleworks_lab::run::{run_scenario, Depth, Outcome, RunOptions};
 use nettleworks_lab::scenario::Scenario;
 use std::path::{Path, PathBuf};
 
@@ -20,23 +20,24 @@
     Scenario::load(&path(name)).unwrap_or_else(|error| panic!("{error}"))
 }
 
-pub fn fault(what: What, at: f64, lasts: f64, hosts: Which, proxies: Which) -> Fault {
-    Fault { what, at: Some(at), between: None, lasts, hosts, proxies, stagger: 0.0, much: None }
+pub fn fault(kind: FaultKind, at: f64, duration: f64, hosts: Targets, proxies: Targets) -> Fault {
+    Fault { kind, at: Some(at), between: None, duration, hosts, proxies, stagger: 0.0, magnitude: None }
 }
 
 /// Plays on after a broken rule.
 pub fn whole(scenario: &Scenario, seed: u64, depth: Depth) -> Outcome {
-    play(scenario, seed, depth, &Limits { stops: false, ..Limits::default() }).expect("it is played")
+    run_scenario(scenario, seed, depth, &RunOptions { stop_on_violation: false, ..RunOptions::default() })
+        .expect("it is played")
 }
 
 /// Plays, and no rule is broken.
 pub fn sound(scenario: &Scenario, seed: u64, depth: Depth) -> Outcome {
     let outcome = whole(scenario, seed, depth);
-    assert_eq!(outcome.breaks, [], "{} {depth:?}", scenario.name);
+    assert_eq!(outcome.violations, [], "{} {depth:?}", scenario.name);
     outcome
 }
 
 /// Share of what began in a second that was served.
 pub fn served_in(outcome: &Outcome, second: usize) -> f64 {
-    outcome.tally.seconds[second].part.as_ref().map_or(1.0, |part| part.served())
+    outcome.metrics.seconds[second].requests.as_ref().map_or(1.0, |part| part.served_share())
 }
--- a/lab/tests/depths.rs
+++ b/lab/tests/depths.rs
@@ -4,35 +4,35 @@
 mod common;
 
 use common::{fault, scenario, served_in, sound, whole, DEPTHS};
-use nettleworks_lab::fault::{Fault, What, Which};
-use nettleworks_lab::judge::Rule;
+use nettleworks_lab::fault::{Fault, FaultKind, Targets};
+use nettleworks_lab::invariants::Invariant;
 use nettleworks_lab::run::{Depth, Outcome};
 use nettleworks_lab::scenario::Scenario;
 
 /// By how much the share of the worth served may differ between the depths, by fault. Most differ by less than a hundredth.
-fn apart(what: What) -> f64 {
+fn apart(what: FaultKind) -> f64 {
     match what {
         // Kept connections are another's last ones, and each break costs a budget.
-        What::Stale | What::Resets => 0.06,
+        FaultKind::Stale | FaultKind::Resets => 0.06,
         // There is nothing to read in fleet depth.
-        What::SlowReader => 0.4,
+        FaultKind::SlowReader => 0.4,
         _ => 0.03,
     }
 }
 
-fn with(what: What) -> Scenario {
+fn with(what: FaultKind) -> Scenario {
     let text = "name = \"x\"\nseconds = 12.0\n[fleet]\nhosts = 6\npods = 3\n[load]\nproxies = 3\nrate = 250.0\ntaps = 0.0";
     let mut scenario = scenario(text);
     scenario.name = format!("{what:?}");
-    scenario.faults.push(fault(what, 4.0, 3.0, Which::These(vec![0, 1, 5]), Which::These(vec![0, 2])));
+    scenario.faults.push(fault(what, 4.0, 3.0, Targets::These(vec![0, 1, 5]), Targets::These(vec![0, 2])));
     scenario
 }
 
 #[test]
 fn each_fault_does_much_the_same_in_both_depths() {
-    for what in What::ALL {
+    for what in FaultKind::ALL {
         let scenario = with(what);
-        let served = DEPTHS.map(|depth| sound(&scenario, 3, depth).tally.all.served());
+        let served = DEPTHS.map(|depth| sound(&scenario, 3, depth).metrics.all.served_share());
         assert!((served[0] - served[1]).abs() <= apart(what), "{what:?}: {served:?}");
     }
 }
@@ -40,7 +40,7 @@
 /// Faults that a proxy cannot hide from its clients do show, and a proxy is itself again behind all of them.
 #[test]
 fn faults_show_while_they_last_and_no_longer() {
-    for what in [What::Restart, What::Resets, What::Errors] {
+    for what in [FaultKind::Restart, FaultKind::Resets, FaultKind::Errors] {
         for depth in DEPTHS {
             let outcome = sound(&with(what), 3, depth);
             let during = (4..7).map(|second| served_in(&outcome, second)).fold(1.0, f64::min);
@@ -59,18 +59,29 @@
     let scenario = calm("[fleet]\nconnections = 5\n[load]\nproxies = 4\nrate = 900.0");
     for depth in DEPTHS {
         let outcome = whole(&scenario, 1, depth);
-        assert_eq!(outcome.tally.connections, 5, "{depth:?}");
+        assert_eq!(outcome.metrics.peak_connections, 5, "{depth:?}");
     }
 }
 
 #[test]
 fn connections_are_kept_and_closed_when_they_are_old() {
     for depth in DEPTHS {
-        let keeps = sound(&calm("[load]\nproxies = 2\nrate = 200.0"), 1, depth).tally;
-        assert!(keeps.opened * 20 < keeps.sent, "{depth:?}: {} for {}", keeps.opened, keeps.sent);
+        let keeps = sound(&calm("[load]\nproxies = 2\nrate = 200.0"), 1, depth).metrics;
+        assert!(
+            keeps.opened_connections * 20 < keeps.attempts,
+            "{depth:?}: {} for {}",
+            keeps.opened_connections,
+            keeps.attempts
+        );
         // Hosts keep them for 10 ms, and one is used every 60.
-        let closes = sound(&calm("[fleet]\nkeep_ms = 10\n[load]\nproxies = 2\nrate = 200.0"), 1, depth).tally;
-        assert!(closes.opened * 2 > closes.sent, "{depth:?}: {} for {}", closes.opened, closes.sent);
+        let closes =
+            sound(&calm("[fleet]\nkeep_ms = 10\n[load]\nproxies = 2\nrate = 200.0"), 1, depth).metrics;
+        assert!(
+            closes.opened_connections * 2 > closes.attempts,
+            "{depth:?}: {} for {}",
+            closes.opened_connections,
+            closes.attempts
+        );
     }
 }
 
@@ -79,32 +90,33 @@
     // 64 descriptors leave 12 for hosts.
     for depth in DEPTHS {
         let few = calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0\nsockets = 64");
-        let most = sound(&few, 1, depth).tally;
+        let most = sound(&few, 1, depth).metrics;
         let many =
-            sound(&calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0"), 1, depth).tally;
+            sound(&calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0"), 1, depth)
+                .metrics;
         assert!(
-            most.opened > many.opened,
+            most.opened_connections > many.opened_connections,
             "{depth:?}: the oldest idle one makes room, {} {}",
-            most.opened,
-            many.opened
+            most.opened_connections,
+            many.opened_connections
         );
-        assert!(most.all.served() > 0.97, "{depth:?}: {}", most.all.served());
+        assert!(most.all.served_share() > 0.97, "{depth:?}: {}", most.all.served_share());
     }
 }
 
 #[test]
 fn watches_begin_again_after_discovery_was_down_or_silent() {
-    for what in [What::DiscoveryDown, What::DiscoverySilent] {
+    for what in [FaultKind::DiscoveryDown, FaultKind::DiscoverySilent] {
         let mut scenario = calm("[load]\nproxies = 5");
         scenario.seconds = 25.0;
-        scenario.faults.push(fault(what, 3.0, 9.0, Which::All, Which::All));
+        scenario.faults.push(fault(what, 3.0, 9.0, Targets::All, Targets::All));
         // A host goes meanwhile, and is back later: the list tells of that to whoever hears it.
-        scenario.faults.push(fault(What::Kill, 5.0, 2.0, Which::These(vec![1]), Which::All));
+        scenario.faults.push(fault(FaultKind::Kill, 5.0, 2.0, Targets::These(vec![1]), Targets::All));
         for depth in DEPTHS {
             let outcome = sound(&scenario, 1, depth);
-            assert!(outcome.tally.watches >= 10, "{what:?} {depth:?}: {}", outcome.tally.watches);
+            assert!(outcome.metrics.watches >= 10, "{what:?} {depth:?}: {}", outcome.metrics.watches);
             let host_1 =
-                |second: usize| outcome.tally.seconds[second].host.get(&1).copied().unwrap_or_default();
+                |second: usize| outcome.metrics.seconds[second].host.get(&1).copied().unwrap_or_default();
             assert!(host_1(24) > 0, "{what:?} {depth:?}: it is in use again");
         }
     }
@@ -113,10 +125,10 @@
 #[test]
 fn a_list_that_is_pushed_is_watched_as_well() {
     let mut scenario = calm("[discovery]\nasked = false\n[load]\nproxies = 3");
-    scenario.faults.push(fault(What::DiscoveryDown, 2.0, 2.0, Which::All, Which::All));
+    scenario.faults.push(fault(FaultKind::DiscoveryDown, 2.0, 2.0, Targets::All, Targets::All));
     for depth in DEPTHS {
         let outcome = sound(&scenario, 1, depth);
-        assert!(outcome.tally.all.served() > 0.99 && outcome.tally.watches >= 6, "{depth:?}");
+        assert!(outcome.metrics.all.served_share() > 0.99 && outcome.metrics.watches >= 6, "{depth:?}");
     }
 }
 
@@ -125,7 +137,7 @@
     for reports in ["honest", "lagging", "lying", "none"] {
         let text = format!("[fleet]\nreports = \"{reports}\"\n[load]\nproxies = 3\nrate = 500.0");
         for depth in DEPTHS {
-            let served = sound(&calm(&text), 2, depth).tally.all.served();
+            let served = sound(&calm(&text), 2, depth).metrics.all.served_share();
             assert!(served > 0.99, "{reports} {depth:?}: {served}");
         }
     }
@@ -135,9 +147,13 @@
 fn a_miss_of_what_must_hold_is_told_and_breaks_no_rule() {
     for depth in DEPTHS {
         let outcome = sound(&calm("[must]\nserved = 1.0\np99_ms = 3.0"), 1, depth);
-        assert!(outcome.missed.iter().any(|missed| missed.contains("percentile")), "{:?}", outcome.missed);
+        assert!(
+            outcome.missed_expectations.iter().any(|missed| missed.contains("percentile")),
+            "{:?}",
+            outcome.missed_expectations
+        );
         let outcome = sound(&calm("[must]\nserved = 0.9\np99_ms = 300.0"), 1, depth);
-        assert_eq!(outcome.missed, Vec::<String>::new());
+        assert_eq!(outcome.missed_expectations, Vec::<String>::new());
     }
 }
 
@@ -145,13 +161,13 @@
 /// rest is refused at once. Random choice, with the same clients, does far less.
 #[test]
 fn a_crowd_is_turned_away_early_and_the_rest_is_served() {
-    let scenario = common::shipped("metastable").light(16.0, 150.0);
-    let ours = DEPTHS.map(|depth| sound(&scenario, 1, depth).tally.all.served());
-    let limits = nettleworks_lab::run::Limits { stops: false, ..Default::default() };
+    let scenario = common::shipped("metastable").scaled_down(16.0, 150.0);
+    let ours = DEPTHS.map(|depth| sound(&scenario, 1, depth).metrics.all.served_share());
+    let limits = nettleworks_lab::run::RunOptions { stop_on_violation: false, ..Default::default() };
     let random = nettleworks_lab::baseline::Picks::Random;
-    let plain = nettleworks_lab::run::play_with(&scenario, 1, Depth::Fleet, &limits, random, None)
+    let plain = nettleworks_lab::run::run_scenario_with(&scenario, 1, Depth::Fleet, &limits, random, None)
         .expect("it is played");
-    let plain = plain.tally.all.served();
+    let plain = plain.metrics.all.served_share();
     assert!(ours[0] > 1.5 * plain && ours[1] > 1.5 * plain, "{ours:?} {plain}");
 }
 
@@ -159,22 +175,25 @@
 /// proxies and with many.
 #[test]
 fn a_cold_fleet_under_full_load_stands() {
-    let broken = |outcome: &Outcome| outcome.breaks.iter().any(|broken| broken.rule == Rule::ColdHostStands);
-    let limits = nettleworks_lab::run::Limits { stops: false, ..Default::default() };
+    let broken = |outcome: &Outcome| {
+        outcome.violations.iter().any(|broken| broken.invariant == Invariant::ColdHostStands)
+    };
+    let limits = nettleworks_lab::run::RunOptions { stop_on_violation: false, ..Default::default() };
     let plain = nettleworks_lab::baseline::Picks::LeastOfTwo;
     for proxies in [4, 60] {
         let mut scenario = common::shipped("cold-fleet-busy");
         scenario.seconds = 14.0;
         scenario.load.proxies = proxies;
-        let evenly = nettleworks_lab::run::play_with(&scenario, 1, Depth::Fleet, &limits, plain, None);
+        let evenly =
+            nettleworks_lab::run::run_scenario_with(&scenario, 1, Depth::Fleet, &limits, plain, None);
         assert!(broken(&evenly.expect("it is played")), "{proxies}");
         sound(&scenario, 1, Depth::Fleet);
     }
-    sound(&common::shipped("cold-fleet-busy").light(14.0, 600.0), 1, Depth::Full);
+    sound(&common::shipped("cold-fleet-busy").scaled_down(14.0, 600.0), 1, Depth::Full);
 }
 
 fn stale(at: f64) -> Fault {
-    Fault { much: Some(1.0), ..fault(What::Stale, at, 4.0, Which::All, Which::All) }
+    Fault { magnitude: Some(1.0), ..fault(FaultKind::Stale, at, 4.0, Targets::All, Targets::All) }
 }
 
 #[test]
@@ -184,9 +203,9 @@
     for depth in DEPTHS {
         let outcome = sound(&scenario, 1, depth);
         assert!(
-            outcome.tally.repeats.get("stale").copied().unwrap_or_default() > 20,
+            outcome.metrics.repeats.get("stale").copied().unwrap_or_default() > 20,
             "{:?}",
-            outcome.tally.repeats
+            outcome.metrics.repeats
         );
     }
 }
--- a/lab/tests/determinism.rs
+++ b/lab/tests/determinism.rs
@@ -2,8 +2,8 @@
 
 use nettleworks_lab::baseline::Picks;
 use nettleworks_lab::explore::sweep;
-use nettleworks_lab::model::Leak;
-use nettleworks_lab::run::{play, play_with, Depth, Limits};
+use nettleworks_lab::model::Nondeterminism;
+use nettleworks_lab::run::{run_scenario, run_scenario_with, Depth, RunOptions};
 use nettleworks_lab::scenario::Scenario;
 use std::path::Path;
 
@@ -18,9 +18,9 @@
     scenario
 }
 
-fn hash(scenario: &Scenario, depth: Depth, leak: Option<Leak>) -> u64 {
-    let limits = Limits { stops: false, ..Limits::default() };
-    play_with(scenario, 7, depth, &limits, Picks::Ours, leak).expect("it is played").hash
+fn hash(scenario: &Scenario, depth: Depth, leak: Option<Nondeterminism>) -> u64 {
+    let limits = RunOptions { stop_on_violation: false, ..RunOptions::default() };
+    run_scenario_with(scenario, 7, depth, &limits, Picks::Ours, leak).expect("it is played").hash
 }
 
 #[test]
@@ -30,7 +30,7 @@
         for depth in DEPTHS {
             let on = |threads| {
                 let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
-                pool.install(|| sweep(&scenario, 1..=6, depth, &Limits::default(), || ())).hashes
+                pool.install(|| sweep(&scenario, 1..=6, depth, &RunOptions::default(), || ())).hashes
             };
             let (one, four, again) = (on(1), on(4), on(4));
             assert_eq!(one.len(), 6);
@@ -60,7 +60,7 @@
 fn a_leak_of_the_machine_into_a_run_is_noticed() {
     let scenario = shipped("calm", 4.0);
     for depth in DEPTHS {
-        for leak in [Leak::Clock, Leak::MapOrder, Leak::Thread] {
+        for leak in [Nondeterminism::Clock, Nondeterminism::MapOrder, Nondeterminism::Thread] {
             let hashes: Vec<u64> = (0..4).map(|_| hash(&scenario, depth, Some(leak))).collect();
             let first = hashes[0];
             assert!(hashes.iter().any(|&hash| hash != first), "{leak:?} {depth:?}: {hashes:x?}");
@@ -71,11 +71,12 @@
 #[test]
 fn a_settled_scenario_that_was_written_down_plays_the_same() {
     let scenario = shipped("chaos", 8.0);
-    let settled = nettleworks_lab::fault::settle(&scenario, 3);
+    let settled = nettleworks_lab::fault::resolve_faults(&scenario, 3);
     assert!(settled.chaos.is_none() && settled.faults.len() >= 14);
     let read = Scenario::parse(&settled.text()).unwrap_or_else(|error| panic!("{error}"));
     for depth in DEPTHS {
-        let hash = |scenario| play(scenario, 3, depth, &Limits::default()).expect("it is played").hash;
+        let hash =
+            |scenario| run_scenario(scenario, 3, depth, &RunOptions::default()).expect("it is played").hash;
         assert_eq!(hash(&scenario), hash(&read));
     }
 }
--- a/lab/tests/model.rs
+++ b/lab/tests/model.rs
@@ -4,49 +4,49 @@
 mod common;
 
 use common::scenario;
-use nettleworks_lab::judge::Rule;
-use nettleworks_lab::model::host::{Ends, Up};
-use nettleworks_lab::model::registry::{Entry, Listed, News};
-use nettleworks_lab::model::{Answer, At, Event, Model, Out};
-use nettleworks_lab::queue::Queue;
-use nettleworks_lab::scenario::Kind;
+use nettleworks_lab::event_queue::EventQueue;
+use nettleworks_lab::invariants::Invariant;
+use nettleworks_lab::model::host::{ExchangeResult, HostStatus};
+use nettleworks_lab::model::registry::{Entry, ListUpdate, ListingState};
+use nettleworks_lab::model::{Answer, CallState, Event, Model, Output};
+use nettleworks_lab::scenario::Idempotency;
 use nettleworks_lab::Micros;
 use std::rc::Rc;
 
 const MS: Micros = 1_000;
 
 /// A carrier that does nothing by itself.
-struct Carrier {
+struct Harness {
     model: Model,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     exchanges: u64,
 }
 
-impl Carrier {
-    fn new(text: &str) -> Carrier {
-        let mut queue = Queue::default();
+impl Harness {
+    fn new(text: &str) -> Harness {
+        let mut queue = EventQueue::default();
         let model = Model::new(Rc::new(scenario(&format!("name = \"x\"\n{text}"))), 1, &mut queue);
-        Carrier { model, queue, exchanges: 0 }
+        Harness { model, queue, exchanges: 0 }
     }
 
     /// Lets time pass until then; what the model wants meanwhile.
-    fn until(&mut self, at: Micros) -> Vec<(Micros, Out)> {
+    fn until(&mut self, at: Micros) -> Vec<(Micros, Output)> {
         let mut wanted = Vec::new();
-        while let Some((now, event)) = self.queue.take(at) {
+        while let Some((now, event)) = self.queue.pop_due(at) {
             self.model.now = now;
             self.model.handle(event, &mut self.queue);
-            wanted.extend(self.model.out.drain(..).map(|out| (now, out)));
+            wanted.extend(self.model.outputs.drain(..).map(|out| (now, out)));
         }
         self.model.now = at;
         wanted
     }
 
     /// The next call of a kind, and when it was asked.
-    fn call(&mut self, kind: Kind) -> (u32, Micros) {
+    fn call(&mut self, kind: Idempotency) -> (u32, Micros) {
         loop {
-            let Some(at) = self.queue.next_at() else { panic!("no call of {kind:?} comes") };
+            let Some(at) = self.queue.next_time() else { panic!("no call of {kind:?} comes") };
             for (now, out) in self.until(at) {
-                if let Out::Ask(call) = out {
+                if let Output::SendRequest(call) = out {
                     if self.kind(call) == kind {
                         return (call, now);
                     }
@@ -55,35 +55,37 @@
         }
     }
 
-    fn kind(&self, call: u32) -> Kind {
-        self.model.scenario.classes[usize::from(self.model.call(call).class)].kind
+    fn kind(&self, call: u32) -> Idempotency {
+        self.model.scenario.classes[usize::from(self.model.call(call).class)].idempotency
     }
 
     /// An attempt that reaches a host and begins to run there.
     fn runs(&mut self, call: u32, host: usize) -> u64 {
         self.exchanges += 1;
         let now = self.model.now;
-        self.model.sent(call, host, now);
-        self.model.reached(call, host, self.exchanges, now + 5_000 * MS, false, &mut self.queue);
+        self.model.record_attempt(call, host, now);
+        self.model.request_arrived(call, host, self.exchanges, now + 5_000 * MS, false, &mut self.queue);
         self.exchanges
     }
 
     fn answers(&mut self, call: u32, answer: Answer) {
         let now = self.model.now;
-        self.model.answered(call, answer, now, &mut self.queue);
+        self.model.record_answer(call, answer, now, &mut self.queue);
     }
 
-    fn broken(&self) -> Vec<(Rule, u32)> {
-        self.model.breaks.iter().map(|broken| (broken.rule, broken.call)).collect()
+    fn broken(&self) -> Vec<(Invariant, u32)> {
+        self.model.violations.iter().map(|broken| (broken.invariant, broken.call)).collect()
     }
 
     /// The next try for the same thing.
     fn tried_again(&mut self, of: u32, within: Micros) -> Option<(u32, Micros)> {
-        let (thing, until) = (self.model.call(of).thing, self.model.now + within);
-        while let Some(at) = self.queue.next_at().filter(|&at| at <= until) {
+        let (operation, until) = (self.model.call(of).operation, self.model.now + within);
+        while let Some(at) = self.queue.next_time().filter(|&at| at <= until) {
             for (now, out) in self.until(at) {
                 match out {
-                    Out::Ask(call) if call != of && self.model.call(call).thing == thing => {
+                    Output::SendRequest(call)
+                        if call != of && self.model.call(call).operation == operation =>
+                    {
                         return Some((call, now));
                     }
                     _ => {}
@@ -98,101 +100,101 @@
 
 #[test]
 fn a_call_without_an_answer_breaks_the_first_rule_at_its_deadline_and_not_before() {
-    let mut carrier = Carrier::new(USUAL);
-    let (call, asked) = carrier.call(Kind::Free);
-    carrier.until(asked + 649 * MS);
-    assert!(!carrier.broken().contains(&(Rule::OneAnswer, call)));
-    let wanted = carrier.until(asked + 651 * MS);
-    assert!(carrier.broken().contains(&(Rule::OneAnswer, call)));
+    let mut harness = Harness::new(USUAL);
+    let (call, asked) = harness.call(Idempotency::Free);
+    harness.until(asked + 649 * MS);
+    assert!(!harness.broken().contains(&(Invariant::OneAnswer, call)));
+    let wanted = harness.until(asked + 651 * MS);
+    assert!(harness.broken().contains(&(Invariant::OneAnswer, call)));
     // Its client leaves then.
-    assert!(wanted.iter().any(|(_, out)| *out == Out::Leave(call)));
+    assert!(wanted.iter().any(|(_, out)| *out == Output::CloseClient(call)));
 }
 
 #[test]
 fn an_answer_in_time_is_enough_and_a_second_one_too_much() {
-    let mut carrier = Carrier::new(USUAL);
-    let (call, _) = carrier.call(Kind::Free);
-    carrier.answers(call, Answer::Served);
-    assert_eq!(carrier.broken(), []);
-    carrier.answers(call, Answer::Failed);
-    assert_eq!(carrier.broken(), [(Rule::OneAnswer, call)]);
+    let mut harness = Harness::new(USUAL);
+    let (call, _) = harness.call(Idempotency::Free);
+    harness.answers(call, Answer::Served);
+    assert_eq!(harness.broken(), []);
+    harness.answers(call, Answer::Failed);
+    assert_eq!(harness.broken(), [(Invariant::OneAnswer, call)]);
 }
 
 #[test]
 fn a_connection_that_ends_without_an_answer_is_a_break_unless_its_proxy_has_died() {
-    let mut carrier = Carrier::new(USUAL);
-    let (call, _) = carrier.call(Kind::Unsafe);
-    carrier.answers(call, Answer::Broken);
-    assert_eq!(carrier.broken(), [(Rule::OneAnswer, call)]);
-    let (other, _) = carrier.call(Kind::Unsafe);
-    let proxy = carrier.model.call(other).proxy as usize;
-    carrier.model.proxies[proxy].up = false;
-    carrier.model.breaks.clear();
-    carrier.answers(other, Answer::Broken);
-    assert_eq!(carrier.broken(), []);
+    let mut harness = Harness::new(USUAL);
+    let (call, _) = harness.call(Idempotency::Unsafe);
+    harness.answers(call, Answer::NoResponse);
+    assert_eq!(harness.broken(), [(Invariant::OneAnswer, call)]);
+    let (other, _) = harness.call(Idempotency::Unsafe);
+    let proxy = harness.model.call(other).proxy as usize;
+    harness.model.proxies[proxy].up = false;
+    harness.model.violations.clear();
+    harness.answers(other, Answer::NoResponse);
+    assert_eq!(harness.broken(), []);
 }
 
 #[test]
 fn nothing_is_sent_for_a_call_after_its_answer_or_long_after_its_client_has_left() {
-    let mut carrier = Carrier::new(USUAL);
-    let (call, _) = carrier.call(Kind::Free);
-    let answered = carrier.model.now;
-    carrier.answers(call, Answer::Served);
+    let mut harness = Harness::new(USUAL);
+    let (call, _) = harness.call(Idempotency::Free);
+    let answered = harness.model.now;
+    harness.answers(call, Answer::Served);
     // Written in the very moment, it crosses the answer.
-    carrier.model.sent(call, 0, answered);
-    assert_eq!(carrier.broken(), []);
-    carrier.model.sent(call, 0, answered + 1);
-    assert_eq!(carrier.broken(), [(Rule::OneAnswer, call)]);
+    harness.model.record_attempt(call, 0, answered);
+    assert_eq!(harness.broken(), []);
+    harness.model.record_attempt(call, 0, answered + 1);
+    assert_eq!(harness.broken(), [(Invariant::OneAnswer, call)]);
 
-    let mut carrier = Carrier::new(&USUAL.replace("taps = 0.0", "taps = 0.0\nleaves = 1.0"));
-    let (call, _) = carrier.call(Kind::Unsafe);
+    let mut harness = Harness::new(&USUAL.replace("taps = 0.0", "taps = 0.0\nleaves = 1.0"));
+    let (call, _) = harness.call(Idempotency::Unsafe);
     let left = loop {
-        let at = carrier.queue.next_at().expect("it leaves");
-        if carrier.until(at).iter().any(|(_, out)| *out == Out::Leave(call)) {
+        let at = harness.queue.next_time().expect("it leaves");
+        if harness.until(at).iter().any(|(_, out)| *out == Output::CloseClient(call)) {
             break at;
         }
     };
-    assert!(matches!(carrier.model.call(call).at, At::Over(_)));
-    carrier.model.sent(call, 0, left + 50 * MS);
-    assert_eq!(carrier.broken(), []);
-    carrier.model.sent(call, 0, left + 50 * MS + 1);
-    assert_eq!(carrier.broken(), [(Rule::OneAnswer, call)]);
+    assert!(matches!(harness.model.call(call).state, CallState::Abandoned(_)));
+    harness.model.record_attempt(call, 0, left + 50 * MS);
+    assert_eq!(harness.broken(), []);
+    harness.model.record_attempt(call, 0, left + 50 * MS + 1);
+    assert_eq!(harness.broken(), [(Invariant::OneAnswer, call)]);
 }
 
 #[test]
 fn an_unsafe_call_that_runs_twice_breaks_the_second_rule_wherever_it_runs() {
     for other in [0, 1] {
-        let mut carrier = Carrier::new(USUAL);
-        let (call, _) = carrier.call(Kind::Unsafe);
-        carrier.runs(call, 0);
-        assert_eq!(carrier.broken(), []);
-        carrier.runs(call, other);
-        assert_eq!(carrier.broken(), [(Rule::NoEffectTwice, call)]);
+        let mut harness = Harness::new(USUAL);
+        let (call, _) = harness.call(Idempotency::Unsafe);
+        harness.runs(call, 0);
+        assert_eq!(harness.broken(), []);
+        harness.runs(call, other);
+        assert_eq!(harness.broken(), [(Invariant::NoEffectTwice, call)]);
     }
-    let mut carrier = Carrier::new(USUAL);
-    let (call, _) = carrier.call(Kind::Free);
+    let mut harness = Harness::new(USUAL);
+    let (call, _) = harness.call(Idempotency::Free);
     for host in 0..4 {
-        carrier.runs(call, host);
+        harness.runs(call, host);
     }
-    assert_eq!(carrier.broken(), [], "what is free may run as often as it likes");
+    assert_eq!(harness.broken(), [], "what is free may run as often as it likes");
 }
 
 #[test]
 fn a_keyed_call_may_run_again_in_its_pod_within_its_window_alone() {
     // Hosts 0 and 3 are of one pod, 1 is of another; a pod drops repeats for 1.2 s.
-    for (other, after, breaks) in
+    for (other, after, violations) in
         [(3, 1_100 * MS, false), (0, 1_100 * MS, false), (3, 1_300 * MS, true), (1, 100 * MS, true)]
     {
-        let mut carrier =
-            Carrier::new("seconds = 30.0\n[load]\nproxies = 2\nrate = 20.0\ntaps = 0.0\nzipf = 0.0");
-        let (call, asked) = carrier.call(Kind::Keyed);
-        carrier.runs(call, 0);
-        carrier.model.breaks.clear();
-        carrier.until(asked + after);
-        carrier.model.breaks.clear();
-        carrier.runs(call, other);
-        let twice = carrier.broken().contains(&(Rule::NoEffectTwice, call));
-        assert_eq!(twice, breaks, "host {other} after {after} us");
+        let mut harness =
+            Harness::new("seconds = 30.0\n[load]\nproxies = 2\nrate = 20.0\ntaps = 0.0\nzipf = 0.0");
+        let (call, asked) = harness.call(Idempotency::Keyed);
+        harness.runs(call, 0);
+        harness.model.violations.clear();
+        harness.until(asked + after);
+        harness.model.violations.clear();
+        harness.runs(call, other);
+        let twice = harness.broken().contains(&(Invariant::NoEffectTwice, call));
+        assert_eq!(twice, violations, "host {other} after {after} us");
     }
 }
 
@@ -200,119 +202,120 @@
 /// in which it was sent. That is an effect twice, which no proxy can prevent; it is counted, and no break of its rule.
 #[test]
 fn a_repeat_that_was_sent_in_time_and_held_up_is_counted_and_no_break() {
-    for (written, breaks) in [(1_100 * MS, false), (1_300 * MS, true)] {
-        let mut carrier =
-            Carrier::new("seconds = 30.0\n[load]\nproxies = 2\nrate = 20.0\ntaps = 0.0\nzipf = 0.0");
-        let (call, asked) = carrier.call(Kind::Keyed);
-        carrier.runs(call, 0);
-        carrier.until(asked + 2_000 * MS);
-        carrier.model.breaks.clear();
+    for (written, violations) in [(1_100 * MS, false), (1_300 * MS, true)] {
+        let mut harness =
+            Harness::new("seconds = 30.0\n[load]\nproxies = 2\nrate = 20.0\ntaps = 0.0\nzipf = 0.0");
+        let (call, asked) = harness.call(Idempotency::Keyed);
+        harness.runs(call, 0);
+        harness.until(asked + 2_000 * MS);
+        harness.model.violations.clear();
         // It has come through only now.
-        carrier.model.sent(call, 3, asked + written);
-        carrier.model.breaks.clear();
-        carrier.model.reached(call, 3, 99, Micros::MAX, false, &mut carrier.queue);
-        assert_eq!(carrier.broken().contains(&(Rule::NoEffectTwice, call)), breaks);
-        assert_eq!(carrier.model.tally.held_up, u64::from(!breaks));
+        harness.model.record_attempt(call, 3, asked + written);
+        harness.model.violations.clear();
+        harness.model.request_arrived(call, 3, 99, Micros::MAX, false, &mut harness.queue);
+        assert_eq!(harness.broken().contains(&(Invariant::NoEffectTwice, call)), violations);
+        assert_eq!(harness.model.metrics.late_duplicates, u64::from(!violations));
     }
 }
 
 #[test]
 fn a_refusal_of_what_has_run_breaks_the_second_rule_and_so_does_a_run_of_what_was_refused() {
-    let mut carrier = Carrier::new(USUAL);
-    let (call, _) = carrier.call(Kind::Unsafe);
-    carrier.runs(call, 2);
-    carrier.answers(call, Answer::Refused(Some(100 * MS)));
-    assert_eq!(carrier.broken(), [(Rule::NoEffectTwice, call)]);
-
-    let mut carrier = Carrier::new(USUAL);
-    let (call, _) = carrier.call(Kind::Unsafe);
-    carrier.model.sent(call, 2, carrier.model.now);
-    carrier.answers(call, Answer::Refused(None));
-    assert_eq!(carrier.broken(), []);
-    carrier.model.reached(call, 2, 1, Micros::MAX, false, &mut carrier.queue);
-    assert_eq!(carrier.broken(), [(Rule::NoEffectTwice, call)]);
+    let mut harness = Harness::new(USUAL);
+    let (call, _) = harness.call(Idempotency::Unsafe);
+    harness.runs(call, 2);
+    harness.answers(call, Answer::Refused(Some(100 * MS)));
+    assert_eq!(harness.broken(), [(Invariant::NoEffectTwice, call)]);
+
+    let mut harness = Harness::new(USUAL);
+    let (call, _) = harness.call(Idempotency::Unsafe);
+    harness.model.record_attempt(call, 2, harness.model.now);
+    harness.answers(call, Answer::Refused(None));
+    assert_eq!(harness.broken(), []);
+    harness.model.request_arrived(call, 2, 1, Micros::MAX, false, &mut harness.queue);
+    assert_eq!(harness.broken(), [(Invariant::NoEffectTwice, call)]);
 
     // A failure promises nothing.
-    let mut carrier = Carrier::new(USUAL);
-    let (call, _) = carrier.call(Kind::Unsafe);
-    carrier.runs(call, 2);
-    carrier.answers(call, Answer::Failed);
-    assert_eq!(carrier.broken(), []);
+    let mut harness = Harness::new(USUAL);
+    let (call, _) = harness.call(Idempotency::Unsafe);
+    harness.runs(call, 2);
+    harness.answers(call, Answer::Failed);
+    assert_eq!(harness.broken(), []);
 }
 
 #[test]
 fn the_third_rule_counts_from_what_the_proxy_was_told() {
-    let mut carrier = Carrier::new(USUAL);
-    let (call, asked) = carrier.call(Kind::Free);
-    let proxy = carrier.model.call(call).proxy as usize;
-    let drains = Entry { host: 1, listed: Listed::Terminating, started: 0 };
-    carrier.model.told(proxy, &News { seq: 2, whole: false, entries: vec![drains] });
-    carrier.model.sent(call, 1, asked + 1_050 * MS);
-    assert_eq!(carrier.broken(), []);
+    let mut harness = Harness::new(USUAL);
+    let (call, asked) = harness.call(Idempotency::Free);
+    let proxy = harness.model.call(call).proxy as usize;
+    let drains = Entry { host: 1, state: ListingState::Terminating, started: 0 };
+    harness.model.record_list_update(proxy, &ListUpdate { seq: 2, is_full: false, entries: vec![drains] });
+    harness.model.record_attempt(call, 1, asked + 1_050 * MS);
+    assert_eq!(harness.broken(), []);
     // The other proxy was told nothing.
-    let told = &carrier.model.proxies[1 - proxy].told;
+    let told = &harness.model.proxies[1 - proxy].unavailable_hosts;
     assert!(!told.forbids(asked + 9_000 * MS, 1));
-    carrier.model.sent(call, 1, asked + 1_051 * MS);
-    assert_eq!(carrier.broken(), [(Rule::NothingToTheGone, call)]);
+    harness.model.record_attempt(call, 1, asked + 1_051 * MS);
+    assert_eq!(harness.broken(), [(Invariant::NothingToTheGone, call)]);
     // What a whole list leaves out is gone.
-    let only = Entry { host: 0, listed: Listed::Ready, started: 0 };
-    carrier.model.now = asked + 2_000 * MS;
-    carrier.model.told(proxy, &News { seq: 3, whole: true, entries: vec![only] });
-    carrier.model.sent(call, 4, asked + 3_060 * MS);
-    assert_eq!(carrier.broken().len(), 2);
+    let only = Entry { host: 0, state: ListingState::Ready, started: 0 };
+    harness.model.now = asked + 2_000 * MS;
+    harness.model.record_list_update(proxy, &ListUpdate { seq: 3, is_full: true, entries: vec![only] });
+    harness.model.record_attempt(call, 4, asked + 3_060 * MS);
+    assert_eq!(harness.broken().len(), 2);
 }
 
 #[test]
 fn a_cold_host_that_is_pushed_over_breaks_the_fourth_rule_and_is_gone() {
     let fault = "\n[[fault]]\nwhat = \"kill\"\nat = 1.0\nfor = 1.0\nhosts = { these = [0] }";
     let text = "seconds = 30.0\n[fleet]\nworkers = 1\n[load]\nproxies = 2\nrate = 20.0\ntaps = 0.0";
-    let mut carrier = Carrier::new(&format!("{text}{fault}"));
-    carrier.until(2_001 * MS);
-    assert!(carrier.model.hosts[0].warmth(carrier.model.now, &carrier.model.scenario.fleet) < 0.4);
-    let (call, _) = carrier.call(Kind::Free);
-    let start = carrier.model.now;
+    let mut harness = Harness::new(&format!("{text}{fault}"));
+    harness.until(2_001 * MS);
+    assert!(harness.model.hosts[0].speed_factor(harness.model.now, &harness.model.scenario.fleet) < 0.4);
+    let (call, _) = harness.call(Idempotency::Free);
+    let start = harness.model.now;
     // Some 6 ms of work each 2 ms, for one worker that does a third of its speed.
     for step in 0..2_000 {
-        carrier.model.now = start + step * 2 * MS;
-        carrier.model.sent(call, 0, start);
+        harness.model.now = start + step * 2 * MS;
+        harness.model.record_attempt(call, 0, start);
     }
-    let fourth = carrier.model.breaks.iter().find(|broken| broken.rule == Rule::ColdHostStands);
+    let fourth = harness.model.violations.iter().find(|broken| broken.invariant == Invariant::ColdHostStands);
     let at = fourth.expect("it is pushed over").at;
     assert!((start + 2_000 * MS..start + 2_300 * MS).contains(&at), "{}", at - start);
-    assert_eq!(carrier.model.hosts[0].up, Up::Dead);
+    assert_eq!(harness.model.hosts[0].status, HostStatus::Dead);
     // A warm one bears the same.
     for step in 0..2_000 {
-        carrier.model.now = start + 10_000 * MS + step * 2 * MS;
-        carrier.model.sent(call, 1, start);
+        harness.model.now = start + 10_000 * MS + step * 2 * MS;
+        harness.model.record_attempt(call, 1, start);
     }
-    assert_eq!(carrier.model.hosts[1].up, Up::Up);
+    assert_eq!(harness.model.hosts[1].status, HostStatus::Up);
 }
 
 #[test]
 fn a_refused_client_comes_again_as_it_was_told_and_gives_up_in_the_end() {
-    let mut carrier = Carrier::new(USUAL);
-    let (first, _) = carrier.call(Kind::Unsafe);
-    assert!(!carrier.model.call(first).again);
-    carrier.answers(first, Answer::Refused(Some(700 * MS)));
-    let refused = carrier.model.now;
-    let (second, at) = carrier.tried_again(first, 3_000 * MS).expect("it comes again");
-    assert!(at >= refused + 700 * MS && carrier.model.call(second).again);
-    carrier.answers(second, Answer::Refused(None));
-    let (third, _) = carrier.tried_again(second, 3_000 * MS).expect("and once more");
-    carrier.answers(third, Answer::Refused(None));
-    assert_eq!(carrier.tried_again(third, 9_000 * MS), None, "three tries are enough");
+    let mut harness = Harness::new(USUAL);
+    let (first, _) = harness.call(Idempotency::Unsafe);
+    assert!(!harness.model.call(first).is_retry);
+    harness.answers(first, Answer::Refused(Some(700 * MS)));
+    let refused = harness.model.now;
+    let (second, at) = harness.tried_again(first, 3_000 * MS).expect("it comes again");
+    assert!(at >= refused + 700 * MS && harness.model.call(second).is_retry);
+    harness.answers(second, Answer::Refused(None));
+    let (third, _) = harness.tried_again(second, 3_000 * MS).expect("and once more");
+    harness.answers(third, Answer::Refused(None));
+    assert_eq!(harness.tried_again(third, 9_000 * MS), None, "three tries are enough");
 }
 
 #[test]
 fn what_may_have_run_is_repeated_by_its_client_only_where_that_does_no_harm() {
-    for (kind, comes) in [(Kind::Free, true), (Kind::Keyed, true), (Kind::Unsafe, false)] {
-        let mut carrier = Carrier::new(USUAL);
-        let (call, _) = carrier.call(kind);
-        carrier.answers(call, Answer::Failed);
-        let again = carrier.tried_again(call, 2_000 * MS);
+    for (kind, comes) in [(Idempotency::Free, true), (Idempotency::Keyed, true), (Idempotency::Unsafe, false)]
+    {
+        let mut harness = Harness::new(USUAL);
+        let (call, _) = harness.call(kind);
+        harness.answers(call, Answer::Failed);
+        let again = harness.tried_again(call, 2_000 * MS);
         assert_eq!(again.is_some(), comes, "{kind:?}");
         if let Some((again, _)) = again {
-            assert_eq!(carrier.model.call(again).key, carrier.model.call(call).key);
+            assert_eq!(harness.model.call(again).key, harness.model.call(call).key);
         }
     }
 }
@@ -321,17 +324,17 @@
 fn calls_come_by_the_rate_and_its_curve_and_each_class_has_its_share() {
     let text = "seconds = 60.0\n[load]\nproxies = 3\nrate = 400.0\ntaps = 0.0\n\
                 curve = [[0.0, 1.0], [20.0, 1.0], [20.001, 3.0], [40.0, 3.0], [60.0, 0.0]]";
-    let mut carrier = Carrier::new(text);
+    let mut harness = Harness::new(text);
     let mut asked = [0_u32; 60];
     let mut kinds = [0_u32; 3];
     let mut proxies = [0_u32; 3];
-    while let Some(at) = carrier.queue.next_at().filter(|&at| at <= 60_000_000) {
-        for (now, out) in carrier.until(at) {
-            if let Out::Ask(call) = out {
+    while let Some(at) = harness.queue.next_time().filter(|&at| at <= 60_000_000) {
+        for (now, out) in harness.until(at) {
+            if let Output::SendRequest(call) = out {
                 asked[((now - 1) / 1_000_000) as usize] += 1;
-                kinds[carrier.kind(call) as usize] += 1;
-                proxies[carrier.model.call(call).proxy as usize] += 1;
-                carrier.answers(call, Answer::Served);
+                kinds[harness.kind(call) as usize] += 1;
+                proxies[harness.model.call(call).proxy as usize] += 1;
+                harness.answers(call, Answer::Served);
             }
         }
     }
@@ -345,19 +348,19 @@
         assert!((f64::from(count) / all - share).abs() < 0.02, "{kinds:?}");
     }
     assert!(proxies.iter().all(|&count| (f64::from(count) / all - 1.0 / 3.0).abs() < 0.02), "{proxies:?}");
-    let all = &carrier.model.tally.all;
-    assert!((all.served() - 1.0).abs() < 1e-9 && all.wanted > 40_000);
+    let all = &harness.model.metrics.all;
+    assert!((all.served_share() - 1.0).abs() < 1e-9 && all.operations > 40_000);
 }
 
 #[test]
 fn a_tap_has_the_key_of_the_first_and_a_popular_members_entries_share_keys_within_a_window() {
     let text = "seconds = 20.0\n[load]\nproxies = 1\nrate = 300.0\ntaps = 0.5\nmembers = 1000000\nzipf = 0.0";
-    let mut carrier = Carrier::new(text);
+    let mut harness = Harness::new(text);
     let mut keys = std::collections::BTreeMap::<u64, Vec<Micros>>::new();
-    for (now, out) in carrier.until(20_000_000) {
-        if let Out::Ask(call) = out {
-            if carrier.kind(call) == Kind::Keyed {
-                keys.entry(carrier.model.call(call).key).or_default().push(now);
+    for (now, out) in harness.until(20_000_000) {
+        if let Output::SendRequest(call) = out {
+            if harness.kind(call) == Idempotency::Keyed {
+                keys.entry(harness.model.call(call).key).or_default().push(now);
             }
         }
     }
@@ -369,79 +372,83 @@
     }
 }
 
-fn with_fault(fault: &str) -> Carrier {
-    Carrier::new(&format!("seconds = 30.0\n[load]\nproxies = 2\nrate = 1.0\n[[fault]]\nat = 2.0\n{fault}"))
+fn with_fault(fault: &str) -> Harness {
+    Harness::new(&format!("seconds = 30.0\n[load]\nproxies = 2\nrate = 1.0\n[[fault]]\nat = 2.0\n{fault}"))
 }
 
-fn listed(carrier: &Carrier) -> Vec<Listed> {
-    (0..6).map(|host| carrier.model.registry.entry(host).listed).collect()
+fn listed(harness: &Harness) -> Vec<ListingState> {
+    (0..6).map(|host| harness.model.registry.entry(host).state).collect()
 }
 
 #[test]
 fn a_killed_host_is_noticed_late_and_comes_back_cold_under_its_number() {
-    let mut carrier = with_fault("what = \"kill\"\nfor = 6.0\nhosts = { these = [2] }");
-    carrier.until(2_000 * MS);
-    assert_eq!((carrier.model.hosts[2].up, listed(&carrier)[2]), (Up::Dead, Listed::Ready));
-    carrier.until(2_000 * MS + 3_049 * MS);
-    assert_eq!(listed(&carrier)[2], Listed::Ready);
-    carrier.until(2_000 * MS + 3_051 * MS);
-    assert_eq!(listed(&carrier)[2], Listed::Gone);
-    carrier.until(8_000 * MS);
-    assert_eq!((carrier.model.hosts[2].up, listed(&carrier)[2]), (Up::Up, Listed::Gone));
-    assert!((carrier.model.hosts[2].warmth(8_000 * MS, &carrier.model.scenario.fleet) - 0.31).abs() < 1e-9);
-    carrier.until(8_300 * MS);
-    let entry = carrier.model.registry.entry(2);
-    assert_eq!((entry.listed, entry.started), (Listed::Ready, 8_000 * MS));
-    assert!((carrier.model.hosts[2].warmth(16_000 * MS, &carrier.model.scenario.fleet) - 1.0).abs() < 1e-9);
+    let mut harness = with_fault("what = \"kill\"\nfor = 6.0\nhosts = { these = [2] }");
+    harness.until(2_000 * MS);
+    assert_eq!((harness.model.hosts[2].status, listed(&harness)[2]), (HostStatus::Dead, ListingState::Ready));
+    harness.until(2_000 * MS + 3_049 * MS);
+    assert_eq!(listed(&harness)[2], ListingState::Ready);
+    harness.until(2_000 * MS + 3_051 * MS);
+    assert_eq!(listed(&harness)[2], ListingState::Removed);
+    harness.until(8_000 * MS);
+    assert_eq!((harness.model.hosts[2].status, listed(&harness)[2]), (HostStatus::Up, ListingState::Removed));
+    assert!(
+        (harness.model.hosts[2].speed_factor(8_000 * MS, &harness.model.scenario.fleet) - 0.31).abs() < 1e-9
+    );
+    harness.until(8_300 * MS);
+    let entry = harness.model.registry.entry(2);
+    assert_eq!((entry.state, entry.started), (ListingState::Ready, 8_000 * MS));
+    assert!(
+        (harness.model.hosts[2].speed_factor(16_000 * MS, &harness.model.scenario.fleet) - 1.0).abs() < 1e-9
+    );
 }
 
 #[test]
 fn what_ran_on_a_host_that_died_says_nothing_any_more() {
-    let mut carrier = with_fault("what = \"vanish\"\nfor = 1.0\nhosts = { these = [0] }\n");
-    let (call, _) = carrier.call(Kind::Free);
-    carrier.until(1_999 * MS);
-    let exchange = carrier.runs(call, 0);
-    let said = carrier
+    let mut harness = with_fault("what = \"vanish\"\nfor = 1.0\nhosts = { these = [0] }\n");
+    let (call, _) = harness.call(Idempotency::Free);
+    harness.until(1_999 * MS);
+    let exchange = harness.runs(call, 0);
+    let said = harness
         .until(9_000 * MS)
         .into_iter()
-        .any(|(_, out)| matches!(out, Out::Says { exchange: of, .. } if of == exchange));
-    assert!(!said && carrier.model.hosts[0].in_hand() == 0);
+        .any(|(_, out)| matches!(out, Output::EndExchange { exchange: of, .. } if of == exchange));
+    assert!(!said && harness.model.hosts[0].active() == 0);
 }
 
 #[test]
 fn a_host_that_drains_turns_away_what_comes_and_ends_what_it_has() {
-    let mut carrier = with_fault("what = \"drain\"\nfor = 5.0\nhosts = { these = [1] }");
-    let (call, _) = carrier.call(Kind::Free);
-    carrier.until(1_999 * MS);
-    let before = carrier.runs(call, 1);
-    carrier.until(2_000 * MS);
-    let after = carrier.runs(call, 1);
-    let mut said: Vec<(u64, Ends)> = carrier.model.out.drain(..).filter_map(ends).collect();
-    said.extend(carrier.until(3_000 * MS).into_iter().filter_map(|(_, out)| ends(out)));
+    let mut harness = with_fault("what = \"drain\"\nfor = 5.0\nhosts = { these = [1] }");
+    let (call, _) = harness.call(Idempotency::Free);
+    harness.until(1_999 * MS);
+    let before = harness.runs(call, 1);
+    harness.until(2_000 * MS);
+    let after = harness.runs(call, 1);
+    let mut said: Vec<(u64, ExchangeResult)> = harness.model.outputs.drain(..).filter_map(ends).collect();
+    said.extend(harness.until(3_000 * MS).into_iter().filter_map(|(_, out)| ends(out)));
     said.sort_unstable_by_key(|(exchange, _)| *exchange);
-    assert_eq!(said, [(before, Ends::Served), (after, Ends::TurnedAway)]);
-    assert_eq!(listed(&carrier)[1], Listed::Terminating);
-    carrier.until(3_600 * MS);
-    assert_eq!(carrier.model.hosts[1].up, Up::Dead);
+    assert_eq!(said, [(before, ExchangeResult::Served), (after, ExchangeResult::TurnedAway)]);
+    assert_eq!(listed(&harness)[1], ListingState::Terminating);
+    harness.until(3_600 * MS);
+    assert_eq!(harness.model.hosts[1].status, HostStatus::Dead);
 }
 
-fn ends(out: Out) -> Option<(u64, Ends)> {
+fn ends(out: Output) -> Option<(u64, ExchangeResult)> {
     match out {
-        Out::Says { exchange, ends, .. } => Some((exchange, ends)),
+        Output::EndExchange { exchange, result, .. } => Some((exchange, result)),
         _ => None,
     }
 }
 
 #[test]
 fn a_stalled_host_does_nothing_and_then_goes_on() {
-    let mut carrier = with_fault("what = \"stall\"\nfor = 3.0\nhosts = { these = [0] }");
-    let (call, _) = carrier.call(Kind::Free);
-    carrier.until(1_999 * MS);
-    let before = carrier.runs(call, 0);
-    carrier.until(2_500 * MS);
-    let meanwhile = carrier.runs(call, 0);
+    let mut harness = with_fault("what = \"stall\"\nfor = 3.0\nhosts = { these = [0] }");
+    let (call, _) = harness.call(Idempotency::Free);
+    harness.until(1_999 * MS);
+    let before = harness.runs(call, 0);
+    harness.until(2_500 * MS);
+    let meanwhile = harness.runs(call, 0);
     let said: Vec<_> =
-        carrier.until(5_500 * MS).into_iter().filter_map(|(now, out)| Some((now, ends(out)?))).collect();
+        harness.until(5_500 * MS).into_iter().filter_map(|(now, out)| Some((now, ends(out)?))).collect();
     assert_eq!(said.len(), 2);
     assert!(said.iter().all(|(now, _)| *now >= 5_000 * MS), "{said:?}");
     assert!(
@@ -452,12 +459,17 @@
 #[test]
 fn a_slow_host_takes_so_many_times_as_long_and_a_silent_one_runs_and_says_nothing() {
     let time = |what: &str| {
-        let mut carrier = with_fault(&format!("{what}\nfor = 20.0\nhosts = {{ these = [0] }}"));
-        let (call, _) = carrier.call(Kind::Unsafe);
-        carrier.until(carrier.model.now.max(2_500 * MS));
-        let (start, exchange) = (carrier.model.now, carrier.runs(call, 0));
-        let said = carrier.until(start + 3_000 * MS);
-        let ran = carrier.model.log.last().iter().any(|noted| noted.of == nettleworks_lab::log::Of::Ran);
+        let mut harness = with_fault(&format!("{what}\nfor = 20.0\nhosts = {{ these = [0] }}"));
+        let (call, _) = harness.call(Idempotency::Unsafe);
+        harness.until(harness.model.now.max(2_500 * MS));
+        let (start, exchange) = (harness.model.now, harness.runs(call, 0));
+        let said = harness.until(start + 3_000 * MS);
+        let ran = harness
+            .model
+            .log
+            .recent()
+            .iter()
+            .any(|noted| noted.kind == nettleworks_lab::event_log::EventKind::Ran);
         let end = said.into_iter().find_map(|(now, out)| (ends(out)?.0 == exchange).then_some(now));
         (end.map(|end| end - start), ran)
     };
@@ -471,24 +483,28 @@
 
 #[test]
 fn shares_of_exchanges_end_badly_and_half_of_those_have_run() {
-    for (what, bad) in [("errors", Ends::Error), ("resets", Ends::Reset), ("turn-away", Ends::TurnedAway)] {
-        let mut carrier = Carrier::new(&format!(
+    for (what, bad) in [
+        ("errors", ExchangeResult::Error),
+        ("resets", ExchangeResult::Reset),
+        ("turn-away", ExchangeResult::TurnedAway),
+    ] {
+        let mut harness = Harness::new(&format!(
             "seconds = 30.0\n[fleet]\nworkers = 1000\n[load]\nproxies = 2\nrate = 200.0\ntaps = 0.0\n\
              [[fault]]\nat = 0.0\nfor = 30.0\nmuch = 0.4\nwhat = \"{what}\""
         ));
         let (mut all, mut ended, mut ran) = (0, 0, 0);
-        while let Some(at) = carrier.queue.next_at().filter(|&at| at <= 30_000_000) {
-            for (_, out) in carrier.until(at) {
+        while let Some(at) = harness.queue.next_time().filter(|&at| at <= 30_000_000) {
+            for (_, out) in harness.until(at) {
                 match out {
-                    Out::Ask(call) if carrier.kind(call) == Kind::Unsafe => {
+                    Output::SendRequest(call) if harness.kind(call) == Idempotency::Unsafe => {
                         all += 1;
-                        let exchange = carrier.runs(call, (call % 6) as usize);
-                        let at_once = carrier.model.out.drain(..).filter_map(ends).collect::<Vec<_>>();
+                        let exchange = harness.runs(call, (call % 6) as usize);
+                        let at_once = harness.model.outputs.drain(..).filter_map(ends).collect::<Vec<_>>();
                         let now = at_once.contains(&(exchange, bad));
                         ended += u32::from(now);
-                        carrier.answers(call, Answer::Failed);
+                        harness.answers(call, Answer::Failed);
                     }
-                    Out::Ask(call) => carrier.answers(call, Answer::Failed),
+                    Output::SendRequest(call) => harness.answers(call, Answer::Failed),
                     out => {
                         let late = ends(out).is_some_and(|(_, ends)| ends == bad);
                         ended += u32::from(late);
@@ -506,32 +522,32 @@
 
 #[test]
 fn discovery_is_down_silent_wrong_and_flaps_for_as_long_as_it_says() {
-    let mut carrier = with_fault("what = \"discovery-down\"\nfor = 2.0");
-    carrier.until(2_000 * MS);
-    assert!(carrier.model.registry.down);
-    carrier.until(4_000 * MS);
-    assert!(!carrier.model.registry.down);
-
-    let mut carrier = with_fault("what = \"discovery-wrong\"\nfor = 2.0\nhosts = { these = [0, 4] }");
-    carrier.until(2_051 * MS);
+    let mut harness = with_fault("what = \"discovery-down\"\nfor = 2.0");
+    harness.until(2_000 * MS);
+    assert!(harness.model.registry.down);
+    harness.until(4_000 * MS);
+    assert!(!harness.model.registry.down);
+
+    let mut harness = with_fault("what = \"discovery-wrong\"\nfor = 2.0\nhosts = { these = [0, 4] }");
+    harness.until(2_051 * MS);
     assert_eq!(
-        (listed(&carrier)[0], listed(&carrier)[1], listed(&carrier)[4]),
-        (Listed::Gone, Listed::Ready, Listed::Gone)
+        (listed(&harness)[0], listed(&harness)[1], listed(&harness)[4]),
+        (ListingState::Removed, ListingState::Ready, ListingState::Removed)
     );
-    assert_eq!(carrier.model.hosts[0].up, Up::Up, "it is there all the same");
-    carrier.until(4_051 * MS);
-    assert_eq!(listed(&carrier), [Listed::Ready; 6]);
+    assert_eq!(harness.model.hosts[0].status, HostStatus::Up, "it is there all the same");
+    harness.until(4_051 * MS);
+    assert_eq!(listed(&harness), [ListingState::Ready; 6]);
 
-    let mut carrier =
+    let mut harness =
         with_fault("what = \"discovery-flaps\"\nfor = 3.0\nmuch = 2.0\nhosts = { these = [3] }");
     let mut seen = Vec::new();
     for step in 0..50 {
-        carrier.until(2_000 * MS + step * 100 * MS);
-        let now = listed(&carrier)[3];
+        harness.until(2_000 * MS + step * 100 * MS);
+        let now = listed(&harness)[3];
         if seen.last() != Some(&now) {
             seen.push(now);
         }
     }
     // Twice a second, there and back, and there in the end.
-    assert!(seen.len() >= 10 && seen.last() == Some(&Listed::Ready), "{seen:?}");
+    assert!(seen.len() >= 10 && seen.last() == Some(&ListingState::Ready), "{seen:?}");
 }
--- a/lab/tests/mutants.rs
+++ b/lab/tests/mutants.rs
@@ -2,8 +2,8 @@
 
 use nettleworks_engine::mutant::Mutant;
 use nettleworks_lab::explore::{shrink, sweep, Found};
-use nettleworks_lab::judge::Rule;
-use nettleworks_lab::run::{play, Depth, Limits};
+use nettleworks_lab::invariants::Invariant;
+use nettleworks_lab::run::{run_scenario, Depth, RunOptions};
 use nettleworks_lab::scenario::Scenario;
 use std::path::Path;
 
@@ -11,42 +11,43 @@
 const SEEDS: u64 = 8;
 const FAULTS_MOST: usize = 10;
 
-fn is_found(mutant: Mutant, scenario: &str, rule: Rule) {
+fn is_found(mutant: Mutant, scenario: &str, rule: Invariant) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios").join(format!("{scenario}.toml"));
     let scenario = Scenario::load(&path).unwrap_or_else(|error| panic!("{error}"));
-    let limits = Limits { mutant: Some(mutant), ..Limits::default() };
+    let limits = RunOptions { mutant: Some(mutant), ..RunOptions::default() };
     let swept = sweep(&scenario, 1..=SEEDS, Depth::Full, &limits, || ());
-    let found = swept.broken.iter().find(|(_, broken)| broken.rule == rule);
+    let found = swept.broken.iter().find(|(_, broken)| broken.invariant == rule);
     let (&seed, broken) = found.unwrap_or_else(|| panic!("{mutant:?} is not found: {swept:?}"));
-    assert!(!broken.last.is_empty());
+    assert!(!broken.recent_events.is_empty());
     let small = shrink(&scenario, seed, Depth::Full, rule, &limits).expect("it breaks again");
     let found = &small.found.scenario;
     assert!(found.faults.len() < FAULTS_MOST, "{} faults", found.faults.len());
     assert!(found.seconds < scenario.seconds || found.load.proxies < scenario.load.proxies);
     // Its file plays the same break, and without the planted fault there is none.
     let read = Found::parse(&small.found.text()).expect("its own text");
-    let again = play(&read.scenario, seed, Depth::Full, &limits).expect("it is played");
-    assert_eq!(again.breaks.first().map(|broken| broken.at), Some(small.broken.at));
-    let sound = play(&read.scenario, seed, Depth::Full, &Limits::default()).expect("it is played");
-    assert_eq!(sound.breaks, []);
+    let again = run_scenario(&read.scenario, seed, Depth::Full, &limits).expect("it is played");
+    assert_eq!(again.violations.first().map(|broken| broken.at), Some(small.broken.at));
+    let sound =
+        run_scenario(&read.scenario, seed, Depth::Full, &RunOptions::default()).expect("it is played");
+    assert_eq!(sound.violations, []);
 }
 
 #[test]
 fn an_unsafe_call_that_is_repeated_after_a_write_is_found() {
-    is_found(Mutant::RetriesWritten, "reset-storm", Rule::NoEffectTwice);
+    is_found(Mutant::RetriesWritten, "reset-storm", Invariant::NoEffectTwice);
 }
 
 #[test]
 fn an_answer_to_the_wrong_caller_is_found() {
-    is_found(Mutant::SwapsAnswers, "calm", Rule::OneAnswer);
+    is_found(Mutant::SwapsAnswers, "calm", Invariant::OneAnswer);
 }
 
 #[test]
 fn an_attempt_to_a_host_that_drains_is_found() {
-    is_found(Mutant::DelaysDrains, "rolling-release", Rule::NothingToTheGone);
+    is_found(Mutant::DelaysDrains, "rolling-release", Invariant::NothingToTheGone);
 }
 
 #[test]
 fn a_call_without_an_end_is_found() {
-    is_found(Mutant::DropsAnswers, "chaos", Rule::OneAnswer);
+    is_found(Mutant::DropsAnswers, "chaos", Invariant::OneAnswer);
 }
--- a/lab/tests/properties.rs
+++ b/lab/tests/properties.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use nettleworks_lab::draw::Draw;
-use nettleworks_lab::fault::{settle, Chaos, Fault, What, Which};
-use nettleworks_lab::judge::Told;
-use nettleworks_lab::log::{Log, Of};
-use nettleworks_lab::model::host::{Ends, Host, Job, Taken, Up};
-use nettleworks_lab::model::registry::{Entry, Listed, Registry};
-use nettleworks_lab::queue::Queue;
+use nettleworks_lab::event_log::{EventKind, EventLog};
+use nettleworks_lab::event_queue::EventQueue;
+use nettleworks_lab::fault::{resolve_faults, Chaos, Fault, FaultKind, Targets};
+use nettleworks_lab::invariants::UnavailableHosts;
+use nettleworks_lab::model::host::{Admission, ExchangeResult, Host, HostStatus, Job};
+use nettleworks_lab::model::registry::{Entry, ListingState, Registry};
+use nettleworks_lab::random::RandomStream;
 use nettleworks_lab::scenario::{Fleet, Scenario};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -25,7 +25,7 @@
 fn the_queue_gives_what_a_stable_sort_gives() {
     let steps = prop::collection::vec((0_u64..40, any::<bool>()), 0..120);
     let run = runner().run(&steps, |steps| {
-        let mut queue = Queue::default();
+        let mut queue = EventQueue::default();
         let mut naive: Vec<(u64, usize)> = Vec::new();
         for (number, (at, takes)) in steps.into_iter().enumerate() {
             if takes {
@@ -34,13 +34,13 @@
                 if due.is_some() {
                     naive.remove(0);
                 }
-                prop_assert_eq!(queue.take(at), due);
+                prop_assert_eq!(queue.pop_due(at), due);
             } else {
-                queue.put(at, number);
+                queue.schedule(at, number);
                 naive.push((at, number));
             }
             prop_assert_eq!((queue.len(), queue.is_empty()), (naive.len(), naive.is_empty()));
-            prop_assert_eq!(queue.next_at(), naive.iter().map(|(at, _)| *at).min());
+            prop_assert_eq!(queue.next_time(), naive.iter().map(|(at, _)| *at).min());
         }
         Ok(())
     });
@@ -74,19 +74,20 @@
         for change in changes {
             match change {
                 Change::Set { host, listed, started } => {
-                    let listed = [Listed::Ready, Listed::Terminating, Listed::Gone][usize::from(listed)];
-                    let entry = Entry { host, listed, started };
+                    let state = [ListingState::Ready, ListingState::Terminating, ListingState::Removed]
+                        [usize::from(listed)];
+                    let entry = Entry { host, state, started };
                     let (before, differs) = (registry.seq(), registry.entry(host) != entry);
                     prop_assert_eq!(registry.set(entry), differs);
                     prop_assert_eq!(registry.seq(), before + u64::from(differs));
                 }
                 Change::Hear(watch) => {
                     let (since, list) = &mut watches[watch];
-                    let Some(news) = registry.news(*since) else {
+                    let Some(news) = registry.changes_since(*since) else {
                         prop_assert_eq!(*since, Some(registry.seq()));
                         continue;
                     };
-                    if news.whole {
+                    if news.is_full {
                         list.clear();
                     }
                     for entry in news.entries {
@@ -94,9 +95,10 @@
                     }
                     *since = Some(news.seq);
                     let list: Vec<Entry> =
-                        list.values().copied().filter(|e| e.listed != Listed::Gone).collect();
+                        list.values().copied().filter(|e| e.state != ListingState::Removed).collect();
                     let all = (0..HOSTS).map(|host| registry.entry(host));
-                    let listed: Vec<Entry> = all.filter(|entry| entry.listed != Listed::Gone).collect();
+                    let listed: Vec<Entry> =
+                        all.filter(|entry| entry.state != ListingState::Removed).collect();
                     prop_assert_eq!(list, listed);
                 }
                 Change::Forget(watch, other) => {
@@ -140,20 +142,26 @@
                 Step::Take { work, patience } => {
                     next += 1;
                     let until = now + u64::from(patience);
-                    let job = Job { exchange: next, call: 0, until, work: work.into(), ends: Ends::Served };
-                    match host.take(now, job, &fleet) {
-                        Taken::Begun(end) => {
+                    let job = Job {
+                        exchange: next,
+                        call: 0,
+                        until,
+                        work: work.into(),
+                        result: ExchangeResult::Served,
+                    };
+                    match host.admit(now, job, &fleet) {
+                        Admission::Started(end) => {
                             prop_assert!(running.len() < 3 && waiting.is_empty() || running.len() < 3);
                             prop_assert!(end >= now + u64::from(work).min(1) && end > now);
                             running.insert(next, end);
                         }
-                        Taken::Waits => {
+                        Admission::Queued => {
                             prop_assert!(running.len() == 3 && waiting.len() < 4);
                             waiting.push(job);
                         }
-                        Taken::Not(ends) => {
-                            prop_assert_eq!(ends, Ends::TurnedAway);
-                            prop_assert!(host.drains || running.len() == 3 && waiting.len() == 4);
+                        Admission::Rejected(ends) => {
+                            prop_assert_eq!(ends, ExchangeResult::TurnedAway);
+                            prop_assert!(host.draining || running.len() == 3 && waiting.len() == 4);
                         }
                     }
                 }
@@ -162,10 +170,10 @@
                     let due: Vec<u64> =
                         running.iter().filter(|(_, end)| **end <= now).map(|(&number, _)| number).collect();
                     for number in due {
-                        prop_assert!(host.done(number).is_some() && host.done(number).is_none());
+                        prop_assert!(host.finish(number).is_some() && host.finish(number).is_none());
                         running.remove(&number);
                         let mut late = Vec::new();
-                        let begun = host.next(now, &fleet, &mut late);
+                        let begun = host.start_next(now, &fleet, &mut late);
                         for job in late {
                             prop_assert_eq!(job, waiting.remove(0));
                             prop_assert!(now >= job.until);
@@ -179,20 +187,20 @@
                 }
                 Step::Forget(which) => {
                     if let Some(place) = usize::from(which).checked_rem(waiting.len()) {
-                        host.forget(waiting.remove(place).exchange);
+                        host.cancel(waiting.remove(place).exchange);
                     }
                 }
                 Step::Down => {
                     let epoch = host.epoch;
-                    host.down(Up::Dead);
+                    host.down(HostStatus::Dead);
                     host.start(now);
-                    prop_assert!(host.epoch > epoch && !host.drains);
+                    prop_assert!(host.epoch > epoch && !host.draining);
                     running.clear();
                     waiting.clear();
                 }
-                Step::Drain => host.drains = true,
+                Step::Drain => host.draining = true,
             }
-            prop_assert_eq!((host.in_hand(), host.waiting()), (running.len() + waiting.len(), waiting.len()));
+            prop_assert_eq!((host.active(), host.waiting()), (running.len() + waiting.len(), waiting.len()));
         }
         Ok(())
     });
@@ -203,12 +211,12 @@
 fn what_was_told_is_what_a_list_of_tellings_says() {
     let telling = (0_usize..4, any::<bool>(), 0_u64..3_000_000);
     let run = runner().run(&prop::collection::vec(telling, 0..60), |tellings| {
-        let mut told = Told::default();
+        let mut unavailable = UnavailableHosts::default();
         let mut naive: BTreeMap<usize, u64> = BTreeMap::new();
         let mut now = 0;
         for (host, ready, later) in tellings {
             now += later;
-            told.of(now, host, ready);
+            unavailable.set(now, host, ready);
             if ready {
                 naive.remove(&host);
             } else {
@@ -217,7 +225,7 @@
             for host in 0..4 {
                 for at in [now, now + 1_050_000, now + 1_050_001] {
                     let forbidden = naive.get(&host).is_some_and(|since| at > since + 1_050_000);
-                    prop_assert_eq!(told.forbids(at, host), forbidden);
+                    prop_assert_eq!(unavailable.forbids(at, host), forbidden);
                 }
             }
         }
@@ -226,28 +234,28 @@
     run.unwrap_or_else(|error| panic!("{error}"));
 }
 
-fn which() -> impl Strategy<Value = Which> {
+fn which() -> impl Strategy<Value = Targets> {
     prop_oneof![
-        Just(Which::All),
+        Just(Targets::All),
         prop::collection::btree_set(0_usize..6, 1..4)
-            .prop_map(|these| Which::These(these.into_iter().collect())),
-        (1_usize..6).prop_map(Which::Any),
-        (0_usize..2).prop_map(Which::Zone),
+            .prop_map(|these| Targets::These(these.into_iter().collect())),
+        (1_usize..6).prop_map(Targets::Any),
+        (0_usize..2).prop_map(Targets::Zone),
     ]
 }
 
 fn any_fault() -> impl Strategy<Value = Fault> {
-    let what = (0..What::ALL.len()).prop_map(|place| What::ALL[place]);
-    (what, 0.0..9.0_f64, 0.001..4.0_f64, which(), which(), prop_oneof![Just(0.0), 0.01..0.5_f64]).prop_map(
-        |(what, at, lasts, hosts, proxies, stagger)| Fault {
-            what,
+    let kind = (0..FaultKind::ALL.len()).prop_map(|place| FaultKind::ALL[place]);
+    (kind, 0.0..9.0_f64, 0.001..4.0_f64, which(), which(), prop_oneof![Just(0.0), 0.01..0.5_f64]).prop_map(
+        |(kind, at, duration, hosts, proxies, stagger)| Fault {
+            kind,
             at: None,
             between: Some((at, at + 1.0)),
-            lasts,
+            duration,
             hosts,
             proxies,
             stagger,
-            much: None,
+            magnitude: None,
         },
     )
 }
@@ -259,24 +267,25 @@
     let run = runner().run(&scenario, |(faults, chaos, seed)| {
         let mut scenario = common::scenario("name = \"x\"\nseconds = 10.0\n[load]\nproxies = 6");
         scenario.faults = faults;
-        scenario.chaos = (chaos > 0).then_some(Chaos { faults: chaos, what: Vec::new(), lasts: (0.05, 2.0) });
+        scenario.chaos =
+            (chaos > 0).then_some(Chaos { faults: chaos, kinds: Vec::new(), duration: (0.05, 2.0) });
         prop_assert!(scenario.check().is_ok(), "{:?}", scenario.check());
-        let settled = settle(&scenario, seed);
+        let settled = resolve_faults(&scenario, seed);
         prop_assert!(settled.check().is_ok() && settled.chaos.is_none(), "{:?}", settled.check());
         prop_assert!(settled.faults.len() >= chaos);
         for fault in &settled.faults {
             prop_assert!(fault.at.is_some() && fault.between.is_none() && fault.stagger == 0.0);
             for which in [&fault.hosts, &fault.proxies] {
-                let numbers: BTreeSet<usize> = which.numbers(6).into_iter().collect();
+                let numbers: BTreeSet<usize> = which.indices(6).into_iter().collect();
                 prop_assert!(
-                    !numbers.is_empty() && (0..6).all(|one| which.holds(one) == numbers.contains(&one))
+                    !numbers.is_empty() && (0..6).all(|one| which.contains(one) == numbers.contains(&one))
                 );
             }
         }
         let read = Scenario::parse(&settled.text());
         prop_assert_eq!(read.as_ref(), Ok(&settled));
-        prop_assert_eq!(&settle(&settled, seed), &settled);
-        prop_assert_eq!(&settle(&scenario, seed), &settled);
+        prop_assert_eq!(&resolve_faults(&settled, seed), &settled);
+        prop_assert_eq!(&resolve_faults(&scenario, seed), &settled);
         Ok(())
     });
     run.unwrap_or_else(|error| panic!("{error}"));
@@ -285,12 +294,12 @@
 #[test]
 fn one_fault_more_moves_no_other_that_is_drawn() {
     let mut scenario = common::shipped("chaos");
-    let first = settle(&scenario, 9);
+    let first = resolve_faults(&scenario, 9);
     let more = scenario.chaos.as_mut().expect("chaos");
     more.faults += 1;
-    let second = settle(&scenario, 9);
+    let second = resolve_faults(&scenario, 9);
     assert_eq!(second.faults[..first.faults.len()], first.faults);
-    assert_ne!(settle(&scenario, 10).faults, second.faults);
+    assert_ne!(resolve_faults(&scenario, 10).faults, second.faults);
 }
 
 #[test]
@@ -299,26 +308,30 @@
         ["cold-fleet", "rolling-release", "dawn", "metastable", "discovery-dead-then-wrong", "key-storm"]
     {
         let whole = common::shipped(name);
-        let light = whole.light(8.0, 100.0);
+        let light = whole.scaled_down(8.0, 100.0);
         assert!(light.check().is_ok(), "{name}: {:?}", light.check());
         assert!(light.seconds <= 8.0 && light.load.rate <= 100.0);
         assert_eq!(light.faults.len(), whole.faults.len());
         for (light, whole) in light.faults.iter().zip(&whole.faults) {
-            assert_eq!((light.what, light.lasts, &light.hosts), (whole.what, whole.lasts, &whole.hosts));
+            assert_eq!(
+                (light.kind, light.duration, &light.hosts),
+                (whole.kind, whole.duration, &whole.hosts)
+            );
         }
         // One that is light already stays as it is.
-        assert_eq!(light.light(8.0, 100.0), light);
+        assert_eq!(light.scaled_down(8.0, 100.0), light);
     }
 }
 
 #[test]
 fn the_log_keeps_the_last_events_and_its_hash_tells_every_difference() {
-    let of = |events: &[(u64, Of, [u64; 3])]| {
-        let mut log = Log::default();
-        events.iter().for_each(|&(at, of, is)| log.note(at, of, is));
-        (log.hash(), log.count(), log.last())
+    let of = |events: &[(u64, EventKind, [u64; 3])]| {
+        let mut log = EventLog::default();
+        events.iter().for_each(|&(at, of, is)| log.record(at, of, is));
+        (log.hash(), log.count(), log.recent())
     };
-    let events: Vec<(u64, Of, [u64; 3])> = (0..100).map(|n| (n, Of::Sent, [n, 2 * n, 3])).collect();
+    let events: Vec<(u64, EventKind, [u64; 3])> =
+        (0..100).map(|n| (n, EventKind::Sent, [n, 2 * n, 3])).collect();
     let (hash, count, last) = of(&events);
     assert_eq!((count, last.len(), last[last.len() - 1].at), (100, 48, 99));
     assert_eq!(of(&events).0, hash);
@@ -328,7 +341,7 @@
         other[place].0 += 1;
         assert!(seen.insert(of(&other).0));
         let mut other = events.clone();
-        other[place].1 = Of::Ran;
+        other[place].1 = EventKind::Ran;
         assert!(seen.insert(of(&other).0));
         for figure in 0..3 {
             let mut other = events.clone();
@@ -346,14 +359,14 @@
 fn some_of_many_are_as_many_as_asked_for_each_as_likely() {
     let mut counts = [0_u32; 10];
     for seed in 0..4_000 {
-        let some = Draw::new(seed, "some", 0, 0).some_of(3, 10);
+        let some = RandomStream::new(seed, "some", 0, 0).sample_indices(3, 10);
         assert!(some.len() == 3 && some.windows(2).all(|pair| pair[0] < pair[1]) && some[2] < 10);
         some.into_iter().for_each(|one| counts[one] += 1);
     }
     assert!(counts.iter().all(|count| (1_080..1_320).contains(count)), "{counts:?}");
-    assert_eq!(Draw::new(1, "some", 0, 0).some_of(9, 2), [0, 1]);
+    assert_eq!(RandomStream::new(1, "some", 0, 0).sample_indices(9, 2), [0, 1]);
     // Zipf's law: the first of a thousand comes about twice as often as the second.
-    let rank = |n| Draw::new(n, "rank", 0, 0).rank(1_000, 1.0);
+    let rank = |n| RandomStream::new(n, "rank", 0, 0).zipf_rank(1_000, 1.0);
     let ranks: Vec<u64> = (0..20_000).map(rank).collect();
     let of = |one: u64| ranks.iter().filter(|&&rank| rank == one).count() as f64;
     assert!((1.8..2.2).contains(&(of(1) / of(2))), "{} {}", of(1), of(2));
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Scenario files: the shipped ones are good and keep the rules; wrong ones are refused with their place.
 
 use nettleworks_lab::explore::sweep;
-use nettleworks_lab::run::{Depth, Limits};
+use nettleworks_lab::run::{Depth, RunOptions};
 use nettleworks_lab::scenario::Scenario;
 use std::path::Path;
 
@@ -26,9 +26,9 @@
     let all = shipped();
     assert!(all.len() >= 12);
     for scenario in all {
-        let scenario = scenario.light(SECONDS, RATE);
+        let scenario = scenario.scaled_down(SECONDS, RATE);
         scenario.check().unwrap_or_else(|error| panic!("{error}"));
-        let swept = sweep(&scenario, 1..=seeds, depth, &Limits::default(), || ());
+        let swept = sweep(&scenario, 1..=seeds, depth, &RunOptions::default(), || ());
         assert!(swept.broken.is_empty() && swept.failed.is_empty(), "{} {depth:?}: {swept:?}", scenario.name);
         assert_eq!(swept.seeds as u64, seeds);
     }
@@ -65,7 +65,7 @@
         ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"kill\"\nat = 9.0", "fault[0]"),
         ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"kill\"\nat = 1.0\nhosts = { these = [9] }", "fault[0].hosts"),
         ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"kill\"\nat = 1.0\nhosts = { pod = 7 }", "fault[0].hosts"),
-        ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"kill\"\nat = 1.0\nmuch = 2.0", "fault[0].much"),
+        ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"kill\"\nat = 1.0\nmuch = 2.0", "fault[0].magnitude"),
         ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"cut\"\nat = 1.0\nproxies = { any = 50 }", "fault[0].proxies"),
         ("name = \"x\"\nseconds = 5.0\n[chaos]\nfaults = 10000", "chaos.faults"),
         ("name = \"x\"\nseconds = 5.0\n[[class]]\nname = \"a\"\nkind = \"free\"\nshare = 1.0\naim_ms = 5.0\n\
--- a/lab/tests/standing.rs
+++ b/lab/tests/standing.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{sound, whole};
-use nettleworks_lab::fault::Which;
+use nettleworks_lab::fault::Targets;
 use nettleworks_lab::run::{Depth, Outcome};
 use nettleworks_lab::scenario::Scenario;
 use std::path::Path;
@@ -31,27 +31,28 @@
     small.load.proxies /= 10;
     small.load.rate /= 10.0;
     small.fleet.connections /= 2;
-    let fewer = |which: &mut Which| match which {
-        Which::Any(count) => *count = count.div_ceil(10),
-        Which::These(these) => {
+    let fewer = |which: &mut Targets| match which {
+        Targets::Any(count) => *count = count.div_ceil(10),
+        Targets::These(these) => {
             *these = these.iter().filter(|&one| one % 10 == 0).map(|one| one / 10).collect();
         }
-        Which::All | Which::Pod(_) | Which::Zone(_) => {}
+        Targets::All | Targets::Pod(_) | Targets::Zone(_) => {}
     };
     for fault in &mut small.faults {
         fault.stagger *= 10.0;
         fewer(&mut fault.hosts);
         fewer(&mut fault.proxies);
     }
-    let small = small.light(small.seconds / 2.0, f64::MAX);
+    let small = small.scaled_down(small.seconds / 2.0, f64::MAX);
     small.check().unwrap_or_else(|error| panic!("{error}"));
     small
 }
 
 /// Share of the worth that began in these seconds and was served.
 fn served(outcome: &Outcome, seconds: std::ops::Range<usize>) -> f64 {
-    let parts = outcome.tally.seconds[seconds].iter().filter_map(|second| second.part.as_ref());
-    let (got, offered) = parts.fold((0.0, 0.0), |sum, part| (sum.0 + part.got, sum.1 + part.offered));
+    let parts = outcome.metrics.seconds[seconds].iter().filter_map(|second| second.requests.as_ref());
+    let (got, offered) =
+        parts.fold((0.0, 0.0), |sum, part| (sum.0 + part.earned_value, sum.1 + part.offered_value));
     got / offered
 }
 
@@ -60,7 +61,7 @@
     for name in DAYS {
         for depth in [Depth::Full, Depth::Fleet] {
             let outcome = sound(&small(name), 2, depth);
-            let served = outcome.tally.all.served();
+            let served = outcome.metrics.all.served_share();
             assert!(served > 0.75, "{name} {depth:?}: {served}");
         }
     }
@@ -80,7 +81,7 @@
 #[test]
 fn three_hundred_proxies_do_not_use_up_the_hosts_connections() {
     let outcome = calm(300, 40);
-    let (open, served) = (outcome.tally.connections, served(&outcome, 2..6));
+    let (open, served) = (outcome.metrics.peak_connections, served(&outcome, 2..6));
     assert!(open <= 25, "{open} of 40 at one host");
     assert!(served > 0.99, "{served}");
 }
@@ -99,7 +100,7 @@
     (start.seconds, start.warm_up) = (5.0, 0.0);
     start.load.curve.clear();
     start.load.proxies = 1_000;
-    start.discovery.known = false;
+    start.discovery.starts_with_cached_list = false;
     let outcome = sound(&start, 1, Depth::Fleet);
     assert!(served(&outcome, 2..5) > 0.97, "{}", served(&outcome, 2..5));
 }
@@ -111,9 +112,9 @@
     let mut herd = day("herd");
     (herd.seconds, herd.warm_up) = (14.0, 1.0);
     let outcome = whole(&herd, 1, Depth::Fleet);
-    assert_eq!(outcome.breaks, []);
+    assert_eq!(outcome.violations, []);
     // Each of 300 begins once and 210 once more.
-    assert!(outcome.tally.watches <= 600, "{} asks", outcome.tally.watches);
+    assert!(outcome.metrics.watches <= 600, "{} asks", outcome.metrics.watches);
     assert!(served(&outcome, 10..14) > 0.93, "{}", served(&outcome, 10..14));
 }
 
--- a/lab/tests/tools.rs
+++ b/lab/tests/tools.rs
@@ -6,10 +6,10 @@
 use nettleworks_lab::baseline::Picks;
 use nettleworks_lab::compare::{compare, table, Spread};
 use nettleworks_lab::explore::{sweep, Found};
-use nettleworks_lab::judge::Rule;
+use nettleworks_lab::fidelity::{self, FidelityReport};
+use nettleworks_lab::invariants::Invariant;
 use nettleworks_lab::report;
-use nettleworks_lab::run::{Depth, Limits};
-use nettleworks_lab::truth::{self, Truth};
+use nettleworks_lab::run::{Depth, RunOptions};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -118,14 +118,14 @@
     let output = lab(&["explore", &file, "--seeds", "1..3", "--light"]);
     let said = text(&output.stdout);
     assert!(output.status.success() && said.matches("3 seeds, 0 broken").count() == 2, "{said}");
-    let settled = nettleworks_lab::fault::settle(&shipped("chaos").light(4.0, 60.0), 2);
+    let settled = nettleworks_lab::fault::resolve_faults(&shipped("chaos").scaled_down(4.0, 60.0), 2);
     let found = Found { seed: 2, depth: Depth::Full, what: "nothing".to_owned(), scenario: settled };
     assert_eq!(Found::parse(&found.text()), Ok(found.clone()));
     let path = folder("replay").join("found.toml");
     std::fs::write(&path, found.text()).expect("written");
     let output = lab(&["replay", &path.display().to_string()]);
     assert!(output.status.success());
-    let hash = sweep(&found.scenario, 2..=2, Depth::Full, &Limits::default(), || ()).hashes[&2];
+    let hash = sweep(&found.scenario, 2..=2, Depth::Full, &RunOptions::default(), || ()).hashes[&2];
     assert!(text(&output.stdout).contains(&format!("{hash:016x}")), "{}", text(&output.stdout));
     assert!(Found::parse("seed = 1").is_err());
     let broken = found.text().replace("hosts = 8", "hosts = 0");
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_comparison_has_a_line_for_each_and_shows_what_the_plain_ones_break() {
-    let scenario = shipped("reset-storm").light(10.0, 150.0);
+    let scenario = shipped("reset-storm").scaled_down(10.0, 150.0);
     let count = AtomicU64::new(0);
     let lines = compare(&[scenario], &(1..=4), &Picks::ALL, || {
         count.fetch_add(1, Ordering::Relaxed);
@@ -142,7 +142,7 @@
     let lines = lines.expect("they are played");
     assert_eq!((lines.len(), count.load(Ordering::Relaxed)), (6, 24));
     for line in &lines {
-        let twice = line.broken.get(&Rule::NoEffectTwice).copied().unwrap_or_default();
+        let twice = line.broken.get(&Invariant::NoEffectTwice).copied().unwrap_or_default();
         assert_eq!(twice > 0, line.picks != Picks::Ours, "{line:?}");
         assert!(line.served.least <= line.served.median && line.served.median <= line.served.most);
     }
@@ -157,7 +157,7 @@
 
 #[test]
 fn a_report_is_one_page_with_its_plots_faults_and_seeds() {
-    let mut scenario = shipped("one-way").light(10.0, 60.0);
+    let mut scenario = shipped("one-way").scaled_down(10.0, 60.0);
     scenario.name = "one <way> & back".to_owned();
     let page = report::page(&scenario, &(3..=5), Depth::Fleet, || ()).expect("a page");
     assert_eq!(page.matches("<svg").count(), 5);
@@ -188,31 +188,35 @@
     // A slow machine is no fault of the proxies.
     scenario.classes = shipped("calm").classes;
     scenario.classes.iter_mut().for_each(|class| {
-        class.aim_ms = 1_500.0;
+        class.latency_target_ms = 1_500.0;
         class.deadline_ms = 3_000.0;
     });
-    let real = nettleworks_lab::real::play(&scenario, 1).expect("it is played");
+    let real = nettleworks_lab::loopback::run_scenario(&scenario, 1).expect("it is played");
     let full = common::sound(&scenario, 1, Depth::Full);
     // The same clients ask for the same; one may come a moment later here, and so just count or not.
-    assert!(real.tally.all.wanted.abs_diff(full.tally.all.wanted) <= 3);
-    assert!(real.tally.all.served() > 0.99, "{:?}", real.tally.all.ended);
-    assert!(real.breaks.iter().all(|broken| broken.rule != Rule::NoEffectTwice), "{:?}", real.breaks);
-    assert!(real.tally.opened > 0 && real.tally.watches == 2);
+    assert!(real.metrics.all.operations.abs_diff(full.metrics.all.operations) <= 3);
+    assert!(real.metrics.all.served_share() > 0.99, "{:?}", real.metrics.all.outcomes);
+    assert!(
+        real.violations.iter().all(|broken| broken.invariant != Invariant::NoEffectTwice),
+        "{:?}",
+        real.violations
+    );
+    assert!(real.metrics.opened_connections > 0 && real.metrics.watches == 2);
 }
 
 #[test]
 fn how_far_a_depth_is_off_is_a_share_of_the_real_figure() {
-    let figures = |served, p50_ms, p99_ms| truth::Figures { served, p50_ms, p99_ms };
-    let truth = Truth {
+    let figures = |served, p50_ms, p99_ms| fidelity::Figures { served, p50_ms, p99_ms };
+    let truth = FidelityReport {
         scenario: "x".to_owned(),
         real: figures(0.8, 10.0, 100.0),
         full: figures(0.8, 11.0, 50.0),
         fleet: figures(0.4, 10.0, 100.0),
     };
     let round = |off: [f64; 3]| off.map(|off| (off * 100.0).round());
-    assert_eq!(round(truth.off(Depth::Full)), [0.0, 10.0, 50.0]);
-    assert_eq!(round(truth.off(Depth::Fleet)), [50.0, 0.0, 0.0]);
-    assert!(truth::table(&[truth]).contains("| x | 0.800, 0.800, 0.400 |"));
+    assert_eq!(round(truth.relative_errors(Depth::Full)), [0.0, 10.0, 50.0]);
+    assert_eq!(round(truth.relative_errors(Depth::Fleet)), [50.0, 0.0, 0.0]);
+    assert!(fidelity::table(&[truth]).contains("| x | 0.800, 0.800, 0.400 |"));
 }
 
 #[test]
--- a/lab/tests/trouble.rs
+++ b/lab/tests/trouble.rs
@@ -1,9 +1,9 @@
 //! What the simulated network and processes must be able to do to a proxy, in full stack.
 
-use nettleworks_lab::fault::{Fault, What, Which};
-use nettleworks_lab::run::{play, Depth, Limits, Outcome};
+use nettleworks_lab::fault::{Fault, FaultKind, Targets};
+use nettleworks_lab::metrics::OperationOutcome;
+use nettleworks_lab::run::{run_scenario, Depth, Outcome, RunOptions};
 use nettleworks_lab::scenario::Scenario;
-use nettleworks_lab::tally::Ended;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -11,32 +11,36 @@
     Scenario::parse(text).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn fault(what: What, at: f64, lasts: f64, hosts: Which, proxies: Which) -> Fault {
-    Fault { what, at: Some(at), between: None, lasts, hosts, proxies, stagger: 0.0, much: None }
+fn fault(kind: FaultKind, at: f64, duration: f64, hosts: Targets, proxies: Targets) -> Fault {
+    Fault { kind, at: Some(at), between: None, duration, hosts, proxies, stagger: 0.0, magnitude: None }
 }
 
 fn full(scenario: &Scenario, seed: u64) -> Outcome {
-    let outcome = play(scenario, seed, Depth::Full, &Limits::default()).expect("it is played");
-    assert_eq!(outcome.breaks, []);
+    let outcome = run_scenario(scenario, seed, Depth::Full, &RunOptions::default()).expect("it is played");
+    assert_eq!(outcome.violations, []);
     outcome
 }
 
 /// Share of what began in a second that was served.
 fn served_in(outcome: &Outcome, second: usize) -> f64 {
-    outcome.tally.seconds[second].part.as_ref().map_or(1.0, |part| part.served())
+    outcome.metrics.seconds[second].requests.as_ref().map_or(1.0, |part| part.served_share())
 }
 
 #[test]
 fn a_proxy_dies_and_starts_again_and_its_clients_go_on() {
     let mut scenario = scenario("name = \"x\"\nseconds = 8.0\n[load]\nproxies = 2\nrate = 200.0");
-    scenario.faults.push(fault(What::Restart, 3.2, 0.5, Which::All, Which::These(vec![0])));
+    scenario.faults.push(fault(FaultKind::Restart, 3.2, 0.5, Targets::All, Targets::These(vec![0])));
     let outcome = full(&scenario, 1);
     // What was open at that moment has ended without an answer, and what came while it was down.
-    assert!(outcome.tally.all.count(Ended::Left) + outcome.tally.all.count(Ended::Failed) > 0);
+    assert!(
+        outcome.metrics.all.count(OperationOutcome::Left)
+            + outcome.metrics.all.count(OperationOutcome::Failed)
+            > 0
+    );
     assert!(served_in(&outcome, 3) < 0.95);
     assert!(served_in(&outcome, 5) > 0.99);
     // It watches the list anew, the other goes on with its watch.
-    assert_eq!(outcome.tally.watches, 3);
+    assert_eq!(outcome.metrics.watches, 3);
 }
 
 /// A proxy's clock counts what a host's start is told in. It is read at the start alone: a jump while it runs changes
@@ -45,24 +49,26 @@
 fn a_clock_that_jumps_while_a_proxy_runs_changes_nothing() {
     let text = "name = \"x\"\nseconds = 10.0\n[fleet]\nhosts = 3\n[load]\nproxies = 2\nrate = 150.0";
     let mut calm = scenario(text);
-    calm.faults.push(fault(What::Kill, 2.0, 0.5, Which::These(vec![0]), Which::All));
+    calm.faults.push(fault(FaultKind::Kill, 2.0, 0.5, Targets::These(vec![0]), Targets::All));
     // In both there are as many faults, so that nothing else differs.
     let mut jumps = calm.clone();
-    calm.faults
-        .push(Fault { much: Some(0.0), ..fault(What::Clock, 1.0, 8.0, Which::All, Which::These(vec![0])) });
-    for much in [3_600.0, -3_600.0] {
+    calm.faults.push(Fault {
+        magnitude: Some(0.0),
+        ..fault(FaultKind::Clock, 1.0, 8.0, Targets::All, Targets::These(vec![0]))
+    });
+    for magnitude in [3_600.0, -3_600.0] {
         jumps.faults.truncate(1);
-        let jump = fault(What::Clock, 1.0, 8.0, Which::All, Which::These(vec![0]));
-        jumps.faults.push(Fault { much: Some(much), ..jump });
+        let jump = fault(FaultKind::Clock, 1.0, 8.0, Targets::All, Targets::These(vec![0]));
+        jumps.faults.push(Fault { magnitude: Some(magnitude), ..jump });
         assert_eq!(full(&calm, 2).hash, full(&jumps, 2).hash);
     }
     // One that starts by a clock of an hour ago takes a host that has just started for cold, and sends it less.
     let host_0 = |outcome: &Outcome| {
-        let of = |second: usize| outcome.tally.seconds[second].host.get(&0).copied().unwrap_or_default();
+        let of = |second: usize| outcome.metrics.seconds[second].host.get(&0).copied().unwrap_or_default();
         (6..10).map(of).sum::<u32>()
     };
     for scenario in [&mut calm, &mut jumps] {
-        scenario.faults.push(fault(What::Restart, 1.5, 0.2, Which::All, Which::These(vec![0])));
+        scenario.faults.push(fault(FaultKind::Restart, 1.5, 0.2, Targets::All, Targets::These(vec![0])));
         scenario.load.rate = 900.0;
     }
     let (right, behind) = (full(&calm, 2), full(&jumps, 2));
@@ -77,15 +83,15 @@
     );
     for number in 0..50 {
         let at = 0.5 + 0.1 * f64::from(number);
-        scenario.faults.push(fault(What::CutThere, at, 0.03, Which::All, Which::All));
+        scenario.faults.push(fault(FaultKind::CutThere, at, 0.03, Targets::All, Targets::All));
     }
     let outcome = full(&scenario, 3);
-    assert!(outcome.tally.held > 100, "{} pieces were held back", outcome.tally.held);
-    assert!(outcome.tally.all.served() > 0.95, "{}", outcome.tally.all.served());
+    assert!(outcome.metrics.held_segments > 100, "{} pieces were held back", outcome.metrics.held_segments);
+    assert!(outcome.metrics.all.served_share() > 0.95, "{}", outcome.metrics.all.served_share());
     // Both ways at once, and for longer than connections are waited for.
     for (number, fault) in scenario.faults.iter_mut().enumerate() {
-        fault.what = if number % 2 == 0 { What::Cut } else { What::CutBack };
-        fault.lasts = if number % 10 == 0 { 0.4 } else { 0.02 };
+        fault.kind = if number % 2 == 0 { FaultKind::Cut } else { FaultKind::CutBack };
+        fault.duration = if number % 10 == 0 { 0.4 } else { 0.02 };
     }
     full(&scenario, 3);
 }
@@ -94,17 +100,17 @@
 fn a_host_starts_again_under_its_address_within_a_tick() {
     let mut scenario = scenario("name = \"x\"\nseconds = 20.0\n[load]\nproxies = 3\nrate = 300.0");
     for number in 0..6 {
-        let host = Which::These(vec![number % 6]);
+        let host = Targets::These(vec![number % 6]);
         let at = 1.0 + 1.0003 * number as f64;
-        scenario.faults.push(fault(What::Kill, at, 0.001, host, Which::All));
+        scenario.faults.push(fault(FaultKind::Kill, at, 0.001, host, Targets::All));
     }
     let outcome = full(&scenario, 4);
     // What ran there when it died may have run, and charges are not sent again.
-    let all = &outcome.tally.all;
-    let twice_or_lost = all.count(Ended::Left);
-    assert!(twice_or_lost == 0 && all.served() > 0.5, "{:?}", all.ended);
+    let all = &outcome.metrics.all;
+    let twice_or_lost = all.count(OperationOutcome::Left);
+    assert!(twice_or_lost == 0 && all.served_share() > 0.5, "{:?}", all.outcomes);
     // All were told of, and each is in use again.
-    let last: Vec<usize> = outcome.tally.seconds[19].host.keys().copied().collect();
+    let last: Vec<usize> = outcome.metrics.seconds[19].host.keys().copied().collect();
     assert_eq!(last, [0, 1, 2, 3, 4, 5]);
 }
 
@@ -112,11 +118,16 @@
 fn clients_that_read_nothing_hold_back_their_own_answers_alone() {
     let text = "name = \"x\"\nseconds = 6.0\n[load]\nproxies = 2\nrate = 200.0\nanswer = 50000";
     let mut slow = scenario(text);
-    slow.faults.push(fault(What::SlowReader, 2.0, 1.5, Which::All, Which::These(vec![0])));
+    slow.faults.push(fault(FaultKind::SlowReader, 2.0, 1.5, Targets::All, Targets::These(vec![0])));
     let outcome = full(&slow, 5);
-    let part = outcome.tally.seconds[2].part.as_ref().expect("calls");
+    let part = outcome.metrics.seconds[2].requests.as_ref().expect("calls");
     // Half of the clients read late; the others' answers are there in time.
-    assert!(part.ms(30.0) < 100.0 && part.ms(95.0) > 400.0, "{} {}", part.ms(30.0), part.ms(95.0));
+    assert!(
+        part.latency_ms(30.0) < 100.0 && part.latency_ms(95.0) > 400.0,
+        "{} {}",
+        part.latency_ms(30.0),
+        part.latency_ms(95.0)
+    );
     assert!(served_in(&outcome, 5) > 0.99);
 }
 
@@ -129,10 +140,15 @@
     storm.load.rate /= 10.0;
     let start = Instant::now();
     for seed in 1..=4 {
-        let tally = full(&storm, seed).tally;
-        assert!(tally.keys > 1_900 && tally.key_repeats > 3_000, "{} {}", tally.keys, tally.key_repeats);
-        assert!(tally.replays > 2_000);
-        assert_eq!(tally.two_answers, 0);
+        let metrics = full(&storm, seed).metrics;
+        assert!(
+            metrics.keys > 1_900 && metrics.key_repeats > 3_000,
+            "{} {}",
+            metrics.keys,
+            metrics.key_repeats
+        );
+        assert!(metrics.replays > 2_000);
+        assert_eq!(metrics.two_answers, 0);
     }
     assert!(start.elapsed() < Duration::from_secs(120));
 }
--- a/measure/src/lab.rs
+++ b/measure/src/lab.rs
@@ -2,9 +2,9 @@
 //! length, how true to life it is. Each run that is timed has a process and one thread of its own.
 
 use crate::report::{Bound, Report};
-use nettleworks_lab::run::{play, Depth, Limits};
+use nettleworks_lab::fidelity;
+use nettleworks_lab::run::{run_scenario, Depth, RunOptions};
 use nettleworks_lab::scenario::Scenario;
-use nettleworks_lab::truth;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -35,18 +35,20 @@
     let depth = if depth == "full" { Depth::Full } else { Depth::Fleet };
     let scenario = Scenario::parse(text).map_err(|error| eprintln!("{error}")).ok()?;
     let start = Instant::now();
-    let outcome = play(&scenario, 1, depth, &Limits::default()).map_err(|error| eprintln!("{error}")).ok()?;
+    let outcome = run_scenario(&scenario, 1, depth, &RunOptions::default())
+        .map_err(|error| eprintln!("{error}"))
+        .ok()?;
     let wall = start.elapsed().as_secs_f64();
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let peak = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:")?.split_whitespace().next()?.parse::<f64>().ok());
-    let tally = &outcome.tally;
+    let metrics = &outcome.metrics;
     Some(json!({
-        "virtual": outcome.ended as f64 / 1e6, "wall": wall, "peak_kb": peak, "hash": format!("{:016x}", outcome.hash),
-        "served": tally.all.served(), "wanted": tally.all.wanted, "broken": outcome.breaks.len(), "keys": tally.keys,
-        "repeats": tally.key_repeats, "replays": tally.replays, "two_answers": tally.two_answers,
-        "connections": tally.connections, "opened": tally.opened, "watches": tally.watches,
+        "virtual": outcome.end_time as f64 / 1e6, "wall": wall, "peak_kb": peak, "hash": format!("{:016x}", outcome.hash),
+        "served": metrics.all.served_share(), "wanted": metrics.all.operations, "broken": outcome.violations.len(), "keys": metrics.keys,
+        "repeats": metrics.key_repeats, "replays": metrics.replays, "two_answers": metrics.two_answers,
+        "connections": metrics.peak_connections, "opened": metrics.opened_connections, "watches": metrics.watches,
     }))
 }
 
@@ -107,16 +109,16 @@
     let wide = play_all(Depth::Fleet, &[(5_000, 1_000, QUIET * 5_000.0, if full { hour } else { 120.0 })]);
     let storm =
         Scenario::load(&scenarios().join("key-storm.toml")).ok().and_then(|storm| apart(Depth::Full, &storm));
-    let truths: Vec<truth::Truth> = TRUE
+    let truths: Vec<fidelity::FidelityReport> = TRUE
         .iter()
         .filter(|_| full)
         .filter_map(|name| {
             let scenario = Scenario::load(&scenarios().join(format!("{name}.toml"))).ok()?;
-            truth::compare(&scenario, 1).map_err(|error| eprintln!("{error}")).ok()
+            fidelity::compare(&scenario, 1).map_err(|error| eprintln!("{error}")).ok()
         })
         .collect();
     if full {
-        eprintln!("{}", truth::table(&truths));
+        eprintln!("{}", fidelity::table(&truths));
     }
     let at = |runs: &[Run], place: usize, of: fn(&Run) -> f64| runs.get(place).map_or(f64::NAN, of);
     let same = |runs: &[Run], first: usize, other: usize| {
@@ -151,7 +153,7 @@
     report.target("storm_broken", figure("broken") + figure("two_answers"), Bound::AtMost(0.0));
     for truth in &truths {
         for (depth, word) in [(Depth::Full, "full"), (Depth::Fleet, "fleet")] {
-            let [served, p50, p99] = truth.off(depth);
+            let [served, p50, p99] = truth.relative_errors(depth);
             let mut target = |what: &str, value, most| {
                 report.target(&format!("{}_{word}_{what}_off", truth.scenario), value, Bound::AtMost(most));
             };
