--- a/lab/src/event_log.rs
+++ b/lab/src/event_log.rs
@@ -1,4 +1,5 @@
-//! The event log of a run: a hash over all of it, the last events, and, where asked for, a line of JSON for each.
+//! The event log of a run: a hash over all events, the most recent events, and, on request, a trace line for each
+//! event.
 
 use crate::Micros;
 use serde::Serialize;
@@ -6,48 +7,48 @@
 use std::hash::Hasher;
 use twox_hash::XxHash64;
 
-/// How many of the last events are kept.
+/// Number of recent events that are kept.
 const RECENT_EVENTS_MAX: usize = 48;
 
-/// What an event is about.
+/// Kind of an event. Each variant lists the values that are recorded with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
-    /// A client asks: call, proxy, class.
+    /// A client sends a request: call, proxy, class.
     Asked,
-    /// An attempt's first byte is written: call, host, attempt.
+    /// The first byte of an attempt is written: call, host, attempt.
     Sent,
     /// A host runs a request: call, host, pod.
     Ran,
-    /// A host's word on a request: call, host, status.
+    /// A host ends an exchange: call, host, result.
     Said,
-    /// A client has an answer: call, status, microseconds since it asked.
+    /// A client receives an answer: call, status, microseconds since the request.
     Answered,
-    /// A client leaves, or its proxy has died: call, proxy.
+    /// A client abandons a call: call, proxy.
     Left,
-    /// A proxy is told of a host: proxy, host, what.
+    /// A proxy receives an update of the list: proxy, version, number of entries.
     Told,
-    /// A fault begins or ends: its number, whether it begins.
+    /// A fault begins or ends: its index, whether it begins, its kind.
     Fault,
-    /// A host comes up or goes down: host, whether it is up.
+    /// A host comes up or goes down: host, whether it is up, its status.
     Host,
     /// A proxy starts or dies: proxy, whether it is up.
     Proxy,
-    /// A connection: proxy, host, what of it.
+    /// A connection is refused: proxy or exchange, host, 0.
     Connection,
-    /// A rule is broken: its number, call, host.
+    /// An invariant is violated: its number, call, host.
     Broken,
 }
 
-/// An event.
+/// An event of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct LoggedEvent {
     /// Virtual time, in microseconds from the start.
     pub at: Micros,
-    /// What it is about.
+    /// Its kind.
     #[serde(rename = "of")]
     pub kind: EventKind,
-    /// Its figures, by what it is about.
+    /// Its values, depending on the kind.
     #[serde(rename = "is")]
     pub values: [u64; 3],
 }
@@ -59,13 +60,13 @@
     }
 }
 
-/// The log.
+/// The event log.
 #[derive(Debug)]
 pub struct EventLog {
     hash: XxHash64,
     count: u64,
     recent: VecDeque<LoggedEvent>,
-    /// Whether each event is told to the thread's `tracing` subscriber too.
+    /// Whether each event is also emitted to the thread's `tracing` subscriber.
     pub emits_tracing: bool,
 }
 
@@ -81,7 +82,7 @@
 }
 
 impl EventLog {
-    /// Notes an event.
+    /// Records an event.
     pub fn record(&mut self, at: Micros, kind: EventKind, values: [u64; 3]) {
         let mut bytes = [0; 33];
         bytes[0] = kind as u8;
@@ -104,12 +105,12 @@
         self.hash.finish()
     }
 
-    /// How many there were.
+    /// Number of events so far.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// The last ones.
+    /// The most recent events.
     pub fn recent(&self) -> Vec<LoggedEvent> {
         self.recent.iter().copied().collect()
     }
--- a/lab/src/event_queue.rs
+++ b/lab/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of their time; those of one time in the order in which they were put in.
+//! A queue of events in order of time; events of the same time are in the order of insertion.
 
 use crate::Micros;
 use std::cmp::Ordering;
@@ -13,7 +13,7 @@
 
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap gives its greatest first.
+        // `BinaryHeap` pops its greatest element first, so the order is reversed.
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
@@ -32,7 +32,7 @@
 
 impl<E> Eq for Entry<E> {}
 
-/// The queue.
+/// The event queue.
 #[derive(Clone)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
@@ -46,29 +46,29 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Puts an event in.
+    /// Schedules an event.
     pub fn schedule(&mut self, at: Micros, event: E) {
         self.next_sequence += 1;
         self.heap.push(Entry { at, sequence: self.next_sequence, event });
     }
 
-    /// When the first is due.
+    /// The time of the first event.
     pub fn next_time(&self) -> Option<Micros> {
         self.heap.peek().map(|entry| entry.at)
     }
 
-    /// The first, if it is due by `until`.
+    /// Removes the first event, if it is due by `until`.
     pub fn pop_due(&mut self, until: Micros) -> Option<(Micros, E)> {
         let due = self.heap.peek().is_some_and(|entry| entry.at <= until);
         due.then(|| self.heap.pop()).flatten().map(|entry| (entry.at, entry.event))
     }
 
-    /// How many there are.
+    /// Number of scheduled events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no events.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -1,5 +1,5 @@
-//! What goes wrong, as data: at a time or between two, on what, for how long. Before a scenario is played, what a seed
-//! draws is put in place ([`resolve_faults`]): a resolved scenario has the same course without its seed's draws of faults.
+//! Faults of a scenario, as data: kind, time, duration and targets. Before a run, [`resolve_faults`] replaces
+//! everything that is drawn from the seed by fixed values; a resolved scenario runs the same, but draws no faults.
 
 use crate::random::RandomStream;
 use crate::scenario::{invalid, Scenario, ScenarioError};
@@ -9,28 +9,28 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Its kind.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// When, in seconds.
+    /// When it begins, in seconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub at: Option<f64>,
-    /// Or drawn, between these.
+    /// Alternatively the range, in seconds, from which the time is drawn.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub between: Option<(f64, f64)>,
-    /// For how long, in seconds.
+    /// How long it lasts, in seconds.
     #[serde(default = "default_duration", rename = "for")]
     pub duration: f64,
-    /// To which hosts.
+    /// The affected hosts.
     #[serde(default, skip_serializing_if = "Targets::is_all")]
     pub hosts: Targets,
-    /// To which proxies, where it is about them as well.
+    /// The affected proxies, for kinds that affect proxies.
     #[serde(default, skip_serializing_if = "Targets::is_all")]
     pub proxies: Targets,
-    /// One host after the other begins this much later, in seconds.
+    /// Delay between the beginnings at successive hosts, in seconds.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub stagger: f64,
-    /// How much: a share, or a factor, by what it is.
+    /// Its magnitude: a share, a factor or a time, depending on the kind.
     #[serde(default, skip_serializing_if = "Option::is_none", rename = "much")]
     pub magnitude: Option<f64>,
 }
@@ -44,61 +44,63 @@
     *value == 0.0
 }
 
-/// What goes wrong.
+/// Kinds of faults. Default magnitudes are in parentheses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// The host's process dies: its connections are reset, and new ones are refused. It comes back cold, at its address.
+    /// The host's process dies: its connections are reset, and new ones are refused. It comes back cold, at the same
+    /// address.
     Kill,
-    /// The host's machine is gone: nothing is said any more, and what it had is lost. It comes back cold.
+    /// The host's machine fails: nothing is answered any more, and its requests are lost. It comes back cold.
     Vanish,
-    /// The host is taken out: listed as draining, it ends 1.5 s later and comes back cold at the end.
+    /// The host is drained: listed as terminating, it shuts down 1.5 s later and comes back cold when the fault ends.
     Drain,
     /// The host's work takes `magnitude` times as long (10).
     Slow,
-    /// The host does its work and says nothing.
+    /// The host does its work, but sends no response.
     Silent,
-    /// The host does nothing at all for the time, and then goes on (a stop for garbage).
+    /// The host is paused for the duration and then continues, as in a garbage collection.
     Stall,
-    /// The host answers a `magnitude` share of requests with an error (0.5); half of them have run.
+    /// The host answers a share of `magnitude` of requests with an error (0.5); half of them have run.
     Errors,
-    /// Of the host's exchanges a `magnitude` share is reset (0.3), half of them after they have run.
+    /// A share of `magnitude` of the host's exchanges is reset (0.3), half of them after they have run.
     Resets,
-    /// Of the host's kept connections a `magnitude` share is closed when it is used again (0.4).
+    /// A share of `magnitude` of the host's idle connections is closed when it is reused (0.4).
     Stale,
-    /// The host turns away a `magnitude` share of requests (0.5).
+    /// The host turns away a share of `magnitude` of requests (0.5).
     TurnAway,
-    /// Nothing passes between these proxies and hosts, either way; what was on its way passes when it ends.
+    /// The links between these proxies and hosts are cut in both directions; data in flight is delivered when the fault
+    /// ends.
     Cut,
-    /// Nothing passes from these proxies to these hosts; the other way all does.
+    /// The links from these proxies to these hosts are cut; the opposite direction works.
     CutThere,
-    /// Nothing passes from these hosts to these proxies; the other way all does.
+    /// The links from these hosts to these proxies are cut; the opposite direction works.
     CutBack,
-    /// Each way from these hosts takes `magnitude` milliseconds longer (50); the way there does not.
+    /// The links from these hosts are `magnitude` milliseconds slower (50); the opposite direction is not.
     DelayBack,
     /// Discovery is down: watches end, and connections to it are refused.
     DiscoveryDown,
-    /// Discovery says nothing more; connections to it come up.
+    /// Discovery sends nothing more; connections to it are still accepted.
     DiscoverySilent,
-    /// Discovery answers asks for the list in turn, each for `magnitude` milliseconds (10); those that wait for over a second
-    /// fail, and so do those beyond three seconds' work.
+    /// Discovery serves requests for the list one after the other, each for `magnitude` milliseconds (10). Requests
+    /// that wait for over a second fail, and so do those beyond three seconds of queued work.
     DiscoveryBusy,
-    /// Discovery tells that these hosts are gone, though they are not.
+    /// Discovery lists these hosts as removed, though they are up.
     DiscoveryWrong,
-    /// Discovery takes these hosts off the list and puts them back, over and over, `magnitude` times a second (2).
+    /// Discovery removes these hosts from the list and adds them again, repeatedly, `magnitude` times a second (2).
     DiscoveryFlaps,
-    /// The proxies' processes die and are back after the time.
+    /// The proxies' processes die and start again when the fault ends.
     Restart,
-    /// The proxies' wall clocks jump by `magnitude` seconds (3,600); they notice when they start.
+    /// The proxies' wall clocks jump by `magnitude` seconds (3,600); a proxy reads its clock only when it starts.
     Clock,
-    /// `magnitude` times as many calls come (3).
+    /// The load is `magnitude` times as high (3).
     Crowd,
-    /// The proxies' clients read nothing: answers wait in what the systems keep.
+    /// The proxies' clients stop reading: answers stay in the buffers of the operating systems.
     SlowReader,
 }
 
 impl FaultKind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [FaultKind; 23] = [
         FaultKind::Kill,
         FaultKind::Vanish,
@@ -125,7 +127,7 @@
         FaultKind::SlowReader,
     ];
 
-    /// Its figure where none is given, and its bounds.
+    /// The default magnitude, and its bounds.
     fn magnitude_bounds(self) -> (f64, f64, f64) {
         match self {
             FaultKind::Slow => (10.0, 1.0, 10_000.0),
@@ -142,18 +144,18 @@
     }
 }
 
-/// Which hosts, or which proxies.
+/// A selection of hosts or proxies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Targets {
-    /// All.
+    /// All of them.
     #[default]
     All,
-    /// These, by number.
+    /// Those with these indices.
     These(Vec<usize>),
-    /// So many, drawn.
+    /// A random selection of this size.
     Any(usize),
-    /// Those of a pod (hosts alone).
+    /// Those of a pod (hosts only).
     Pod(usize),
     /// Those of a zone.
     Zone(usize),
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Whether this number is one of them; of resolved ones.
+    /// Whether a resolved selection contains this index.
     pub fn contains(&self, number: usize) -> bool {
         match self {
             Targets::All => true,
@@ -201,14 +203,14 @@
         }
     }
 
-    /// They, in order; of resolved ones.
+    /// The indices of a resolved selection, in ascending order.
     pub fn indices(&self, most: usize) -> Vec<usize> {
         (0..most).filter(|&number| self.contains(number)).collect()
     }
 }
 
 impl Fault {
-    /// Its figure.
+    /// Its magnitude, or the default of its kind.
     pub fn magnitude(&self) -> f64 {
         self.magnitude.unwrap_or(self.kind.magnitude_bounds().0)
     }
@@ -247,17 +249,17 @@
     }
 }
 
-/// Faults that a seed draws.
+/// Random faults, drawn from the seed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Chaos {
-    /// How many.
+    /// Number of faults.
     pub faults: usize,
-    /// Of which kinds; none named: of all.
+    /// Kinds to draw from; all, if empty.
     #[serde(default)]
     #[serde(rename = "what")]
     pub kinds: Vec<FaultKind>,
-    /// Shortest and longest, in seconds.
+    /// Shortest and longest duration, in seconds.
     #[serde(default = "chaos_duration", rename = "lasts")]
     pub duration: (f64, f64),
 }
@@ -293,7 +295,8 @@
     }
 }
 
-/// The same scenario with every draw of faults made: times, hosts and proxies are named, staggered faults are one each.
+/// Returns the scenario with all random choices of faults made: times, hosts and proxies are fixed, and a staggered
+/// fault becomes one fault for each host.
 pub fn resolve_faults(scenario: &Scenario, seed: u64) -> Scenario {
     let mut resolved = scenario.clone();
     let chaos = resolved.chaos.take();
@@ -310,7 +313,8 @@
         });
         let hosts = fault.hosts.resolve(&mut draw, fleet.hosts, fleet.pods, fleet.zones);
         let proxies = fault.proxies.resolve(&mut draw, scenario.load.proxies, fleet.zones, fleet.zones);
-        // To the microsecond, as it is played: a resolved scenario that is written down and read is the same.
+        // Rounded to the microsecond, the resolution of the simulation: a resolved scenario is the same after it is
+        // written to a file and read.
         let round = |time: f64| (time * 1e6).round() / 1e6;
         let one = |at: f64, hosts| Fault {
             at: Some(round(at)),
--- a/lab/src/fidelity.rs
+++ b/lab/src/fidelity.rs
@@ -1,17 +1,17 @@
-//! How true to life the lab is: the same scenarios in full stack, in fleet depth, and on real loopback sockets.
+//! Fidelity of the simulation: compares the same scenario in full stack, in fleet depth and on real loopback sockets.
 
 use crate::run::{run_scenario, Depth, Outcome, RunOptions};
 use crate::scenario::Scenario;
 use serde::Serialize;
 
-/// What is compared of one run.
+/// The compared figures of one run.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Figures {
-    /// Share of the worth that was served.
+    /// Share of the offered value that was served.
     pub served: f64,
-    /// Median time in milliseconds.
+    /// Median latency in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile in milliseconds.
+    /// 99th percentile of the latencies in milliseconds.
     pub p99_ms: f64,
 }
 
@@ -22,21 +22,21 @@
     }
 }
 
-/// One scenario.
+/// The comparison for one scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct FidelityReport {
-    /// Its name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// On real sockets.
+    /// The run on real sockets.
     pub real: Figures,
-    /// In full stack.
+    /// The run in full stack.
     pub full: Figures,
-    /// In fleet depth.
+    /// The run in fleet depth.
     pub fleet: Figures,
 }
 
 impl FidelityReport {
-    /// How far a depth is off the real run at the most: goodput, median and 99th percentile, as shares of the real one's.
+    /// Relative errors of a depth against the real run: goodput, median and 99th percentile.
     pub fn relative_errors(&self, depth: Depth) -> [f64; 3] {
         let lab = if depth == Depth::Full { &self.full } else { &self.fleet };
         let relative_error =
@@ -49,11 +49,11 @@
     }
 }
 
-/// Plays a scenario three ways. It takes as long as the scenario does.
+/// Runs a scenario in all three ways. This takes at least the scenario's duration in real time.
 ///
 /// # Errors
 ///
-/// A scenario that cannot be played, or sockets that cannot be had.
+/// The scenario cannot be run, or a socket cannot be opened.
 pub fn compare(scenario: &Scenario, seed: u64) -> Result<FidelityReport, String> {
     let limits = RunOptions { stop_on_violation: false, ..RunOptions::default() };
     Ok(FidelityReport {
@@ -64,7 +64,7 @@
     })
 }
 
-/// The table, as Markdown.
+/// Formats the comparisons as a Markdown table.
 pub fn table(all: &[FidelityReport]) -> String {
     let mut text = String::from(
         "| scenario | served: real, full, fleet | p50 ms | p99 ms |\n| --- | --- | --- | --- |\n",
--- a/lab/src/invariants.rs
+++ b/lab/src/invariants.rs
@@ -1,44 +1,46 @@
-//! The four rules, checked on every event, from what hosts have run and what proxies have said.
+//! The four invariants. They are checked on every event, against what hosts have run and what proxies have answered.
 
 use crate::event_log::LoggedEvent;
 use crate::Micros;
 use serde::Serialize;
 
-/// By how much a time limit is longer than the rule's, as on the platform: 50 ms.
+/// Tolerance on the time limits of invariants, in microseconds, as on the target platform: 50 ms.
 pub const GRACE: Micros = 50_000;
-/// After being told that a host drains or is gone, nothing new goes there beyond this.
+/// Time after the notice that a host drains or is removed in which new requests may still be sent to it, in
+/// microseconds.
 const DRAIN_NOTICE: Micros = 1_000_000;
 
-/// A rule.
+/// An invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Invariant {
-    /// Each request taken gets exactly one final answer in its client's time, and nothing is sent for it afterwards.
+    /// Each accepted request gets exactly one final answer within its client's deadline, and nothing is sent for it
+    /// afterwards.
     OneAnswer,
-    /// No effect twice.
+    /// No effect happens twice.
     NoEffectTwice,
-    /// Nothing new to a host over 1 s after we were told that it drains or is gone.
+    /// Nothing new is sent to a host over 1 s after the proxy was notified that it drains or is removed.
     NothingToTheGone,
-    /// A cold host is not pushed over.
+    /// A cold host is not overloaded until it fails.
     ColdHostStands,
 }
 
-/// A broken rule.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Which rule.
+    /// The invariant.
     #[serde(rename = "rule")]
     pub invariant: Invariant,
-    /// When, in microseconds of virtual time.
+    /// When it happened, in microseconds of virtual time.
     pub at: Micros,
-    /// Which call.
+    /// Index of the call.
     pub call: u32,
-    /// At which host, if it is about one.
+    /// Index of the host, if one is involved.
     pub host: Option<usize>,
     /// What happened.
     #[serde(rename = "what")]
     pub description: String,
-    /// The last events before it.
+    /// The most recent events before it.
     #[serde(rename = "last")]
     pub recent_events: Vec<LoggedEvent>,
 }
@@ -53,12 +55,12 @@
     }
 }
 
-/// What a proxy was told of each host: since when it is not to have anything new.
+/// Since when each host has been unavailable for new requests, as a proxy was notified.
 #[derive(Clone, Debug, Default)]
 pub struct UnavailableHosts(Vec<Option<Micros>>);
 
 impl UnavailableHosts {
-    /// It was told now that a host takes requests, or not.
+    /// Records the notice that a host takes new requests, or does not.
     pub fn set(&mut self, now: Micros, host: usize, ready: bool) {
         if self.0.len() <= host {
             self.0.resize(host + 1, None);
@@ -67,14 +69,14 @@
         *unavailable = if ready { None } else { Some(unavailable.unwrap_or(now)) };
     }
 
-    /// It was told the whole list: what is not on it is gone.
+    /// Records the notice of a whole list: hosts that are not on it are removed.
     pub fn replace_all(&mut self, now: Micros, ready: &[usize], hosts: usize) {
         for host in 0..hosts {
             self.set(now, host, ready.binary_search(&host).is_ok());
         }
     }
 
-    /// Whether something new that was written to a host at this time was written too late.
+    /// Whether a new request that was written to a host at this time was written too late.
     pub fn forbids(&self, written: Micros, host: usize) -> bool {
         let unavailable = self.0.get(host).copied().flatten();
         unavailable.is_some_and(|unavailable| written > unavailable + DRAIN_NOTICE + GRACE)
@@ -89,7 +91,7 @@
     fn nothing_new_goes_over_a_second_after_the_telling() {
         let mut unavailable = UnavailableHosts::default();
         unavailable.set(0, 1, false);
-        // UnavailableHosts again, it counts from the first time.
+        // A second notice does not restart the time limit.
         unavailable.set(500_000, 1, false);
         assert!(
             !unavailable.forbids(1_000_000, 1)
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,9 +1,11 @@
-//! The lab: the real engine, or the decision module alone, against a model of what they serve, on virtual time.
+//! A deterministic simulation on virtual time: the real engine, or the decision module alone, against a model of
+//! clients, network, discovery and servers.
 //!
-//! A [`scenario::Scenario`] is data: a fleet, a load, a timeline of faults. [`run::play`] plays it under a seed in one of
-//! two depths. In [`full`] the real driver, protocol, front, key store and discovery run on virtual sockets; in [`fleet`]
-//! the decision module runs in an event queue with modelled connections. Hosts, clients, discovery, faults and judges are
-//! the same [`model`] in both. The same seed gives the same event log, byte for byte.
+//! A [`scenario::Scenario`] is data: a fleet, a load and a timeline of faults. [`run::run_scenario`] runs it under a
+//! seed at one of two depths. In [`full`] the real driver, protocol, front, key store and discovery run on virtual
+//! sockets; in [`fleet`] the decision module runs on an event queue with modelled connections. Hosts, clients,
+//! discovery, faults and invariants are the same [`model`] in both. The same seed gives the same event log, byte for
+//! byte.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -27,5 +29,5 @@
 pub mod run;
 pub mod scenario;
 
-/// A moment or a span, in microseconds of virtual time.
+/// A time or duration, in microseconds of virtual time.
 pub type Micros = u64;
--- a/lab/src/loopback.rs
+++ b/lab/src/loopback.rs
@@ -1,17 +1,18 @@
-//! The same scenario on real loopback sockets and real time, to tell how true to life the lab is: the real proxies, each on
-//! a thread of its own, and between them and the model's peers one more connection each, of the system's.
+//! Runs a scenario on real loopback sockets in real time, to assess the fidelity of the simulation. The real proxies
+//! run on a thread each; between them and the model's peers there is one additional connection each, which belongs to
+//! the operating system.
 //!
-//! Rules are counted here, not judged: what the model hears, it hears later than it was written.
+//! Violations are counted here but prove nothing: the model receives everything later than it was written.
 
 use crate::full::bridge;
 use crate::run::Outcome;
 use crate::scenario::Scenario;
 
-/// Plays a scenario for as long as it takes.
+/// Runs a scenario in real time.
 ///
 /// # Errors
 ///
-/// What the daemon's checks say of its configuration, or a socket that cannot be had.
+/// The daemon's checks reject the configuration, or a socket cannot be opened.
 pub fn run_scenario(scenario: &Scenario, seed: u64) -> Result<Outcome, String> {
     bridge::play(crate::fault::resolve_faults(scenario, seed), seed)
 }
--- a/lab/src/metrics.rs
+++ b/lab/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a run counts: worth, answers, times, by class and by second, hosts' load, repeats by cause.
+//! Metrics of a run: value, answers and latencies by class and by second, load of hosts, retries by cause.
 
 use crate::scenario::Scenario;
 use crate::Micros;
@@ -6,42 +6,42 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Longest time that is told apart from a longer one, in microseconds: 10 minutes.
+/// Longest latency that is recorded, in microseconds; longer ones count as this: 10 minutes.
 const LATENCY_MAX: u64 = 600_000_000;
 
-/// How a client's thing ended.
+/// How an operation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperationOutcome {
     /// Served.
     Served,
-    /// Refused to the last.
+    /// Refused, including the last retry.
     Refused,
-    /// Failed: it may have run.
+    /// Failed; it may have run.
     Failed,
-    /// Its client has left, or its proxy has died.
+    /// Abandoned by its client, or its proxy has died.
     Left,
 }
 
-/// Times with so many significant digits. It grows with the longest.
+/// Creates a histogram with this number of significant digits; it resizes to the longest latency.
 fn latency_histogram(digits: u8) -> Histogram<u64> {
     let mut histogram = Histogram::new(digits).unwrap_or_else(|_| unreachable!("at most 5 digits"));
     histogram.auto(true);
     histogram
 }
 
-/// Of a class, or of a second.
+/// Metrics of the operations of a class, of one second, or of the whole run.
 #[derive(Clone, Debug)]
 pub struct RequestMetrics {
-    /// Things that clients wanted.
+    /// Number of operations.
     pub operations: u64,
-    /// Worth of them.
+    /// Total value of the operations.
     pub offered_value: f64,
-    /// Worth that was served.
+    /// Value that was earned by serving them.
     pub earned_value: f64,
-    /// How they ended.
+    /// Number of operations by outcome.
     pub outcomes: BTreeMap<OperationOutcome, u64>,
-    /// From the first asking to the answer, in microseconds, of those that were served.
+    /// Latencies of served operations, from the first request to the answer, in microseconds.
     pub latencies: Histogram<u64>,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl RequestMetrics {
-    /// Share of the worth that was served; of none, all.
+    /// Share of the offered value that was served; 1 if there was none.
     pub fn served_share(&self) -> f64 {
         if self.offered_value > 0.0 {
             self.earned_value / self.offered_value
@@ -67,66 +67,67 @@
         }
     }
 
-    /// So many ended so.
+    /// Number of operations with this outcome.
     pub fn count(&self, outcome: OperationOutcome) -> u64 {
         self.outcomes.get(&outcome).copied().unwrap_or_default()
     }
 
-    /// A percentile of the times, in milliseconds.
+    /// A percentile of the latencies, in milliseconds.
     pub fn latency_ms(&self, percentile: f64) -> f64 {
         self.latencies.value_at_percentile(percentile) as f64 / 1e3
     }
 }
 
-/// Of a second.
+/// Metrics of one second.
 #[derive(Clone, Debug, Default)]
 pub struct SecondMetrics {
-    /// What began in it.
+    /// Operations that started in it.
     pub requests: Option<Box<RequestMetrics>>,
-    /// Requests that hosts took in it, by host.
+    /// Attempts that were sent in it, by host.
     pub host: BTreeMap<usize, u32>,
-    /// Repeats sent in it, by their cause.
+    /// Retries that were sent in it, by cause.
     pub repeats: BTreeMap<&'static str, u32>,
-    /// Answers to clients that were refusals.
+    /// Refusals that clients received in it.
     pub refused: u32,
 }
 
-/// The counts of a run.
+/// The metrics of a run.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     counted_from: Micros,
-    /// By class.
+    /// Metrics by class.
     pub classes: Vec<RequestMetrics>,
-    /// All.
+    /// Metrics of all classes together.
     pub all: RequestMetrics,
-    /// By second, from the start.
+    /// Metrics by second, from the start.
     pub seconds: Vec<SecondMetrics>,
-    /// Attempts sent.
+    /// Attempts that were sent.
     pub attempts: u64,
-    /// Repeats among them, by cause.
+    /// Retries among them, by cause.
     pub repeats: BTreeMap<&'static str, u64>,
-    /// Most open connections to one host at a time.
+    /// Most connections that one host had open at a time.
     pub peak_connections: usize,
     /// Connections to hosts that were opened.
     pub opened_connections: u64,
-    /// Watches of the list that were begun.
+    /// Watches of the list that were opened.
     pub watches: u64,
-    /// Pieces that a cut has held back.
+    /// Segments that a cut link has held back.
     pub held_segments: u64,
-    /// Repeats that were sent within their pod and window, and ran past it: effects twice that no proxy can prevent.
+    /// Retries that were sent within the deduplication window of their pod, but ran after it: duplicate effects that no
+    /// proxy can prevent.
     pub late_duplicates: u64,
-    /// Keys that were asked for at proxies with a store of them, and asks beyond the first of each.
+    /// Distinct keys that were requested at proxies with a key store.
     pub keys: u64,
-    /// See `keys`.
+    /// Requests for a key beyond the first one.
     pub key_repeats: u64,
-    /// Answers that were made for an earlier call with the key, and those that differ from the key's first.
+    /// Answers that were made for an earlier call with the same key.
     pub replays: u64,
-    /// See `replays`.
+    /// Answers that differ from the first one of their key.
     pub two_answers: u64,
 }
 
 impl Metrics {
-    /// Nothing yet.
+    /// Creates empty metrics.
     pub fn new(scenario: &Scenario) -> Metrics {
         Metrics {
             counted_from: crate::random::micros_from_seconds(scenario.warm_up),
@@ -150,7 +151,7 @@
         }
     }
 
-    /// The second of a time.
+    /// Returns the metrics of the second that contains this time.
     pub fn second(&mut self, at: Micros) -> &mut SecondMetrics {
         let second = (at / 1_000_000) as usize;
         if self.seconds.len() <= second {
@@ -159,7 +160,7 @@
         &mut self.seconds[second]
     }
 
-    /// A client's thing that began then has ended.
+    /// Records the outcome of an operation that started at this time.
     pub fn record_outcome(
         &mut self,
         scenario: &Scenario,
@@ -181,7 +182,7 @@
             requests.earned_value += got;
             *requests.outcomes.entry(how).or_default() += 1;
             if how == OperationOutcome::Served {
-                // It grows as far as that.
+                // The value is clamped to the range of the histogram, so recording cannot fail.
                 let _ = requests.latencies.record(time.clamp(1, LATENCY_MAX));
             }
         };
@@ -192,7 +193,7 @@
         }
     }
 
-    /// An attempt was sent to a host; a repeat has a cause.
+    /// Records an attempt that was sent to a host; a retry has a cause.
     pub fn record_attempt(&mut self, now: Micros, host: usize, cause: Option<&'static str>) {
         self.attempts += 1;
         let second = self.second(now);
--- a/lab/src/model/faults.rs
+++ b/lab/src/model/faults.rs
@@ -1,4 +1,4 @@
-//! Faults begin and end.
+//! Beginning and end of faults.
 
 use super::host::{HostStatus, Impairment};
 use super::registry::{Entry, ListingState};
@@ -9,9 +9,9 @@
 use crate::random::{micros_from_seconds, RandomStream};
 use crate::Micros;
 
-/// A host that drains has ended by this time, in seconds.
+/// A draining host shuts down after this time, in seconds.
 const DRAIN_DURATION: f64 = 1.5;
-/// A host is listed this long after it is up again.
+/// A host is listed this long after it has started, in seconds.
 const RELISTING_DELAY: f64 = 0.2;
 
 impl Model {
@@ -19,12 +19,12 @@
         self.scenario.faults.iter().zip(&self.active_faults).filter(|(_, on)| **on).map(|(fault, _)| fault)
     }
 
-    /// Times of the load by faults.
+    /// Factor on the load by active faults.
     pub(super) fn surge_factor(&self) -> f64 {
         self.active_faults().filter(|fault| fault.kind == FaultKind::Crowd).map(Fault::magnitude).product()
     }
 
-    /// Whether what goes one way between a proxy and a host does not pass now; and how much longer it takes.
+    /// Whether the link in one direction between a proxy and a host is cut, and its extra delay in microseconds.
     pub fn link(&self, proxy: usize, host: usize, back: bool) -> (bool, Micros) {
         let (mut cut, mut longer) = (false, 0.0);
         for fault in self.active_faults() {
@@ -42,7 +42,7 @@
         (cut, longer as Micros)
     }
 
-    /// Whether a kept connection to a host breaks on being used again: drawn for a call and its attempt.
+    /// Whether an idle connection to a host breaks when it is reused; drawn for each call and attempt.
     pub fn is_stale(&self, call: u32, host: usize) -> bool {
         let share = self.hosts[host].impairment.stale;
         let tries = u64::from(self.calls[call as usize].attempt_count);
@@ -81,7 +81,7 @@
                         self.schedule_update(host, 0.0, entry, queue);
                         self.hosts[host].draining = true;
                         let epoch = self.hosts[host].epoch;
-                        // It turns away what comes once all have been told for long.
+                        // It shuts down only once all proxies have had time to learn of the drain.
                         let ends = micros_from_seconds(DRAIN_DURATION.min(fault.duration * 0.9));
                         queue.schedule(self.now + ends, Event::DrainDeadline { host, epoch }.into());
                     } else {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// What is wrong with each host now.
+    /// Recomputes the impairments of all hosts from the active faults.
     fn update_impairments(&mut self) {
         let mut impairments = vec![Impairment::default(); self.hosts.len()];
         for fault in self.active_faults() {
@@ -183,7 +183,7 @@
         );
     }
 
-    /// Discovery is to say this of hosts, whatever they do.
+    /// Lists hosts with this state, whatever their real one; hosts that are down are listed as removed.
     fn force_listing(
         &mut self,
         hosts: &[usize],
@@ -209,7 +209,7 @@
     }
 
     pub(super) fn discovery_update(&mut self, epoch: u32, entry: Entry) {
-        // A host that has started meanwhile has its own word.
+        // A host that has restarted meanwhile has a newer entry of its own.
         if self.hosts[entry.host].epoch == epoch && self.registry.set(entry) {
             self.outputs.push_back(Output::ListChanged);
         }
@@ -224,7 +224,7 @@
     }
 
     fn start_host(&mut self, host: usize, queue: &mut EventQueue<impl From<Event>>) {
-        // It may never have gone, if what it ended in was shorter than its way there.
+        // The host may still be up, if the fault was shorter than the drain.
         self.stop_host(host, HostStatus::Dead);
         self.hosts[host].start(self.now);
         self.log.record(self.now, EventKind::Host, [host as u64, 1, 0]);
--- a/lab/src/model/host.rs
+++ b/lab/src/model/host.rs
@@ -1,79 +1,79 @@
-//! A host: workers, a queue, work that is slower when the host is crowded or cold, and what faults do to it. It knows no
-//! connections; what an exchange is, is its carrier's.
+//! A host: its workers, its queue, work that slows down under congestion or while the host is cold, and the effects of
+//! faults. It has no notion of connections; what an exchange is, is up to the transport.
 
 use crate::scenario::{Fleet, Reports};
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A tenth of a second: in such pieces a cold host's load is judged.
+/// Interval over which the load of a cold host is assessed, in microseconds: a tenth of a second.
 const LOAD_INTERVAL: Micros = 100_000;
 
 /// A request at a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Its exchange: whom the answer goes to.
+    /// The exchange that the answer belongs to.
     pub exchange: u64,
-    /// Its call, by number.
+    /// Index of its call.
     pub call: u32,
-    /// When nobody waits for it any more: it is not begun then.
+    /// When its client stops waiting; it is not started after that.
     pub until: Micros,
-    /// Its work on a warm, empty host, in microseconds.
+    /// Its work on a warm, idle host, in microseconds.
     pub work: f64,
-    /// How it ends when it is done.
+    /// How it ends once the work is done.
     pub result: ExchangeResult,
 }
 
 /// How an exchange ends at its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExchangeResult {
-    /// Served.
+    /// With a successful response.
     Served,
-    /// Turned away, unseen.
+    /// Turned away before it ran.
     TurnedAway,
-    /// An error is said.
+    /// With an error response.
     Error,
-    /// The connection is reset.
+    /// With a reset of the connection.
     Reset,
-    /// Nothing is ever said.
+    /// Without any response.
     NoReply,
 }
 
-/// Whether a host is there.
+/// Whether a host is reachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostStatus {
-    /// It is.
+    /// It runs.
     Up,
-    /// Its process has died: what comes is refused.
+    /// Its process has died: new connections are refused.
     Dead,
-    /// Its machine is gone: nothing is said to what comes.
+    /// Its machine is gone: nothing is answered.
     Vanished,
 }
 
-/// What a host does with a request that has come whole.
+/// What a host does with a request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It works on it until then.
+    /// It is started, and done at this time.
     Started(Micros),
-    /// It waits for a worker.
+    /// It is queued for a worker.
     Queued,
-    /// It ends at once, and has not run.
+    /// It ends at once, without having run.
     Rejected(ExchangeResult),
 }
 
-/// What is wrong with a host at present.
+/// Present impairments of a host, by active faults.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Impairment {
-    /// Its work takes so many times as long.
+    /// Factor on the duration of its work.
     pub slow: f64,
-    /// It says nothing.
+    /// Whether it sends no responses.
     pub silent: bool,
-    /// Shares of requests that end so.
+    /// Share of requests that end with an error.
     pub errors: f64,
-    /// See `errors`.
+    /// Share of requests that end with a reset.
     pub resets: f64,
-    /// See `errors`.
+    /// Share of requests that are turned away.
     pub turned_away: f64,
-    /// Share of kept connections that break on being used.
+    /// Share of idle connections that break when they are reused.
     pub stale: f64,
 }
 
@@ -86,36 +86,36 @@
 /// A host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Its pod.
+    /// Index of its pod.
     pub pod: usize,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Whether it is there.
+    /// Whether it is reachable.
     pub status: HostStatus,
-    /// It takes nothing new.
+    /// Whether it drains: it takes no new requests.
     pub draining: bool,
-    /// How often it has started: what was begun before is lost.
+    /// Number of its starts and stops; work of an earlier epoch is lost.
     pub epoch: u32,
-    /// When it last started; 0: before all.
+    /// When it last started, in microseconds of virtual time; 0 if before the run.
     pub started: Micros,
-    /// It does nothing before this.
+    /// Until when it is stalled: it does nothing before.
     pub stalled_until: Micros,
-    /// What is wrong with it.
+    /// Its present impairments.
     pub impairment: Impairment,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: usize,
     running: BTreeMap<u64, Job>,
     waiting: VecDeque<Job>,
-    /// Work that came in the present piece of time, and since when pieces have been too full.
+    /// The current load interval, the work that was sent in it, and since when intervals have been overloaded.
     interval: Micros,
     interval_work: f64,
     overloaded_since: Option<Micros>,
-    /// In hand a second ago and now, for reports that lag.
+    /// Time of the last lagging report, and the active requests to report before and after it.
     reported: (Micros, usize, usize),
 }
 
 impl Host {
-    /// A warm host.
+    /// Creates a warm host.
     pub fn new(number: usize, fleet: &Fleet) -> Host {
         let pod = number % fleet.pods;
         Host {
@@ -137,17 +137,17 @@
         }
     }
 
-    /// Requests in hand.
+    /// Number of requests that are running or queued.
     pub fn active(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Share of its speed at this time.
+    /// Its present speed, as a share of full speed.
     pub fn speed_factor(&self, now: Micros, fleet: &Fleet) -> f64 {
         let age = now.saturating_sub(self.started) as f64 / 1e6;
         if self.started == 0 || age >= fleet.cold_seconds {
@@ -156,7 +156,7 @@
         fleet.cold_share + (1.0 - fleet.cold_share) * age / fleet.cold_seconds
     }
 
-    /// Takes a request that has come whole. Nothing of chance happens here.
+    /// Admits a request that has arrived completely. The decision involves no randomness.
     pub fn admit(&mut self, now: Micros, job: Job, fleet: &Fleet) -> Admission {
         if self.draining || now >= job.until {
             return Admission::Rejected(ExchangeResult::TurnedAway);
@@ -178,12 +178,12 @@
         now + (job.work * times).max(1.0) as Micros
     }
 
-    /// A worker is done with an exchange. `None`: it was lost meanwhile.
+    /// Finishes the work of an exchange. Returns `None` if it was lost meanwhile.
     pub fn finish(&mut self, exchange: u64) -> Option<Job> {
         self.running.remove(&exchange)
     }
 
-    /// What waits first and is begun now, with its end; those whose time is up are given to `late`.
+    /// Starts the next queued request and returns it with its end time; expired ones are moved to `late`.
     pub fn start_next(&mut self, now: Micros, fleet: &Fleet, late: &mut Vec<Job>) -> Option<(Job, Micros)> {
         while self.running.len() < fleet.workers {
             let job = self.waiting.pop_front()?;
@@ -195,12 +195,12 @@
         None
     }
 
-    /// Nobody waits for an exchange any more. What has begun goes on; what waits is dropped.
+    /// Cancels an exchange that nobody waits for: it is dropped if it is queued, and continues if it is running.
     pub fn cancel(&mut self, exchange: u64) {
         self.waiting.retain(|job| job.exchange != exchange);
     }
 
-    /// It goes down; what it had is lost.
+    /// Stops the host; all of its requests are lost.
     pub fn down(&mut self, how: HostStatus) {
         self.status = how;
         self.epoch += 1;
@@ -210,7 +210,7 @@
         self.overloaded_since = None;
     }
 
-    /// It comes up, cold.
+    /// Starts the host, cold.
     pub fn start(&mut self, now: Micros) {
         self.status = HostStatus::Up;
         self.draining = false;
@@ -221,8 +221,8 @@
         self.interval_work = 0.0;
     }
 
-    /// Notes that work was sent to it. Whether it is pushed over by that (rule 4): cold, and sent more than it can bear
-    /// for too long.
+    /// Records work that was sent to the host, and returns whether this overloads it (fourth invariant): it is cold,
+    /// and for too long has been sent more than it can bear.
     pub fn is_overloaded_cold(&mut self, now: Micros, work: f64, fleet: &Fleet) -> bool {
         let interval = now / LOAD_INTERVAL;
         if interval != self.interval {
@@ -238,7 +238,7 @@
         self.overloaded_since.is_some_and(|since| (now - since) as f64 >= fleet.topple_seconds * 1e6)
     }
 
-    /// What it reports of its load: in hand, and waiting.
+    /// The load that it reports: active and queued requests.
     pub fn report(&mut self, now: Micros, number: usize, reports: Reports) -> Option<(usize, usize)> {
         let honest = (self.active(), self.waiting.len());
         match reports {
@@ -276,10 +276,10 @@
         assert_eq!(host.admit(0, job(4, 1_000.0), &fleet), Admission::Rejected(ExchangeResult::TurnedAway));
         assert!(host.finish(1).is_some() && host.finish(1).is_none());
         let mut late = Vec::new();
-        // Two in hand, one beyond where it chokes: twice the time.
+        // Two are active, one above the congestion threshold: the work takes twice as long.
         let (next, end) = host.start_next(1_000, &fleet, &mut late).expect("one waits");
         assert_eq!((next.exchange, end, late.len()), (2, 3_000, 0));
-        // The last has waited past its time.
+        // The last one has been queued past its deadline.
         host.finish(2);
         assert!(host.start_next(1_000_000, &fleet, &mut late).is_none());
         assert_eq!(late[0].exchange, 3);
@@ -294,7 +294,7 @@
             if cold {
                 host.start(1);
             }
-            // Half as much again as a warm host can do, for 3 s; a cold one can do a third of that.
+            // 1.5 times the capacity of a warm host, for 3 s; a cold host has a third of that capacity.
             for at in (0..3_000_000).step_by(10_000) {
                 *pushed |= host.is_overloaded_cold(at, 15_000.0, &fleet);
             }
--- a/lab/src/model/mod.rs
+++ b/lab/src/model/mod.rs
@@ -1,6 +1,7 @@
-//! The model of what a proxy serves, with no I/O and no clock: clients, hosts, discovery and faults, on events that whoever
-//! carries it puts in order. Carriers (full stack, fleet depth, loopback) bring it what reaches hosts and clients, and
-//! take [`Output`]s from it; all that is drawn, counted and judged is here, so it is the same in every depth.
+//! The model around the proxies: clients, hosts, discovery and faults. It performs no I/O and reads no clock; it is
+//! driven by events that its transport delivers in order of time. A transport (full stack, fleet depth or loopback)
+//! reports what reaches hosts and clients and carries out the [`Output`]s. Random draws, metrics and invariant checks
+//! all happen here, so they are the same at every depth.
 
 mod faults;
 pub mod host;
@@ -20,159 +21,160 @@
 use std::rc::Rc;
 use twox_hash::XxHash64;
 
-/// Most taps that follow a first one.
+/// Most duplicate requests that may follow a first one.
 const DUPLICATES_MAX: usize = 3;
 
-/// Tables that are only looked up in, never walked: hashed the same in each run all the same.
+/// A hash map that is only used for lookups, never iterated; its hasher is fixed all the same, so each run hashes
+/// alike.
 pub(crate) type DeterministicMap<K, V> = HashMap<K, V, BuildHasherDefault<XxHash64>>;
 
-/// What the model has put in the queue.
+/// Events that the model has scheduled for itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// A client's next thing may begin.
+    /// The next operation of this proxy's client may start.
     Arrival(u32),
-    /// A client asks.
+    /// A client sends this call.
     SendRequest(u32),
-    /// A client's time is up.
+    /// The deadline of this call, with the grace period, has passed.
     ClientDeadline(u32),
-    /// A client leaves early.
+    /// The client gives up this call early.
     ClientCancel(u32),
-    /// A host is done with an exchange.
+    /// A host has finished the work of an exchange.
     ExchangeDone {
-        /// Which host.
+        /// The host's index.
         host: usize,
-        /// Of which start.
+        /// The host's epoch when the work started.
         epoch: u32,
-        /// Which exchange.
+        /// The exchange.
         exchange: u64,
     },
-    /// A request that came while its host stalled.
+    /// A request that arrived while its host was stalled is offered to it again.
     RetryAdmission {
-        /// Which host.
+        /// The host's index.
         host: usize,
-        /// Of which start.
+        /// The host's epoch when the request arrived.
         epoch: u32,
         /// The request.
         job: Job,
     },
     /// A fault begins or ends.
     Fault {
-        /// Its number.
+        /// Index of the fault in the scenario.
         number: usize,
         /// Whether it begins.
         begins: bool,
     },
-    /// Discovery flaps.
+    /// Discovery toggles the listing of the hosts of this fault.
     DiscoveryFlap(usize),
-    /// Discovery learns of a host.
+    /// A change reaches discovery.
     DiscoveryUpdate {
-        /// Of the host's start.
+        /// The host's epoch when the change was scheduled.
         epoch: u32,
-        /// What.
+        /// The new entry.
         entry: registry::Entry,
     },
-    /// A host that draining ends.
+    /// A draining host shuts down.
     DrainDeadline {
-        /// Which.
+        /// The host's index.
         host: usize,
-        /// Of which start.
+        /// The host's epoch when the drain began.
         epoch: u32,
     },
 }
 
-/// What a carrier is to do.
+/// What the transport has to do for the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Output {
-    /// A client asks its proxy: [`Model::call`] has it.
+    /// Send the request of this call to its proxy; [`Model::call`] describes it.
     SendRequest(u32),
-    /// A client leaves, whatever is open.
+    /// Close the client's connection of this call, whatever is still open on it.
     CloseClient(u32),
-    /// A host ends an exchange.
+    /// End an exchange at a host.
     EndExchange {
-        /// Which host.
+        /// The host's index.
         host: usize,
-        /// Which exchange.
+        /// The exchange.
         exchange: u64,
-        /// How.
+        /// How it ends.
         result: ExchangeResult,
     },
-    /// A host went down, or came up.
+    /// This host has gone down or come up.
     HostChanged(usize),
-    /// The list has changed, or what discovery says of it.
+    /// The list of hosts, or the availability of discovery, has changed.
     ListChanged,
-    /// A proxy's process dies, or starts.
+    /// A proxy's process dies or starts.
     ProxyProcess {
-        /// Which.
+        /// The proxy's index.
         proxy: usize,
         /// Whether it starts.
         starts: bool,
     },
-    /// Ways between proxies and hosts have changed.
+    /// The links between proxies and hosts have changed.
     LinksChanged,
-    /// Clients of a proxy read again, or no longer.
+    /// The clients of a proxy have stopped reading, or read again.
     ReadersChanged,
 }
 
-/// What a client hears.
+/// What a client receives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// Served, by whatever host.
+    /// A successful response, from whichever host.
     Served,
-    /// Refused, to come back after so long.
+    /// A refusal, with the time after which to retry, if one was given.
     Refused(Option<Micros>),
     /// Any other status.
     Failed,
-    /// The connection ended without an answer.
+    /// The connection ended without a response.
     NoResponse,
 }
 
-/// Where a call is.
+/// State of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallState {
-    /// Not asked yet.
+    /// Its client has not sent it yet.
     NotSent,
-    /// Asked.
+    /// Sent, with no answer yet.
     Open,
-    /// Its client has its answer, written then.
+    /// Answered; the time is when the answer's last byte was written.
     Answered(Micros),
-    /// Nobody waits any more, since then.
+    /// Abandoned by its client at this time.
     Abandoned(Micros),
 }
 
-/// One try of a client.
+/// One try of a client to complete an operation.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The thing that it is for.
+    /// Index of the operation.
     pub operation: u32,
-    /// Its proxy.
+    /// Index of the proxy.
     pub proxy: u32,
-    /// Its class.
+    /// Index of the class.
     pub class: u8,
-    /// Its tenant.
+    /// Index of the tenant.
     pub tenant: u8,
-    /// The client says that it has tried before.
+    /// Whether the client marks it as a retry.
     pub is_retry: bool,
-    /// Where it is.
+    /// Its state.
     pub state: CallState,
-    /// Its key, where it has one.
+    /// Its idempotency key; 0 if it has none.
     pub key: u64,
-    /// When it was asked.
+    /// When the client sent it.
     pub sent_at: Micros,
-    /// By when its client wants its answer.
+    /// When the client expects the answer at the latest.
     pub deadline: Micros,
-    /// Attempts that were sent for it.
+    /// Number of attempts that were sent for it.
     pub attempt_count: u16,
-    /// How the last of them ended, in a word.
+    /// How the last attempt ended, as a label; empty if none has ended.
     pub cause: &'static str,
-    /// It was refused, as what never ran.
+    /// Whether it was refused, which states that it never ran.
     refused: bool,
-    /// Where and when it ran first.
+    /// Host, pod and time of its first run.
     first_run: Option<(u16, u16, Micros)>,
-    /// To which hosts it was written, and when.
+    /// Host and time of each attempt that was written.
     attempts: Vec<(u16, Micros)>,
 }
 
-/// What a client wants: one entry, one charge, one look.
+/// What a client wants done, such as one entry, one charge or one query. It takes one or more calls.
 #[derive(Clone, Debug)]
 struct Operation {
     class: u8,
@@ -184,89 +186,89 @@
     key: u64,
 }
 
-/// A key at a proxy that has a store of them.
+/// What is known of a key at a proxy that has a key store.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyRecord {
     requests: u32,
     runs: u32,
-    /// The call that its first answer was made for.
+    /// The call that the first answer with this key was made for.
     made_for: Option<u32>,
 }
 
-/// A proxy, as the judge knows it.
+/// State of a proxy, as far as the model tracks it.
 #[derive(Clone, Debug, Default)]
 pub struct Proxy {
-    /// What it was told of hosts.
+    /// Hosts that the proxy was notified of as unavailable.
     pub unavailable_hosts: UnavailableHosts,
     /// Whether its process runs.
     pub up: bool,
-    /// How far its wall clock is off, in microseconds.
+    /// Offset of its wall clock, in microseconds.
     pub clock: i64,
     /// Its zone.
     pub zone: usize,
-    /// Its clients read nothing.
+    /// Whether its clients have stopped reading.
     pub slow_reader: bool,
-    /// The list that its next process starts with.
+    /// The cached list that its next process starts with.
     pub known: Option<registry::ListUpdate>,
 }
 
-/// Something planted that must not be: the tests of determinism look whether it is noticed.
+/// A deliberately injected source of nondeterminism; the determinism tests check that it changes the event log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Nondeterminism {
     /// The machine's clock.
     Clock,
-    /// The order of a map with random state.
+    /// The iteration order of a map with a random hasher.
     MapOrder,
-    /// What another thread does meanwhile.
+    /// State of another thread.
     Thread,
 }
 
-/// The model.
+/// The model of one run.
 pub struct Model {
-    /// Virtual time.
+    /// The present virtual time.
     pub now: Micros,
-    /// The settled scenario.
+    /// The scenario, with its random faults resolved.
     pub scenario: Rc<Scenario>,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Hosts; the last are spares.
+    /// The hosts; the last ones are spares.
     pub hosts: Vec<Host>,
-    /// Discovery.
+    /// The list of hosts that discovery serves.
     pub registry: Registry,
-    /// Proxies.
+    /// The proxies.
     pub proxies: Vec<Proxy>,
-    /// Calls, by number.
+    /// The calls, by index.
     pub calls: Vec<Call>,
-    /// What is counted.
+    /// The metrics of the run.
     pub metrics: Metrics,
-    /// What has happened.
+    /// The event log.
     pub log: EventLog,
-    /// Rules that were broken.
+    /// Violations of invariants; at most 1,000 are kept.
     pub violations: Vec<Violation>,
-    /// For the carrier.
+    /// Outputs that the transport has not carried out yet.
     pub outputs: VecDeque<Output>,
-    /// Faults that are on.
+    /// Whether each fault of the scenario is active.
     pub(crate) active_faults: Vec<bool>,
-    /// Proxies have their stores of keys; in fleet depth there are none.
+    /// Whether proxies have key stores; in fleet depth they have none.
     pub has_key_stores: bool,
-    /// What must not be, planted.
+    /// The injected source of nondeterminism, if there is one.
     pub nondeterminism: Option<Nondeterminism>,
     operations: Vec<Operation>,
     arrivals: Vec<u64>,
-    /// Mean time between arrivals at each proxy at the highest rate, in microseconds.
+    /// Mean time between arrivals at each proxy at the peak rate, in microseconds.
     mean_gaps: Vec<f64>,
-    /// Keys that a pod has run, and when, for its window.
+    /// When each pod last ran each key; entries are dropped after the deduplication window.
     keys: DeterministicMap<(usize, u64), Micros>,
     key_expiries: VecDeque<(Micros, usize, u64)>,
-    /// What is known of keys, where proxies have stores of them.
+    /// What is known of each key at each proxy, where proxies have key stores.
     key_records: DeterministicMap<(u32, u64), KeyRecord>,
-    /// Calls that are open, by proxy and key.
+    /// Number of open calls, by proxy and key.
     open_keys: DeterministicMap<(u32, u64), u32>,
     class_shares: Vec<f64>,
     peak_rate: f64,
 }
 
-/// Mean times between arrivals at each proxy, where all have so many a second.
+/// Mean time between arrivals at each proxy, in microseconds, for a total rate per second.
 fn mean_gaps(scenario: &Scenario, seed: u64, rate: f64) -> Vec<f64> {
     let load = &scenario.load;
     if load.skew == 0.0 {
@@ -285,7 +287,7 @@
 }
 
 impl Model {
-    /// At the start of a settled scenario. `put` takes what is to come first.
+    /// Creates the model at the start of a resolved scenario, and schedules the faults and the first arrivals.
     pub fn new(scenario: Rc<Scenario>, seed: u64, queue: &mut EventQueue<impl From<Event>>) -> Model {
         let fleet = &scenario.fleet;
         let hosts = (0..fleet.hosts + fleet.spares).map(|number| Host::new(number, fleet)).collect();
@@ -352,18 +354,18 @@
         model
     }
 
-    /// When clients ask for the last time.
+    /// When clients send their last requests.
     pub fn load_end(&self) -> Micros {
         micros_from_seconds(self.scenario.seconds)
     }
 
-    /// When all must be over: the longest deadline after the last asking, and every try that follows.
+    /// When all calls must have ended: the longest deadline after the last request, plus twice the grace period.
     pub fn end_time(&self) -> Micros {
         let longest = self.scenario.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
         self.load_end() + micros_from_seconds(longest / 1e3) + 2 * GRACE
     }
 
-    /// Takes an event of its own.
+    /// Handles an event that the model scheduled for itself.
     pub fn handle(&mut self, event: Event, queue: &mut EventQueue<impl From<Event>>) {
         match event {
             Event::Arrival(proxy) => self.arrival(proxy, queue),
@@ -394,7 +396,7 @@
     fn next_arrival(&mut self, proxy: u32, from: Micros, queue: &mut EventQueue<impl From<Event>>) {
         let count = &mut self.arrivals[proxy as usize];
         *count += 1;
-        // At the highest rate that there is; what is over the present one is thinned out.
+        // Arrivals are generated at the peak rate; those above the present rate are dropped later (thinning).
         let mean = self.mean_gaps[proxy as usize];
         let gap = RandomStream::new(self.seed, "gap", u64::from(proxy), *count).exponential(mean);
         let at = from.saturating_add(gap.max(1.0) as Micros);
@@ -420,11 +422,11 @@
             Idempotency::Free | Idempotency::Unsafe => 0,
             Idempotency::Keyed => {
                 let member = draw.zipf_rank(load.members, load.zipf);
-                // A member who taps within the window means the same entry.
+                // Requests of one member within the window are for the same entry, so they share a key.
                 (member << 24) | (self.now / (self.scenario.fleet.window_ms * 1_000).max(1)) & 0xff_ffff
             }
         };
-        // Charges have keys too, of their own, for the store of keys.
+        // With a key store, unsafe calls get keys too, each one of its own.
         let key = match self.scenario.classes[class].idempotency {
             Idempotency::Unsafe if load.keys > 0 => 1 << 63 | self.operations.len() as u64,
             _ => key,
@@ -449,7 +451,7 @@
         }
     }
 
-    /// Something that a client wants, and the first try for it.
+    /// Starts an operation and creates its first call.
     fn start_operation(&mut self, proxy: u32, class: u8, key: u64) -> u32 {
         let operation = self.operations.len() as u32;
         self.operations.push(Operation {
@@ -468,7 +470,7 @@
         let operation = &mut self.operations[number as usize];
         operation.tries += 1;
         let again = operation.tries > 1;
-        // Whoever taps again is the same.
+        // Duplicates with the same key belong to the same tenant.
         let whose = if operation.key == 0 { u64::from(number) } else { operation.key };
         let share = RandomStream::new(self.seed, "tenant", whose, 0).uniform();
         let tenants = &self.scenario.load.tenants;
@@ -519,7 +521,7 @@
         }
         let operation = &mut self.operations[call.operation as usize];
         if operation.tries == 1 {
-            // A tap comes later than it was drawn.
+            // A duplicate is created before it is sent, so its operation starts only now.
             operation.started = now;
         }
         self.log.record(now, EventKind::Asked, [number.into(), proxy.into(), class.into()]);
@@ -531,13 +533,13 @@
         }
     }
 
-    /// The client's time is up and there is no answer.
+    /// Handles the passing of a call's deadline without an answer.
     fn client_deadline(&mut self, number: u32) {
         let call = &self.calls[number as usize];
         if call.state != CallState::Open {
             return;
         }
-        // An answer that nobody reads may well be there.
+        // The answer may have arrived without being read.
         if !self.proxies[call.proxy as usize].slow_reader {
             self.record_violation(
                 Invariant::OneAnswer,
@@ -549,7 +551,7 @@
         self.abandon(number);
     }
 
-    /// A call is no longer open.
+    /// Releases the key of a call that is no longer open.
     fn release_key(&mut self, number: u32) {
         let call = &self.calls[number as usize];
         let key = (call.proxy, call.key);
@@ -585,7 +587,7 @@
         }
     }
 
-    /// A client has an answer, of which the last byte was written then.
+    /// Records the answer to a call; `written` is when its last byte was written.
     pub fn record_answer(
         &mut self,
         number: u32,
@@ -660,7 +662,7 @@
             Answer::Refused(after) => {
                 self.retry_or_finish(operation, number, after, OperationOutcome::Refused, queue)
             }
-            // What may have run is the client's to repeat only where that does no harm.
+            // A call that may have run is repeated by its client only where that is harmless.
             Answer::Failed | Answer::NoResponse if idempotency != Idempotency::Unsafe => {
                 self.retry_or_finish(operation, number, None, OperationOutcome::Failed, queue);
             }
@@ -669,7 +671,7 @@
         }
     }
 
-    /// A served answer was made for another call, or for this one: all of one key must be the same.
+    /// Records which call a successful answer was made for; all answers with one key must be the same.
     pub fn record_answer_source(&mut self, number: u32, made_for: u32) {
         let call = &self.calls[number as usize];
         let Some(key) = self.key_records.get_mut(&(call.proxy, call.key)).filter(|_| call.key != 0) else {
@@ -679,7 +681,7 @@
         self.metrics.two_answers += u64::from(*key.made_for.get_or_insert(made_for) != made_for);
     }
 
-    /// The client tries again, or gives up.
+    /// Schedules the client's retry of an operation, or finishes the operation.
     fn retry_or_finish(
         &mut self,
         operation: u32,
@@ -703,7 +705,7 @@
         queue.schedule(at, Event::SendRequest(call).into());
     }
 
-    /// A proxy's word for a call whose client is gone was never sent: its process has died.
+    /// Ends the open calls of a proxy whose process has died: their connections close without a response.
     pub fn abort_open_calls(&mut self, proxy: usize, queue: &mut EventQueue<impl From<Event>>) {
         let open: Vec<u32> = (0..self.calls.len() as u32)
             .filter(|&call| {
@@ -716,7 +718,7 @@
         }
     }
 
-    /// An attempt's first byte was written to a host then.
+    /// Records an attempt whose first byte was written to a host at this time.
     pub fn record_attempt(&mut self, number: u32, host: usize, written: Micros) {
         let (now, scenario) = (self.now, self.scenario.clone());
         let call = &mut self.calls[number as usize];
@@ -728,11 +730,13 @@
         let mean = scenario.classes[usize::from(call.class)].work.mean();
         self.metrics.record_attempt(now, host, cause);
         self.log.record(now, EventKind::Sent, [number.into(), host as u64, sent.into()]);
-        // A repeat that joined it waits with the store of keys: then it is sent for that one.
+        // While another call with this key is open, the attempt may be sent on behalf of that one: it joined in the key
+        // store.
         let joined = self
             .open_keys
             .contains_key(&(self.calls[number as usize].proxy, self.calls[number as usize].key));
-        // What crosses the word that nobody waits is no fault: on one machine that takes no time, but a turn.
+        // An attempt written in the same microsecond crosses the notice that nobody waits, so it is no violation: on
+        // one machine the notice takes no virtual time, but the proxy's task runs a little later.
         let over = match at {
             _ if joined && self.has_key_stores => None,
             CallState::Answered(then) => (written > then).then_some("after its answer"),
@@ -763,7 +767,7 @@
         }
     }
 
-    /// A request has come whole to a host; the first on its connection costs more.
+    /// Handles a request that has arrived completely at a host; the first one on its connection costs more work.
     pub fn request_arrived(
         &mut self,
         number: u32,
@@ -785,7 +789,7 @@
             number.into(),
             (host as u64) << 16 | u64::from(call.attempt_count),
         );
-        // Each draw is made, whatever the one before has given.
+        // All draws are made, whatever the earlier ones return, so that they stay independent of each other.
         let (away, resets, errors, runs) = (
             draw.chance(impairment.turned_away),
             draw.chance(impairment.resets),
@@ -801,7 +805,7 @@
                 work += f64::from(map.into_keys().next().unwrap_or_default());
             }
             Some(Nondeterminism::Thread) => {
-                // No two threads of a process have one id.
+                // Thread ids are unique within a process.
                 let id = std::thread::spawn(|| format!("{:?}", std::thread::current().id())).join();
                 let id = id.unwrap_or_default();
                 work += f64::from(
@@ -848,7 +852,7 @@
         self.record_run(host, job.call);
     }
 
-    /// A host runs a request: what it does cannot be undone.
+    /// Records that a host runs a request; its effect cannot be undone.
     fn record_run(&mut self, host: usize, number: u32) {
         let (now, pod) = (self.now, self.hosts[host].pod);
         let window = self.scenario.fleet.window_ms * 1_000;
@@ -864,7 +868,7 @@
         if kind == Idempotency::Keyed {
             let known = self.keys.get(&(pod, call.key)).copied();
             if known.is_some_and(|at| now < at + window) {
-                // Dropped as a repeat: no effect.
+                // The pod drops it as a duplicate, so it has no effect.
                 return;
             }
             self.keys.insert((pod, call.key), now);
@@ -878,8 +882,8 @@
         let before = call.first_run;
         call.first_run = before.or(Some((host as u16, pod as u16, now)));
         let written = call.attempts.iter().rev().find(|(at, _)| usize::from(*at) == host).map(|(_, at)| *at);
-        // A repeat that was written while its pod dropped repeats, and was held up on its way past that, is not its proxy's
-        // fault: it can't know.
+        // A repeat that was written within the pod's deduplication window but delayed past it on its way is not the
+        // fault of its proxy, which cannot know of the delay.
         let in_time = |&(_, first, at): &(u16, u16, Micros)| {
             usize::from(first) == pod && written.is_some_and(|written| written < at + window)
         };
@@ -965,12 +969,12 @@
         self.outputs.push_back(Output::EndExchange { host, exchange, result });
     }
 
-    /// Notes why an attempt has ended that no host has a word on.
+    /// Records why an attempt ended where no host has reported a result.
     pub fn record_failure_cause(&mut self, number: u32, cause: &'static str) {
         self.calls[number as usize].cause = cause;
     }
 
-    /// A proxy has been told of the list.
+    /// Records that a proxy has received an update of the list.
     pub fn record_list_update(&mut self, proxy: usize, news: &registry::ListUpdate) {
         let (now, hosts) = (self.now, self.hosts.len());
         if self.scenario.discovery.starts_with_cached_list {
@@ -988,12 +992,12 @@
         self.log.record(now, EventKind::Told, [proxy as u64, news.seq, news.entries.len() as u64]);
     }
 
-    /// A call.
+    /// Returns a call by its index.
     pub fn call(&self, number: u32) -> &Call {
         &self.calls[number as usize]
     }
 
-    /// Notes a broken rule.
+    /// Records a violation, in the event log and in the list of violations.
     pub fn record_violation(
         &mut self,
         invariant: Invariant,
--- a/lab/src/model/registry.rs
+++ b/lab/src/model/registry.rs
@@ -1,76 +1,78 @@
-//! Discovery: the list of hosts in versions, and what each watch has yet to be told.
+//! Service discovery: the versioned list of hosts, and the updates that each watch has yet to receive.
 
 use crate::Micros;
 
-/// What the list says of a host.
+/// State of a host on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListingState {
     /// It takes requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes the requests that it has.
     Terminating,
     /// It is not on the list.
     Removed,
 }
 
-/// An entry.
+/// An entry of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The host, by number.
+    /// Index of the host.
     pub host: usize,
-    /// What the list says of it.
+    /// State of the host on the list.
     pub state: ListingState,
-    /// When it last started, in microseconds of virtual time; 0: before all.
+    /// When the host last started, in microseconds of virtual time; 0 if before the run.
     pub started: Micros,
 }
 
-/// News for one watch.
+/// An update for one watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListUpdate {
-    /// The version with which the list is as told.
+    /// The version of the list after this update.
     pub seq: u64,
-    /// Whether it is the whole list.
+    /// Whether it contains the whole list.
     pub is_full: bool,
     /// The entries.
     pub entries: Vec<Entry>,
 }
 
-/// Changes that are kept for watches that come back; one that has missed more gets the whole list.
+/// Number of changes that are kept for watches that reconnect; one that has missed more gets the whole list.
 const CHANGES_KEPT: usize = 4_096;
 
-/// An ask that waits for longer is given up, though its turn is spent; in microseconds.
+/// A request for the list that would be answered later than this fails, though it still uses its service time; in
+/// microseconds.
 const REPLY_DELAY_MAX: Micros = 1_000_000;
-/// Work that may wait at a busy discovery, in microseconds: asks beyond are turned away at once and take no turn.
+/// Most work that may be queued at a busy discovery, in microseconds; requests beyond it fail at once and use no
+/// service time.
 const BACKLOG_MAX: Micros = 3_000_000;
 
-/// What becomes of an ask.
+/// When and how a request for the list is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplySchedule {
-    /// It is answered then.
+    /// It is answered at this time.
     Answered(Micros),
-    /// It fails then.
+    /// It fails at this time.
     Fails(Micros),
 }
 
-/// The list.
+/// The list of hosts, and the state of the service that publishes it.
 #[derive(Clone, Debug)]
 pub struct Registry {
     entries: Vec<Entry>,
     seq: u64,
-    /// Hosts that changed, the last at version `seq`.
+    /// Hosts that changed; the last one changed at version `seq`.
     changes: std::collections::VecDeque<usize>,
-    /// It is down: watches have ended and none can begin.
+    /// Whether it is down: watches have ended and none can be opened.
     pub down: bool,
-    /// It says nothing.
+    /// Whether it sends nothing.
     pub silent: bool,
-    /// It answers asks in turn, each for so long, in microseconds; 0: all at once.
+    /// Service time of each request for the list, in microseconds, one after the other; 0 if all are answered at once.
     pub service_time: Micros,
-    /// When it is done with the asks that have come.
+    /// When it has served the requests that have arrived.
     busy_until: Micros,
 }
 
 impl Registry {
-    /// All hosts ready.
+    /// Creates the list with all hosts ready.
     pub fn new(hosts: usize) -> Registry {
         let entries = (0..hosts).map(|host| Entry { host, state: ListingState::Ready, started: 0 }).collect();
         Registry {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// An ask has come.
+    /// Schedules the reply to a request that arrives now.
     pub fn schedule_reply(&mut self, now: Micros) -> ReplySchedule {
         if self.service_time == 0 {
             return ReplySchedule::Answered(now);
@@ -100,12 +102,12 @@
         }
     }
 
-    /// What it says of a host.
+    /// Returns the entry of a host.
     pub fn entry(&self, host: usize) -> Entry {
         self.entries[host]
     }
 
-    /// Changes an entry; whether anything has changed.
+    /// Changes an entry, and returns whether it differs from before.
     pub fn set(&mut self, entry: Entry) -> bool {
         if self.entries[entry.host] == entry {
             return false;
@@ -124,7 +126,7 @@
         self.seq
     }
 
-    /// What a watch is to hear that has heard all up to `since`; `None`: nothing.
+    /// Returns the update for a watch that has all changes up to `since`, or `None` if there is none.
     pub fn changes_since(&self, since: Option<u64>) -> Option<ListUpdate> {
         if since == Some(self.seq) {
             return None;
@@ -159,7 +161,7 @@
         );
         let all = registry.changes_since(None).expect("news");
         assert!(all.is_full && all.entries.len() == 2);
-        // A version that is not this registry's.
+        // A version that is not from this registry.
         assert!(registry.changes_since(Some(9)).is_some_and(|news| news.is_full));
     }
 
@@ -170,7 +172,7 @@
         registry.service_time = 400_000;
         assert_eq!(registry.schedule_reply(0), ReplySchedule::Answered(400_000));
         assert_eq!(registry.schedule_reply(0), ReplySchedule::Answered(800_000));
-        // Its turn comes after a second; it is spent all the same.
+        // It would be served after more than a second; its service time is used all the same.
         assert_eq!(registry.schedule_reply(0), ReplySchedule::Fails(REPLY_DELAY_MAX));
         assert_eq!(registry.schedule_reply(400_000), ReplySchedule::Fails(400_000 + REPLY_DELAY_MAX));
         assert_eq!(registry.schedule_reply(1_000_000), ReplySchedule::Answered(2_000_000));
--- a/lab/src/proxy_config.rs
+++ b/lab/src/proxy_config.rs
@@ -1,4 +1,4 @@
-//! A scenario as a proxy's configuration, in the daemon's own form and through its own checks.
+//! Builds a proxy's configuration from a scenario, in the daemon's own format and through its own checks.
 
 use crate::scenario::{Idempotency, Scenario};
 use nettleworks_engine::config::Config;
@@ -6,16 +6,16 @@
 use serde_json::{json, Value};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Virtual time 0 in the proxies' wall clocks: seconds since 1970.
+/// Virtual time 0 on the proxies' wall clocks, in seconds since 1970.
 pub const EPOCH: u64 = 1_700_000_000;
 
-/// Where host `number` listens; it stays there.
+/// The address where host `number` listens, across restarts.
 pub fn host_address(number: usize) -> SocketAddr {
     let [.., high, low] = (number as u32).to_be_bytes();
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 1, high, low)), 3_000)
 }
 
-/// The host at an address.
+/// The index of the host at an address.
 pub fn host_at(address: SocketAddr) -> Option<usize> {
     match address.ip() {
         IpAddr::V4(ip) if ip.octets()[..2] == [10, 1] => {
@@ -26,21 +26,21 @@
     }
 }
 
-/// Where discovery answers.
+/// The address of discovery.
 pub fn discovery_address() -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 2, 0, 1)), 8_500)
 }
 
-/// The names of tenants.
+/// The name of a tenant.
 pub fn tenant(number: usize) -> String {
     format!("tenant-{number}")
 }
 
-/// A proxy's configuration. `known`: the list that it had last, in discovery's form.
+/// Builds a proxy's configuration. `known` is the cached list that it starts with, in the format of discovery.
 ///
 /// # Errors
 ///
-/// What the daemon's own checks say of it.
+/// The daemon's own checks reject it.
 pub fn config(
     scenario: &Scenario,
     seed: u64,
--- a/lab/src/random.rs
+++ b/lab/src/random.rs
@@ -1,5 +1,5 @@
-//! Draws from a seed. Each is named by what it is for and by numbers of what it is about, never by its place in a
-//! sequence: a host or a call more changes no draw of the others.
+//! Random streams that are derived from the seed of a run. Each stream is named by its purpose and by the indices of
+//! its subject, never by a position in a sequence: an additional host or call changes no draw of the others.
 
 use crate::Micros;
 use rand::{RngExt, SeedableRng};
@@ -9,11 +9,11 @@
 use std::hash::Hasher;
 use twox_hash::XxHash64;
 
-/// A source of draws: PCG XSL 128/64 (MCG), seeded by XXH64 of seed and name, both the same on every machine.
+/// A random stream: PCG XSL 128/64 (MCG), seeded by XXH64 of seed and name; both are the same on every machine.
 #[derive(Clone, Debug)]
 pub struct RandomStream(Pcg64Mcg);
 
-/// A number that stands for a seed, a name and a number.
+/// Derives a seed from a seed, a purpose and an index.
 pub fn derive_seed(seed: u64, purpose: &str, first: u64) -> u64 {
     let mut hash = XxHash64::with_seed(seed);
     hash.write(purpose.as_bytes());
@@ -22,27 +22,27 @@
 }
 
 impl RandomStream {
-    /// Draws of a seed for what these stand for.
+    /// Creates the stream of this seed, purpose and pair of indices.
     pub fn new(seed: u64, purpose: &str, first: u64, second: u64) -> RandomStream {
         RandomStream(Pcg64Mcg::seed_from_u64(derive_seed(derive_seed(seed, purpose, first), "", second)))
     }
 
-    /// A number from 0 to under 1.
+    /// A uniform number from 0 to under 1.
     pub fn uniform(&mut self) -> f64 {
         self.0.random::<f64>()
     }
 
-    /// Whether something of this chance happens.
+    /// Whether an event of this probability happens.
     pub fn chance(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.uniform() < probability
     }
 
-    /// A whole number below `most`; 0 if that is 0.
+    /// A uniform integer below `most`; 0 if that is 0.
     pub fn below(&mut self, most: usize) -> usize {
         ((self.uniform() * most as f64) as usize).min(most.saturating_sub(1))
     }
 
-    /// A span with this mean between two of many independent events.
+    /// An exponentially distributed number with this mean, such as the time between independent arrivals.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         let drawn: f64 = Exp1.sample(&mut self.0);
         drawn * mean
@@ -53,7 +53,7 @@
         Zipf::new(most as f64, exponent).map_or(1, |law| law.sample(&mut self.0) as u64)
     }
 
-    /// So many of `0..most`, each as likely, in rising order.
+    /// A uniform random selection of `count` indices below `most`, in ascending order.
     pub fn sample_indices(&mut self, count: usize, most: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..most).collect();
         for place in 0..count.min(most) {
@@ -66,38 +66,38 @@
     }
 }
 
-/// How long work takes on a warm host that has nothing else to do.
+/// Distribution of the time that work takes on a warm, idle host.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "law", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Distribution {
-    /// Always the same.
+    /// A constant.
     Fixed {
-        /// Milliseconds.
+        /// The time in milliseconds.
         ms: f64,
     },
-    /// Exponential.
+    /// Exponential, truncated at twenty times the mean.
     Exponential {
-        /// Its mean in milliseconds.
+        /// Mean in milliseconds.
         mean_ms: f64,
     },
     /// Log-normal.
     LogNormal {
-        /// Its median in milliseconds.
+        /// Median in milliseconds.
         median_ms: f64,
         /// Standard deviation of the logarithm.
         sigma: f64,
     },
-    /// Pareto: a heavy tail, cut at a hundred times the least.
+    /// Pareto: a heavy tail, truncated at a hundred times the minimum.
     Pareto {
-        /// Its least in milliseconds.
+        /// Minimum in milliseconds.
         least_ms: f64,
-        /// Its shape; the smaller, the heavier the tail.
+        /// Shape; the smaller, the heavier the tail.
         alpha: f64,
     },
 }
 
 impl Distribution {
-    /// A time in microseconds.
+    /// Draws a time in microseconds.
     pub fn sample(&self, stream: &mut RandomStream) -> f64 {
         let ms = match *self {
             Distribution::Fixed { ms } => ms,
@@ -112,7 +112,7 @@
         ms * 1e3
     }
 
-    /// Its mean in microseconds, for a Pareto's without its cut.
+    /// The mean in microseconds, without the truncation of the tail.
     pub fn mean(&self) -> f64 {
         1e3 * match *self {
             Distribution::Fixed { ms } => ms,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// What is wrong with its figures, if anything is.
+    /// Describes what is wrong with the parameters, if anything is.
     pub(crate) fn parameter_error(&self) -> Option<&'static str> {
         let (time, shape) = match *self {
             Distribution::Fixed { ms } => (ms, 1.0),
@@ -138,7 +138,7 @@
     }
 }
 
-/// Whole microseconds of a number of seconds.
+/// Converts seconds to whole microseconds.
 pub fn micros_from_seconds(seconds: f64) -> Micros {
     (seconds * 1e6).round().max(0.0) as Micros
 }
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario under a seed, in a depth, and what came of it.
+//! One run of a scenario under a seed, at one depth, and its result.
 
 use crate::baseline::Picks;
 use crate::fault::resolve_faults;
@@ -11,24 +11,24 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// How much of the proxy is real.
+/// How much of the proxy is real in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Depth {
     /// Driver, protocol, front and discovery, on virtual sockets.
     Full,
-    /// The decision module, with modelled connections.
+    /// The decision module alone, with modelled connections.
     Fleet,
 }
 
-/// When a run stops, and what it tells.
+/// Options of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunOptions {
-    /// At the first broken rule.
+    /// Whether the run stops at the first violation.
     pub stop_on_violation: bool,
-    /// Each event goes to the thread's `tracing` subscriber.
+    /// Whether each event is emitted to the thread's `tracing` subscriber.
     pub emit_events: bool,
-    /// A fault that is planted in the driver; without the feature `mutants` there is none.
+    /// A mutation of the driver; it has an effect only with the feature `mutants`.
     pub mutant: Option<Mutant>,
 }
 
@@ -38,31 +38,31 @@
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The resolved scenario.
+    /// The scenario, with its random faults resolved.
     pub scenario: Scenario,
     /// The seed.
     pub seed: u64,
     /// XXH64 of the event log.
     pub hash: u64,
-    /// Events in the log.
+    /// Number of events in the log.
     pub logged_events: u64,
-    /// Events that were played.
+    /// Number of events that were processed.
     pub events: u64,
     /// Virtual time at the end.
     pub end_time: Micros,
-    /// What was counted.
+    /// The metrics.
     pub metrics: Metrics,
-    /// Rules that were broken.
+    /// Violations of invariants.
     pub violations: Vec<Violation>,
-    /// What had to hold beside the rules, and did not.
+    /// Expectations of the scenario that were not met.
     pub missed_expectations: Vec<String>,
 }
 
 impl Outcome {
-    /// Of a model at its end.
+    /// Takes the result from a model at its end.
     pub(crate) fn from_model(model: Model, events: u64) -> Outcome {
         let (expectations, all) = (&model.scenario.expectations, &model.metrics.all);
         let mut missed = Vec::new();
@@ -89,11 +89,11 @@
     }
 }
 
-/// Plays a scenario.
+/// Runs a scenario.
 ///
 /// # Errors
 ///
-/// What the daemon's checks say of its configuration.
+/// The daemon's checks reject the configuration.
 pub fn run_scenario(
     scenario: &Scenario,
     seed: u64,
@@ -103,11 +103,12 @@
     run_scenario_with(scenario, seed, depth, limits, Picks::Ours, None)
 }
 
-/// The same with another in the place of the decision module (fleet depth alone), or with a leak planted.
+/// Runs a scenario with another balancer in place of the decision module (fleet depth only), or with an injected source
+/// of nondeterminism.
 ///
 /// # Errors
 ///
-/// As [`play`].
+/// As [`run_scenario`].
 pub fn run_scenario_with(
     scenario: &Scenario,
     seed: u64,
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -1,12 +1,12 @@
-//! A scenario: fleet, load, a timeline of faults, what must hold. It is a TOML file; whatever is wrong in it is an error
-//! that names its place, and nothing is run.
+//! Scenarios: fleet, load, a timeline of faults and expectations. A scenario is a TOML file; an invalid one is rejected
+//! with the path of the invalid key, before anything runs.
 
 use crate::fault::{Chaos, Fault};
 use crate::random::Distribution;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// Most hosts, proxies and calls a second of a scenario: what one machine plays.
+/// Upper bounds on hosts, proxies, calls per second, duration and faults of a scenario: what one machine can simulate.
 const HOSTS_MAX: usize = 2_000;
 const PROXIES_MAX: usize = 10_000;
 const RATE_MAX: f64 = 200_000.0;
@@ -17,76 +17,76 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name, in reports.
+    /// Its name, as shown in reports.
     pub name: String,
-    /// What it is about, in a line.
+    /// A description in one line.
     #[serde(default)]
     pub about: String,
-    /// How long clients ask, in seconds of virtual time. What is open then is still answered.
+    /// How long clients send requests, in seconds of virtual time. Calls that are open at the end are still answered.
     pub seconds: f64,
-    /// What is asked before this is played and judged, and not counted, in seconds.
+    /// Time at the start whose operations are simulated and checked, but not counted, in seconds.
     #[serde(default = "one")]
     pub warm_up: f64,
     /// The hosts.
     #[serde(default)]
     pub fleet: Fleet,
-    /// The ways between them.
+    /// The network between clients, proxies, hosts and discovery.
     #[serde(default)]
     pub network: Network,
-    /// Where the list of hosts comes from.
+    /// Service discovery.
     #[serde(default)]
     pub discovery: Discovery,
-    /// Who asks.
+    /// The clients and their requests.
     #[serde(default)]
     pub load: Load,
-    /// Classes of calls; none are those of the gymnasium's doors and charges.
+    /// Classes of calls. The default ones model a gymnasium's turnstiles and charges.
     #[serde(default = "default_classes", rename = "class")]
     pub classes: Vec<Class>,
-    /// What goes wrong, and when.
+    /// The faults.
     #[serde(default, rename = "fault", skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<Fault>,
-    /// Faults that are drawn from the seed, beside those.
+    /// Random faults that are drawn from the seed, in addition to the listed ones.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub chaos: Option<Chaos>,
-    /// What must hold beside the rules.
+    /// Expectations on the result, in addition to the invariants.
     #[serde(default, rename = "must")]
     pub expectations: Expectations,
 }
 
-/// The hosts. Host `n` is in pod `n % pods`, and pods lie in zones in turn.
+/// The hosts. Host `n` is in pod `n % pods`, and pod `n` is in zone `n % zones`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
-    /// How many are listed.
+    /// Number of hosts on the list.
     pub hosts: usize,
-    /// How many more there are that no list names.
+    /// Number of additional hosts that are never listed.
     pub spares: usize,
-    /// Groups of hosts that drop repeats of a key that one of them has run.
+    /// Number of pods: groups of hosts that drop repeats of a key that one of them has run.
     pub pods: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Requests that a host works on at once.
+    /// Requests that a host works on at a time.
     pub workers: usize,
-    /// Requests that wait there beyond those; more are turned away.
+    /// Requests that a host queues beyond those; more are turned away.
     pub queue: usize,
     /// Most connections to a host; more are refused.
     pub connections: usize,
-    /// In hand beyond this, each request slows all: its work takes `1 + choke_slope * (in hand - choke_from)` times as
-    /// long.
+    /// Congestion threshold. With more active requests than this each one slows down all: work takes `1 + choke_slope *
+    /// (active - choke_from)` times as long.
     pub choke_from: usize,
     /// See `choke_from`.
     pub choke_slope: f64,
-    /// Share of its speed at which a host starts.
+    /// Speed of a host that has just started, as a share of full speed.
     pub cold_share: f64,
-    /// By when it has its full speed, in seconds.
+    /// Time after which a host has its full speed, in seconds.
     pub cold_seconds: f64,
-    /// A cold host that is sent more than this many times what it can do, for `topple_seconds`, is pushed over (rule 4).
+    /// A cold host that is sent more than this many times its capacity for `topple_seconds` fails (fourth invariant).
     pub topple_times: f64,
     /// See `topple_times`.
     pub topple_seconds: f64,
     /// How long a pod drops repeats of a key, in milliseconds.
     pub window_ms: u64,
-    /// Work that a connection costs its host, in microseconds, before its first request.
+    /// Work that a new connection costs its host before the first request, in microseconds.
     pub handshake_us: f64,
     /// What hosts report of their load.
     pub reports: Reports,
@@ -102,11 +102,11 @@
     /// Nothing.
     #[default]
     None,
-    /// How it is.
+    /// The present load.
     Honest,
-    /// How it was a second ago.
+    /// The load of a second ago.
     Lagging,
-    /// Every second host says that it has nothing to do.
+    /// Every second host reports no load at all.
     Lying,
 }
 
@@ -134,21 +134,21 @@
     }
 }
 
-/// The ways between proxies, hosts and discovery; a client is on its proxy's machine.
+/// The network between proxies, hosts and discovery; a client is on its proxy's machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// One way within a zone, in microseconds.
+    /// One-way latency within a zone, in microseconds.
     pub near_us: f64,
-    /// One way between zones, in microseconds.
+    /// One-way latency between zones, in microseconds.
     pub far_us: f64,
-    /// Each piece takes up to this share longer, drawn.
+    /// Random extra latency of each segment, up to this share.
     pub jitter: f64,
-    /// Megabits a second of one connection; 0: no bound.
+    /// Bandwidth of one connection in megabits per second; 0 for unlimited.
     pub megabits: f64,
-    /// Between a client and its proxy, one way, in microseconds.
+    /// One-way latency between a client and its proxy, in microseconds.
     pub beside_us: f64,
-    /// Connections that wait to be accepted by a proxy; beyond, new ones are not answered.
+    /// Length of a proxy's accept queue; connections beyond it are not answered.
     pub backlog: usize,
 }
 
@@ -165,18 +165,18 @@
     }
 }
 
-/// Where the list of hosts comes from.
+/// Service discovery.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// From a change to its being told, in milliseconds.
+    /// Delay from a change to its announcement, in milliseconds.
     pub lag_ms: f64,
-    /// From a host's death to the list that says so, in milliseconds.
+    /// Delay from a host's death to the list that reports it, in milliseconds.
     pub notice_ms: f64,
-    /// Whether proxies ask for the list; else it is pushed.
+    /// Whether proxies request the list; otherwise it is pushed.
     #[serde(rename = "asked")]
     pub pull: bool,
-    /// Whether a proxy starts with the list that it had last, the first time with that of the start.
+    /// Whether a proxy starts with the last list that it had, and the first time with the initial list.
     #[serde(rename = "known")]
     pub starts_with_cached_list: bool,
 }
@@ -187,41 +187,43 @@
     }
 }
 
-/// Who asks.
+/// The clients and their requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Proxies, each with a client of its own.
+    /// Number of proxies, each with a client of its own.
     pub proxies: usize,
-    /// First tries a second, over all proxies together; independent of how they are answered (Poisson).
+    /// Operations per second, over all proxies together; arrivals are a Poisson process, independent of the answers.
     pub rate: f64,
-    /// How unequal proxies are: the rate of the one that comes n-th by rate goes by `n^-skew` (Zipf's law); which is
-    /// which is drawn. 0: all are alike.
+    /// Skew of the load between proxies: the n-th busiest has a rate proportional to `n^-skew` (Zipf's law), and the
+    /// order is random. 0 for equal rates.
     pub skew: f64,
-    /// Points of time in seconds and times of `rate`, between which it goes evenly. None: always one.
+    /// Points of time, in seconds, and factors on `rate`, with linear interpolation between them. If empty, the factor
+    /// is 1.
     pub curve: Vec<(f64, f64)>,
-    /// Most tries of a client for one thing.
+    /// Most calls of a client for one operation.
     pub tries: u32,
-    /// A client's first pause before it tries again, in milliseconds; doubled each time. One that is told when to come
-    /// back waits for that long at the least.
+    /// A client's pause before its first retry, in milliseconds; it doubles with each retry. A client that was given a
+    /// time to retry after waits at least that long.
     pub pause_ms: f64,
-    /// Share of keyed calls that a second tap follows, with the same key and before it is known how the first ended.
+    /// Share of keyed operations that are followed by a duplicate with the same key, before the result of the first one
+    /// is known.
     pub taps: f64,
-    /// Share of calls whose client leaves before its answer.
+    /// Share of calls that the client abandons before their answer.
     pub leaves: f64,
-    /// Members, of whom keyed calls come by Zipf's law.
+    /// Number of members that keyed operations belong to, distributed by Zipf's law.
     pub members: u64,
     /// Exponent of that law.
     pub zipf: f64,
-    /// Tenants' shares.
+    /// Shares of the tenants.
     pub tenants: Vec<f64>,
-    /// Bytes of a request's body, where it has one.
+    /// Size of a request's body in bytes, where it has one.
     pub body: usize,
-    /// Bytes of an answer's body, 16 at the least.
+    /// Size of an answer's body in bytes, at least 16.
     pub answer: usize,
-    /// Descriptors of a proxy.
+    /// File descriptors of a proxy.
     pub sockets: usize,
-    /// Entries of each proxy's store of idempotency keys; 0: there is none.
+    /// Entries of each proxy's store of idempotency keys; 0 for no store.
     pub keys: usize,
 }
 
@@ -247,15 +249,15 @@
     }
 }
 
-/// Whether a call may run again.
+/// Whether a call may safely run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
-    /// Harmless.
+    /// It may run any number of times.
     Free,
-    /// Harmless within a pod and its window.
+    /// It may run again within the same pod and its deduplication window.
     Keyed,
-    /// Never.
+    /// It must run at most once.
     Unsafe,
 }
 
@@ -265,33 +267,34 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Whether its calls may run again.
+    /// Whether its calls may safely run again.
     #[serde(rename = "kind")]
     pub idempotency: Idempotency,
-    /// Share of the load; all are added up to one.
+    /// Its share of the load; shares are normalized to a sum of one.
     pub share: f64,
-    /// Answers are wanted within this, in milliseconds.
+    /// Latency target in milliseconds.
     #[serde(rename = "aim_ms")]
     pub latency_target_ms: f64,
-    /// How long a client waits, in milliseconds.
+    /// Deadline of its calls, in milliseconds.
     pub deadline_ms: f64,
-    /// What an answer in time is worth.
+    /// Value of an answer within the latency target.
     pub worth: f64,
-    /// Share of that for a late one.
+    /// Value of a late answer, as a share of `worth`.
     #[serde(default)]
     pub late: f64,
-    /// How long its work takes.
+    /// Distribution of the time that its work takes.
     pub work: Distribution,
 }
 
-/// What must hold beside the rules. A miss is told, and ends a run with a failure; it is no broken rule.
+/// Expectations on the result, in addition to the invariants. A missed one is reported and fails the run, but is no
+/// violation of an invariant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expectations {
-    /// Least share of the worth that is served.
+    /// Least share of the offered value that is served.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub served: Option<f64>,
-    /// Longest 99th percentile of served answers, in milliseconds.
+    /// Longest 99th percentile of the latencies of served operations, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub p99_ms: Option<f64>,
 }
@@ -300,7 +303,7 @@
     1.0
 }
 
-/// The classes of the gymnasium's doors and charges, with times of its site's order.
+/// The default classes: a gymnasium's turnstiles and charges, with latencies of the order of that deployment's.
 fn default_classes() -> Vec<Class> {
     let class =
         |name: &str, idempotency, share, latency_target_ms, deadline_ms, worth, late, median_ms| Class {
@@ -320,16 +323,17 @@
     ]
 }
 
-/// Most first tries of a run, and most pairs of a proxy and a host: what a run keeps of each is for its whole time.
+/// Upper bounds on the operations of a run and on pairs of a proxy and a host: a run keeps state for each until its
+/// end.
 const CALLS_MAX: f64 = 20e6;
 const PAIRS_MAX: usize = 10_000_000;
 
-/// What is wrong with a scenario, and where.
+/// An error in a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioError {
-    /// The place, as keys from the top; empty: the whole file.
+    /// Path of the invalid key, from the top; empty for the whole file.
     pub path: String,
-    /// What is wrong there.
+    /// What is invalid.
     pub reason: String,
 }
 
@@ -349,18 +353,18 @@
 }
 
 impl Scenario {
-    /// Reads and checks a scenario's file.
+    /// Reads and checks a scenario file.
     ///
     /// # Errors
     ///
-    /// A file that cannot be read, is not TOML, has a key that is not known, or a figure that cannot be played.
+    /// The file cannot be read, is not TOML, has an unknown key, or has a value that cannot be simulated.
     pub fn load(path: &Path) -> Result<Scenario, ScenarioError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).or_else(|error| invalid(&file, error.to_string()))?;
         Scenario::parse(&text).map_err(|error| ScenarioError { path: file, reason: error.to_string() })
     }
 
-    /// Reads and checks a scenario's text.
+    /// Parses and checks the text of a scenario.
     ///
     /// # Errors
     ///
@@ -371,7 +375,7 @@
         let read: Result<Scenario, _> = serde_path_to_error::deserialize(from);
         let scenario = read.map_err(|error| {
             let path = error.path().to_string();
-            // The path has its place already; what is left says where in the text.
+            // The path is reported separately; the remaining message gives the position in the text.
             let reason = error.into_inner().to_string().trim_end().replace('\n', " ");
             ScenarioError { path: if path == "." { String::new() } else { path }, reason }
         })?;
@@ -379,16 +383,16 @@
         Ok(scenario)
     }
 
-    /// Its text.
+    /// The scenario as TOML text.
     pub fn text(&self) -> String {
         toml::to_string(self).unwrap_or_default()
     }
 
-    /// Whether it can be played.
+    /// Checks whether the scenario can be simulated.
     ///
     /// # Errors
     ///
-    /// The first figure that cannot be.
+    /// The first value that is out of range.
     pub fn check(&self) -> Result<(), ScenarioError> {
         let span = |path: &str, value: f64, least: f64, most: f64| match (least..=most).contains(&value) {
             true => Ok(()),
@@ -488,8 +492,8 @@
         Ok(())
     }
 
-    /// The same timeline within so many seconds, and no more than so many calls a second by hosts that are as much smaller:
-    /// for sweeps of many seeds. How long faults last stays as it is.
+    /// Returns the same timeline compressed to at most this many seconds, with at most this many operations per second
+    /// and hosts that are smaller in proportion, for sweeps over many seeds. Durations of faults do not change.
     pub fn scaled_down(&self, seconds: f64, rate: f64) -> Scenario {
         let mut scaled = self.clone();
         if scaled.seconds > seconds {
@@ -515,7 +519,7 @@
         scaled
     }
 
-    /// Times of the load at a moment, in seconds.
+    /// Factor on the load at a time in seconds.
     pub fn load_factor(&self, at: f64) -> f64 {
         let curve = &self.load.curve;
         let after = curve.partition_point(|&(time, _)| time <= at);
--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the lab's tests share.
+//! Helpers shared by the tests of this crate.
 #![allow(dead_code)]
 
 use nettleworks_lab::fault::{Fault, FaultKind, Targets};
@@ -24,20 +24,20 @@
     Fault { kind, at: Some(at), between: None, duration, hosts, proxies, stagger: 0.0, magnitude: None }
 }
 
-/// Plays on after a broken rule.
+/// Runs a scenario to its end, even after a violation.
 pub fn whole(scenario: &Scenario, seed: u64, depth: Depth) -> Outcome {
     run_scenario(scenario, seed, depth, &RunOptions { stop_on_violation: false, ..RunOptions::default() })
         .expect("it is played")
 }
 
-/// Plays, and no rule is broken.
+/// Runs a scenario and requires that no invariant is violated.
 pub fn sound(scenario: &Scenario, seed: u64, depth: Depth) -> Outcome {
     let outcome = whole(scenario, seed, depth);
     assert_eq!(outcome.violations, [], "{} {depth:?}", scenario.name);
     outcome
 }
 
-/// Share of what began in a second that was served.
+/// Share of the value of operations started in a second that was served.
 pub fn served_in(outcome: &Outcome, second: usize) -> f64 {
     outcome.metrics.seconds[second].requests.as_ref().map_or(1.0, |part| part.served_share())
 }
--- a/lab/tests/model.rs
+++ b/lab/tests/model.rs
@@ -1,5 +1,5 @@
-//! The model by itself: each rule is broken by what breaks it and by nothing less, clients come again as they should, faults
-//! do what they say.
+//! Tests of the model on its own: each invariant is violated by exactly what it forbids, clients retry as configured,
+//! and faults have their documented effects.
 
 mod common;
 
@@ -15,7 +15,7 @@
 
 const MS: Micros = 1_000;
 
-/// A carrier that does nothing by itself.
+/// A transport that does nothing by itself.
 struct Harness {
     model: Model,
     queue: EventQueue<Event>,
@@ -29,7 +29,7 @@
         Harness { model, queue, exchanges: 0 }
     }
 
-    /// Lets time pass until then; what the model wants meanwhile.
+    /// Advances time to `at`, and returns the model's outputs meanwhile.
     fn until(&mut self, at: Micros) -> Vec<(Micros, Output)> {
         let mut wanted = Vec::new();
         while let Some((now, event)) = self.queue.pop_due(at) {
@@ -41,7 +41,7 @@
         wanted
     }
 
-    /// The next call of a kind, and when it was asked.
+    /// The next call of a kind, and when it was sent.
     fn call(&mut self, kind: Idempotency) -> (u32, Micros) {
         loop {
             let Some(at) = self.queue.next_time() else { panic!("no call of {kind:?} comes") };
@@ -59,7 +59,7 @@
         self.model.scenario.classes[usize::from(self.model.call(call).class)].idempotency
     }
 
-    /// An attempt that reaches a host and begins to run there.
+    /// Sends an attempt that arrives at a host and starts to run there.
     fn runs(&mut self, call: u32, host: usize) -> u64 {
         self.exchanges += 1;
         let now = self.model.now;
@@ -77,7 +77,7 @@
         self.model.violations.iter().map(|broken| (broken.invariant, broken.call)).collect()
     }
 
-    /// The next try for the same thing.
+    /// The next call for the same operation.
     fn tried_again(&mut self, of: u32, within: Micros) -> Option<(u32, Micros)> {
         let (operation, until) = (self.model.call(of).operation, self.model.now + within);
         while let Some(at) = self.queue.next_time().filter(|&at| at <= until) {
@@ -106,7 +106,7 @@
     assert!(!harness.broken().contains(&(Invariant::OneAnswer, call)));
     let wanted = harness.until(asked + 651 * MS);
     assert!(harness.broken().contains(&(Invariant::OneAnswer, call)));
-    // Its client leaves then.
+    // The client abandons the call at its deadline.
     assert!(wanted.iter().any(|(_, out)| *out == Output::CloseClient(call)));
 }
 
@@ -140,7 +140,7 @@
     let (call, _) = harness.call(Idempotency::Free);
     let answered = harness.model.now;
     harness.answers(call, Answer::Served);
-    // Written in the very moment, it crosses the answer.
+    // Written in the same microsecond, it crosses the answer.
     harness.model.record_attempt(call, 0, answered);
     assert_eq!(harness.broken(), []);
     harness.model.record_attempt(call, 0, answered + 1);
@@ -181,7 +181,7 @@
 
 #[test]
 fn a_keyed_call_may_run_again_in_its_pod_within_its_window_alone() {
-    // Hosts 0 and 3 are of one pod, 1 is of another; a pod drops repeats for 1.2 s.
+    // Hosts 0 and 3 are in one pod, host 1 is in another; a pod drops repeats for 1.2 s.
     for (other, after, violations) in
         [(3, 1_100 * MS, false), (0, 1_100 * MS, false), (3, 1_300 * MS, true), (1, 100 * MS, true)]
     {
@@ -198,8 +198,9 @@
     }
 }
 
-/// Found by sweeps (chaos, seeds 329 and 1291; key-storm, seed 418): a repeat that a cut or a stall holds up runs past the window
-/// in which it was sent. That is an effect twice, which no proxy can prevent; it is counted, and no break of its rule.
+/// Sweeps found this (chaos, seeds 329 and 1291; key-storm, seed 418): a repeat that a cut or a stall delays runs after
+/// the window in which it was sent. This is a duplicate effect that no proxy can prevent; it is counted, and is no
+/// violation.
 #[test]
 fn a_repeat_that_was_sent_in_time_and_held_up_is_counted_and_no_break() {
     for (written, violations) in [(1_100 * MS, false), (1_300 * MS, true)] {
@@ -209,7 +210,7 @@
         harness.runs(call, 0);
         harness.until(asked + 2_000 * MS);
         harness.model.violations.clear();
-        // It has come through only now.
+        // It arrives only now.
         harness.model.record_attempt(call, 3, asked + written);
         harness.model.violations.clear();
         harness.model.request_arrived(call, 3, 99, Micros::MAX, false, &mut harness.queue);
@@ -234,7 +235,7 @@
     harness.model.request_arrived(call, 2, 1, Micros::MAX, false, &mut harness.queue);
     assert_eq!(harness.broken(), [(Invariant::NoEffectTwice, call)]);
 
-    // A failure promises nothing.
+    // A failure does not claim that the call never ran.
     let mut harness = Harness::new(USUAL);
     let (call, _) = harness.call(Idempotency::Unsafe);
     harness.runs(call, 2);
@@ -251,12 +252,12 @@
     harness.model.record_list_update(proxy, &ListUpdate { seq: 2, is_full: false, entries: vec![drains] });
     harness.model.record_attempt(call, 1, asked + 1_050 * MS);
     assert_eq!(harness.broken(), []);
-    // The other proxy was told nothing.
+    // The other proxy was not notified.
     let told = &harness.model.proxies[1 - proxy].unavailable_hosts;
     assert!(!told.forbids(asked + 9_000 * MS, 1));
     harness.model.record_attempt(call, 1, asked + 1_051 * MS);
     assert_eq!(harness.broken(), [(Invariant::NothingToTheGone, call)]);
-    // What a whole list leaves out is gone.
+    // Hosts that a whole list leaves out are removed.
     let only = Entry { host: 0, state: ListingState::Ready, started: 0 };
     harness.model.now = asked + 2_000 * MS;
     harness.model.record_list_update(proxy, &ListUpdate { seq: 3, is_full: true, entries: vec![only] });
@@ -273,7 +274,7 @@
     assert!(harness.model.hosts[0].speed_factor(harness.model.now, &harness.model.scenario.fleet) < 0.4);
     let (call, _) = harness.call(Idempotency::Free);
     let start = harness.model.now;
-    // Some 6 ms of work each 2 ms, for one worker that does a third of its speed.
+    // About 6 ms of work every 2 ms, for one worker at a third of its speed.
     for step in 0..2_000 {
         harness.model.now = start + step * 2 * MS;
         harness.model.record_attempt(call, 0, start);
@@ -282,7 +283,7 @@
     let at = fourth.expect("it is pushed over").at;
     assert!((start + 2_000 * MS..start + 2_300 * MS).contains(&at), "{}", at - start);
     assert_eq!(harness.model.hosts[0].status, HostStatus::Dead);
-    // A warm one bears the same.
+    // A warm host bears the same load.
     for step in 0..2_000 {
         harness.model.now = start + 10_000 * MS + step * 2 * MS;
         harness.model.record_attempt(call, 1, start);
@@ -367,7 +368,7 @@
     let tapped = keys.values().filter(|times| times.len() > 1).count() as f64 / keys.len() as f64;
     assert!((0.4..0.6).contains(&tapped), "{tapped}");
     for times in keys.values() {
-        // A member who comes by chance in the same window is one in thousands.
+        // The chance that another operation of the same member falls into the same window is one in thousands.
         assert!(times.len() <= 4 && times[times.len() - 1] - times[0] < 450 * MS, "{times:?}");
     }
 }
@@ -548,6 +549,6 @@
             seen.push(now);
         }
     }
-    // Twice a second, there and back, and there in the end.
+    // Removed and added again twice a second, and listed in the end.
     assert!(seen.len() >= 10 && seen.last() == Some(&ListingState::Ready), "{seen:?}");
 }
--- a/lab/tests/properties.rs
+++ b/lab/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Pure parts against naive models, under random steps with fixed seeds.
+//! Property tests: pure parts against naive models, under random steps with fixed seeds.
 
 mod common;
 
@@ -54,9 +54,9 @@
         listed: u8,
         started: u64,
     },
-    /// A watch hears what is new.
+    /// A watch receives the changes since its version.
     Hear(usize),
-    /// A watch comes back and has lost all, or knows a version of another registry.
+    /// A watch reconnects without a list, or with a version of another registry.
     Forget(usize, bool),
 }
 
@@ -120,8 +120,8 @@
     Drain,
 }
 
-/// What a host has in hand is what came, less what has ended; it works on no more than it has workers for, and begins in
-/// the order in which requests came.
+/// The active requests of a host are those that arrived less those that ended; it runs no more than it has workers for,
+/// and starts them in the order of arrival.
 #[test]
 fn a_host_loses_and_makes_nothing() {
     let step = prop_oneof![
@@ -260,7 +260,8 @@
     )
 }
 
-/// A settled scenario has no draw left, is good, is written and read without a change, and settles to itself.
+/// A resolved scenario has no random choice left, is valid, is unchanged after it is written and read, and resolves to
+/// itself.
 #[test]
 fn settled_scenarios_are_whole_and_stay_as_they_are() {
     let scenario = (prop::collection::vec(any_fault(), 0..8), 0_usize..6, any::<u64>());
@@ -318,7 +319,7 @@
                 (whole.kind, whole.duration, &whole.hosts)
             );
         }
-        // One that is light already stays as it is.
+        // One that is already scaled down does not change.
         assert_eq!(light.scaled_down(8.0, 100.0), light);
     }
 }
@@ -365,7 +366,7 @@
     }
     assert!(counts.iter().all(|count| (1_080..1_320).contains(count)), "{counts:?}");
     assert_eq!(RandomStream::new(1, "some", 0, 0).sample_indices(9, 2), [0, 1]);
-    // Zipf's law: the first of a thousand comes about twice as often as the second.
+    // Zipf's law: rank 1 of a thousand comes about twice as often as rank 2.
     let rank = |n| RandomStream::new(n, "rank", 0, 0).zipf_rank(1_000, 1.0);
     let ranks: Vec<u64> = (0..20_000).map(rank).collect();
     let of = |one: u64| ranks.iter().filter(|&&rank| rank == one).count() as f64;
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Scenario files: the shipped ones are good and keep the rules; wrong ones are refused with their place.
+//! Scenario files: the shipped ones are valid and violate no invariant; invalid ones are rejected with the path of the
+//! error.
 
 use nettleworks_lab::explore::sweep;
 use nettleworks_lab::run::{Depth, RunOptions};
@@ -8,7 +9,7 @@
 /// Seeds of each shipped scenario in CI; the long form has 2,000.
 const FLEET_SEEDS: u64 = 20;
 const FULL_SEEDS: u64 = 20;
-/// In CI each is played light.
+/// In CI each scenario is scaled down to this duration and rate.
 const SECONDS: f64 = 16.0;
 const RATE: f64 = 150.0;
 
@@ -16,7 +17,7 @@
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut paths: Vec<_> =
         std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("a file").path()).collect();
-    // Those in `large/` are for measurements.
+    // Scenarios in `large/` are only for measurements.
     paths.retain(|path| path.extension().is_some_and(|end| end == "toml"));
     paths.sort();
     paths.iter().map(|path| Scenario::load(path).unwrap_or_else(|error| panic!("{error}"))).collect()
@@ -79,7 +80,7 @@
         let error = Scenario::parse(text).expect_err(text).to_string();
         assert!(error.contains(place), "{text}\n{error}");
     }
-    // Whatever is cut off or spoilt of a good one is refused or played, and never a panic.
+    // Any truncation or corruption of a valid scenario is rejected or accepted, and never panics.
     let good = shipped().pop().expect("one").text();
     for cut in 0..good.len() {
         if good.is_char_boundary(cut) {
--- a/lab/tests/trouble.rs
+++ b/lab/tests/trouble.rs
@@ -1,4 +1,4 @@
-//! What the simulated network and processes must be able to do to a proxy, in full stack.
+//! Failures of the simulated network and of processes, and how a proxy copes with them, in full stack.
 
 use nettleworks_lab::fault::{Fault, FaultKind, Targets};
 use nettleworks_lab::metrics::OperationOutcome;
@@ -21,7 +21,7 @@
     outcome
 }
 
-/// Share of what began in a second that was served.
+/// Share of the value of operations started in a second that was served.
 fn served_in(outcome: &Outcome, second: usize) -> f64 {
     outcome.metrics.seconds[second].requests.as_ref().map_or(1.0, |part| part.served_share())
 }
@@ -31,7 +31,7 @@
     let mut scenario = scenario("name = \"x\"\nseconds = 8.0\n[load]\nproxies = 2\nrate = 200.0");
     scenario.faults.push(fault(FaultKind::Restart, 3.2, 0.5, Targets::All, Targets::These(vec![0])));
     let outcome = full(&scenario, 1);
-    // What was open at that moment has ended without an answer, and what came while it was down.
+    // Calls that were open when the proxy died, or were sent while it was down, ended without an answer.
     assert!(
         outcome.metrics.all.count(OperationOutcome::Left)
             + outcome.metrics.all.count(OperationOutcome::Failed)
@@ -39,18 +39,18 @@
     );
     assert!(served_in(&outcome, 3) < 0.95);
     assert!(served_in(&outcome, 5) > 0.99);
-    // It watches the list anew, the other goes on with its watch.
+    // The restarted proxy opens a new watch of the list; the other keeps its watch.
     assert_eq!(outcome.metrics.watches, 3);
 }
 
-/// A proxy's clock counts what a host's start is told in. It is read at the start alone: a jump while it runs changes
-/// nothing, and what it starts with does.
+/// A proxy converts the start times of hosts by its wall clock, which it reads only when it starts: a jump while it
+/// runs changes nothing, and a jump before its start does.
 #[test]
 fn a_clock_that_jumps_while_a_proxy_runs_changes_nothing() {
     let text = "name = \"x\"\nseconds = 10.0\n[fleet]\nhosts = 3\n[load]\nproxies = 2\nrate = 150.0";
     let mut calm = scenario(text);
     calm.faults.push(fault(FaultKind::Kill, 2.0, 0.5, Targets::These(vec![0]), Targets::All));
-    // In both there are as many faults, so that nothing else differs.
+    // Both scenarios have the same number of faults, so that nothing else differs.
     let mut jumps = calm.clone();
     calm.faults.push(Fault {
         magnitude: Some(0.0),
@@ -62,7 +62,8 @@
         jumps.faults.push(Fault { magnitude: Some(magnitude), ..jump });
         assert_eq!(full(&calm, 2).hash, full(&jumps, 2).hash);
     }
-    // One that starts by a clock of an hour ago takes a host that has just started for cold, and sends it less.
+    // A proxy that starts with a clock that is an hour behind takes a host that has just started for cold, and sends it
+    // less.
     let host_0 = |outcome: &Outcome| {
         let of = |second: usize| outcome.metrics.seconds[second].host.get(&0).copied().unwrap_or_default();
         (6..10).map(of).sum::<u32>()
@@ -77,7 +78,7 @@
 
 #[test]
 fn a_partition_heals_in_the_middle_of_bodies_and_each_request_runs_once() {
-    // A body takes 40 ms on its way, in pieces of 16 KiB, and nothing passes for 30 ms of each 100.
+    // A body takes 40 ms to transfer, in segments of 16 KiB, and the link is cut for 30 ms of each 100.
     let mut scenario = scenario(
         "name = \"x\"\nseconds = 6.0\n[network]\nmegabits = 10.0\n[load]\nproxies = 2\nrate = 60.0\nbody = 50000",
     );
@@ -88,7 +89,7 @@
     let outcome = full(&scenario, 3);
     assert!(outcome.metrics.held_segments > 100, "{} pieces were held back", outcome.metrics.held_segments);
     assert!(outcome.metrics.all.served_share() > 0.95, "{}", outcome.metrics.all.served_share());
-    // Both ways at once, and for longer than connections are waited for.
+    // Both directions are cut at once, and for longer than the connect timeout.
     for (number, fault) in scenario.faults.iter_mut().enumerate() {
         fault.kind = if number % 2 == 0 { FaultKind::Cut } else { FaultKind::CutBack };
         fault.duration = if number % 10 == 0 { 0.4 } else { 0.02 };
@@ -105,11 +106,11 @@
         scenario.faults.push(fault(FaultKind::Kill, at, 0.001, host, Targets::All));
     }
     let outcome = full(&scenario, 4);
-    // What ran there when it died may have run, and charges are not sent again.
+    // Requests that ran on the host when it died may have had their effect, so charges are not sent again.
     let all = &outcome.metrics.all;
     let twice_or_lost = all.count(OperationOutcome::Left);
     assert!(twice_or_lost == 0 && all.served_share() > 0.5, "{:?}", all.outcomes);
-    // All were told of, and each is in use again.
+    // The proxies learned of every restart, and each host is in use again.
     let last: Vec<usize> = outcome.metrics.seconds[19].host.keys().copied().collect();
     assert_eq!(last, [0, 1, 2, 3, 4, 5]);
 }
@@ -121,7 +122,7 @@
     slow.faults.push(fault(FaultKind::SlowReader, 2.0, 1.5, Targets::All, Targets::These(vec![0])));
     let outcome = full(&slow, 5);
     let part = outcome.metrics.seconds[2].requests.as_ref().expect("calls");
-    // Half of the clients read late; the others' answers are there in time.
+    // Half of the clients read late; the answers of the others arrive in time.
     assert!(
         part.latency_ms(30.0) < 100.0 && part.latency_ms(95.0) > 400.0,
         "{} {}",
@@ -131,12 +132,12 @@
     assert!(served_in(&outcome, 5) > 0.99);
 }
 
-/// The proof of the store of keys at 10,000 charges and 10,000 entries, each asked for up to four times.
+/// Verifies the key store with 10,000 charges and 10,000 entries, each requested up to four times.
 #[test]
 fn a_storm_of_repeats_under_20_000_keys_runs_no_charge_twice() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios/key-storm.toml");
     let mut storm = Scenario::load(&path).unwrap_or_else(|error| panic!("{error}"));
-    // In CI a tenth of it; the whole is `measure -- lab`.
+    // CI runs a tenth of the load; `measure -- lab` runs all of it.
     storm.load.rate /= 10.0;
     let start = Instant::now();
     for seed in 1..=4 {
