--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -171,7 +171,7 @@
             Targets::All => Ok(()),
             Targets::These(these) => match these.iter().find(|&&one| one >= most) {
                 Some(one) => invalid(place, format!("there is no number {one}")),
-                None if these.is_empty() => invalid(place, "none is named"),
+                None if these.is_empty() => invalid(place, "no number is given"),
                 None => Ok(()),
             },
             Targets::Any(count) if (1..=most).contains(count) => Ok(()),
@@ -182,11 +182,11 @@
         }
     }
 
-    fn resolve(&self, draw: &mut RandomStream, most: usize, pods: usize, zones: usize) -> Targets {
+    fn resolve(&self, stream: &mut RandomStream, most: usize, pods: usize, zones: usize) -> Targets {
         match *self {
             Targets::All => Targets::All,
             Targets::These(ref these) => Targets::These(these.clone()),
-            Targets::Any(count) => Targets::These(draw.sample_indices(count, most)),
+            Targets::Any(count) => Targets::These(stream.sample_indices(count, most)),
             Targets::Pod(pod) => Targets::These((0..most).filter(|one| one % pods == pod).collect()),
             Targets::Zone(zone) => {
                 Targets::These((0..most).filter(|one| one % pods % zones == zone).collect())
@@ -220,9 +220,9 @@
         match (self.at, self.between) {
             (Some(time), None) if (0.0..=scenario.seconds).contains(&time) => {}
             (None, Some((from, to))) if 0.0 <= from && from <= to && to <= scenario.seconds => {}
-            (Some(_), Some(_)) => return invalid(place, "it has both at and between"),
-            (None, None) => return invalid(place, "it has neither at nor between"),
-            _ => return invalid(place, "it is not within the scenario's seconds"),
+            (Some(_), Some(_)) => return invalid(place, "has both `at` and `between`"),
+            (None, None) => return invalid(place, "has neither `at` nor `between`"),
+            _ => return invalid(place, "must begin within the scenario's seconds"),
         }
         if !(0.001..=86_400.0).contains(&self.duration) {
             return invalid(at("for"), format!("{} is not from 0.001 to 86,400", self.duration));
@@ -235,7 +235,7 @@
             self.magnitude.filter(|magnitude| !(least..=most).contains(magnitude) || least == most)
         {
             let reason = match least == most {
-                true => "this fault has no figure".to_owned(),
+                true => "this kind of fault has no magnitude".to_owned(),
                 false => format!("{magnitude} is not from {least} to {most}"),
             };
             return invalid(at("much"), reason);
@@ -243,7 +243,7 @@
         let (fleet, zones) = (&scenario.fleet, scenario.fleet.zones);
         self.hosts.check(&at("hosts"), fleet.hosts, fleet.pods, zones)?;
         if let Targets::Pod(_) = self.proxies {
-            return invalid(at("proxies"), "proxies are in no pod");
+            return invalid(at("proxies"), "proxies do not belong to pods");
         }
         self.proxies.check(&at("proxies"), scenario.load.proxies, zones, zones)
     }
@@ -271,26 +271,26 @@
 impl Chaos {
     pub(crate) fn check(&self, place: &str, _: &Scenario) -> Result<(), ScenarioError> {
         if self.faults > 200 {
-            return invalid(format!("{place}.faults"), format!("{} are over 200", self.faults));
+            return invalid(format!("{place}.faults"), format!("{} is over 200", self.faults));
         }
         let (least, most) = self.duration;
         match 0.001 <= least && least <= most && most <= 600.0 {
             true => Ok(()),
-            false => invalid(format!("{place}.lasts"), "it is not from 0.001 to 600, the least first"),
+            false => invalid(format!("{place}.lasts"), "must be from 0.001 to 600, the shortest first"),
         }
     }
 
-    fn draw(&self, seed: u64, number: u64, scenario: &Scenario) -> Fault {
-        let mut draw = RandomStream::new(seed, "chaos", number, 0);
+    fn random_fault(&self, seed: u64, number: u64, scenario: &Scenario) -> Fault {
+        let mut stream = RandomStream::new(seed, "chaos", number, 0);
         let kinds = if self.kinds.is_empty() { &FaultKind::ALL[..] } else { &self.kinds[..] };
-        let kind = kinds[draw.below(kinds.len())];
+        let kind = kinds[stream.below(kinds.len())];
         let (least, most) = self.duration;
         let (hosts, proxies) = (scenario.fleet.hosts, scenario.load.proxies);
-        let some = |draw: &mut RandomStream, most: usize| 1 + draw.below(most.div_ceil(2));
-        let at = scenario.warm_up + draw.uniform() * (scenario.seconds - scenario.warm_up);
-        let duration = least + (most - least) * draw.uniform().powi(2);
-        let hosts = Targets::Any(some(&mut draw, hosts));
-        let proxies = Targets::Any(some(&mut draw, proxies));
+        let some_count = |stream: &mut RandomStream, most: usize| 1 + stream.below(most.div_ceil(2));
+        let at = scenario.warm_up + stream.uniform() * (scenario.seconds - scenario.warm_up);
+        let duration = least + (most - least) * stream.uniform().powi(2);
+        let hosts = Targets::Any(some_count(&mut stream, hosts));
+        let proxies = Targets::Any(some_count(&mut stream, proxies));
         Fault { kind, at: Some(at), between: None, duration, hosts, proxies, stagger: 0.0, magnitude: None }
     }
 }
@@ -300,23 +300,24 @@
 pub fn resolve_faults(scenario: &Scenario, seed: u64) -> Scenario {
     let mut resolved = scenario.clone();
     let chaos = resolved.chaos.take();
-    let drawn =
-        chaos.iter().flat_map(|chaos| (0..chaos.faults as u64).map(|n| chaos.draw(seed, n, scenario)));
-    let all: Vec<Fault> = scenario.faults.iter().cloned().chain(drawn).collect();
+    let drawn = chaos
+        .iter()
+        .flat_map(|chaos| (0..chaos.faults as u64).map(|n| chaos.random_fault(seed, n, scenario)));
+    let faults: Vec<Fault> = scenario.faults.iter().cloned().chain(drawn).collect();
     let fleet = &scenario.fleet;
     resolved.faults = Vec::new();
-    for (number, fault) in (0..).zip(all) {
-        let mut draw = RandomStream::new(seed, "fault", number, 0);
+    for (number, fault) in (0..).zip(faults) {
+        let mut stream = RandomStream::new(seed, "fault", number, 0);
         let at = fault.at.unwrap_or_else(|| {
             let (from, to) = fault.between.unwrap_or_default();
-            from + (to - from) * draw.uniform()
+            from + (to - from) * stream.uniform()
         });
-        let hosts = fault.hosts.resolve(&mut draw, fleet.hosts, fleet.pods, fleet.zones);
-        let proxies = fault.proxies.resolve(&mut draw, scenario.load.proxies, fleet.zones, fleet.zones);
+        let hosts = fault.hosts.resolve(&mut stream, fleet.hosts, fleet.pods, fleet.zones);
+        let proxies = fault.proxies.resolve(&mut stream, scenario.load.proxies, fleet.zones, fleet.zones);
         // Rounded to the microsecond, the resolution of the simulation: a resolved scenario is the same after it is
         // written to a file and read.
         let round = |time: f64| (time * 1e6).round() / 1e6;
-        let one = |at: f64, hosts| Fault {
+        let fixed = |at: f64, hosts| Fault {
             at: Some(round(at)),
             between: None,
             duration: round(fault.duration).max(0.001),
@@ -327,11 +328,12 @@
         };
         if fault.stagger > 0.0 {
             let numbers = (0_u32..).zip(hosts.indices(fleet.hosts));
-            let each = numbers
-                .map(|(place, host)| one(at + f64::from(place) * fault.stagger, Targets::These(vec![host])));
+            let each = numbers.map(|(place, host)| {
+                fixed(at + f64::from(place) * fault.stagger, Targets::These(vec![host]))
+            });
             resolved.faults.extend(each.filter(|fault| fault.at <= Some(scenario.seconds)));
         } else {
-            resolved.faults.push(one(at, hosts));
+            resolved.faults.push(fixed(at, hosts));
         }
     }
     resolved
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -132,7 +132,7 @@
 
     fn start(&mut self, proxy: usize) {
         self.module(proxy, policy::Event::Start);
-        if let Some(known) = self.model.proxies[proxy].known.clone() {
+        if let Some(known) = self.model.proxies[proxy].cached_list.clone() {
             self.takes(proxy, &known, policy::ListKind::Cached);
         }
         if !self.model.scenario.discovery.pull {
--- a/lab/src/full/peers.rs
+++ b/lab/src/full/peers.rs
@@ -377,7 +377,7 @@
 
     /// The list that a proxy's next process starts with.
     pub fn known(&self, proxy: usize) -> Option<serde_json::Value> {
-        let known = self.model.proxies[proxy].known.as_ref()?;
+        let known = self.model.proxies[proxy].cached_list.as_ref()?;
         Some(self.listed(known))
     }
 
--- a/lab/src/invariants.rs
+++ b/lab/src/invariants.rs
@@ -88,7 +88,7 @@
     use super::*;
 
     #[test]
-    fn nothing_new_goes_over_a_second_after_the_telling() {
+    fn new_requests_are_forbidden_one_second_after_the_notice() {
         let mut unavailable = UnavailableHosts::default();
         unavailable.set(0, 1, false);
         // A second notice does not restart the time limit.
--- a/lab/src/model/faults.rs
+++ b/lab/src/model/faults.rs
@@ -26,7 +26,7 @@
 
     /// Whether the link in one direction between a proxy and a host is cut, and its extra delay in microseconds.
     pub fn link(&self, proxy: usize, host: usize, back: bool) -> (bool, Micros) {
-        let (mut cut, mut longer) = (false, 0.0);
+        let (mut cut, mut extra_delay) = (false, 0.0);
         for fault in self.active_faults() {
             if !fault.hosts.contains(host) || !fault.proxies.contains(proxy) {
                 continue;
@@ -35,11 +35,11 @@
                 FaultKind::Cut => cut = true,
                 FaultKind::CutThere => cut |= !back,
                 FaultKind::CutBack => cut |= back,
-                FaultKind::DelayBack if back => longer += fault.magnitude() * 1e3,
+                FaultKind::DelayBack if back => extra_delay += fault.magnitude() * 1e3,
                 _ => {}
             }
         }
-        (cut, longer as Micros)
+        (cut, extra_delay as Micros)
     }
 
     /// Whether an idle connection to a host breaks when it is reused; drawn for each call and attempt.
--- a/lab/src/model/host.rs
+++ b/lab/src/model/host.rs
@@ -267,7 +267,7 @@
     }
 
     #[test]
-    fn a_crowd_chokes_and_what_does_not_fit_is_turned_away() {
+    fn congestion_slows_work_and_excess_requests_are_turned_away() {
         let fleet = Fleet { workers: 1, queue: 2, choke_from: 1, choke_slope: 1.0, ..Fleet::default() };
         let mut host = Host::new(0, &fleet);
         assert_eq!(host.admit(0, job(1, 1_000.0), &fleet), Admission::Started(1_000));
@@ -286,7 +286,7 @@
     }
 
     #[test]
-    fn a_cold_host_is_pushed_over_by_what_a_warm_one_bears() {
+    fn a_load_that_a_warm_host_bears_overloads_a_cold_one() {
         let fleet = Fleet { workers: 1, ..Fleet::default() };
         let mut pushed = [false; 2];
         for (cold, pushed) in [false, true].into_iter().zip(&mut pushed) {
--- a/lab/src/model/mod.rs
+++ b/lab/src/model/mod.rs
@@ -209,7 +209,7 @@
     /// Whether its clients have stopped reading.
     pub slow_reader: bool,
     /// The cached list that its next process starts with.
-    pub known: Option<registry::ListUpdate>,
+    pub cached_list: Option<registry::ListUpdate>,
 }
 
 /// A deliberately injected source of nondeterminism; the determinism tests check that it changes the event log.
@@ -297,7 +297,7 @@
             .map(|number| Proxy {
                 up: true,
                 zone: number % fleet.zones,
-                known: known.clone(),
+                cached_list: known.clone(),
                 ..Proxy::default()
             })
             .collect();
@@ -314,7 +314,7 @@
             .map(|fault| fault.magnitude().max(1.0))
             .product();
         let curve = scenario.load.curve.iter().map(|&(_, times)| times).fold(f64::NAN, f64::max);
-        let most = if curve.is_nan() { 1.0 } else { curve };
+        let peak_factor = if curve.is_nan() { 1.0 } else { curve };
         let mut model = Model {
             now: 0,
             seed,
@@ -331,13 +331,13 @@
             nondeterminism: None,
             operations: Vec::new(),
             arrivals: vec![0; scenario.load.proxies],
-            mean_gaps: mean_gaps(&scenario, seed, scenario.load.rate * most * surge),
+            mean_gaps: mean_gaps(&scenario, seed, scenario.load.rate * peak_factor * surge),
             keys: DeterministicMap::default(),
             key_expiries: VecDeque::new(),
             key_records: DeterministicMap::default(),
             open_keys: DeterministicMap::default(),
             class_shares: shares.collect(),
-            peak_rate: scenario.load.rate * most * surge,
+            peak_rate: scenario.load.rate * peak_factor * surge,
             scenario: scenario.clone(),
         };
         for (number, fault) in scenario.faults.iter().enumerate() {
@@ -408,20 +408,23 @@
     fn arrival(&mut self, proxy: u32, queue: &mut EventQueue<impl From<Event>>) {
         self.next_arrival(proxy, self.now, queue);
         let number = self.arrivals[proxy as usize];
-        let mut draw = RandomStream::new(self.seed, "thing", u64::from(proxy), number);
+        let mut stream = RandomStream::new(self.seed, "thing", u64::from(proxy), number);
         let rate =
             self.scenario.load.rate * self.scenario.load_factor(self.now as f64 / 1e6) * self.surge_factor();
-        if !draw.chance(rate / self.peak_rate) {
+        if !stream.chance(rate / self.peak_rate) {
             return;
         }
-        let share = draw.uniform();
-        let class =
-            self.class_shares.iter().position(|&upto| share < upto).unwrap_or(self.class_shares.len() - 1);
+        let share = stream.uniform();
+        let class = self
+            .class_shares
+            .iter()
+            .position(|&upper_bound| share < upper_bound)
+            .unwrap_or(self.class_shares.len() - 1);
         let load = &self.scenario.load;
         let key = match self.scenario.classes[class].idempotency {
             Idempotency::Free | Idempotency::Unsafe => 0,
             Idempotency::Keyed => {
-                let member = draw.zipf_rank(load.members, load.zipf);
+                let member = stream.zipf_rank(load.members, load.zipf);
                 // Requests of one member within the window are for the same entry, so they share a key.
                 (member << 24) | (self.now / (self.scenario.fleet.window_ms * 1_000).max(1)) & 0xff_ffff
             }
@@ -431,11 +434,11 @@
             Idempotency::Unsafe if load.keys > 0 => 1 << 63 | self.operations.len() as u64,
             _ => key,
         };
-        let mut taps = Vec::new();
-        while key != 0 && taps.len() < DUPLICATES_MAX && draw.chance(load.taps) {
-            taps.push(30_000 + (draw.uniform() * 400_000.0) as Micros);
+        let mut duplicates = Vec::new();
+        while key != 0 && duplicates.len() < DUPLICATES_MAX && stream.chance(load.taps) {
+            duplicates.push(30_000 + (stream.uniform() * 400_000.0) as Micros);
         }
-        let (leaves, leave_share) = (draw.chance(load.leaves), draw.uniform());
+        let (leaves, leave_share) = (stream.chance(load.leaves), stream.uniform());
         let call = self.start_operation(proxy, class as u8, key);
         if leaves {
             let client_deadline = self.scenario.classes[class].deadline_ms * 1e3;
@@ -445,9 +448,9 @@
             );
         }
         self.send_request(call, queue);
-        for later in taps {
-            let tap = self.start_operation(proxy, class as u8, key);
-            queue.schedule(self.now + later, Event::SendRequest(tap).into());
+        for later in duplicates {
+            let duplicate = self.start_operation(proxy, class as u8, key);
+            queue.schedule(self.now + later, Event::SendRequest(duplicate).into());
         }
     }
 
@@ -469,14 +472,14 @@
     fn new_call(&mut self, number: u32) -> u32 {
         let operation = &mut self.operations[number as usize];
         operation.tries += 1;
-        let again = operation.tries > 1;
+        let is_retry = operation.tries > 1;
         // Duplicates with the same key belong to the same tenant.
-        let whose = if operation.key == 0 { u64::from(number) } else { operation.key };
-        let share = RandomStream::new(self.seed, "tenant", whose, 0).uniform();
+        let owner = if operation.key == 0 { u64::from(number) } else { operation.key };
+        let share = RandomStream::new(self.seed, "tenant", owner, 0).uniform();
         let tenants = &self.scenario.load.tenants;
         let total: f64 = tenants.iter().sum();
         let mut sum = 0.0;
-        let upto = tenants.iter().position(|tenant| {
+        let upper_bound = tenants.iter().position(|tenant| {
             sum += tenant / total;
             share < sum
         });
@@ -484,8 +487,8 @@
             operation: number,
             proxy: operation.proxy,
             class: operation.class,
-            tenant: upto.unwrap_or_default() as u8,
-            is_retry: again,
+            tenant: upper_bound.unwrap_or_default() as u8,
+            is_retry,
             state: CallState::NotSent,
             key: operation.key,
             sent_at: 0,
@@ -545,7 +548,7 @@
                 Invariant::OneAnswer,
                 number,
                 None,
-                "its client's time is up, and there is no answer".to_owned(),
+                "no answer by its client's deadline".to_owned(),
             );
         }
         self.abandon(number);
@@ -653,7 +656,7 @@
                     Invariant::NoEffectTwice,
                     number,
                     host,
-                    "refused, though it has run".to_owned(),
+                    "refused although it ran".to_owned(),
                 );
             }
         }
@@ -737,21 +740,21 @@
             .contains_key(&(self.calls[number as usize].proxy, self.calls[number as usize].key));
         // An attempt written in the same microsecond crosses the notice that nobody waits, so it is no violation: on
         // one machine the notice takes no virtual time, but the proxy's task runs a little later.
-        let over = match at {
+        let reason = match at {
             _ if joined && self.has_key_stores => None,
             CallState::Answered(then) => (written > then).then_some("after its answer"),
             CallState::Abandoned(then) => (written > then + GRACE).then_some("after its client had left"),
             CallState::NotSent | CallState::Open => None,
         };
-        if let Some(over) = over {
-            self.record_violation(Invariant::OneAnswer, number, Some(host), format!("sent {over}"));
+        if let Some(reason) = reason {
+            self.record_violation(Invariant::OneAnswer, number, Some(host), format!("sent {reason}"));
         }
         if self.proxies[proxy].unavailable_hosts.forbids(written, host) {
             self.record_violation(
                 Invariant::NothingToTheGone,
                 number,
                 Some(host),
-                "sent over 1 s after the telling".to_owned(),
+                "sent over 1 s after the notice".to_owned(),
             );
         }
         if self.hosts[host].status == HostStatus::Up
@@ -761,7 +764,7 @@
                 Invariant::ColdHostStands,
                 number,
                 Some(host),
-                "pushed over while cold".to_owned(),
+                "overloaded while cold".to_owned(),
             );
             self.stop_host(host, HostStatus::Dead);
         }
@@ -783,7 +786,7 @@
         let mut work = class.work.sample(&mut RandomStream::new(seed, "work", number.into(), host as u64));
         work += if first { scenario.fleet.handshake_us } else { 0.0 };
         let impairment = self.hosts[host].impairment;
-        let mut draw = RandomStream::new(
+        let mut stream = RandomStream::new(
             seed,
             "fate",
             number.into(),
@@ -791,10 +794,10 @@
         );
         // All draws are made, whatever the earlier ones return, so that they stay independent of each other.
         let (away, resets, errors, runs) = (
-            draw.chance(impairment.turned_away),
-            draw.chance(impairment.resets),
-            draw.chance(impairment.errors),
-            draw.chance(0.5),
+            stream.chance(impairment.turned_away),
+            stream.chance(impairment.resets),
+            stream.chance(impairment.errors),
+            stream.chance(0.5),
         );
         match self.nondeterminism {
             Some(Nondeterminism::Clock) => {
@@ -901,7 +904,7 @@
         if twice {
             let first =
                 before.map(|(host, pod, at)| format!(", first at host {host} of pod {pod} at {at} us"));
-            let what = format!("it has run again{}", first.unwrap_or_default());
+            let what = format!("it ran again{}", first.unwrap_or_default());
             self.record_violation(Invariant::NoEffectTwice, number, Some(host), what);
         }
         let call = &self.calls[number as usize];
@@ -914,7 +917,7 @@
                     Invariant::NoEffectTwice,
                     number,
                     Some(host),
-                    "its key has run before".to_owned(),
+                    "its key ran before".to_owned(),
                 );
             }
         }
@@ -923,7 +926,7 @@
                 Invariant::NoEffectTwice,
                 number,
                 Some(host),
-                "it runs, though it was refused".to_owned(),
+                "ran although it was refused".to_owned(),
             );
         }
     }
@@ -978,16 +981,16 @@
     pub fn record_list_update(&mut self, proxy: usize, news: &registry::ListUpdate) {
         let (now, hosts) = (self.now, self.hosts.len());
         if self.scenario.discovery.starts_with_cached_list {
-            self.proxies[proxy].known = self.registry.changes_since(None);
+            self.proxies[proxy].cached_list = self.registry.changes_since(None);
         }
         let ready = |entry: &registry::Entry| entry.state == registry::ListingState::Ready;
-        let told = &mut self.proxies[proxy].unavailable_hosts;
+        let unavailable = &mut self.proxies[proxy].unavailable_hosts;
         if news.is_full {
             let mut all: Vec<usize> = news.entries.iter().filter(|e| ready(e)).map(|e| e.host).collect();
             all.sort_unstable();
-            told.replace_all(now, &all, hosts);
+            unavailable.replace_all(now, &all, hosts);
         } else {
-            news.entries.iter().for_each(|entry| told.set(now, entry.host, ready(entry)));
+            news.entries.iter().for_each(|entry| unavailable.set(now, entry.host, ready(entry)));
         }
         self.log.record(now, EventKind::Told, [proxy as u64, news.seq, news.entries.len() as u64]);
     }
@@ -1026,11 +1029,11 @@
     use super::*;
 
     #[test]
-    fn proxies_are_as_unequal_as_they_are_said_to_be() {
+    fn proxy_rates_follow_the_configured_skew() {
         for (skew, times) in [(0.0, 1.0), (1.0, 10.0)] {
             let text =
                 format!("name = \"x\"\nseconds = 1.0\n[load]\nproxies = 10\nrate = 200.0\nskew = {skew}");
-            let scenario = Scenario::parse(&text).expect("a good scenario");
+            let scenario = Scenario::parse(&text).expect("a valid scenario");
             let gaps = mean_gaps(&scenario, 4, 200.0);
             let rate: f64 = gaps.iter().map(|gap| 1e6 / gap).sum();
             assert!((rate - 200.0).abs() < 1e-6, "{rate} a second in all");
--- a/lab/src/model/registry.rs
+++ b/lab/src/model/registry.rs
@@ -150,7 +150,7 @@
     use super::*;
 
     #[test]
-    fn a_watch_hears_what_it_has_missed_or_all() {
+    fn a_watch_receives_missed_changes_or_the_whole_list() {
         let mut registry = Registry::new(3);
         let gone = Entry { host: 1, state: ListingState::Removed, started: 0 };
         assert!(registry.set(gone) && !registry.set(gone));
@@ -166,7 +166,7 @@
     }
 
     #[test]
-    fn a_busy_discovery_answers_in_turn_and_fails_the_late() {
+    fn a_busy_discovery_replies_in_order_and_fails_late_requests() {
         let mut registry = Registry::new(1);
         assert_eq!(registry.schedule_reply(5), ReplySchedule::Answered(5), "it has time for all");
         registry.service_time = 400_000;
--- a/lab/src/random.rs
+++ b/lab/src/random.rs
@@ -132,9 +132,9 @@
             Distribution::Pareto { least_ms, alpha } => (least_ms, alpha),
         };
         if !(time > 0.0 && time <= 60_000.0) {
-            return Some("a time must be above 0 and at most 60,000 ms");
+            return Some("times must be above 0 and at most 60,000 ms");
         }
-        (!(shape > 0.0 && shape <= 100.0)).then_some("a shape must be above 0 and at most 100")
+        (!(shape > 0.0 && shape <= 100.0)).then_some("shape parameters must be above 0 and at most 100")
     }
 }
 
@@ -148,7 +148,7 @@
     use super::*;
 
     #[test]
-    fn draws_depend_on_seed_and_name_alone() {
+    fn streams_depend_only_on_seed_and_name() {
         let draw = |seed, purpose, first| RandomStream::new(seed, purpose, first, 0).uniform();
         assert_eq!(draw(1, "service", 2), draw(1, "service", 2));
         assert!(draw(1, "service", 2) != draw(2, "service", 2));
@@ -156,7 +156,7 @@
     }
 
     #[test]
-    fn laws_have_the_mean_that_they_say() {
+    fn distributions_have_their_declared_mean() {
         let distributions = [
             Distribution::Fixed { ms: 4.0 },
             Distribution::Exponential { mean_ms: 4.0 },
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -67,11 +67,14 @@
         let (expectations, all) = (&model.scenario.expectations, &model.metrics.all);
         let mut missed = Vec::new();
         if let Some(least) = expectations.served.filter(|&least| all.served_share() < least) {
-            missed.push(format!("served {:.4} of the worth, at least {least} must be", all.served_share()));
+            missed.push(format!(
+                "served {:.4} of the offered value, expected at least {least}",
+                all.served_share()
+            ));
         }
         if let Some(most) = expectations.p99_ms.filter(|&most| all.latency_ms(99.0) > most) {
             missed.push(format!(
-                "the 99th percentile is {:.1} ms, at most {most} may be",
+                "the 99th percentile is {:.1} ms, expected at most {most}",
                 all.latency_ms(99.0)
             ));
         }
@@ -121,6 +124,6 @@
     match depth {
         Depth::Fleet => Ok(crate::fleet::Fleet::new(resolved, seed, picks)?.play(limits, nondeterminism)),
         Depth::Full if picks == Picks::Ours => crate::full::play(resolved, seed, limits, nondeterminism),
-        Depth::Full => Err("the full stack has the decision module in it".to_owned()),
+        Depth::Full => Err("another balancer can only run in fleet depth".to_owned()),
     }
 }
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -404,7 +404,7 @@
                 false => invalid(path, format!("{value} is not from {least} to {most}")),
             };
         if self.name.is_empty() {
-            return invalid("name", "it is empty");
+            return invalid("name", "must not be empty");
         }
         span("seconds", self.seconds, 0.1, SECONDS_MAX)?;
         span("warm_up", self.warm_up, 0.0, self.seconds)?;
@@ -440,7 +440,7 @@
             span(&format!("load.curve[{at}][0]"), time, 0.0, SECONDS_MAX)?;
             span(&format!("load.curve[{at}][1]"), times, 0.0, 1_000.0)?;
             if at > 0 && load.curve[at - 1].0 >= time {
-                return invalid(format!("load.curve[{at}][0]"), "times must rise");
+                return invalid(format!("load.curve[{at}][0]"), "times must be in ascending order");
             }
         }
         count("load.tries", load.tries as usize, 1, 100)?;
@@ -455,11 +455,14 @@
         count("load.sockets", load.sockets, 64, 1_000_000)?;
         count("load.keys", load.keys, 0, 1_000_000)?;
         if load.proxies * (fleet.hosts + fleet.spares) > PAIRS_MAX {
-            return invalid("load.proxies", format!("proxies times hosts are over {PAIRS_MAX}"));
+            return invalid("load.proxies", format!("proxies times hosts must be at most {PAIRS_MAX}"));
         }
         let times = load.curve.iter().map(|point| point.1).fold(1.0, f64::max);
         if load.rate * self.seconds * times > CALLS_MAX {
-            return invalid("load.rate", format!("over {CALLS_MAX} calls in all are more than a run keeps"));
+            return invalid(
+                "load.rate",
+                format!("rate times seconds must be at most {CALLS_MAX} operations"),
+            );
         }
         for (at, &share) in load.tenants.iter().enumerate() {
             span(&format!("load.tenants[{at}]"), share, 0.0, 1.0)?;
@@ -468,7 +471,7 @@
         for (at, class) in self.classes.iter().enumerate() {
             let path = |key: &str| format!("class[{at}].{key}");
             if self.classes[..at].iter().any(|other| other.name == class.name) || class.name.is_empty() {
-                return invalid(path("name"), "it is empty, or another's");
+                return invalid(path("name"), "must be unique and not empty");
             }
             span(&path("share"), class.share, 1e-6, 1e6)?;
             span(&path("aim_ms"), class.latency_target_ms, 1.0, 600_000.0)?;
--- a/lab/tests/model.rs
+++ b/lab/tests/model.rs
@@ -78,7 +78,7 @@
     }
 
     /// The next call for the same operation.
-    fn tried_again(&mut self, of: u32, within: Micros) -> Option<(u32, Micros)> {
+    fn next_call(&mut self, of: u32, within: Micros) -> Option<(u32, Micros)> {
         let (operation, until) = (self.model.call(of).operation, self.model.now + within);
         while let Some(at) = self.queue.next_time().filter(|&at| at <= until) {
             for (now, out) in self.until(at) {
@@ -99,7 +99,7 @@
 const USUAL: &str = "seconds = 30.0\n[load]\nproxies = 2\nrate = 20.0\ntaps = 0.0";
 
 #[test]
-fn a_call_without_an_answer_breaks_the_first_rule_at_its_deadline_and_not_before() {
+fn an_unanswered_call_is_a_violation_at_its_deadline_and_not_before() {
     let mut harness = Harness::new(USUAL);
     let (call, asked) = harness.call(Idempotency::Free);
     harness.until(asked + 649 * MS);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn an_answer_in_time_is_enough_and_a_second_one_too_much() {
+fn one_answer_is_required_and_a_second_one_is_a_violation() {
     let mut harness = Harness::new(USUAL);
     let (call, _) = harness.call(Idempotency::Free);
     harness.answers(call, Answer::Served);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_connection_that_ends_without_an_answer_is_a_break_unless_its_proxy_has_died() {
+fn a_connection_that_ends_without_an_answer_is_a_violation_unless_its_proxy_has_died() {
     let mut harness = Harness::new(USUAL);
     let (call, _) = harness.call(Idempotency::Unsafe);
     harness.answers(call, Answer::NoResponse);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_call_after_its_answer_or_long_after_its_client_has_left() {
+fn an_attempt_after_the_answer_or_long_after_the_client_has_left_is_a_violation() {
     let mut harness = Harness::new(USUAL);
     let (call, _) = harness.call(Idempotency::Free);
     let answered = harness.model.now;
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn an_unsafe_call_that_runs_twice_breaks_the_second_rule_wherever_it_runs() {
+fn an_unsafe_call_that_runs_twice_is_a_violation_on_any_host() {
     for other in [0, 1] {
         let mut harness = Harness::new(USUAL);
         let (call, _) = harness.call(Idempotency::Unsafe);
@@ -176,11 +176,11 @@
     for host in 0..4 {
         harness.runs(call, host);
     }
-    assert_eq!(harness.broken(), [], "what is free may run as often as it likes");
+    assert_eq!(harness.broken(), [], "a free call may run any number of times");
 }
 
 #[test]
-fn a_keyed_call_may_run_again_in_its_pod_within_its_window_alone() {
+fn a_keyed_call_may_run_again_only_in_its_pod_and_within_its_window() {
     // Hosts 0 and 3 are in one pod, host 1 is in another; a pod drops repeats for 1.2 s.
     for (other, after, violations) in
         [(3, 1_100 * MS, false), (0, 1_100 * MS, false), (3, 1_300 * MS, true), (1, 100 * MS, true)]
@@ -202,7 +202,7 @@
 /// the window in which it was sent. This is a duplicate effect that no proxy can prevent; it is counted, and is no
 /// violation.
 #[test]
-fn a_repeat_that_was_sent_in_time_and_held_up_is_counted_and_no_break() {
+fn a_repeat_that_was_sent_in_time_but_delayed_is_counted_and_no_violation() {
     for (written, violations) in [(1_100 * MS, false), (1_300 * MS, true)] {
         let mut harness =
             Harness::new("seconds = 30.0\n[load]\nproxies = 2\nrate = 20.0\ntaps = 0.0\nzipf = 0.0");
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_refusal_of_what_has_run_breaks_the_second_rule_and_so_does_a_run_of_what_was_refused() {
+fn refusing_a_call_that_ran_and_running_a_refused_call_are_violations() {
     let mut harness = Harness::new(USUAL);
     let (call, _) = harness.call(Idempotency::Unsafe);
     harness.runs(call, 2);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn the_third_rule_counts_from_what_the_proxy_was_told() {
+fn a_request_to_a_draining_host_is_a_violation_1_s_after_the_notice() {
     let mut harness = Harness::new(USUAL);
     let (call, asked) = harness.call(Idempotency::Free);
     let proxy = harness.model.call(call).proxy as usize;
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_cold_host_that_is_pushed_over_breaks_the_fourth_rule_and_is_gone() {
+fn overloading_a_cold_host_is_a_violation_and_stops_the_host() {
     let fault = "\n[[fault]]\nwhat = \"kill\"\nat = 1.0\nfor = 1.0\nhosts = { these = [0] }";
     let text = "seconds = 30.0\n[fleet]\nworkers = 1\n[load]\nproxies = 2\nrate = 20.0\ntaps = 0.0";
     let mut harness = Harness::new(&format!("{text}{fault}"));
@@ -279,8 +279,9 @@
         harness.model.now = start + step * 2 * MS;
         harness.model.record_attempt(call, 0, start);
     }
-    let fourth = harness.model.violations.iter().find(|broken| broken.invariant == Invariant::ColdHostStands);
-    let at = fourth.expect("it is pushed over").at;
+    let violation =
+        harness.model.violations.iter().find(|broken| broken.invariant == Invariant::ColdHostStands);
+    let at = violation.expect("it is overloaded").at;
     assert!((start + 2_000 * MS..start + 2_300 * MS).contains(&at), "{}", at - start);
     assert_eq!(harness.model.hosts[0].status, HostStatus::Dead);
     // A warm host bears the same load.
@@ -292,28 +293,28 @@
 }
 
 #[test]
-fn a_refused_client_comes_again_as_it_was_told_and_gives_up_in_the_end() {
+fn a_refused_client_retries_after_the_given_time_and_gives_up_after_three_calls() {
     let mut harness = Harness::new(USUAL);
     let (first, _) = harness.call(Idempotency::Unsafe);
     assert!(!harness.model.call(first).is_retry);
     harness.answers(first, Answer::Refused(Some(700 * MS)));
     let refused = harness.model.now;
-    let (second, at) = harness.tried_again(first, 3_000 * MS).expect("it comes again");
+    let (second, at) = harness.next_call(first, 3_000 * MS).expect("the client retries");
     assert!(at >= refused + 700 * MS && harness.model.call(second).is_retry);
     harness.answers(second, Answer::Refused(None));
-    let (third, _) = harness.tried_again(second, 3_000 * MS).expect("and once more");
+    let (third, _) = harness.next_call(second, 3_000 * MS).expect("the client retries once more");
     harness.answers(third, Answer::Refused(None));
-    assert_eq!(harness.tried_again(third, 9_000 * MS), None, "three tries are enough");
+    assert_eq!(harness.next_call(third, 9_000 * MS), None, "a client makes at most three calls");
 }
 
 #[test]
-fn what_may_have_run_is_repeated_by_its_client_only_where_that_does_no_harm() {
+fn clients_retry_failed_calls_unless_they_are_unsafe() {
     for (kind, comes) in [(Idempotency::Free, true), (Idempotency::Keyed, true), (Idempotency::Unsafe, false)]
     {
         let mut harness = Harness::new(USUAL);
         let (call, _) = harness.call(kind);
         harness.answers(call, Answer::Failed);
-        let again = harness.tried_again(call, 2_000 * MS);
+        let again = harness.next_call(call, 2_000 * MS);
         assert_eq!(again.is_some(), comes, "{kind:?}");
         if let Some((again, _)) = again {
             assert_eq!(harness.model.call(again).key, harness.model.call(call).key);
@@ -322,7 +323,7 @@
 }
 
 #[test]
-fn calls_come_by_the_rate_and_its_curve_and_each_class_has_its_share() {
+fn arrivals_follow_the_rate_its_curve_and_the_class_shares() {
     let text = "seconds = 60.0\n[load]\nproxies = 3\nrate = 400.0\ntaps = 0.0\n\
                 curve = [[0.0, 1.0], [20.0, 1.0], [20.001, 3.0], [40.0, 3.0], [60.0, 0.0]]";
     let mut harness = Harness::new(text);
@@ -354,7 +355,7 @@
 }
 
 #[test]
-fn a_tap_has_the_key_of_the_first_and_a_popular_members_entries_share_keys_within_a_window() {
+fn duplicates_share_the_key_of_the_first_request_within_a_window() {
     let text = "seconds = 20.0\n[load]\nproxies = 1\nrate = 300.0\ntaps = 0.5\nmembers = 1000000\nzipf = 0.0";
     let mut harness = Harness::new(text);
     let mut keys = std::collections::BTreeMap::<u64, Vec<Micros>>::new();
@@ -365,8 +366,8 @@
             }
         }
     }
-    let tapped = keys.values().filter(|times| times.len() > 1).count() as f64 / keys.len() as f64;
-    assert!((0.4..0.6).contains(&tapped), "{tapped}");
+    let duplicated = keys.values().filter(|times| times.len() > 1).count() as f64 / keys.len() as f64;
+    assert!((0.4..0.6).contains(&duplicated), "{duplicated}");
     for times in keys.values() {
         // The chance that another operation of the same member falls into the same window is one in thousands.
         assert!(times.len() <= 4 && times[times.len() - 1] - times[0] < 450 * MS, "{times:?}");
@@ -382,7 +383,7 @@
 }
 
 #[test]
-fn a_killed_host_is_noticed_late_and_comes_back_cold_under_its_number() {
+fn a_killed_host_is_delisted_after_a_delay_and_restarts_cold() {
     let mut harness = with_fault("what = \"kill\"\nfor = 6.0\nhosts = { these = [2] }");
     harness.until(2_000 * MS);
     assert_eq!((harness.model.hosts[2].status, listed(&harness)[2]), (HostStatus::Dead, ListingState::Ready));
@@ -404,7 +405,7 @@
 }
 
 #[test]
-fn what_ran_on_a_host_that_died_says_nothing_any_more() {
+fn requests_on_a_host_that_died_get_no_response() {
     let mut harness = with_fault("what = \"vanish\"\nfor = 1.0\nhosts = { these = [0] }\n");
     let (call, _) = harness.call(Idempotency::Free);
     harness.until(1_999 * MS);
@@ -417,7 +418,7 @@
 }
 
 #[test]
-fn a_host_that_drains_turns_away_what_comes_and_ends_what_it_has() {
+fn a_draining_host_turns_away_new_requests_and_finishes_active_ones() {
     let mut harness = with_fault("what = \"drain\"\nfor = 5.0\nhosts = { these = [1] }");
     let (call, _) = harness.call(Idempotency::Free);
     harness.until(1_999 * MS);
@@ -441,7 +442,7 @@
 }
 
 #[test]
-fn a_stalled_host_does_nothing_and_then_goes_on() {
+fn a_stalled_host_pauses_and_then_continues() {
     let mut harness = with_fault("what = \"stall\"\nfor = 3.0\nhosts = { these = [0] }");
     let (call, _) = harness.call(Idempotency::Free);
     harness.until(1_999 * MS);
@@ -458,7 +459,7 @@
 }
 
 #[test]
-fn a_slow_host_takes_so_many_times_as_long_and_a_silent_one_runs_and_says_nothing() {
+fn a_slow_host_takes_longer_and_a_silent_one_sends_no_response() {
     let time = |what: &str| {
         let mut harness = with_fault(&format!("{what}\nfor = 20.0\nhosts = {{ these = [0] }}"));
         let (call, _) = harness.call(Idempotency::Unsafe);
@@ -483,7 +484,7 @@
 }
 
 #[test]
-fn shares_of_exchanges_end_badly_and_half_of_those_have_run() {
+fn the_configured_share_of_exchanges_fails_and_half_of_those_have_run() {
     for (what, bad) in [
         ("errors", ExchangeResult::Error),
         ("resets", ExchangeResult::Reset),
@@ -522,7 +523,7 @@
 }
 
 #[test]
-fn discovery_is_down_silent_wrong_and_flaps_for_as_long_as_it_says() {
+fn discovery_faults_last_as_long_as_configured() {
     let mut harness = with_fault("what = \"discovery-down\"\nfor = 2.0");
     harness.until(2_000 * MS);
     assert!(harness.model.registry.down);
@@ -535,7 +536,7 @@
         (listed(&harness)[0], listed(&harness)[1], listed(&harness)[4]),
         (ListingState::Removed, ListingState::Ready, ListingState::Removed)
     );
-    assert_eq!(harness.model.hosts[0].status, HostStatus::Up, "it is there all the same");
+    assert_eq!(harness.model.hosts[0].status, HostStatus::Up, "discovery is wrong: the host is up");
     harness.until(4_051 * MS);
     assert_eq!(listed(&harness), [ListingState::Ready; 6]);
 
--- a/lab/tests/properties.rs
+++ b/lab/tests/properties.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_queue_gives_what_a_stable_sort_gives() {
+fn the_event_queue_matches_a_stable_sort() {
     let steps = prop::collection::vec((0_u64..40, any::<bool>()), 0..120);
     let run = runner().run(&steps, |steps| {
         let mut queue = EventQueue::default();
@@ -55,18 +55,18 @@
         started: u64,
     },
     /// A watch receives the changes since its version.
-    Hear(usize),
+    Receive(usize),
     /// A watch reconnects without a list, or with a version of another registry.
-    Forget(usize, bool),
+    Reconnect(usize, bool),
 }
 
 #[test]
-fn whoever_hears_news_has_the_registrys_list_whatever_was_missed() {
+fn a_watch_that_applies_updates_has_the_registrys_list_whatever_it_missed() {
     const HOSTS: usize = 5;
     let change = prop_oneof![
         4 => (0..HOSTS, 0_u8..3, 0_u64..4).prop_map(|(host, listed, started)| Change::Set { host, listed, started }),
-        3 => (0_usize..3).prop_map(Change::Hear),
-        1 => (0_usize..3, any::<bool>()).prop_map(|(watch, other)| Change::Forget(watch, other)),
+        3 => (0_usize..3).prop_map(Change::Receive),
+        1 => (0_usize..3, any::<bool>()).prop_map(|(watch, other)| Change::Reconnect(watch, other)),
     ];
     let run = runner().run(&prop::collection::vec(change, 0..120), |changes| {
         let mut registry = Registry::new(HOSTS);
@@ -81,7 +81,7 @@
                     prop_assert_eq!(registry.set(entry), differs);
                     prop_assert_eq!(registry.seq(), before + u64::from(differs));
                 }
-                Change::Hear(watch) => {
+                Change::Receive(watch) => {
                     let (since, list) = &mut watches[watch];
                     let Some(news) = registry.changes_since(*since) else {
                         prop_assert_eq!(*since, Some(registry.seq()));
@@ -101,7 +101,7 @@
                         all.filter(|entry| entry.state != ListingState::Removed).collect();
                     prop_assert_eq!(list, listed);
                 }
-                Change::Forget(watch, other) => {
+                Change::Reconnect(watch, other) => {
                     watches[watch] = (other.then_some(registry.seq() + 1_000), BTreeMap::new());
                 }
             }
@@ -113,9 +113,9 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Take { work: u16, patience: u16 },
-    Pass(u16),
-    Forget(u8),
+    Admit { work: u16, timeout: u16 },
+    Advance(u16),
+    Cancel(u8),
     Down,
     Drain,
 }
@@ -123,11 +123,11 @@
 /// The active requests of a host are those that arrived less those that ended; it runs no more than it has workers for,
 /// and starts them in the order of arrival.
 #[test]
-fn a_host_loses_and_makes_nothing() {
+fn a_host_neither_loses_nor_invents_requests() {
     let step = prop_oneof![
-        8 => (1_u16..400, 1_u16..900).prop_map(|(work, patience)| Step::Take { work, patience }),
-        6 => (0_u16..300).prop_map(Step::Pass),
-        2 => any::<u8>().prop_map(Step::Forget),
+        8 => (1_u16..400, 1_u16..900).prop_map(|(work, timeout)| Step::Admit { work, timeout }),
+        6 => (0_u16..300).prop_map(Step::Advance),
+        2 => any::<u8>().prop_map(Step::Cancel),
         1 => Just(Step::Down),
         1 => Just(Step::Drain),
     ];
@@ -139,9 +139,9 @@
         let mut waiting = Vec::<Job>::new();
         for step in steps {
             match step {
-                Step::Take { work, patience } => {
+                Step::Admit { work, timeout } => {
                     next += 1;
-                    let until = now + u64::from(patience);
+                    let until = now + u64::from(timeout);
                     let job = Job {
                         exchange: next,
                         call: 0,
@@ -165,7 +165,7 @@
                         }
                     }
                 }
-                Step::Pass(time) => {
+                Step::Advance(time) => {
                     now += u64::from(time);
                     let due: Vec<u64> =
                         running.iter().filter(|(_, end)| **end <= now).map(|(&number, _)| number).collect();
@@ -185,7 +185,7 @@
                         }
                     }
                 }
-                Step::Forget(which) => {
+                Step::Cancel(which) => {
                     if let Some(place) = usize::from(which).checked_rem(waiting.len()) {
                         host.cancel(waiting.remove(place).exchange);
                     }
@@ -208,13 +208,13 @@
 }
 
 #[test]
-fn what_was_told_is_what_a_list_of_tellings_says() {
-    let telling = (0_usize..4, any::<bool>(), 0_u64..3_000_000);
-    let run = runner().run(&prop::collection::vec(telling, 0..60), |tellings| {
+fn unavailable_hosts_match_a_naive_list_of_notices() {
+    let notice = (0_usize..4, any::<bool>(), 0_u64..3_000_000);
+    let run = runner().run(&prop::collection::vec(notice, 0..60), |notices| {
         let mut unavailable = UnavailableHosts::default();
         let mut naive: BTreeMap<usize, u64> = BTreeMap::new();
         let mut now = 0;
-        for (host, ready, later) in tellings {
+        for (host, ready, later) in notices {
             now += later;
             unavailable.set(now, host, ready);
             if ready {
@@ -263,7 +263,7 @@
 /// A resolved scenario has no random choice left, is valid, is unchanged after it is written and read, and resolves to
 /// itself.
 #[test]
-fn settled_scenarios_are_whole_and_stay_as_they_are() {
+fn resolved_scenarios_are_valid_and_resolve_to_themselves() {
     let scenario = (prop::collection::vec(any_fault(), 0..8), 0_usize..6, any::<u64>());
     let run = runner().run(&scenario, |(faults, chaos, seed)| {
         let mut scenario = common::scenario("name = \"x\"\nseconds = 10.0\n[load]\nproxies = 6");
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn one_fault_more_moves_no_other_that_is_drawn() {
+fn an_additional_random_fault_does_not_change_the_others() {
     let mut scenario = common::shipped("chaos");
     let first = resolve_faults(&scenario, 9);
     let more = scenario.chaos.as_mut().expect("chaos");
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_light_scenario_has_the_same_faults_and_is_good() {
+fn a_scaled_down_scenario_has_the_same_faults_and_is_valid() {
     for name in
         ["cold-fleet", "rolling-release", "dawn", "metastable", "discovery-dead-then-wrong", "key-storm"]
     {
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn the_log_keeps_the_last_events_and_its_hash_tells_every_difference() {
+fn the_log_keeps_recent_events_and_its_hash_depends_on_every_value() {
     let of = |events: &[(u64, EventKind, [u64; 3])]| {
         let mut log = EventLog::default();
         events.iter().for_each(|&(at, of, is)| log.record(at, of, is));
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn some_of_many_are_as_many_as_asked_for_each_as_likely() {
+fn sampled_indices_and_zipf_ranks_have_their_distributions() {
     let mut counts = [0_u32; 10];
     for seed in 0..4_000 {
         let some = RandomStream::new(seed, "some", 0, 0).sample_indices(3, 10);
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -23,7 +23,7 @@
     paths.iter().map(|path| Scenario::load(path).unwrap_or_else(|error| panic!("{error}"))).collect()
 }
 
-fn keep_the_rules(depth: Depth, seeds: u64) {
+fn assert_no_violations(depth: Depth, seeds: u64) {
     let all = shipped();
     assert!(all.len() >= 12);
     for scenario in all {
@@ -36,17 +36,17 @@
 }
 
 #[test]
-fn shipped_scenarios_keep_the_rules_in_fleet_depth() {
-    keep_the_rules(Depth::Fleet, FLEET_SEEDS);
+fn shipped_scenarios_violate_no_invariant_in_fleet_depth() {
+    assert_no_violations(Depth::Fleet, FLEET_SEEDS);
 }
 
 #[test]
-fn shipped_scenarios_keep_the_rules_in_full_stack() {
-    keep_the_rules(Depth::Full, FULL_SEEDS);
+fn shipped_scenarios_violate_no_invariant_in_full_stack() {
+    assert_no_violations(Depth::Full, FULL_SEEDS);
 }
 
 #[test]
-fn a_wrong_file_is_refused_with_its_place() {
+fn an_invalid_file_is_rejected_with_the_path_of_the_error() {
     let bad = [
         ("", "name"),
         ("name = \"x\"\nseconds = 0.0", "seconds"),
--- a/lab/tests/trouble.rs
+++ b/lab/tests/trouble.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_proxy_dies_and_starts_again_and_its_clients_go_on() {
+fn clients_recover_after_their_proxy_restarts() {
     let mut scenario = scenario("name = \"x\"\nseconds = 8.0\n[load]\nproxies = 2\nrate = 200.0");
     scenario.faults.push(fault(FaultKind::Restart, 3.2, 0.5, Targets::All, Targets::These(vec![0])));
     let outcome = full(&scenario, 1);
@@ -46,7 +46,7 @@
 /// A proxy converts the start times of hosts by its wall clock, which it reads only when it starts: a jump while it
 /// runs changes nothing, and a jump before its start does.
 #[test]
-fn a_clock_that_jumps_while_a_proxy_runs_changes_nothing() {
+fn a_clock_jump_matters_only_when_a_proxy_starts() {
     let text = "name = \"x\"\nseconds = 10.0\n[fleet]\nhosts = 3\n[load]\nproxies = 2\nrate = 150.0";
     let mut calm = scenario(text);
     calm.faults.push(fault(FaultKind::Kill, 2.0, 0.5, Targets::These(vec![0]), Targets::All));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_partition_heals_in_the_middle_of_bodies_and_each_request_runs_once() {
+fn requests_run_once_when_a_partition_heals_within_their_bodies() {
     // A body takes 40 ms to transfer, in segments of 16 KiB, and the link is cut for 30 ms of each 100.
     let mut scenario = scenario(
         "name = \"x\"\nseconds = 6.0\n[network]\nmegabits = 10.0\n[load]\nproxies = 2\nrate = 60.0\nbody = 50000",
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_host_starts_again_under_its_address_within_a_tick() {
+fn a_host_restarts_at_its_address_within_a_millisecond() {
     let mut scenario = scenario("name = \"x\"\nseconds = 20.0\n[load]\nproxies = 3\nrate = 300.0");
     for number in 0..6 {
         let host = Targets::These(vec![number % 6]);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn clients_that_read_nothing_hold_back_their_own_answers_alone() {
+fn clients_that_stop_reading_delay_only_their_own_answers() {
     let text = "name = \"x\"\nseconds = 6.0\n[load]\nproxies = 2\nrate = 200.0\nanswer = 50000";
     let mut slow = scenario(text);
     slow.faults.push(fault(FaultKind::SlowReader, 2.0, 1.5, Targets::All, Targets::These(vec![0])));
