--- a/lab/src/invariants.rs
+++ b/lab/src/invariants.rs
@@ -8,7 +8,7 @@
 pub const GRACE: Micros = 50_000;
 /// Time after the notice that a host drains or is removed in which new requests may still be sent to it, in
 /// microseconds.
-const DRAIN_NOTICE: Micros = 1_000_000;
+const NOTICE_ALLOWANCE: Micros = 1_000_000;
 
 /// An invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -65,8 +65,8 @@
         if self.0.len() <= host {
             self.0.resize(host + 1, None);
         }
-        let unavailable = &mut self.0[host];
-        *unavailable = if ready { None } else { Some(unavailable.unwrap_or(now)) };
+        let since = &mut self.0[host];
+        *since = if ready { None } else { Some(since.unwrap_or(now)) };
     }
 
     /// Records the notice of a whole list: hosts that are not on it are removed.
@@ -78,8 +78,8 @@
 
     /// Whether a new request that was written to a host at this time was written too late.
     pub fn forbids(&self, written: Micros, host: usize) -> bool {
-        let unavailable = self.0.get(host).copied().flatten();
-        unavailable.is_some_and(|unavailable| written > unavailable + DRAIN_NOTICE + GRACE)
+        let since = self.0.get(host).copied().flatten();
+        since.is_some_and(|since| written > since + NOTICE_ALLOWANCE + GRACE)
     }
 }
 
--- a/lab/src/metrics.rs
+++ b/lab/src/metrics.rs
@@ -165,29 +165,29 @@
         &mut self,
         scenario: &Scenario,
         class: usize,
-        began: Micros,
+        started: Micros,
         now: Micros,
-        how: OperationOutcome,
+        outcome: OperationOutcome,
     ) {
         let spec = &scenario.classes[class];
-        let time = now - began;
-        let got = match how {
-            OperationOutcome::Served if time as f64 <= spec.latency_target_ms * 1e3 => spec.worth,
+        let latency = now - started;
+        let earned = match outcome {
+            OperationOutcome::Served if latency as f64 <= spec.latency_target_ms * 1e3 => spec.worth,
             OperationOutcome::Served => spec.worth * spec.late,
             _ => 0.0,
         };
         let add = |requests: &mut RequestMetrics| {
             requests.operations += 1;
             requests.offered_value += spec.worth;
-            requests.earned_value += got;
-            *requests.outcomes.entry(how).or_default() += 1;
-            if how == OperationOutcome::Served {
+            requests.earned_value += earned;
+            *requests.outcomes.entry(outcome).or_default() += 1;
+            if outcome == OperationOutcome::Served {
                 // The value is clamped to the range of the histogram, so recording cannot fail.
-                let _ = requests.latencies.record(time.clamp(1, LATENCY_MAX));
+                let _ = requests.latencies.record(latency.clamp(1, LATENCY_MAX));
             }
         };
-        add(self.second(began).requests.get_or_insert_default());
-        if began >= self.counted_from {
+        add(self.second(started).requests.get_or_insert_default());
+        if started >= self.counted_from {
             add(&mut self.classes[class]);
             add(&mut self.all);
         }
--- a/lab/src/model/host.rs
+++ b/lab/src/model/host.rs
@@ -173,9 +173,10 @@
 
     fn start_work(&mut self, now: Micros, job: Job, fleet: &Fleet) -> Micros {
         self.running.insert(job.exchange, job);
-        let crowd = self.active().saturating_sub(fleet.choke_from) as f64;
-        let times = self.impairment.slow * (1.0 + fleet.choke_slope * crowd) / self.speed_factor(now, fleet);
-        now + (job.work * times).max(1.0) as Micros
+        let excess = self.active().saturating_sub(fleet.choke_from) as f64;
+        let factor =
+            self.impairment.slow * (1.0 + fleet.choke_slope * excess) / self.speed_factor(now, fleet);
+        now + (job.work * factor).max(1.0) as Micros
     }
 
     /// Finishes the work of an exchange. Returns `None` if it was lost meanwhile.
@@ -226,8 +227,8 @@
     pub fn is_overloaded_cold(&mut self, now: Micros, work: f64, fleet: &Fleet) -> bool {
         let interval = now / LOAD_INTERVAL;
         if interval != self.interval {
-            let can = fleet.workers as f64 * LOAD_INTERVAL as f64 * self.speed_factor(now, fleet);
-            let over = self.interval_work > fleet.topple_times * can && interval == self.interval + 1;
+            let capacity = fleet.workers as f64 * LOAD_INTERVAL as f64 * self.speed_factor(now, fleet);
+            let over = self.interval_work > fleet.topple_times * capacity && interval == self.interval + 1;
             let cold = self.speed_factor(now, fleet) < 1.0;
             self.overloaded_since =
                 (over && cold).then_some(self.overloaded_since.unwrap_or(self.interval * LOAD_INTERVAL));
@@ -288,17 +289,17 @@
     #[test]
     fn a_load_that_a_warm_host_bears_overloads_a_cold_one() {
         let fleet = Fleet { workers: 1, ..Fleet::default() };
-        let mut pushed = [false; 2];
-        for (cold, pushed) in [false, true].into_iter().zip(&mut pushed) {
+        let mut overloaded = [false; 2];
+        for (cold, overloaded) in [false, true].into_iter().zip(&mut overloaded) {
             let mut host = Host::new(0, &fleet);
             if cold {
                 host.start(1);
             }
             // 1.5 times the capacity of a warm host, for 3 s; a cold host has a third of that capacity.
             for at in (0..3_000_000).step_by(10_000) {
-                *pushed |= host.is_overloaded_cold(at, 15_000.0, &fleet);
+                *overloaded |= host.is_overloaded_cold(at, 15_000.0, &fleet);
             }
         }
-        assert_eq!(pushed, [false, true]);
+        assert_eq!(overloaded, [false, true]);
     }
 }
--- a/lab/src/model/mod.rs
+++ b/lab/src/model/mod.rs
@@ -577,7 +577,7 @@
         self.finish_operation(operation, OperationOutcome::Left);
     }
 
-    fn finish_operation(&mut self, operation: u32, how: OperationOutcome) {
+    fn finish_operation(&mut self, operation: u32, outcome: OperationOutcome) {
         let operation = &mut self.operations[operation as usize];
         if !std::mem::replace(&mut operation.finished, true) {
             self.metrics.record_outcome(
@@ -585,7 +585,7 @@
                 usize::from(operation.class),
                 operation.started,
                 self.now,
-                how,
+                outcome,
             );
         }
     }
@@ -617,7 +617,7 @@
         }
         call.state = CallState::Answered(written);
         let late = now > call.deadline + GRACE;
-        let (operation, proxy, asked, ran, idempotency) = (
+        let (operation, proxy, sent_at, first_run, idempotency) = (
             call.operation,
             call.proxy,
             call.sent_at,
@@ -631,13 +631,13 @@
             Answer::Failed => 502,
             Answer::NoResponse => 0,
         };
-        self.log.record(now, EventKind::Answered, [number.into(), code, now - asked]);
+        self.log.record(now, EventKind::Answered, [number.into(), code, now - sent_at]);
         if late && answer != Answer::NoResponse {
             self.record_violation(
                 Invariant::OneAnswer,
                 number,
                 None,
-                format!("its answer came {} us late", now - asked),
+                format!("its answer came {} us late", now - sent_at),
             );
         }
         if answer == Answer::NoResponse && self.proxies[proxy as usize].up {
@@ -650,7 +650,7 @@
         }
         if matches!(answer, Answer::Refused(_)) {
             self.metrics.second(now).refused += 1;
-            if let (Some((host, ..)), Idempotency::Unsafe) = (ran, idempotency) {
+            if let (Some((host, ..)), Idempotency::Unsafe) = (first_run, idempotency) {
                 let host = Some(usize::from(host));
                 self.record_violation(
                     Invariant::NoEffectTwice,
@@ -690,19 +690,19 @@
         operation: u32,
         number: u32,
         after: Option<Micros>,
-        ended: OperationOutcome,
+        outcome: OperationOutcome,
         queue: &mut EventQueue<impl From<Event>>,
     ) {
         let load = &self.scenario.load;
         let tries = self.operations[operation as usize].tries;
         if u32::from(tries) >= load.tries {
-            return self.finish_operation(operation, ended);
+            return self.finish_operation(operation, outcome);
         }
         let share = RandomStream::new(self.seed, "pause", u64::from(number), 0).uniform();
         let pause = load.pause_ms * 1e3 * f64::from(1_u32 << (tries - 1).min(10)) * (0.5 + share);
         let at = self.now + (pause as Micros).max(after.unwrap_or_default());
         if at > self.load_end() {
-            return self.finish_operation(operation, ended);
+            return self.finish_operation(operation, outcome);
         }
         let call = self.new_call(operation);
         queue.schedule(at, Event::SendRequest(call).into());
@@ -729,7 +729,7 @@
         call.attempts.push((host as u16, written));
         let cause =
             (call.attempt_count > 1).then_some(if call.cause.is_empty() { "no answer" } else { call.cause });
-        let (proxy, at, sent) = (call.proxy as usize, call.state, call.attempt_count);
+        let (proxy, state, sent) = (call.proxy as usize, call.state, call.attempt_count);
         let mean = scenario.classes[usize::from(call.class)].work.mean();
         self.metrics.record_attempt(now, host, cause);
         self.log.record(now, EventKind::Sent, [number.into(), host as u64, sent.into()]);
@@ -740,7 +740,7 @@
             .contains_key(&(self.calls[number as usize].proxy, self.calls[number as usize].key));
         // An attempt written in the same microsecond crosses the notice that nobody waits, so it is no violation: on
         // one machine the notice takes no virtual time, but the proxy's task runs a little later.
-        let reason = match at {
+        let reason = match state {
             _ if joined && self.has_key_stores => None,
             CallState::Answered(then) => (written > then).then_some("after its answer"),
             CallState::Abandoned(then) => (written > then + GRACE).then_some("after its client had left"),
@@ -793,7 +793,7 @@
             (host as u64) << 16 | u64::from(call.attempt_count),
         );
         // All draws are made, whatever the earlier ones return, so that they stay independent of each other.
-        let (away, resets, errors, runs) = (
+        let (turned_away, resets, errors, runs) = (
             stream.chance(impairment.turned_away),
             stream.chance(impairment.resets),
             stream.chance(impairment.errors),
@@ -817,7 +817,7 @@
             }
             None => {}
         }
-        let result = match (away, resets, errors) {
+        let result = match (turned_away, resets, errors) {
             (true, ..) => ExchangeResult::TurnedAway,
             (_, true, _) => ExchangeResult::Reset,
             (_, _, true) => ExchangeResult::Error,
@@ -834,15 +834,15 @@
 
     fn admit(&mut self, host: usize, job: Job, queue: &mut EventQueue<impl From<Event>>) {
         let (now, scenario) = (self.now, self.scenario.clone());
-        let at = &mut self.hosts[host];
-        if at.status != HostStatus::Up {
+        let server = &mut self.hosts[host];
+        if server.status != HostStatus::Up {
             return;
         }
-        if at.stalled_until > now {
-            let (until, epoch) = (at.stalled_until, at.epoch);
+        if server.stalled_until > now {
+            let (until, epoch) = (server.stalled_until, server.epoch);
             return queue.schedule(until, Event::RetryAdmission { host, epoch, job }.into());
         }
-        match at.admit(now, job, &scenario.fleet) {
+        match server.admit(now, job, &scenario.fleet) {
             Admission::Started(end) => self.work_started(host, job, end, queue),
             Admission::Queued => {}
             Admission::Rejected(result) => self.end_exchange(host, job.exchange, job.call, result),
@@ -904,8 +904,8 @@
         if twice {
             let first =
                 before.map(|(host, pod, at)| format!(", first at host {host} of pod {pod} at {at} us"));
-            let what = format!("it ran again{}", first.unwrap_or_default());
-            self.record_violation(Invariant::NoEffectTwice, number, Some(host), what);
+            let description = format!("it ran again{}", first.unwrap_or_default());
+            self.record_violation(Invariant::NoEffectTwice, number, Some(host), description);
         }
         let call = &self.calls[number as usize];
         if let Some(key) =
@@ -939,16 +939,17 @@
         queue: &mut EventQueue<impl From<Event>>,
     ) {
         let (now, scenario) = (self.now, self.scenario.clone());
-        let at = &mut self.hosts[host];
-        if at.epoch != epoch {
+        let server = &mut self.hosts[host];
+        if server.epoch != epoch {
             return;
         }
-        if at.stalled_until > now {
-            return queue.schedule(at.stalled_until, Event::ExchangeDone { host, epoch, exchange }.into());
+        if server.stalled_until > now {
+            return queue
+                .schedule(server.stalled_until, Event::ExchangeDone { host, epoch, exchange }.into());
         }
-        let Some(job) = at.finish(exchange) else { return };
+        let Some(job) = server.finish(exchange) else { return };
         let mut late = Vec::new();
-        let next = at.start_next(now, &scenario.fleet, &mut late);
+        let next = server.start_next(now, &scenario.fleet, &mut late);
         if job.result != ExchangeResult::NoReply && !self.hosts[host].impairment.silent {
             self.end_exchange(host, exchange, job.call, job.result);
         }
@@ -978,21 +979,21 @@
     }
 
     /// Records that a proxy has received an update of the list.
-    pub fn record_list_update(&mut self, proxy: usize, news: &registry::ListUpdate) {
+    pub fn record_list_update(&mut self, proxy: usize, update: &registry::ListUpdate) {
         let (now, hosts) = (self.now, self.hosts.len());
         if self.scenario.discovery.starts_with_cached_list {
             self.proxies[proxy].cached_list = self.registry.changes_since(None);
         }
         let ready = |entry: &registry::Entry| entry.state == registry::ListingState::Ready;
         let unavailable = &mut self.proxies[proxy].unavailable_hosts;
-        if news.is_full {
-            let mut all: Vec<usize> = news.entries.iter().filter(|e| ready(e)).map(|e| e.host).collect();
+        if update.is_full {
+            let mut all: Vec<usize> = update.entries.iter().filter(|e| ready(e)).map(|e| e.host).collect();
             all.sort_unstable();
             unavailable.replace_all(now, &all, hosts);
         } else {
-            news.entries.iter().for_each(|entry| unavailable.set(now, entry.host, ready(entry)));
+            update.entries.iter().for_each(|entry| unavailable.set(now, entry.host, ready(entry)));
         }
-        self.log.record(now, EventKind::Told, [proxy as u64, news.seq, news.entries.len() as u64]);
+        self.log.record(now, EventKind::Told, [proxy as u64, update.seq, update.entries.len() as u64]);
     }
 
     /// Returns a call by its index.
@@ -1008,8 +1009,8 @@
         host: Option<usize>,
         description: String,
     ) {
-        let place = host.map_or(u64::MAX, |host| host as u64);
-        self.log.record(self.now, EventKind::Broken, [invariant as u64, call.into(), place]);
+        let host_index = host.map_or(u64::MAX, |host| host as u64);
+        self.log.record(self.now, EventKind::Broken, [invariant as u64, call.into(), host_index]);
         if self.violations.len() < 1_000 {
             let recent_events = self.log.recent();
             self.violations.push(Violation {
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -422,7 +422,7 @@
         span("fleet.topple_times", fleet.topple_times, 1.0, 100.0)?;
         span("fleet.topple_seconds", fleet.topple_seconds, 0.1, 60.0)?;
         span("fleet.handshake_us", fleet.handshake_us, 0.0, 1e6)?;
-        count("fleet.idle_timeout_ms", fleet.idle_timeout_ms as usize, 10, 3_600_000)?;
+        count("fleet.keep_ms", fleet.idle_timeout_ms as usize, 10, 3_600_000)?;
         for (path, value) in
             [("near_us", network.near_us), ("far_us", network.far_us), ("beside_us", network.beside_us)]
         {
--- a/lab/tests/model.rs
+++ b/lab/tests/model.rs
@@ -31,14 +31,14 @@
 
     /// Advances time to `at`, and returns the model's outputs meanwhile.
     fn until(&mut self, at: Micros) -> Vec<(Micros, Output)> {
-        let mut wanted = Vec::new();
+        let mut outputs = Vec::new();
         while let Some((now, event)) = self.queue.pop_due(at) {
             self.model.now = now;
             self.model.handle(event, &mut self.queue);
-            wanted.extend(self.model.outputs.drain(..).map(|out| (now, out)));
+            outputs.extend(self.model.outputs.drain(..).map(|out| (now, out)));
         }
         self.model.now = at;
-        wanted
+        outputs
     }
 
     /// The next call of a kind, and when it was sent.
@@ -104,10 +104,10 @@
     let (call, asked) = harness.call(Idempotency::Free);
     harness.until(asked + 649 * MS);
     assert!(!harness.broken().contains(&(Invariant::OneAnswer, call)));
-    let wanted = harness.until(asked + 651 * MS);
+    let outputs = harness.until(asked + 651 * MS);
     assert!(harness.broken().contains(&(Invariant::OneAnswer, call)));
     // The client abandons the call at its deadline.
-    assert!(wanted.iter().any(|(_, out)| *out == Output::CloseClient(call)));
+    assert!(outputs.iter().any(|(_, out)| *out == Output::CloseClient(call)));
 }
 
 #[test]
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -66,7 +66,7 @@
         ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"kill\"\nat = 9.0", "fault[0]"),
         ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"kill\"\nat = 1.0\nhosts = { these = [9] }", "fault[0].hosts"),
         ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"kill\"\nat = 1.0\nhosts = { pod = 7 }", "fault[0].hosts"),
-        ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"kill\"\nat = 1.0\nmuch = 2.0", "fault[0].magnitude"),
+        ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"kill\"\nat = 1.0\nmuch = 2.0", "fault[0].much"),
         ("name = \"x\"\nseconds = 5.0\n[[fault]]\nwhat = \"cut\"\nat = 1.0\nproxies = { any = 50 }", "fault[0].proxies"),
         ("name = \"x\"\nseconds = 5.0\n[chaos]\nfaults = 10000", "chaos.faults"),
         ("name = \"x\"\nseconds = 5.0\n[[class]]\nname = \"a\"\nkind = \"free\"\nshare = 1.0\naim_ms = 5.0\n\
