--- a/lab/tests/model.rs
+++ b/lab/tests/model.rs
@@ -253,8 +253,8 @@
     harness.model.record_attempt(call, 1, asked + 1_050 * MS);
     assert_eq!(harness.broken(), []);
     // The other proxy was not notified.
-    let told = &harness.model.proxies[1 - proxy].unavailable_hosts;
-    assert!(!told.forbids(asked + 9_000 * MS, 1));
+    let unavailable = &harness.model.proxies[1 - proxy].unavailable_hosts;
+    assert!(!unavailable.forbids(asked + 9_000 * MS, 1));
     harness.model.record_attempt(call, 1, asked + 1_051 * MS);
     assert_eq!(harness.broken(), [(Invariant::NothingToTheGone, call)]);
     // Hosts that a whole list leaves out are removed.
--- a/lab/tests/properties.rs
+++ b/lab/tests/properties.rs
@@ -271,10 +271,10 @@
         scenario.chaos =
             (chaos > 0).then_some(Chaos { faults: chaos, kinds: Vec::new(), duration: (0.05, 2.0) });
         prop_assert!(scenario.check().is_ok(), "{:?}", scenario.check());
-        let settled = resolve_faults(&scenario, seed);
-        prop_assert!(settled.check().is_ok() && settled.chaos.is_none(), "{:?}", settled.check());
-        prop_assert!(settled.faults.len() >= chaos);
-        for fault in &settled.faults {
+        let resolved = resolve_faults(&scenario, seed);
+        prop_assert!(resolved.check().is_ok() && resolved.chaos.is_none(), "{:?}", resolved.check());
+        prop_assert!(resolved.faults.len() >= chaos);
+        for fault in &resolved.faults {
             prop_assert!(fault.at.is_some() && fault.between.is_none() && fault.stagger == 0.0);
             for which in [&fault.hosts, &fault.proxies] {
                 let numbers: BTreeSet<usize> = which.indices(6).into_iter().collect();
@@ -283,10 +283,10 @@
                 );
             }
         }
-        let read = Scenario::parse(&settled.text());
-        prop_assert_eq!(read.as_ref(), Ok(&settled));
-        prop_assert_eq!(&resolve_faults(&settled, seed), &settled);
-        prop_assert_eq!(&resolve_faults(&scenario, seed), &settled);
+        let read = Scenario::parse(&resolved.text());
+        prop_assert_eq!(read.as_ref(), Ok(&resolved));
+        prop_assert_eq!(&resolve_faults(&resolved, seed), &resolved);
+        prop_assert_eq!(&resolve_faults(&scenario, seed), &resolved);
         Ok(())
     });
     run.unwrap_or_else(|error| panic!("{error}"));
