--- a/lab/src/queue.rs
+++ b/lab/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of their time; those of one time in the order in which they were put in.
+//! A queue of events in order of time; events of the same time are in the order of insertion.
 
 use crate::Micros;
 use std::cmp::Ordering;
@@ -7,14 +7,14 @@
 #[derive(Clone)]
 struct Entry<E> {
     at: Micros,
-    number: u64,
+    sequence: u64,
     event: E,
 }
 
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap gives its greatest first.
-        (other.at, other.number).cmp(&(self.at, self.number))
+        // `BinaryHeap` pops its greatest element first, so the order is reversed.
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
@@ -32,43 +32,43 @@
 
 impl<E> Eq for Entry<E> {}
 
-/// The queue.
+/// The event queue.
 #[derive(Clone)]
-pub struct Queue<E> {
+pub struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
-    next: u64,
+    next_sequence: u64,
 }
 
-impl<E> Default for Queue<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), next: 0 }
+        EventQueue { heap: BinaryHeap::new(), next_sequence: 0 }
     }
 }
 
-impl<E> Queue<E> {
-    /// Puts an event in.
-    pub fn put(&mut self, at: Micros, event: E) {
-        self.next += 1;
-        self.heap.push(Entry { at, number: self.next, event });
+impl<E> EventQueue<E> {
+    /// Schedules an event.
+    pub fn schedule(&mut self, at: Micros, event: E) {
+        self.next_sequence += 1;
+        self.heap.push(Entry { at, sequence: self.next_sequence, event });
     }
 
-    /// When the first is due.
-    pub fn next_at(&self) -> Option<Micros> {
+    /// The time of the first event.
+    pub fn next_time(&self) -> Option<Micros> {
         self.heap.peek().map(|entry| entry.at)
     }
 
-    /// The first, if it is due by `until`.
-    pub fn take(&mut self, until: Micros) -> Option<(Micros, E)> {
+    /// Removes the first event, if it is due by `until`.
+    pub fn pop_due(&mut self, until: Micros) -> Option<(Micros, E)> {
         let due = self.heap.peek().is_some_and(|entry| entry.at <= until);
         due.then(|| self.heap.pop()).flatten().map(|entry| (entry.at, entry.event))
     }
 
-    /// How many there are.
+    /// Number of scheduled events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no events.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
--- a/lab/src/model/host.rs
+++ b/lab/src/model/host.rs
@@ -1,154 +1,154 @@
-//! A host: workers, a queue, work that is slower when the host is crowded or cold, and what faults do to it. It knows no
-//! connections; what an exchange is, is its carrier's.
+//! A host: its workers, its queue, work that slows down under congestion or while the host is cold, and the effects of
+//! faults. It has no notion of connections; what an exchange is, is up to the transport.
 
 use crate::scenario::{Fleet, Reports};
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A tenth of a second: in such pieces a cold host's load is judged.
-const PIECE: Micros = 100_000;
+/// Interval over which the load of a cold host is assessed, in microseconds: a tenth of a second.
+const LOAD_INTERVAL: Micros = 100_000;
 
 /// A request at a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Its exchange: whom the answer goes to.
+    /// The exchange that the answer belongs to.
     pub exchange: u64,
-    /// Its call, by number.
+    /// Index of its call.
     pub call: u32,
-    /// When nobody waits for it any more: it is not begun then.
+    /// When its client stops waiting; it is not started after that.
     pub until: Micros,
-    /// Its work on a warm, empty host, in microseconds.
+    /// Its work on a warm, idle host, in microseconds.
     pub work: f64,
-    /// How it ends when it is done.
-    pub ends: Ends,
+    /// How it ends once the work is done.
+    pub result: ExchangeResult,
 }
 
 /// How an exchange ends at its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ends {
-    /// Served.
+pub enum ExchangeResult {
+    /// With a successful response.
     Served,
-    /// Turned away, unseen.
+    /// Turned away before it ran.
     TurnedAway,
-    /// An error is said.
+    /// With an error response.
     Error,
-    /// The connection is reset.
+    /// With a reset of the connection.
     Reset,
-    /// Nothing is ever said.
-    Never,
+    /// Without any response.
+    NoReply,
 }
 
-/// Whether a host is there.
+/// Whether a host is reachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Up {
-    /// It is.
+pub enum HostStatus {
+    /// It runs.
     Up,
-    /// Its process has died: what comes is refused.
+    /// Its process has died: new connections are refused.
     Dead,
-    /// Its machine is gone: nothing is said to what comes.
+    /// Its machine is gone: nothing is answered.
     Vanished,
 }
 
-/// What a host does with a request that has come whole.
+/// What a host does with a request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Taken {
-    /// It works on it until then.
-    Begun(Micros),
-    /// It waits for a worker.
-    Waits,
-    /// It ends at once, and has not run.
-    Not(Ends),
+pub enum Admission {
+    /// It is started, and done at this time.
+    Started(Micros),
+    /// It is queued for a worker.
+    Queued,
+    /// It ends at once, without having run.
+    Rejected(ExchangeResult),
 }
 
-/// What is wrong with a host at present.
+/// Present impairments of a host, by active faults.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ill {
-    /// Its work takes so many times as long.
+pub struct Impairment {
+    /// Factor on the duration of its work.
     pub slow: f64,
-    /// It says nothing.
+    /// Whether it sends no responses.
     pub silent: bool,
-    /// Shares of requests that end so.
+    /// Share of requests that end with an error.
     pub errors: f64,
-    /// See `errors`.
+    /// Share of requests that end with a reset.
     pub resets: f64,
-    /// See `errors`.
+    /// Share of requests that are turned away.
     pub turned_away: f64,
-    /// Share of kept connections that break on being used.
+    /// Share of idle connections that break when they are reused.
     pub stale: f64,
 }
 
-impl Default for Ill {
+impl Default for Impairment {
     fn default() -> Self {
-        Ill { slow: 1.0, silent: false, errors: 0.0, resets: 0.0, turned_away: 0.0, stale: 0.0 }
+        Impairment { slow: 1.0, silent: false, errors: 0.0, resets: 0.0, turned_away: 0.0, stale: 0.0 }
     }
 }
 
 /// A host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Its pod.
+    /// Index of its pod.
     pub pod: usize,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Whether it is there.
-    pub up: Up,
-    /// It takes nothing new.
-    pub drains: bool,
-    /// How often it has started: what was begun before is lost.
+    /// Whether it is reachable.
+    pub status: HostStatus,
+    /// Whether it drains: it takes no new requests.
+    pub draining: bool,
+    /// Number of its starts and stops; work of an earlier epoch is lost.
     pub epoch: u32,
-    /// When it last started; 0: before all.
+    /// When it last started, in microseconds of virtual time; 0 if before the run.
     pub started: Micros,
-    /// It does nothing before this.
+    /// Until when it is stalled: it does nothing before.
     pub stalled_until: Micros,
-    /// What is wrong with it.
-    pub ill: Ill,
-    /// Open connections.
+    /// Its present impairments.
+    pub impairment: Impairment,
+    /// Number of open connections.
     pub connections: usize,
     running: BTreeMap<u64, Job>,
     waiting: VecDeque<Job>,
-    /// Work that came in the present piece of time, and since when pieces have been too full.
-    piece: Micros,
-    piece_work: f64,
-    over_since: Option<Micros>,
-    /// In hand a second ago and now, for reports that lag.
+    /// The current load interval, the work that was sent in it, and since when intervals have been overloaded.
+    interval: Micros,
+    interval_work: f64,
+    overloaded_since: Option<Micros>,
+    /// Time of the last lagging report, and the active requests to report before and after it.
     reported: (Micros, usize, usize),
 }
 
 impl Host {
-    /// A warm host.
+    /// Creates a warm host.
     pub fn new(number: usize, fleet: &Fleet) -> Host {
         let pod = number % fleet.pods;
         Host {
             pod,
             zone: pod % fleet.zones,
-            up: Up::Up,
-            drains: false,
+            status: HostStatus::Up,
+            draining: false,
             epoch: 0,
             started: 0,
             stalled_until: 0,
-            ill: Ill::default(),
+            impairment: Impairment::default(),
             connections: 0,
             running: BTreeMap::new(),
             waiting: VecDeque::new(),
-            piece: 0,
-            piece_work: 0.0,
-            over_since: None,
+            interval: 0,
+            interval_work: 0.0,
+            overloaded_since: None,
             reported: (0, 0, 0),
         }
     }
 
-    /// Requests in hand.
-    pub fn in_hand(&self) -> usize {
+    /// Number of requests that are running or queued.
+    pub fn active(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Share of its speed at this time.
-    pub fn warmth(&self, now: Micros, fleet: &Fleet) -> f64 {
+    /// Its present speed, as a share of full speed.
+    pub fn speed_factor(&self, now: Micros, fleet: &Fleet) -> f64 {
         let age = now.saturating_sub(self.started) as f64 / 1e6;
         if self.started == 0 || age >= fleet.cold_seconds {
             return 1.0;
@@ -156,90 +156,92 @@
         fleet.cold_share + (1.0 - fleet.cold_share) * age / fleet.cold_seconds
     }
 
-    /// Takes a request that has come whole. Nothing of chance happens here.
-    pub fn take(&mut self, now: Micros, job: Job, fleet: &Fleet) -> Taken {
-        if self.drains || now >= job.until {
-            return Taken::Not(Ends::TurnedAway);
+    /// Admits a request that has arrived completely. The decision involves no randomness.
+    pub fn admit(&mut self, now: Micros, job: Job, fleet: &Fleet) -> Admission {
+        if self.draining || now >= job.until {
+            return Admission::Rejected(ExchangeResult::TurnedAway);
         }
         if self.running.len() < fleet.workers {
-            return Taken::Begun(self.begin(now, job, fleet));
+            return Admission::Started(self.start_work(now, job, fleet));
         }
         if self.waiting.len() < fleet.queue {
             self.waiting.push_back(job);
-            return Taken::Waits;
+            return Admission::Queued;
         }
-        Taken::Not(Ends::TurnedAway)
+        Admission::Rejected(ExchangeResult::TurnedAway)
     }
 
-    fn begin(&mut self, now: Micros, job: Job, fleet: &Fleet) -> Micros {
+    fn start_work(&mut self, now: Micros, job: Job, fleet: &Fleet) -> Micros {
         self.running.insert(job.exchange, job);
-        let crowd = self.in_hand().saturating_sub(fleet.choke_from) as f64;
-        let times = self.ill.slow * (1.0 + fleet.choke_slope * crowd) / self.warmth(now, fleet);
-        now + (job.work * times).max(1.0) as Micros
+        let excess = self.active().saturating_sub(fleet.choke_from) as f64;
+        let factor =
+            self.impairment.slow * (1.0 + fleet.choke_slope * excess) / self.speed_factor(now, fleet);
+        now + (job.work * factor).max(1.0) as Micros
     }
 
-    /// A worker is done with an exchange. `None`: it was lost meanwhile.
-    pub fn done(&mut self, exchange: u64) -> Option<Job> {
+    /// Finishes the work of an exchange. Returns `None` if it was lost meanwhile.
+    pub fn finish(&mut self, exchange: u64) -> Option<Job> {
         self.running.remove(&exchange)
     }
 
-    /// What waits first and is begun now, with its end; those whose time is up are given to `late`.
-    pub fn next(&mut self, now: Micros, fleet: &Fleet, late: &mut Vec<Job>) -> Option<(Job, Micros)> {
+    /// Starts the next queued request and returns it with its end time; expired ones are moved to `late`.
+    pub fn start_next(&mut self, now: Micros, fleet: &Fleet, late: &mut Vec<Job>) -> Option<(Job, Micros)> {
         while self.running.len() < fleet.workers {
             let job = self.waiting.pop_front()?;
             if now < job.until {
-                return Some((job, self.begin(now, job, fleet)));
+                return Some((job, self.start_work(now, job, fleet)));
             }
             late.push(job);
         }
         None
     }
 
-    /// Nobody waits for an exchange any more. What has begun goes on; what waits is dropped.
-    pub fn forget(&mut self, exchange: u64) {
+    /// Cancels an exchange that nobody waits for: it is dropped if it is queued, and continues if it is running.
+    pub fn cancel(&mut self, exchange: u64) {
         self.waiting.retain(|job| job.exchange != exchange);
     }
 
-    /// It goes down; what it had is lost.
-    pub fn down(&mut self, how: Up) {
-        self.up = how;
+    /// Stops the host; all of its requests are lost.
+    pub fn down(&mut self, how: HostStatus) {
+        self.status = how;
         self.epoch += 1;
         self.running.clear();
         self.waiting.clear();
         self.connections = 0;
-        self.over_since = None;
+        self.overloaded_since = None;
     }
 
-    /// It comes up, cold.
+    /// Starts the host, cold.
     pub fn start(&mut self, now: Micros) {
-        self.up = Up::Up;
-        self.drains = false;
+        self.status = HostStatus::Up;
+        self.draining = false;
         self.epoch += 1;
         self.started = now.max(1);
         self.stalled_until = 0;
-        self.over_since = None;
-        self.piece_work = 0.0;
+        self.overloaded_since = None;
+        self.interval_work = 0.0;
     }
 
-    /// Notes that work was sent to it. Whether it is pushed over by that (rule 4): cold, and sent more than it can bear
-    /// for too long.
-    pub fn is_pushed_over(&mut self, now: Micros, work: f64, fleet: &Fleet) -> bool {
-        let piece = now / PIECE;
-        if piece != self.piece {
-            let can = fleet.workers as f64 * PIECE as f64 * self.warmth(now, fleet);
-            let over = self.piece_work > fleet.topple_times * can && piece == self.piece + 1;
-            let cold = self.warmth(now, fleet) < 1.0;
-            self.over_since = (over && cold).then_some(self.over_since.unwrap_or(self.piece * PIECE));
-            self.piece = piece;
-            self.piece_work = 0.0;
+    /// Records work that was sent to the host, and returns whether this overloads it (fourth invariant): it is cold,
+    /// and for too long has been sent more than it can bear.
+    pub fn is_overloaded_cold(&mut self, now: Micros, work: f64, fleet: &Fleet) -> bool {
+        let interval = now / LOAD_INTERVAL;
+        if interval != self.interval {
+            let capacity = fleet.workers as f64 * LOAD_INTERVAL as f64 * self.speed_factor(now, fleet);
+            let over = self.interval_work > fleet.topple_times * capacity && interval == self.interval + 1;
+            let cold = self.speed_factor(now, fleet) < 1.0;
+            self.overloaded_since =
+                (over && cold).then_some(self.overloaded_since.unwrap_or(self.interval * LOAD_INTERVAL));
+            self.interval = interval;
+            self.interval_work = 0.0;
         }
-        self.piece_work += work;
-        self.over_since.is_some_and(|since| (now - since) as f64 >= fleet.topple_seconds * 1e6)
+        self.interval_work += work;
+        self.overloaded_since.is_some_and(|since| (now - since) as f64 >= fleet.topple_seconds * 1e6)
     }
 
-    /// What it reports of its load: in hand, and waiting.
+    /// The load that it reports: active and queued requests.
     pub fn report(&mut self, now: Micros, number: usize, reports: Reports) -> Option<(usize, usize)> {
-        let honest = (self.in_hand(), self.waiting.len());
+        let honest = (self.active(), self.waiting.len());
         match reports {
             Reports::None => None,
             Reports::Honest => Some(honest),
@@ -262,42 +264,42 @@
     use super::*;
 
     fn job(exchange: u64, work: f64) -> Job {
-        Job { exchange, call: 0, until: 1_000_000, work, ends: Ends::Served }
+        Job { exchange, call: 0, until: 1_000_000, work, result: ExchangeResult::Served }
     }
 
     #[test]
-    fn a_crowd_chokes_and_what_does_not_fit_is_turned_away() {
+    fn congestion_slows_work_and_excess_requests_are_turned_away() {
         let fleet = Fleet { workers: 1, queue: 2, choke_from: 1, choke_slope: 1.0, ..Fleet::default() };
         let mut host = Host::new(0, &fleet);
-        assert_eq!(host.take(0, job(1, 1_000.0), &fleet), Taken::Begun(1_000));
-        assert_eq!(host.take(0, job(2, 1_000.0), &fleet), Taken::Waits);
-        assert_eq!(host.take(0, job(3, 1_000.0), &fleet), Taken::Waits);
-        assert_eq!(host.take(0, job(4, 1_000.0), &fleet), Taken::Not(Ends::TurnedAway));
-        assert!(host.done(1).is_some() && host.done(1).is_none());
+        assert_eq!(host.admit(0, job(1, 1_000.0), &fleet), Admission::Started(1_000));
+        assert_eq!(host.admit(0, job(2, 1_000.0), &fleet), Admission::Queued);
+        assert_eq!(host.admit(0, job(3, 1_000.0), &fleet), Admission::Queued);
+        assert_eq!(host.admit(0, job(4, 1_000.0), &fleet), Admission::Rejected(ExchangeResult::TurnedAway));
+        assert!(host.finish(1).is_some() && host.finish(1).is_none());
         let mut late = Vec::new();
-        // Two in hand, one beyond where it chokes: twice the time.
-        let (next, end) = host.next(1_000, &fleet, &mut late).expect("one waits");
+        // Two are active, one above the congestion threshold: the work takes twice as long.
+        let (next, end) = host.start_next(1_000, &fleet, &mut late).expect("one waits");
         assert_eq!((next.exchange, end, late.len()), (2, 3_000, 0));
-        // The last has waited past its time.
-        host.done(2);
-        assert!(host.next(1_000_000, &fleet, &mut late).is_none());
+        // The last one has been queued past its deadline.
+        host.finish(2);
+        assert!(host.start_next(1_000_000, &fleet, &mut late).is_none());
         assert_eq!(late[0].exchange, 3);
     }
 
     #[test]
-    fn a_cold_host_is_pushed_over_by_what_a_warm_one_bears() {
+    fn a_load_that_a_warm_host_bears_overloads_a_cold_one() {
         let fleet = Fleet { workers: 1, ..Fleet::default() };
-        let mut pushed = [false; 2];
-        for (cold, pushed) in [false, true].into_iter().zip(&mut pushed) {
+        let mut overloaded = [false; 2];
+        for (cold, overloaded) in [false, true].into_iter().zip(&mut overloaded) {
             let mut host = Host::new(0, &fleet);
             if cold {
                 host.start(1);
             }
-            // Half as much again as a warm host can do, for 3 s; a cold one can do a third of that.
+            // 1.5 times the capacity of a warm host, for 3 s; a cold host has a third of that capacity.
             for at in (0..3_000_000).step_by(10_000) {
-                *pushed |= host.is_pushed_over(at, 15_000.0, &fleet);
+                *overloaded |= host.is_overloaded_cold(at, 15_000.0, &fleet);
             }
         }
-        assert_eq!(pushed, [false, true]);
+        assert_eq!(overloaded, [false, true]);
     }
 }
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -1,117 +1,129 @@
-//! One run of a scenario under a seed, in a depth, and what came of it.
+//! One run of a scenario under a seed, at one depth, and its result.
 
 use crate::baseline::Picks;
-use crate::fault::settle;
-use crate::judge::Break;
-use crate::model::{Leak, Model};
+use crate::fault::resolve_faults;
+use crate::invariants::Violation;
+use crate::metrics::Metrics;
+use crate::model::{Model, Nondeterminism};
 use crate::scenario::Scenario;
-use crate::tally::Tally;
 use crate::Micros;
 use nettleworks_engine::mutant::Mutant;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// How much of the proxy is real.
+/// How much of the proxy is real in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Depth {
     /// Driver, protocol, front and discovery, on virtual sockets.
     Full,
-    /// The decision module, with modelled connections.
+    /// The decision module alone, with modelled connections.
     Fleet,
 }
 
-/// When a run stops, and what it tells.
+/// Options of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// At the first broken rule.
-    pub stops: bool,
-    /// Each event goes to the thread's `tracing` subscriber.
-    pub tells: bool,
-    /// A fault that is planted in the driver; without the feature `mutants` there is none.
+pub struct RunOptions {
+    /// Whether the run stops at the first violation.
+    pub stop_on_violation: bool,
+    /// Whether each event is emitted to the thread's `tracing` subscriber.
+    pub emit_events: bool,
+    /// A mutation of the driver; it has an effect only with the feature `mutants`.
     pub mutant: Option<Mutant>,
 }
 
-impl Default for Limits {
+impl Default for RunOptions {
     fn default() -> Self {
-        Limits { stops: true, tells: false, mutant: None }
+        RunOptions { stop_on_violation: true, emit_events: false, mutant: None }
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The settled scenario.
+    /// The scenario, with its random faults resolved.
     pub scenario: Scenario,
     /// The seed.
     pub seed: u64,
     /// XXH64 of the event log.
     pub hash: u64,
-    /// Events in the log.
-    pub logged: u64,
-    /// Events that were played.
+    /// Number of events in the log.
+    pub logged_events: u64,
+    /// Number of events that were processed.
     pub events: u64,
     /// Virtual time at the end.
-    pub ended: Micros,
-    /// What was counted.
-    pub tally: Tally,
-    /// Rules that were broken.
-    pub breaks: Vec<Break>,
-    /// What had to hold beside the rules, and did not.
-    pub missed: Vec<String>,
+    pub end_time: Micros,
+    /// The metrics.
+    pub metrics: Metrics,
+    /// Violations of invariants.
+    pub violations: Vec<Violation>,
+    /// Expectations of the scenario that were not met.
+    pub missed_expectations: Vec<String>,
 }
 
 impl Outcome {
-    /// Of a model at its end.
-    pub(crate) fn of(model: Model, events: u64) -> Outcome {
-        let (must, all) = (&model.scenario.must, &model.tally.all);
+    /// Takes the result from a model at its end.
+    pub(crate) fn from_model(model: Model, events: u64) -> Outcome {
+        let (expectations, all) = (&model.scenario.expectations, &model.metrics.all);
         let mut missed = Vec::new();
-        if let Some(least) = must.served.filter(|&least| all.served() < least) {
-            missed.push(format!("served {:.4} of the worth, at least {least} must be", all.served()));
+        if let Some(least) = expectations.served.filter(|&least| all.served_share() < least) {
+            missed.push(format!(
+                "served {:.4} of the offered value, expected at least {least}",
+                all.served_share()
+            ));
         }
-        if let Some(most) = must.p99_ms.filter(|&most| all.ms(99.0) > most) {
-            missed.push(format!("the 99th percentile is {:.1} ms, at most {most} may be", all.ms(99.0)));
+        if let Some(most) = expectations.p99_ms.filter(|&most| all.latency_ms(99.0) > most) {
+            missed.push(format!(
+                "the 99th percentile is {:.1} ms, expected at most {most}",
+                all.latency_ms(99.0)
+            ));
         }
         Outcome {
             seed: model.seed,
             hash: model.log.hash(),
-            logged: model.log.count(),
+            logged_events: model.log.count(),
             events,
-            ended: model.now,
-            tally: model.tally,
-            breaks: model.breaks,
-            missed,
+            end_time: model.now,
+            metrics: model.metrics,
+            violations: model.violations,
+            missed_expectations: missed,
             scenario: Scenario::clone(&model.scenario),
         }
     }
 }
 
-/// Plays a scenario.
+/// Runs a scenario.
 ///
 /// # Errors
 ///
-/// What the daemon's checks say of its configuration.
-pub fn play(scenario: &Scenario, seed: u64, depth: Depth, limits: &Limits) -> Result<Outcome, String> {
-    play_with(scenario, seed, depth, limits, Picks::Ours, None)
+/// The daemon's checks reject the configuration.
+pub fn run_scenario(
+    scenario: &Scenario,
+    seed: u64,
+    depth: Depth,
+    limits: &RunOptions,
+) -> Result<Outcome, String> {
+    run_scenario_with(scenario, seed, depth, limits, Picks::Ours, None)
 }
 
-/// The same with another in the place of the decision module (fleet depth alone), or with a leak planted.
+/// Runs a scenario with another balancer in place of the decision module (fleet depth only), or with an injected source
+/// of nondeterminism.
 ///
 /// # Errors
 ///
-/// As [`play`].
-pub fn play_with(
+/// As [`run_scenario`].
+pub fn run_scenario_with(
     scenario: &Scenario,
     seed: u64,
     depth: Depth,
-    limits: &Limits,
+    limits: &RunOptions,
     picks: Picks,
-    leak: Option<Leak>,
+    nondeterminism: Option<Nondeterminism>,
 ) -> Result<Outcome, String> {
-    let settled = Rc::new(settle(scenario, seed));
+    let resolved = Rc::new(resolve_faults(scenario, seed));
     match depth {
-        Depth::Fleet => Ok(crate::fleet::Fleet::new(settled, seed, picks)?.play(limits, leak)),
-        Depth::Full if picks == Picks::Ours => crate::full::play(settled, seed, limits, leak),
-        Depth::Full => Err("the full stack has the decision module in it".to_owned()),
+        Depth::Fleet => Ok(crate::fleet::Fleet::new(resolved, seed, picks)?.play(limits, nondeterminism)),
+        Depth::Full if picks == Picks::Ours => crate::full::play(resolved, seed, limits, nondeterminism),
+        Depth::Full => Err("another balancer can only run in fleet depth".to_owned()),
     }
 }
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -1,14 +1,15 @@
-//! Scenario files: the shipped ones are good and keep the rules; wrong ones are refused with their place.
+//! Scenario files: the shipped ones are valid and violate no invariant; invalid ones are rejected with the path of the
+//! error.
 
 use nettleworks_lab::explore::sweep;
-use nettleworks_lab::run::{Depth, Limits};
+use nettleworks_lab::run::{Depth, RunOptions};
 use nettleworks_lab::scenario::Scenario;
 use std::path::Path;
 
 /// Seeds of each shipped scenario in CI; the long form has 2,000.
 const FLEET_SEEDS: u64 = 20;
 const FULL_SEEDS: u64 = 20;
-/// In CI each is played light.
+/// In CI each scenario is scaled down to this duration and rate.
 const SECONDS: f64 = 16.0;
 const RATE: f64 = 150.0;
 
@@ -16,36 +17,36 @@
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut paths: Vec<_> =
         std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("a file").path()).collect();
-    // Those in `large/` are for measurements.
+    // Scenarios in `large/` are only for measurements.
     paths.retain(|path| path.extension().is_some_and(|end| end == "toml"));
     paths.sort();
     paths.iter().map(|path| Scenario::load(path).unwrap_or_else(|error| panic!("{error}"))).collect()
 }
 
-fn keep_the_rules(depth: Depth, seeds: u64) {
+fn assert_no_violations(depth: Depth, seeds: u64) {
     let all = shipped();
     assert!(all.len() >= 12);
     for scenario in all {
-        let scenario = scenario.light(SECONDS, RATE);
+        let scenario = scenario.scaled_down(SECONDS, RATE);
         scenario.check().unwrap_or_else(|error| panic!("{error}"));
-        let swept = sweep(&scenario, 1..=seeds, depth, &Limits::default(), || ());
+        let swept = sweep(&scenario, 1..=seeds, depth, &RunOptions::default(), || ());
         assert!(swept.broken.is_empty() && swept.failed.is_empty(), "{} {depth:?}: {swept:?}", scenario.name);
         assert_eq!(swept.seeds as u64, seeds);
     }
 }
 
 #[test]
-fn shipped_scenarios_keep_the_rules_in_fleet_depth() {
-    keep_the_rules(Depth::Fleet, FLEET_SEEDS);
+fn shipped_scenarios_violate_no_invariant_in_fleet_depth() {
+    assert_no_violations(Depth::Fleet, FLEET_SEEDS);
 }
 
 #[test]
-fn shipped_scenarios_keep_the_rules_in_full_stack() {
-    keep_the_rules(Depth::Full, FULL_SEEDS);
+fn shipped_scenarios_violate_no_invariant_in_full_stack() {
+    assert_no_violations(Depth::Full, FULL_SEEDS);
 }
 
 #[test]
-fn a_wrong_file_is_refused_with_its_place() {
+fn an_invalid_file_is_rejected_with_the_path_of_the_error() {
     let bad = [
         ("", "name"),
         ("name = \"x\"\nseconds = 0.0", "seconds"),
@@ -79,7 +80,7 @@
         let error = Scenario::parse(text).expect_err(text).to_string();
         assert!(error.contains(place), "{text}\n{error}");
     }
-    // Whatever is cut off or spoilt of a good one is refused or played, and never a panic.
+    // Any truncation or corruption of a valid scenario is rejected or accepted, and never panics.
     let good = shipped().pop().expect("one").text();
     for cut in 0..good.len() {
         if good.is_char_boundary(cut) {
