--- a/lab/src/baseline/mod.rs
+++ b/lab/src/baseline/mod.rs
@@ -30,7 +30,7 @@
 /// Who decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
-pub enum Picks {
+pub enum BalancerKind {
     /// Our decision module.
     Ours,
     /// Any ready host.
@@ -45,33 +45,39 @@
     Envoy,
 }
 
-impl Picks {
+impl BalancerKind {
     /// All, ours first.
-    pub const ALL: [Picks; 6] =
-        [Picks::Ours, Picks::Random, Picks::RoundRobin, Picks::LeastOfTwo, Picks::PeakEwma, Picks::Envoy];
+    pub const ALL: [BalancerKind; 6] = [
+        BalancerKind::Ours,
+        BalancerKind::Random,
+        BalancerKind::RoundRobin,
+        BalancerKind::LeastOfTwo,
+        BalancerKind::PeakEwma,
+        BalancerKind::Envoy,
+    ];
 
     /// Its name in tables.
     pub fn name(self) -> &'static str {
         match self {
-            Picks::Ours => "ours",
-            Picks::Random => "random",
-            Picks::RoundRobin => "round robin",
-            Picks::LeastOfTwo => "least of two",
-            Picks::PeakEwma => "peak EWMA",
-            Picks::Envoy => "as Envoy",
+            BalancerKind::Ours => "ours",
+            BalancerKind::Random => "random",
+            BalancerKind::RoundRobin => "round robin",
+            BalancerKind::LeastOfTwo => "least of two",
+            BalancerKind::PeakEwma => "peak EWMA",
+            BalancerKind::Envoy => "as Envoy",
         }
     }
 
     /// One that decides, of a seed.
     pub(crate) fn make(self, seed: u64, settings: policy::Settings) -> Box<dyn Decide> {
         let choice = match self {
-            Picks::Ours => return Box::new(Balancer::new(seed, settings)),
-            Picks::Random => Choice::Random,
-            Picks::RoundRobin => Choice::RoundRobin,
-            Picks::LeastOfTwo | Picks::Envoy => Choice::LeastOfTwo,
-            Picks::PeakEwma => Choice::PeakEwma,
+            BalancerKind::Ours => return Box::new(Balancer::new(seed, settings)),
+            BalancerKind::Random => Choice::Random,
+            BalancerKind::RoundRobin => Choice::RoundRobin,
+            BalancerKind::LeastOfTwo | BalancerKind::Envoy => Choice::LeastOfTwo,
+            BalancerKind::PeakEwma => Choice::PeakEwma,
         };
-        Box::new(Plain::new(seed, settings, choice, self == Picks::Envoy))
+        Box::new(Plain::new(seed, settings, choice, self == BalancerKind::Envoy))
     }
 }
 
@@ -287,7 +293,7 @@
     }
 
     impl Plays {
-        fn new(picks: Picks, hosts: u32) -> Plays {
+        fn new(picks: BalancerKind, hosts: u32) -> Plays {
             let class = |idempotency| Class {
                 latency_target: 500 * MS,
                 deadline: 2_000 * MS,
@@ -351,8 +357,13 @@
         actions.iter().any(|action| matches!(action, Action::Fail { .. }))
     }
 
-    const PLAIN: [Picks; 5] =
-        [Picks::Random, Picks::RoundRobin, Picks::LeastOfTwo, Picks::PeakEwma, Picks::Envoy];
+    const PLAIN: [BalancerKind; 5] = [
+        BalancerKind::Random,
+        BalancerKind::RoundRobin,
+        BalancerKind::LeastOfTwo,
+        BalancerKind::PeakEwma,
+        BalancerKind::Envoy,
+    ];
 
     #[test]
     fn calls_go_to_ready_hosts_alone() {
@@ -375,7 +386,7 @@
 
     #[test]
     fn one_after_the_other_is_just_that() {
-        let mut plays = Plays::new(Picks::RoundRobin, 3);
+        let mut plays = Plays::new(BalancerKind::RoundRobin, 3);
         let first: Vec<u32> = (0..3).map(|_| plays.serve(|_| MS)).collect();
         let next: Vec<u32> = (0..3).map(|_| plays.serve(|_| MS)).collect();
         assert_eq!(first, next);
@@ -385,7 +396,7 @@
     #[test]
     fn the_one_with_fewer_out_is_taken_and_a_slow_one_left_by_its_times() {
         // Host 1 never answers: what is out there counts against it.
-        for (picks, most) in [(Picks::LeastOfTwo, 8), (Picks::Random, 200)] {
+        for (picks, most) in [(BalancerKind::LeastOfTwo, 8), (BalancerKind::Random, 200)] {
             let mut plays = Plays::new(picks, 4);
             let mut out = 0;
             for _ in 0..400 {
@@ -398,7 +409,7 @@
             assert!((1..=most).contains(&out), "{picks:?}: {out}");
         }
         let slow = |host: u32| if host == 1 { 400 * MS } else { 4 * MS };
-        let counts = [Picks::PeakEwma, Picks::LeastOfTwo].map(|picks| {
+        let counts = [BalancerKind::PeakEwma, BalancerKind::LeastOfTwo].map(|picks| {
             let mut plays = Plays::new(picks, 4);
             (0..400).filter(|_| plays.serve(slow) == 1).count()
         });
@@ -422,7 +433,7 @@
                     attempt += 1;
                 };
                 assert!(refused(&last) && !failed(&last), "{picks:?} {class}");
-                let tries = if picks == Picks::Envoy { 2 } else { TRIES };
+                let tries = if picks == BalancerKind::Envoy { 2 } else { TRIES };
                 assert_eq!(tried.len(), tries, "{picks:?}");
                 tried.sort_unstable();
                 tried.dedup();
@@ -466,7 +477,7 @@
     /// Retries whose clients leave, or whose time is up meanwhile, give their places in the budget back.
     #[test]
     fn the_retry_budget_is_whole_again_when_its_calls_are_over() {
-        let mut plays = Plays::new(Picks::Envoy, 4);
+        let mut plays = Plays::new(BalancerKind::Envoy, 4);
         for round in 0..200 {
             let (call, _) = plays.ask(0);
             plays.end(call, 0, Outcome::Reset, MS);
--- a/lab/src/crowd.rs
+++ b/lab/src/cluster.rs
@@ -16,7 +16,7 @@
 
 /// A crowd of members.
 #[derive(Clone)]
-pub struct Crowd {
+pub struct Cluster {
     nodes: Vec<Node>,
     config: Config,
     queue: Queue<Ev>,
@@ -28,7 +28,7 @@
     parts: Vec<u8>,
     draw: Draw,
     /// What was told, by whom, when.
-    pub news: Vec<(Micros, usize, News)>,
+    pub events: Vec<(Micros, usize, News)>,
     /// Datagrams that were sent, and their bytes by the core's own bound.
     pub sent: (u64, u64),
 }
@@ -80,14 +80,14 @@
     Name::new(&format!("m-{node}")).unwrap_or_else(|_| unreachable!("letters and digits"))
 }
 
-impl Crowd {
+impl Cluster {
     /// So many that start within a second, three of them seeds of all. Runs until all agree.
     ///
     /// # Errors
     ///
     /// The bounds are no good, or they do not agree within five minutes.
-    pub fn agreed(count: usize, seed: u64, config: &Config) -> Result<Crowd, String> {
-        let mut crowd = Crowd {
+    pub fn converged(count: usize, seed: u64, config: &Config) -> Result<Cluster, String> {
+        let mut crowd = Cluster {
             nodes: Vec::with_capacity(count),
             config: config.clone(),
             queue: Queue::default(),
@@ -95,7 +95,7 @@
             network: Network::default(),
             parts: vec![0; count],
             draw: Draw::new(seed, "crowd", count as u64, 0),
-            news: Vec::new(),
+            events: Vec::new(),
             sent: (0, 0),
         };
         for node in 0..count {
@@ -104,9 +104,10 @@
             let at = crowd.draw.below(1_000_000) as Micros;
             crowd.queue.put(at, Ev::Start { node });
         }
-        let whole =
-            |crowd: &Crowd| crowd.agree() && crowd.nodes[0].members.view(crowd.now).members.len() == count;
-        match crowd.until(300_000_000, whole) {
+        let whole = |crowd: &Cluster| {
+            crowd.has_converged() && crowd.nodes[0].members.view(crowd.now).members.len() == count
+        };
+        match crowd.run_until(300_000_000, whole) {
             Some(_) => Ok(crowd),
             None => Err(format!("{count} members do not agree within five minutes")),
         }
@@ -135,19 +136,19 @@
     }
 
     /// Parts from now on: nothing passes between two that are in different ones.
-    pub fn parts(&mut self, part: impl Fn(usize) -> u8) {
+    pub fn partition(&mut self, part: impl Fn(usize) -> u8) {
         self.parts = (0..self.nodes.len()).map(part).collect();
     }
 
     /// Whether the lists of all that run are equal.
-    pub fn agree(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let mut digests = self.nodes.iter().filter(|node| node.up).map(|node| node.members.digest());
         let first = digests.next();
         digests.all(|digest| Some(digest) == first)
     }
 
     /// Whether all that run take this one to be so.
-    pub fn all_take(&self, node: usize, condition: Condition) -> bool {
+    pub fn all_report(&self, node: usize, condition: Condition) -> bool {
         let whom = name(node);
         let others = self.nodes.iter().enumerate().filter(|(other, at)| *other != node && at.up);
         others.map(|(_, at)| at.members.condition(&whom)).all(|seen| seen == Some(condition))
@@ -159,8 +160,8 @@
     }
 
     /// How many news of a kind were told from a moment on of members that do not pass.
-    pub fn told_since(&self, at: Micros, what: What, but: impl Fn(&Name) -> bool) -> usize {
-        let news = self.news.iter().filter(|(when, _, news)| *when >= at && news.what == what);
+    pub fn events_since(&self, at: Micros, what: What, but: impl Fn(&Name) -> bool) -> usize {
+        let news = self.events.iter().filter(|(when, _, news)| *when >= at && news.what == what);
         news.filter(|(_, _, news)| !but(&news.name)).count()
     }
 
@@ -175,7 +176,7 @@
     }
 
     /// Goes on until a condition holds, looked at ten times a second; how long it took, or `None` if it did not in that time.
-    pub fn until(&mut self, time: Micros, holds: impl Fn(&Crowd) -> bool) -> Option<Micros> {
+    pub fn run_until(&mut self, time: Micros, holds: impl Fn(&Cluster) -> bool) -> Option<Micros> {
         let began = self.now;
         while self.now < began + time {
             if holds(self) {
@@ -218,7 +219,7 @@
         };
         for out in out {
             match out {
-                Out::Tell(news) => self.news.push((now, node, news)),
+                Out::Tell(news) => self.events.push((now, node, news)),
                 Out::Send { to, message } => self.send(node, node_at(to), message),
             }
         }
--- a/lab/src/compare.rs
+++ b/lab/src/compare.rs
@@ -1,6 +1,6 @@
 //! The same seeds under our module and under what a team would pick instead, in fleet depth.
 
-use crate::baseline::Picks;
+use crate::baseline::BalancerKind;
 use crate::judge::Rule;
 use crate::run::{play_with, Depth, Limits};
 use crate::scenario::Scenario;
@@ -36,7 +36,7 @@
     /// The scenario.
     pub scenario: String,
     /// Who decides.
-    pub picks: Picks,
+    pub picks: BalancerKind,
     /// Share of the worth that was served.
     pub served: Spread,
     /// 99th percentile of served answers, in milliseconds.
@@ -55,7 +55,7 @@
 pub fn compare(
     scenarios: &[Scenario],
     seeds: &RangeInclusive<u64>,
-    picks: &[Picks],
+    picks: &[BalancerKind],
     done: impl Fn() + Sync,
 ) -> Result<Vec<Line>, String> {
     let limits = Limits { stops: false, ..Limits::default() };
--- a/lab/src/explore.rs
+++ b/lab/src/explore.rs
@@ -48,7 +48,7 @@
     /// Seeds that were played.
     pub seeds: usize,
     /// Those under which a rule broke, with the first break.
-    pub broken: BTreeMap<u64, Break>,
+    pub violations: BTreeMap<u64, Break>,
     /// Those that could not be played, and why.
     pub failed: BTreeMap<u64, String>,
     /// Seconds of virtual time.
@@ -85,7 +85,7 @@
             Ok((hash, ended, broken)) => {
                 sweep.hashes.insert(seed, hash);
                 sweep.virtual_seconds += ended as f64 / 1e6;
-                broken.into_iter().for_each(|broken| drop(sweep.broken.insert(seed, broken)));
+                broken.into_iter().for_each(|broken| drop(sweep.violations.insert(seed, broken)));
             }
             Err(reason) => drop(sweep.failed.insert(seed, reason)),
         }
--- a/lab/src/fleet/exchange.rs
+++ b/lab/src/fleet/exchange.rs
@@ -1,7 +1,7 @@
 //! Exchanges in fleet depth: an attempt on a connection that is modelled, from its decision to its outcome.
 
 use super::proxy::Kept;
-use super::{Ev, Fleet};
+use super::{Ev, FleetSimulation};
 use crate::draw::Draw;
 use crate::log::Of;
 use crate::model::host::{Ends, Up};
@@ -75,7 +75,7 @@
     }
 }
 
-impl Fleet {
+impl FleetSimulation {
     fn put_way(&mut self, exchange: u64, after: Micros, way: Way) {
         self.queue.put(self.model.now + after, Ev::Exchange { exchange, way });
     }
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -4,7 +4,7 @@
 mod exchange;
 mod proxy;
 
-use crate::baseline::{Decide, Picks};
+use crate::baseline::{BalancerKind, Decide};
 use crate::log::Of;
 use crate::model::{Answer, Event, Leak, Model, Out};
 use crate::queue::Queue;
@@ -73,25 +73,25 @@
 }
 
 /// A fleet that plays a scenario.
-pub struct Fleet {
+pub struct FleetSimulation {
     model: Model,
     queue: Queue<Ev>,
     proxies: Vec<Proxy>,
     exchanges: BTreeMap<u64, Exchange>,
     next_exchange: u64,
     site: Site,
-    picks: Picks,
+    picks: BalancerKind,
     actions: Vec<policy::Action>,
     events: u64,
 }
 
-impl Fleet {
+impl FleetSimulation {
     /// At the start of a settled scenario, with this in the place of the decision module.
     ///
     /// # Errors
     ///
     /// What the daemon's checks say of the configuration.
-    pub fn new(scenario: Rc<Scenario>, seed: u64, picks: Picks) -> Result<Fleet, String> {
+    pub fn new(scenario: Rc<Scenario>, seed: u64, picks: BalancerKind) -> Result<FleetSimulation, String> {
         let mut queue = Queue::default();
         let model = Model::new(scenario.clone(), seed, &mut queue);
         let config = crate::site::config(&scenario, seed, 0, crate::site::discovery_address(), None)?;
@@ -102,7 +102,7 @@
             connections: config.connections_to_hosts(),
             config,
         };
-        let mut fleet = Fleet {
+        let mut fleet = FleetSimulation {
             model,
             queue,
             proxies: Vec::new(),
@@ -140,7 +140,7 @@
     }
 
     /// Plays to the end, or to what ends it before.
-    pub fn play(mut self, limits: &Limits, leak: Option<Leak>) -> Outcome {
+    pub fn run(mut self, limits: &Limits, leak: Option<Leak>) -> Outcome {
         self.model.leak = leak;
         self.model.log.tells = limits.tells;
         let end = self.model.end();
@@ -226,11 +226,11 @@
     /// Feeds the module, and carries out what it says.
     fn module(&mut self, proxy: usize, event: policy::Event) {
         self.proxies[proxy].events.push_back(event);
-        self.run(proxy);
+        self.process_events(proxy);
     }
 
     /// Feeds the module what waits for it.
-    fn run(&mut self, proxy: usize) {
+    fn process_events(&mut self, proxy: usize) {
         if std::mem::replace(&mut self.proxies[proxy].busy, true) {
             return;
         }
--- a/lab/src/fleet/proxy.rs
+++ b/lab/src/fleet/proxy.rs
@@ -1,6 +1,6 @@
 //! A proxy in fleet depth: its module, open calls, kept connections, and its watch of the list.
 
-use super::{Ev, Fleet, Watch};
+use super::{Ev, FleetSimulation, Watch};
 use crate::baseline::Decide;
 use crate::draw::Draw;
 use crate::model::registry::{Listed, News, Turn};
@@ -86,7 +86,7 @@
     }
 }
 
-impl Fleet {
+impl FleetSimulation {
     /// One way between a proxy and discovery.
     fn way(&self, proxy: usize, what: u64) -> Micros {
         let network = &self.model.scenario.network;
@@ -209,6 +209,6 @@
         }
         self.proxies[proxy].events.push_back(Event::ServerList { kind, entries });
         self.withdraw(proxy);
-        self.run(proxy);
+        self.process_events(proxy);
     }
 }
--- a/lab/src/full/bridge.rs
+++ b/lab/src/full/bridge.rs
@@ -24,7 +24,7 @@
 use tokio::task::{spawn_local, LocalSet};
 
 /// Plays a settled scenario on real time.
-pub(crate) fn play(scenario: Scenario, seed: u64) -> Result<Outcome, String> {
+pub(crate) fn run_scenario(scenario: Scenario, seed: u64) -> Result<Outcome, String> {
     let scenario = Rc::new(scenario);
     let mut queue = Queue::default();
     let mut model = Model::new(scenario.clone(), seed, &mut queue);
--- a/lab/src/full/mod.rs
+++ b/lab/src/full/mod.rs
@@ -3,7 +3,7 @@
 //! HTTP/1.1 as their machines would.
 //!
 //! Time is tokio's, paused. Its timers come on whole milliseconds; the network's events come to the microsecond, in
-//! between. Time moves only when no task of any proxy can go on ([`play::play`]).
+//! between. Time moves only when no task of any proxy can go on ([`play::run_scenario`]).
 
 pub(crate) mod bridge;
 mod net;
@@ -14,4 +14,4 @@
 mod tests;
 mod wire;
 
-pub(crate) use play::play;
+pub(crate) use play::run_scenario;
--- a/lab/src/full/play.rs
+++ b/lab/src/full/play.rs
@@ -25,7 +25,7 @@
 const TICK: Micros = 1_000;
 
 /// Plays a settled scenario.
-pub(crate) fn play(
+pub(crate) fn run_scenario(
     scenario: Rc<Scenario>,
     seed: u64,
     limits: &Limits,
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -8,8 +8,8 @@
 #![warn(missing_docs)]
 
 pub mod baseline;
+pub mod cluster;
 pub mod compare;
-pub mod crowd;
 pub mod draw;
 pub mod explore;
 pub mod fault;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -3,7 +3,7 @@
 
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use nettleworks_lab::baseline::Picks;
+use nettleworks_lab::baseline::BalancerKind;
 use nettleworks_lab::compare;
 use nettleworks_lab::explore::{shrink, sweep, Found};
 use nettleworks_lab::report;
@@ -47,8 +47,8 @@
         #[arg(long, value_enum, default_value_t = Depth::Full)]
         depth: Depth,
         /// Who decides (fleet depth)
-        #[arg(long, value_enum, default_value_t = Picks::Ours)]
-        picks: Picks,
+        #[arg(long, value_enum, default_value_t = BalancerKind::Ours)]
+        picks: BalancerKind,
         /// Each event as a line of JSON into this file, with its virtual time
         #[arg(long, value_name = "FILE")]
         events: Option<PathBuf>,
@@ -193,8 +193,8 @@
         }
         Command::Compare { scenarios, seeds, out } => {
             let scenarios = load_all(&scenarios)?;
-            let bar = bar(count(&seeds) * (scenarios.len() * Picks::ALL.len()) as u64, "compare");
-            let lines = compare::compare(&scenarios, &seeds, &Picks::ALL, || bar.inc(1))?;
+            let bar = bar(count(&seeds) * (scenarios.len() * BalancerKind::ALL.len()) as u64, "compare");
+            let lines = compare::compare(&scenarios, &seeds, &BalancerKind::ALL, || bar.inc(1))?;
             bar.finish_and_clear();
             let table = compare::table(&lines);
             match out {
@@ -203,7 +203,7 @@
                 }
                 None => say!("{}", table.trim_end()),
             }
-            let ours = lines.iter().filter(|line| line.picks == Picks::Ours);
+            let ours = lines.iter().filter(|line| line.picks == BalancerKind::Ours);
             Ok(ours.clone().all(|line| line.broken.is_empty()))
         }
         Command::Report { scenario, seeds, depth, out } => {
@@ -248,7 +248,7 @@
             let bar = bar(count(seeds), &scenario.name);
             let swept = sweep(scenario, seeds.clone(), depth, &Limits::default(), || bar.inc(1));
             bar.finish_and_clear();
-            let (seconds, broken) = (start.elapsed().as_secs_f64(), swept.broken.len());
+            let (seconds, broken) = (start.elapsed().as_secs_f64(), swept.violations.len());
             say!(
                 "{} ({depth:?}): {} seeds, {broken} broken, {} not played; {:.0} virtual seconds in {seconds:.1}",
                 scenario.name,
@@ -260,7 +260,7 @@
             swept.failed.iter().take(3).for_each(|(seed, reason)| say!("  seed {seed}: {reason}"));
             // The first of each rule is made small.
             let mut rules = Vec::new();
-            for (&seed, at) in &swept.broken {
+            for (&seed, at) in &swept.violations {
                 if rules.contains(&at.rule) {
                     continue;
                 }
--- a/lab/src/real.rs
+++ b/lab/src/real.rs
@@ -13,5 +13,5 @@
 ///
 /// What the daemon's checks say of its configuration, or a socket that cannot be had.
 pub fn play(scenario: &Scenario, seed: u64) -> Result<Outcome, String> {
-    bridge::play(crate::fault::settle(scenario, seed), seed)
+    bridge::run_scenario(crate::fault::settle(scenario, seed), seed)
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,7 +1,7 @@
 //! One page of HTML with plots, that needs nothing else: goodput and latency over time, hosts' load, repeats by cause, and
 //! goodput against offered load beside what a team would pick instead.
 
-use crate::baseline::Picks;
+use crate::baseline::BalancerKind;
 use crate::run::{play, play_with, Depth, Limits, Outcome};
 use crate::scenario::Scenario;
 use plotters::prelude::*;
@@ -13,7 +13,7 @@
 /// Times of the scenario's load, of which goodput is plotted.
 const TIMES: [f64; 8] = [0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0];
 /// How many runs a report takes beside one for each seed.
-pub const RUNS: u64 = (TIMES.len() * Picks::ALL.len()) as u64;
+pub const RUNS: u64 = (TIMES.len() * BalancerKind::ALL.len()) as u64;
 /// Hosts that have a line of their own.
 const HOSTS_MOST: usize = 16;
 
@@ -123,8 +123,8 @@
 }
 
 fn against_load(scenario: &Scenario, seed: u64, done: &(impl Fn() + Sync)) -> Result<Vec<Series>, String> {
-    let all: Vec<(Picks, f64)> =
-        Picks::ALL.iter().flat_map(|&picks| TIMES.map(|times| (picks, times))).collect();
+    let all: Vec<(BalancerKind, f64)> =
+        BalancerKind::ALL.iter().flat_map(|&picks| TIMES.map(|times| (picks, times))).collect();
     let limits = Limits { stops: false, ..Limits::default() };
     let runs: Vec<_> = all
         .into_par_iter()
@@ -137,7 +137,7 @@
             outcome.map(|run| (picks, (run.tally.all.offered / seconds, run.tally.all.got / seconds)))
         })
         .collect::<Result<_, _>>()?;
-    let mut series = BTreeMap::<Picks, Vec<(f64, f64)>>::new();
+    let mut series = BTreeMap::<BalancerKind, Vec<(f64, f64)>>::new();
     runs.into_iter().for_each(|(picks, point)| series.entry(picks).or_default().push(point));
     Ok(series.into_iter().map(|(picks, points)| Series { name: picks.name().to_owned(), points }).collect())
 }
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -1,6 +1,6 @@
 //! One run of a scenario under a seed, in a depth, and what came of it.
 
-use crate::baseline::Picks;
+use crate::baseline::BalancerKind;
 use crate::fault::settle;
 use crate::judge::Break;
 use crate::model::{Leak, Model};
@@ -92,7 +92,7 @@
 ///
 /// What the daemon's checks say of its configuration.
 pub fn play(scenario: &Scenario, seed: u64, depth: Depth, limits: &Limits) -> Result<Outcome, String> {
-    play_with(scenario, seed, depth, limits, Picks::Ours, None)
+    play_with(scenario, seed, depth, limits, BalancerKind::Ours, None)
 }
 
 /// The same with another in the place of the decision module (fleet depth alone), or with a leak planted.
@@ -105,13 +105,13 @@
     seed: u64,
     depth: Depth,
     limits: &Limits,
-    picks: Picks,
+    picks: BalancerKind,
     leak: Option<Leak>,
 ) -> Result<Outcome, String> {
     let settled = Rc::new(settle(scenario, seed));
     match depth {
-        Depth::Fleet => Ok(crate::fleet::Fleet::new(settled, seed, picks)?.play(limits, leak)),
-        Depth::Full if picks == Picks::Ours => crate::full::play(settled, seed, limits, leak),
+        Depth::Fleet => Ok(crate::fleet::FleetSimulation::new(settled, seed, picks)?.run(limits, leak)),
+        Depth::Full if picks == BalancerKind::Ours => crate::full::run_scenario(settled, seed, limits, leak),
         Depth::Full => Err("the full stack has the decision module in it".to_owned()),
     }
 }
--- a/lab/tests/depths.rs
+++ b/lab/tests/depths.rs
@@ -148,7 +148,7 @@
     let scenario = common::shipped("metastable").light(16.0, 150.0);
     let ours = DEPTHS.map(|depth| sound(&scenario, 1, depth).tally.all.served());
     let limits = nettleworks_lab::run::Limits { stops: false, ..Default::default() };
-    let random = nettleworks_lab::baseline::Picks::Random;
+    let random = nettleworks_lab::baseline::BalancerKind::Random;
     let plain = nettleworks_lab::run::play_with(&scenario, 1, Depth::Fleet, &limits, random, None)
         .expect("it is played");
     let plain = plain.tally.all.served();
@@ -161,7 +161,7 @@
 fn a_cold_fleet_under_full_load_stands() {
     let broken = |outcome: &Outcome| outcome.breaks.iter().any(|broken| broken.rule == Rule::ColdHostStands);
     let limits = nettleworks_lab::run::Limits { stops: false, ..Default::default() };
-    let plain = nettleworks_lab::baseline::Picks::LeastOfTwo;
+    let plain = nettleworks_lab::baseline::BalancerKind::LeastOfTwo;
     for proxies in [4, 60] {
         let mut scenario = common::shipped("cold-fleet-busy");
         scenario.seconds = 14.0;
--- a/lab/tests/determinism.rs
+++ b/lab/tests/determinism.rs
@@ -1,6 +1,6 @@
 //! The same seed gives the same event log, byte for byte; what would make it another is noticed.
 
-use nettleworks_lab::baseline::Picks;
+use nettleworks_lab::baseline::BalancerKind;
 use nettleworks_lab::explore::sweep;
 use nettleworks_lab::model::Leak;
 use nettleworks_lab::run::{play, play_with, Depth, Limits};
@@ -20,7 +20,7 @@
 
 fn hash(scenario: &Scenario, depth: Depth, leak: Option<Leak>) -> u64 {
     let limits = Limits { stops: false, ..Limits::default() };
-    play_with(scenario, 7, depth, &limits, Picks::Ours, leak).expect("it is played").hash
+    play_with(scenario, 7, depth, &limits, BalancerKind::Ours, leak).expect("it is played").hash
 }
 
 #[test]
--- a/lab/tests/mutants.rs
+++ b/lab/tests/mutants.rs
@@ -16,7 +16,7 @@
     let scenario = Scenario::load(&path).unwrap_or_else(|error| panic!("{error}"));
     let limits = Limits { mutant: Some(mutant), ..Limits::default() };
     let swept = sweep(&scenario, 1..=SEEDS, Depth::Full, &limits, || ());
-    let found = swept.broken.iter().find(|(_, broken)| broken.rule == rule);
+    let found = swept.violations.iter().find(|(_, broken)| broken.rule == rule);
     let (&seed, broken) = found.unwrap_or_else(|| panic!("{mutant:?} is not found: {swept:?}"));
     assert!(!broken.last.is_empty());
     let small = shrink(&scenario, seed, Depth::Full, rule, &limits).expect("it breaks again");
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -29,7 +29,11 @@
         let scenario = scenario.light(SECONDS, RATE);
         scenario.check().unwrap_or_else(|error| panic!("{error}"));
         let swept = sweep(&scenario, 1..=seeds, depth, &Limits::default(), || ());
-        assert!(swept.broken.is_empty() && swept.failed.is_empty(), "{} {depth:?}: {swept:?}", scenario.name);
+        assert!(
+            swept.violations.is_empty() && swept.failed.is_empty(),
+            "{} {depth:?}: {swept:?}",
+            scenario.name
+        );
         assert_eq!(swept.seeds as u64, seeds);
     }
 }
--- a/lab/tests/tools.rs
+++ b/lab/tests/tools.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{path, scenario, shipped};
-use nettleworks_lab::baseline::Picks;
+use nettleworks_lab::baseline::BalancerKind;
 use nettleworks_lab::compare::{compare, table, Spread};
 use nettleworks_lab::explore::{sweep, Found};
 use nettleworks_lab::judge::Rule;
@@ -136,18 +136,18 @@
 fn a_comparison_has_a_line_for_each_and_shows_what_the_plain_ones_break() {
     let scenario = shipped("reset-storm").light(10.0, 150.0);
     let count = AtomicU64::new(0);
-    let lines = compare(&[scenario], &(1..=4), &Picks::ALL, || {
+    let lines = compare(&[scenario], &(1..=4), &BalancerKind::ALL, || {
         count.fetch_add(1, Ordering::Relaxed);
     });
     let lines = lines.expect("they are played");
     assert_eq!((lines.len(), count.load(Ordering::Relaxed)), (6, 24));
     for line in &lines {
         let twice = line.broken.get(&Rule::NoEffectTwice).copied().unwrap_or_default();
-        assert_eq!(twice > 0, line.picks != Picks::Ours, "{line:?}");
+        assert_eq!(twice > 0, line.picks != BalancerKind::Ours, "{line:?}");
         assert!(line.served.least <= line.served.median && line.served.median <= line.served.most);
     }
     let table = table(&lines);
-    for picks in Picks::ALL {
+    for picks in BalancerKind::ALL {
         assert!(table.contains(&format!("| reset-storm | {} |", picks.name())), "{table}");
     }
     let spread = Spread::of(vec![3.0, 1.0, 2.0]);
@@ -175,7 +175,7 @@
     assert_eq!(page.matches("<code>").count(), 3, "a line for each seed");
     // Nothing is fetched from elsewhere.
     assert!(!page.contains("<script") && !page.contains("src=") && !page.contains("<link"));
-    for picks in Picks::ALL {
+    for picks in BalancerKind::ALL {
         assert!(page.contains(picks.name()), "{picks:?}");
     }
 }
--- a/measure/src/members.rs
+++ b/measure/src/members.rs
@@ -3,7 +3,7 @@
 
 use crate::process::Role;
 use crate::report::{median, Bound, Report};
-use nettleworks_lab::crowd::Crowd;
+use nettleworks_lab::cluster::Cluster;
 use nettleworks_members::{Condition, Config, What};
 use nettleworks_members_wire::{start, Settings};
 use nettleworks_standins::{Load, Plan, Site};
@@ -18,10 +18,10 @@
 const SECOND: u64 = 1_000_000;
 
 /// Settled: all agree, and no news is about any more.
-fn settled(count: usize) -> Crowd {
-    let mut crowd = Crowd::agreed(count, 1, &Config::default()).expect("they agree");
+fn settled(count: usize) -> Cluster {
+    let mut crowd = Cluster::converged(count, 1, &Config::default()).expect("they agree");
     crowd.run(60 * SECOND);
-    crowd.news.clear();
+    crowd.events.clear();
     crowd
 }
 
@@ -32,7 +32,7 @@
 }
 
 /// Seconds until all have noticed that one is dead, for each seed.
-fn notice(whole: &Crowd, seeds: u64) -> Vec<f64> {
+fn notice(whole: &Cluster, seeds: u64) -> Vec<f64> {
     let took = (0..seeds).into_par_iter().map(|seed| {
         let mut crowd = whole.clone();
         crowd.reseed(seed);
@@ -40,7 +40,7 @@
         crowd.run(seed * 37_000 % SECOND);
         let dead = (seed as usize * 7 + 5) % crowd.count();
         crowd.kill(dead);
-        let took = crowd.until(120 * SECOND, |crowd| crowd.all_take(dead, Condition::Failed));
+        let took = crowd.run_until(120 * SECOND, |crowd| crowd.all_report(dead, Condition::Failed));
         took.map_or(f64::NAN, |took| took as f64 / 1e6)
     });
     took.collect()
@@ -48,14 +48,14 @@
 
 /// Members wrongly taken for failed in an hour of the whole crowd, by how many take them so, and datagrams and bytes a
 /// second a member meanwhile.
-fn wrongly(whole: &Crowd, loss: f64, seeds: u64, minutes: u64) -> (f64, f64, f64) {
+fn wrongly(whole: &Cluster, loss: f64, seeds: u64, minutes: u64) -> (f64, f64, f64) {
     let runs = (0..seeds).into_par_iter().map(|seed| {
         let mut crowd = whole.clone();
         crowd.reseed(seed);
         crowd.network.loss = loss;
         let (before, at) = (crowd.sent, crowd.now);
         crowd.run(minutes * 60 * SECOND);
-        let news = crowd.news.iter().filter(|(when, _, news)| *when >= at && news.what == What::Failed);
+        let news = crowd.events.iter().filter(|(when, _, news)| *when >= at && news.what == What::Failed);
         let failed: BTreeSet<_> = news.map(|(_, _, news)| news.name.clone()).collect();
         let spent = (minutes * 60 * crowd.count() as u64) as f64;
         let sent = (crowd.sent.0 - before.0) as f64 / spent;
@@ -68,17 +68,18 @@
 }
 
 /// Seconds until all agree again after a cut of 30 s between a third and the rest, for each seed.
-fn heal(whole: &Crowd, seeds: u64) -> Vec<f64> {
+fn heal(whole: &Cluster, seeds: u64) -> Vec<f64> {
     let took = (0..seeds).into_par_iter().map(|seed| {
         let mut crowd = whole.clone();
         crowd.reseed(seed);
-        crowd.parts(|node| u8::from(node % 3 == 0));
+        crowd.partition(|node| u8::from(node % 3 == 0));
         crowd.run(30 * SECOND);
-        crowd.parts(|_| 0);
+        crowd.partition(|_| 0);
         let count = crowd.count();
-        let whole =
-            |crowd: &Crowd| crowd.agree() && (0..count).all(|node| crowd.all_take(node, Condition::Alive));
-        crowd.until(180 * SECOND, whole).map_or(f64::NAN, |took| took as f64 / 1e6)
+        let whole = |crowd: &Cluster| {
+            crowd.has_converged() && (0..count).all(|node| crowd.all_report(node, Condition::Alive))
+        };
+        crowd.run_until(180 * SECOND, whole).map_or(f64::NAN, |took| took as f64 / 1e6)
     });
     took.collect()
 }
