--- a/lab/src/baseline/envoy.rs
+++ b/lab/src/baseline/envoy.rs
@@ -2,7 +2,7 @@
 //! "Outlier detection" of its architecture overview, and the API reference of `RetryPolicy`, `CircuitBreakers` and
 //! `OutlierDetection`. Names here are those of its fields.
 
-use super::choice::Picker;
+use super::selection::HostSelector;
 use nettleworks_policy::{Micros, Outcome, ServerId};
 use std::collections::BTreeMap;
 
@@ -32,106 +32,106 @@
 /// How many retries there may be at a time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RetryBudget {
-    out: usize,
+    active_retries: usize,
 }
 
 impl RetryBudget {
     /// Whether a request that was tried so often may be tried again, and after which pause.
-    pub fn retry(&mut self, tries: usize, active: usize, share: f64) -> Option<Micros> {
-        let most = (active as f64 * BUDGET_PERCENT / 100.0).max(MIN_RETRY_CONCURRENCY);
-        if tries > NUM_RETRIES || self.out as f64 >= most {
+    pub fn try_retry(&mut self, attempts: usize, active: usize, jitter: f64) -> Option<Micros> {
+        let limit = (active as f64 * BUDGET_PERCENT / 100.0).max(MIN_RETRY_CONCURRENCY);
+        if attempts > NUM_RETRIES || self.active_retries as f64 >= limit {
             return None;
         }
-        self.out += 1;
-        let interval = (BASE_INTERVAL * f64::from(1_u32 << (tries - 1).min(8))).min(MAX_INTERVAL);
-        Some((interval * share) as Micros + 1)
+        self.active_retries += 1;
+        let interval = (BASE_INTERVAL * f64::from(1_u32 << (attempts - 1).min(8))).min(MAX_INTERVAL);
+        Some((interval * jitter) as Micros + 1)
     }
 
     /// A retry has ended.
-    pub fn ended(&mut self) {
-        self.out = self.out.saturating_sub(1);
+    pub fn release(&mut self) {
+        self.active_retries = self.active_retries.saturating_sub(1);
     }
 }
 
 #[derive(Clone, Debug, Default)]
-struct Seen {
-    in_row: u32,
-    good: u32,
-    all: u32,
-    times: u32,
-    until: Option<Micros>,
+struct HostRecord {
+    consecutive_failures: u32,
+    successes: u32,
+    requests: u32,
+    ejections: u32,
+    ejected_until: Option<Micros>,
 }
 
 /// Hosts that are left out for a while.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Ejections {
-    hosts: BTreeMap<ServerId, Seen>,
-    looked: Micros,
+pub(super) struct OutlierDetection {
+    hosts: BTreeMap<ServerId, HostRecord>,
+    checked_at: Micros,
 }
 
-impl Ejections {
+impl OutlierDetection {
     /// A request to a host has ended.
-    pub fn ended(&mut self, now: Micros, server: ServerId, outcome: Outcome, picker: &mut Picker) {
+    pub fn record(&mut self, now: Micros, server: ServerId, outcome: Outcome, selector: &mut HostSelector) {
         if matches!(outcome, Outcome::CalledOff | Outcome::NotSent | Outcome::Unusable) {
             return;
         }
         let host = self.hosts.entry(server).or_default();
-        host.all += 1;
+        host.requests += 1;
         if outcome == Outcome::Served {
-            host.good += 1;
-            host.in_row = 0;
+            host.successes += 1;
+            host.consecutive_failures = 0;
             return;
         }
-        host.in_row += 1;
-        if host.in_row >= CONSECUTIVE_5XX {
-            host.in_row = 0;
-            self.eject(now, server, picker);
+        host.consecutive_failures += 1;
+        if host.consecutive_failures >= CONSECUTIVE_5XX {
+            host.consecutive_failures = 0;
+            self.eject(now, server, selector);
         }
     }
 
-    fn eject(&mut self, now: Micros, server: ServerId, picker: &mut Picker) {
-        let ejected = self.hosts.values().filter(|host| host.until.is_some()).count();
-        let most = (picker.listed() * MAX_EJECTION_PERCENT / 100).max(1);
+    fn eject(&mut self, now: Micros, server: ServerId, selector: &mut HostSelector) {
+        let ejected = self.hosts.values().filter(|host| host.ejected_until.is_some()).count();
+        let limit = (selector.listed_count() * MAX_EJECTION_PERCENT / 100).max(1);
         let host = self.hosts.entry(server).or_default();
-        if host.until.is_some() || ejected >= most {
+        if host.ejected_until.is_some() || ejected >= limit {
             return;
         }
-        host.times += 1;
-        let time = (BASE_EJECTION_TIME * Micros::from(host.times)).min(MAX_EJECTION_TIME);
-        host.until = Some(now + time);
-        picker.eject(server, true);
+        host.ejections += 1;
+        let time = (BASE_EJECTION_TIME * Micros::from(host.ejections)).min(MAX_EJECTION_TIME);
+        host.ejected_until = Some(now + time);
+        selector.set_ejected(server, true);
     }
 
     /// Looks through the hosts, once an interval.
-    pub fn look(&mut self, now: Micros, picker: &mut Picker) {
-        if now < self.looked + INTERVAL {
+    pub fn check(&mut self, now: Micros, selector: &mut HostSelector) {
+        if now < self.checked_at + INTERVAL {
             return;
         }
-        self.looked = now;
+        self.checked_at = now;
         for (&server, host) in &mut self.hosts {
-            if host.until.is_some_and(|until| until <= now) {
-                host.until = None;
-                picker.eject(server, false);
-            } else if host.until.is_none() {
-                host.times = host.times.saturating_sub(1);
+            if host.ejected_until.is_some_and(|until| until <= now) {
+                host.ejected_until = None;
+                selector.set_ejected(server, false);
+            } else if host.ejected_until.is_none() {
+                host.ejections = host.ejections.saturating_sub(1);
             }
         }
         let rates: Vec<(ServerId, f64)> = self
             .hosts
             .iter()
-            .filter(|(_, host)| host.all >= SUCCESS_RATE_REQUEST_VOLUME)
-            .map(|(&server, host)| (server, f64::from(host.good) / f64::from(host.all)))
+            .filter(|(_, host)| host.requests >= SUCCESS_RATE_REQUEST_VOLUME)
+            .map(|(&server, host)| (server, f64::from(host.successes) / f64::from(host.requests)))
             .collect();
-        self.hosts.values_mut().for_each(|host| (host.good, host.all) = (0, 0));
+        self.hosts.values_mut().for_each(|host| (host.successes, host.requests) = (0, 0));
         if rates.len() < SUCCESS_RATE_MINIMUM_HOSTS {
             return;
         }
         let count = rates.len() as f64;
         let mean = rates.iter().map(|(_, rate)| rate).sum::<f64>() / count;
-        let spread = (rates.iter().map(|(_, rate)| (rate - mean).powi(2)).sum::<f64>() / count).sqrt();
+        let deviation = (rates.iter().map(|(_, rate)| (rate - mean).powi(2)).sum::<f64>() / count).sqrt();
         for (server, rate) in rates {
-            if rate < mean - SUCCESS_RATE_STDEV_FACTOR * spread {
-                self.eject(now, server, picker);
+            if rate < mean - SUCCESS_RATE_STDEV_FACTOR * deviation {
+                self.eject(now, server, selector);
             }
         }
     }
@@ -139,35 +139,35 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::choice::Choice;
+    use super::super::selection::SelectionAlgorithm;
     use super::*;
 
     #[test]
     fn five_failures_in_a_row_eject_one_host_in_ten_for_30_s() {
-        let mut picker = Picker::new(1, Choice::LeastOfTwo);
-        (0..10).for_each(|n| picker.list(ServerId(n), true));
-        let mut ejections = Ejections::default();
+        let mut selector = HostSelector::new(1, SelectionAlgorithm::LeastOfTwo);
+        (0..10).for_each(|n| selector.set_listed(ServerId(n), true));
+        let mut ejections = OutlierDetection::default();
         for server in [3, 4] {
             for _ in 0..5 {
-                ejections.ended(0, ServerId(server), Outcome::Error, &mut picker);
+                ejections.record(0, ServerId(server), Outcome::Error, &mut selector);
             }
         }
         // The second may not go: a tenth of ten is one.
-        let mut picks = std::collections::BTreeSet::new();
-        picks.extend((0..400).filter_map(|_| picker.pick(0, &[])).map(|server| server.0));
-        assert!(!picks.contains(&3) && picks.contains(&4));
-        ejections.look(31_000_000, &mut picker);
-        picks.extend((0..400).filter_map(|_| picker.pick(0, &[])).map(|server| server.0));
-        assert!(picks.contains(&3));
+        let mut selected = std::collections::BTreeSet::new();
+        selected.extend((0..400).filter_map(|_| selector.select(0, &[])).map(|server| server.0));
+        assert!(!selected.contains(&3) && selected.contains(&4));
+        ejections.check(31_000_000, &mut selector);
+        selected.extend((0..400).filter_map(|_| selector.select(0, &[])).map(|server| server.0));
+        assert!(selected.contains(&3));
     }
 
     #[test]
-    fn a_fifth_of_what_is_active_may_be_retries() {
+    fn a_fifth_of_active_requests_may_be_retries() {
         let mut budget = RetryBudget::default();
-        let given = (0..40).filter(|_| budget.retry(1, 100, 0.5).is_some()).count();
-        assert_eq!(given, 20);
-        assert_eq!(budget.retry(2, 1_000, 0.5), None);
-        budget.ended();
-        assert!(budget.retry(1, 100, 0.5).is_some());
+        let granted = (0..40).filter(|_| budget.try_retry(1, 100, 0.5).is_some()).count();
+        assert_eq!(granted, 20);
+        assert_eq!(budget.try_retry(2, 1_000, 0.5), None);
+        budget.release();
+        assert!(budget.try_retry(1, 100, 0.5).is_some());
     }
 }
--- a/lab/src/baseline/mod.rs
+++ b/lab/src/baseline/mod.rs
@@ -2,26 +2,26 @@
 //! same. They retry what proves that it never ran, and what their class lets run again, and know nothing of pods,
 //! windows, cold hosts or budgets in flight.
 
-mod choice;
 mod envoy;
+mod selection;
 
-use choice::{Choice, Picker};
-use envoy::{Ejections, RetryBudget};
+use envoy::{OutlierDetection, RetryBudget};
 use nettleworks_policy::{
     self as policy, Action, Balancer, CallId, Event, FailureReason, Idempotency, ListKind, Outcome, ServerId,
     ServerState,
 };
 use policy::Micros;
+use selection::{HostSelector, SelectionAlgorithm};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Decides for a proxy.
-pub trait Decide {
+pub trait LoadBalancer {
     /// Takes an event and says what to do.
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
 }
 
-impl Decide for Balancer {
+impl LoadBalancer for Balancer {
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         Balancer::handle(self, now, event, actions);
     }
@@ -69,75 +69,80 @@
     }
 
     /// One that decides, of a seed.
-    pub(crate) fn make(self, seed: u64, settings: policy::Settings) -> Box<dyn Decide> {
-        let choice = match self {
+    pub(crate) fn build(self, seed: u64, settings: policy::Settings) -> Box<dyn LoadBalancer> {
+        let algorithm = match self {
             BalancerKind::Ours => return Box::new(Balancer::new(seed, settings)),
-            BalancerKind::Random => Choice::Random,
-            BalancerKind::RoundRobin => Choice::RoundRobin,
-            BalancerKind::LeastOfTwo | BalancerKind::Envoy => Choice::LeastOfTwo,
-            BalancerKind::PeakEwma => Choice::PeakEwma,
+            BalancerKind::Random => SelectionAlgorithm::Random,
+            BalancerKind::RoundRobin => SelectionAlgorithm::RoundRobin,
+            BalancerKind::LeastOfTwo | BalancerKind::Envoy => SelectionAlgorithm::LeastOfTwo,
+            BalancerKind::PeakEwma => SelectionAlgorithm::PeakEwma,
         };
-        Box::new(Plain::new(seed, settings, choice, self == BalancerKind::Envoy))
+        Box::new(BaselineBalancer::new(seed, settings, algorithm, self == BalancerKind::Envoy))
     }
 }
 
 /// A watch of the list that has failed is asked for again after this.
-const ASK_AGAIN: Micros = 1_000_000;
+const RESUBSCRIBE_DELAY: Micros = 1_000_000;
 /// What a refused client is told.
-const COME_BACK: Micros = 1_000_000;
+const RETRY_AFTER: Micros = 1_000_000;
 /// Tries of a request in all, where there is no retry budget: as many as our module is allowed.
-const TRIES: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 struct Call {
     idempotency: Idempotency,
     deadline: Micros,
     attempts: Vec<(ServerId, Option<Outcome>)>,
     /// It waits to be tried again.
-    waits: bool,
+    retry_pending: bool,
     /// It has a place in the retry budget: from when its repeat is granted until that has ended.
-    budgeted: bool,
+    holds_budget: bool,
 }
 
 impl Call {
-    fn out(&self) -> bool {
+    fn in_flight(&self) -> bool {
         self.attempts.iter().any(|(_, outcome)| outcome.is_none())
     }
 }
 
 /// A plain balancer.
-struct Plain {
+struct BaselineBalancer {
     settings: policy::Settings,
-    picker: Picker,
+    selector: HostSelector,
     calls: BTreeMap<CallId, Call>,
     /// Calls that wait, by when they go.
-    later: BTreeSet<(Micros, CallId)>,
+    retries: BTreeSet<(Micros, CallId)>,
     subscribe_at: Option<Micros>,
-    envoy: Option<(RetryBudget, Ejections)>,
+    envoy: Option<(RetryBudget, OutlierDetection)>,
 }
 
-impl Plain {
-    fn new(seed: u64, settings: policy::Settings, choice: Choice, envoy: bool) -> Plain {
-        Plain {
+impl BaselineBalancer {
+    fn new(
+        seed: u64,
+        settings: policy::Settings,
+        algorithm: SelectionAlgorithm,
+        envoy: bool,
+    ) -> BaselineBalancer {
+        BaselineBalancer {
             settings,
-            picker: Picker::new(seed, choice),
+            selector: HostSelector::new(seed, algorithm),
             calls: BTreeMap::new(),
-            later: BTreeSet::new(),
+            retries: BTreeSet::new(),
             subscribe_at: None,
             envoy: envoy.then(Default::default),
         }
     }
 
-    fn try_call(&mut self, now: Micros, id: CallId, actions: &mut Vec<Action>) {
+    fn start_attempt(&mut self, now: Micros, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        call.waits = false;
+        call.retry_pending = false;
         let tried: Vec<ServerId> = call.attempts.iter().map(|(server, _)| *server).collect();
-        if let Some((_, ejections)) = &mut self.envoy {
-            ejections.look(now, &mut self.picker);
+        if let Some((_, detection)) = &mut self.envoy {
+            detection.check(now, &mut self.selector);
         }
-        match self.picker.pick(now, &tried) {
+        match self.selector.select(now, &tried) {
             Some(server) => {
                 call.attempts.push((server, None));
-                self.picker.sent(server);
+                self.selector.attempt_started(server);
                 actions.push(Action::Send { call: id, server, until: None });
             }
             None => self.give_up(id, actions),
@@ -145,104 +150,108 @@
     }
 
     /// Forgets a call, and gives back its place in the retry budget.
-    fn forget(&mut self, id: CallId) -> Option<Call> {
+    fn remove(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
-        if let Some((budget, _)) = self.envoy.as_mut().filter(|_| call.budgeted) {
-            budget.ended();
+        if let Some((budget, _)) = self.envoy.as_mut().filter(|_| call.holds_budget) {
+            budget.release();
         }
         Some(call)
     }
 
     /// Ends a call unserved; refused only if it surely never ran.
     fn give_up(&mut self, id: CallId, actions: &mut Vec<Action>) {
-        let Some(call) = self.forget(id) else { return };
-        let never = call.attempts.iter().all(|(_, outcome)| outcome.is_some_and(Outcome::never_ran));
-        actions.push(match never {
-            true => Action::Refuse { call: id, retry_after: COME_BACK, reason: FailureReason::NoRetry },
+        let Some(call) = self.remove(id) else { return };
+        let never_ran = call.attempts.iter().all(|(_, outcome)| outcome.is_some_and(Outcome::never_ran));
+        actions.push(match never_ran {
+            true => Action::Refuse { call: id, retry_after: RETRY_AFTER, reason: FailureReason::NoRetry },
             false => Action::Fail { call: id, reason: FailureReason::NoRetry },
         });
     }
 
-    fn outcome(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
+    fn handle_outcome(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
         let &Event::Outcome { call: id, attempt, outcome, elapsed, closed, .. } = event else { return };
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some((server, at)) = call.attempts.get_mut(attempt as usize) else { return };
-        *at = Some(outcome);
+        let Some((server, recorded)) = call.attempts.get_mut(attempt as usize) else { return };
+        *recorded = Some(outcome);
         let server = *server;
-        self.picker.ended(now, server, outcome, elapsed);
-        if let Some((budget, ejections)) = &mut self.envoy {
-            ejections.ended(now, server, outcome, &mut self.picker);
-            if std::mem::take(&mut call.budgeted) {
-                budget.ended();
+        self.selector.attempt_ended(now, server, outcome, elapsed);
+        if let Some((budget, detection)) = &mut self.envoy {
+            detection.record(now, server, outcome, &mut self.selector);
+            if std::mem::take(&mut call.holds_budget) {
+                budget.release();
             }
         }
         if outcome == Outcome::Served || closed || outcome == Outcome::Unusable {
             if outcome == Outcome::Unusable && !closed {
                 return self.give_up(id, actions);
             }
-            self.forget(id);
+            self.remove(id);
             return;
         }
-        if call.out() {
+        if call.in_flight() {
             return;
         }
-        let again = outcome.never_ran() || call.idempotency != Idempotency::SingleShot;
-        let tries = call.attempts.len();
+        let repeatable = outcome.never_ran() || call.idempotency != Idempotency::SingleShot;
+        let attempts = call.attempts.len();
         let active = self.calls.len();
-        let pause = match &mut self.envoy {
-            None => (tries < TRIES).then_some(0),
-            Some((budget, _)) => budget.retry(tries, active, self.picker.share()),
+        let delay = match &mut self.envoy {
+            None => (attempts < MAX_ATTEMPTS).then_some(0),
+            Some((budget, _)) => budget.try_retry(attempts, active, self.selector.uniform()),
         };
-        match pause.filter(|_| again) {
-            Some(0) => self.try_call(now, id, actions),
-            Some(pause) => {
+        match delay.filter(|_| repeatable) {
+            Some(0) => self.start_attempt(now, id, actions),
+            Some(delay) => {
                 if let Some(call) = self.calls.get_mut(&id) {
-                    (call.waits, call.budgeted) = (true, self.envoy.is_some());
+                    (call.retry_pending, call.holds_budget) = (true, self.envoy.is_some());
                 }
-                self.later.insert((now + pause, id));
+                self.retries.insert((now + delay, id));
             }
             None => self.give_up(id, actions),
         }
     }
 
-    fn due(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        while let Some(&(at, id)) = self.later.first().filter(|(at, _)| *at <= now) {
-            self.later.remove(&(at, id));
-            if self.calls.get(&id).is_some_and(|call| call.waits) {
-                self.try_call(now, id, actions);
+    fn handle_timers(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        while let Some(&(at, id)) = self.retries.first().filter(|(at, _)| *at <= now) {
+            self.retries.remove(&(at, id));
+            if self.calls.get(&id).is_some_and(|call| call.retry_pending) {
+                self.start_attempt(now, id, actions);
             }
         }
-        let late: Vec<CallId> =
-            self.calls.iter().filter(|(_, c)| c.deadline <= now && !c.out()).map(|(&id, _)| id).collect();
-        late.into_iter().for_each(|id| self.give_up(id, actions));
+        let expired: Vec<CallId> = self
+            .calls
+            .iter()
+            .filter(|(_, c)| c.deadline <= now && !c.in_flight())
+            .map(|(&id, _)| id)
+            .collect();
+        expired.into_iter().for_each(|id| self.give_up(id, actions));
         if self.subscribe_at.is_some_and(|at| at <= now) {
             self.subscribe_at = None;
             actions.push(Action::Subscribe);
         }
     }
 
-    fn wake(&self, now: Micros, actions: &mut Vec<Action>) {
-        let later = self.later.first().map(|&(at, _)| at);
-        if let Some(at) = later.into_iter().chain(self.subscribe_at).min() {
+    fn set_timer(&self, now: Micros, actions: &mut Vec<Action>) {
+        let retry_at = self.retries.first().map(|&(at, _)| at);
+        if let Some(at) = retry_at.into_iter().chain(self.subscribe_at).min() {
             actions.push(Action::SetTimer { after: at.saturating_sub(now).max(1) });
         }
     }
 }
 
-impl Decide for Plain {
+impl LoadBalancer for BaselineBalancer {
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start if self.settings.pull_list => actions.push(Action::Subscribe),
             // Where the list is pushed, whoever carries this watches again by itself.
             Event::ServerList { kind: ListKind::Failed | ListKind::Silent, .. } => {
-                self.subscribe_at = self.settings.pull_list.then_some(now + ASK_AGAIN);
+                self.subscribe_at = self.settings.pull_list.then_some(now + RESUBSCRIBE_DELAY);
             }
             Event::ServerList { kind, entries } => {
                 if kind != ListKind::Delta {
-                    self.picker.clear();
+                    self.selector.clear();
                 }
                 for entry in entries {
-                    self.picker.list(entry.server, entry.state == ServerState::Ready);
+                    self.selector.set_listed(entry.server, entry.state == ServerState::Ready);
                 }
             }
             Event::Request { call, class, time_left, .. } => {
@@ -251,22 +260,22 @@
                     .classes
                     .get(class.0)
                     .map_or(Idempotency::SingleShot, |class| class.idempotency);
-                let call_of = Call {
+                let state = Call {
                     idempotency,
                     deadline: now + time_left,
                     attempts: Vec::new(),
-                    waits: false,
-                    budgeted: false,
+                    retry_pending: false,
+                    holds_budget: false,
                 };
-                self.calls.insert(call, call_of);
-                self.try_call(now, call, actions);
+                self.calls.insert(call, state);
+                self.start_attempt(now, call, actions);
             }
-            Event::Outcome { .. } => self.outcome(now, &event, actions),
+            Event::Outcome { .. } => self.handle_outcome(now, &event, actions),
             Event::Cancelled { call } => {
-                if let Some(gone) = self.forget(call) {
-                    for (attempt, (server, outcome)) in (0..).zip(gone.attempts) {
+                if let Some(cancelled) = self.remove(call) {
+                    for (attempt, (server, outcome)) in (0..).zip(cancelled.attempts) {
                         if outcome.is_none() {
-                            self.picker.forget(server);
+                            self.selector.attempt_cancelled(server);
                             actions.push(Action::Cancel { call, attempt });
                         }
                     }
@@ -274,8 +283,8 @@
             }
             _ => {}
         }
-        self.due(now, actions);
-        self.wake(now, actions);
+        self.handle_timers(now, actions);
+        self.set_timer(now, actions);
     }
 }
 
@@ -286,14 +295,14 @@
 
     const MS: Micros = 1_000;
 
-    struct Plays {
-        decide: Box<dyn Decide>,
+    struct Harness {
+        balancer: Box<dyn LoadBalancer>,
         now: Micros,
-        next: u64,
+        last_call: u64,
     }
 
-    impl Plays {
-        fn new(picks: BalancerKind, hosts: u32) -> Plays {
+    impl Harness {
+        fn new(kind: BalancerKind, hosts: u32) -> Harness {
             let class = |idempotency| Class {
                 latency_target: 500 * MS,
                 deadline: 2_000 * MS,
@@ -302,15 +311,15 @@
             };
             let classes = vec![class(Idempotency::Free), class(Idempotency::SingleShot)];
             let settings = Settings { classes, pull_list: true, ..Settings::default() };
-            let mut plays = Plays { decide: picks.make(3, settings), now: 0, next: 0 };
-            assert_eq!(plays.event(Event::Start)[0], Action::Subscribe);
-            plays.list(ListKind::Full, (1..=hosts).map(|id| (id, ServerState::Ready)));
-            plays
+            let mut harness = Harness { balancer: kind.build(3, settings), now: 0, last_call: 0 };
+            assert_eq!(harness.event(Event::Start)[0], Action::Subscribe);
+            harness.list(ListKind::Full, (1..=hosts).map(|id| (id, ServerState::Ready)));
+            harness
         }
 
         fn event(&mut self, event: Event) -> Vec<Action> {
             let mut actions = Vec::new();
-            self.decide.handle(self.now, event, &mut actions);
+            self.balancer.handle(self.now, event, &mut actions);
             actions
         }
 
@@ -319,11 +328,11 @@
             self.event(Event::ServerList { kind, entries: hosts.map(entry).collect() })
         }
 
-        fn ask(&mut self, class: usize) -> (CallId, Vec<Action>) {
-            self.next += 1;
-            let (call, class) = (CallId(self.next), ClassId(class));
-            let asked = Event::Request { call, class, tenant: None, time_left: 2_000 * MS, resent: false };
-            (call, self.event(asked))
+        fn request(&mut self, class: usize) -> (CallId, Vec<Action>) {
+            self.last_call += 1;
+            let (call, class) = (CallId(self.last_call), ClassId(class));
+            let request = Event::Request { call, class, tenant: None, time_left: 2_000 * MS, resent: false };
+            (call, self.event(request))
         }
 
         fn end(&mut self, call: CallId, attempt: u32, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
@@ -334,7 +343,7 @@
 
         /// A call that is served after so long; where it went.
         fn serve(&mut self, elapsed: impl Fn(u32) -> Micros) -> u32 {
-            let (call, actions) = self.ask(0);
+            let (call, actions) = self.request(0);
             let host = sent(&actions).expect("it is sent");
             self.now += 10 * MS;
             self.end(call, 0, Outcome::Served, elapsed(host));
@@ -357,7 +366,7 @@
         actions.iter().any(|action| matches!(action, Action::Fail { .. }))
     }
 
-    const PLAIN: [BalancerKind; 5] = [
+    const BASELINES: [BalancerKind; 5] = [
         BalancerKind::Random,
         BalancerKind::RoundRobin,
         BalancerKind::LeastOfTwo,
@@ -366,128 +375,129 @@
     ];
 
     #[test]
-    fn calls_go_to_ready_hosts_alone() {
-        for picks in PLAIN {
-            let mut plays = Plays::new(picks, 4);
-            plays.list(ListKind::Delta, [(2, ServerState::Draining), (3, ServerState::Removed)].into_iter());
+    fn calls_go_only_to_ready_hosts() {
+        for kind in BASELINES {
+            let mut harness = Harness::new(kind, 4);
+            harness
+                .list(ListKind::Delta, [(2, ServerState::Draining), (3, ServerState::Removed)].into_iter());
             let mut counts = [0; 5];
-            (0..400).for_each(|_| counts[plays.serve(|_| 5 * MS) as usize] += 1);
+            (0..400).for_each(|_| counts[harness.serve(|_| 5 * MS) as usize] += 1);
             assert!(
                 counts[2] == 0 && counts[3] == 0 && counts[1] > 100 && counts[4] > 100,
-                "{picks:?} {counts:?}"
+                "{kind:?} {counts:?}"
             );
             // A whole list without them takes the others away, too.
-            plays.list(ListKind::Full, [(3, ServerState::Ready)].into_iter());
-            assert_eq!(plays.serve(|_| MS), 3, "{picks:?}");
-            plays.list(ListKind::Full, std::iter::empty());
-            assert!(refused(&plays.ask(1).1), "{picks:?}");
+            harness.list(ListKind::Full, [(3, ServerState::Ready)].into_iter());
+            assert_eq!(harness.serve(|_| MS), 3, "{kind:?}");
+            harness.list(ListKind::Full, std::iter::empty());
+            assert!(refused(&harness.request(1).1), "{kind:?}");
         }
     }
 
     #[test]
-    fn one_after_the_other_is_just_that() {
-        let mut plays = Plays::new(BalancerKind::RoundRobin, 3);
-        let first: Vec<u32> = (0..3).map(|_| plays.serve(|_| MS)).collect();
-        let next: Vec<u32> = (0..3).map(|_| plays.serve(|_| MS)).collect();
+    fn round_robin_uses_the_hosts_in_rotation() {
+        let mut harness = Harness::new(BalancerKind::RoundRobin, 3);
+        let first: Vec<u32> = (0..3).map(|_| harness.serve(|_| MS)).collect();
+        let next: Vec<u32> = (0..3).map(|_| harness.serve(|_| MS)).collect();
         assert_eq!(first, next);
         assert_eq!(first.iter().sum::<u32>(), 6);
     }
 
     #[test]
-    fn the_one_with_fewer_out_is_taken_and_a_slow_one_left_by_its_times() {
+    fn least_of_two_avoids_a_silent_host_and_peak_ewma_a_slow_one() {
         // Host 1 never answers: what is out there counts against it.
-        for (picks, most) in [(BalancerKind::LeastOfTwo, 8), (BalancerKind::Random, 200)] {
-            let mut plays = Plays::new(picks, 4);
-            let mut out = 0;
+        for (kind, most) in [(BalancerKind::LeastOfTwo, 8), (BalancerKind::Random, 200)] {
+            let mut harness = Harness::new(kind, 4);
+            let mut unanswered = 0;
             for _ in 0..400 {
-                let (call, actions) = plays.ask(0);
+                let (call, actions) = harness.request(0);
                 match sent(&actions) {
-                    Some(1) => out += 1,
-                    _ => drop(plays.end(call, 0, Outcome::Served, MS)),
+                    Some(1) => unanswered += 1,
+                    _ => drop(harness.end(call, 0, Outcome::Served, MS)),
                 }
             }
-            assert!((1..=most).contains(&out), "{picks:?}: {out}");
+            assert!((1..=most).contains(&unanswered), "{kind:?}: {unanswered}");
         }
         let slow = |host: u32| if host == 1 { 400 * MS } else { 4 * MS };
-        let counts = [BalancerKind::PeakEwma, BalancerKind::LeastOfTwo].map(|picks| {
-            let mut plays = Plays::new(picks, 4);
-            (0..400).filter(|_| plays.serve(slow) == 1).count()
+        let counts = [BalancerKind::PeakEwma, BalancerKind::LeastOfTwo].map(|kind| {
+            let mut harness = Harness::new(kind, 4);
+            (0..400).filter(|_| harness.serve(slow) == 1).count()
         });
         assert!(counts[0] < 10 && counts[1] > 60, "{counts:?}");
     }
 
     #[test]
-    fn what_never_ran_is_repeated_elsewhere_and_refused_in_the_end() {
-        for picks in PLAIN {
+    fn calls_that_never_ran_are_retried_on_other_hosts_then_refused() {
+        for kind in BASELINES {
             for class in [0, 1] {
-                let mut plays = Plays::new(picks, 4);
-                let (call, actions) = plays.ask(class);
+                let mut harness = Harness::new(kind, 4);
+                let (call, actions) = harness.request(class);
                 let (mut tried, mut attempt) = (vec![sent(&actions).expect("it is sent")], 0);
                 let last = loop {
-                    let mut actions = plays.end(call, attempt, Outcome::TurnedAway, MS);
+                    let mut actions = harness.end(call, attempt, Outcome::TurnedAway, MS);
                     // As Envoy there is a pause first.
-                    plays.now += 300 * MS;
-                    actions.extend(plays.event(Event::Timer));
+                    harness.now += 300 * MS;
+                    actions.extend(harness.event(Event::Timer));
                     let Some(host) = sent(&actions) else { break actions };
                     tried.push(host);
                     attempt += 1;
                 };
-                assert!(refused(&last) && !failed(&last), "{picks:?} {class}");
-                let tries = if picks == BalancerKind::Envoy { 2 } else { TRIES };
-                assert_eq!(tried.len(), tries, "{picks:?}");
+                assert!(refused(&last) && !failed(&last), "{kind:?} {class}");
+                let attempts = if kind == BalancerKind::Envoy { 2 } else { MAX_ATTEMPTS };
+                assert_eq!(tried.len(), attempts, "{kind:?}");
                 tried.sort_unstable();
                 tried.dedup();
-                assert_eq!(tried.len(), tries, "{picks:?}: another host each time");
+                assert_eq!(tried.len(), attempts, "{kind:?}: another host each time");
             }
         }
     }
 
     #[test]
-    fn what_may_have_run_is_repeated_only_where_its_class_lets_it() {
-        for picks in PLAIN {
+    fn calls_that_may_have_run_are_retried_only_if_their_class_allows_it() {
+        for kind in BASELINES {
             for outcome in [Outcome::Reset, Outcome::Error, Outcome::TimedOut, Outcome::Stale] {
-                let mut plays = Plays::new(picks, 4);
-                let (call, _) = plays.ask(1);
-                let actions = plays.end(call, 0, outcome, MS);
-                assert!(failed(&actions) && sent(&actions).is_none(), "{picks:?} {outcome:?}");
-                let (call, _) = plays.ask(0);
-                let mut actions = plays.end(call, 0, outcome, MS);
-                plays.now += 300 * MS;
-                actions.extend(plays.event(Event::Timer));
-                assert!(sent(&actions).is_some() && !failed(&actions), "{picks:?} {outcome:?}");
+                let mut harness = Harness::new(kind, 4);
+                let (call, _) = harness.request(1);
+                let actions = harness.end(call, 0, outcome, MS);
+                assert!(failed(&actions) && sent(&actions).is_none(), "{kind:?} {outcome:?}");
+                let (call, _) = harness.request(0);
+                let mut actions = harness.end(call, 0, outcome, MS);
+                harness.now += 300 * MS;
+                actions.extend(harness.event(Event::Timer));
+                assert!(sent(&actions).is_some() && !failed(&actions), "{kind:?} {outcome:?}");
             }
         }
     }
 
     #[test]
-    fn a_client_that_leaves_takes_its_attempts_along_and_a_watch_that_fails_is_asked_for_again() {
-        for picks in PLAIN {
-            let mut plays = Plays::new(picks, 2);
-            let (call, _) = plays.ask(0);
-            let actions = plays.event(Event::Cancelled { call });
-            assert!(actions.contains(&Action::Cancel { call, attempt: 0 }), "{picks:?} {actions:?}");
-            let actions = plays.list(ListKind::Failed, std::iter::empty());
-            assert!(actions.iter().any(|action| matches!(action, Action::SetTimer { .. })), "{picks:?}");
-            plays.now += ASK_AGAIN;
-            assert!(plays.event(Event::Timer).contains(&Action::Subscribe), "{picks:?}");
-            assert!(!plays.event(Event::Timer).contains(&Action::Subscribe), "{picks:?}: once");
+    fn cancelled_calls_cancel_their_attempts_and_a_failed_watch_is_reopened() {
+        for kind in BASELINES {
+            let mut harness = Harness::new(kind, 2);
+            let (call, _) = harness.request(0);
+            let actions = harness.event(Event::Cancelled { call });
+            assert!(actions.contains(&Action::Cancel { call, attempt: 0 }), "{kind:?} {actions:?}");
+            let actions = harness.list(ListKind::Failed, std::iter::empty());
+            assert!(actions.iter().any(|action| matches!(action, Action::SetTimer { .. })), "{kind:?}");
+            harness.now += RESUBSCRIBE_DELAY;
+            assert!(harness.event(Event::Timer).contains(&Action::Subscribe), "{kind:?}");
+            assert!(!harness.event(Event::Timer).contains(&Action::Subscribe), "{kind:?}: once");
         }
     }
 
     /// Retries whose clients leave, or whose time is up meanwhile, give their places in the budget back.
     #[test]
-    fn the_retry_budget_is_whole_again_when_its_calls_are_over() {
-        let mut plays = Plays::new(BalancerKind::Envoy, 4);
+    fn the_retry_budget_is_restored_when_its_calls_end() {
+        let mut harness = Harness::new(BalancerKind::Envoy, 4);
         for round in 0..200 {
-            let (call, _) = plays.ask(0);
-            plays.end(call, 0, Outcome::Reset, MS);
-            plays.now += 300 * MS;
-            let actions = plays.event(Event::Timer);
+            let (call, _) = harness.request(0);
+            harness.end(call, 0, Outcome::Reset, MS);
+            harness.now += 300 * MS;
+            let actions = harness.event(Event::Timer);
             assert!(sent(&actions).is_some(), "{round}: a retry is granted");
             match round % 3 {
-                0 => drop(plays.event(Event::Cancelled { call })),
-                1 => drop(plays.end(call, 1, Outcome::Served, MS)),
-                _ => drop(plays.end(call, 1, Outcome::Reset, MS)),
+                0 => drop(harness.event(Event::Cancelled { call })),
+                1 => drop(harness.end(call, 1, Outcome::Served, MS)),
+                _ => drop(harness.end(call, 1, Outcome::Reset, MS)),
             }
         }
     }
--- a/lab/src/cluster.rs
+++ b/lab/src/cluster.rs
@@ -8,25 +8,25 @@
 use std::net::SocketAddr;
 
 /// The wall clock at the start: some day, in milliseconds since 1970.
-const WALL: u64 = 1_700_000_000_000;
+const START_UNIX_MS: u64 = 1_700_000_000_000;
 /// One hears at this port, at an address of its own.
 const PORT: u16 = 7_000;
 /// Bytes that a datagram takes beside its message: version, MAC, session and counter.
-const HEAD: u64 = 37;
+const DATAGRAM_OVERHEAD: u64 = 37;
 
 /// A crowd of members.
 #[derive(Clone)]
 pub struct Cluster {
     nodes: Vec<Node>,
     config: Config,
-    queue: Queue<Ev>,
+    queue: Queue<ClusterEvent>,
     /// The present moment.
     pub now: Micros,
     /// What the network does.
     pub network: Network,
     /// Which part each is in: nothing passes between two parts.
-    parts: Vec<u8>,
-    draw: Draw,
+    partitions: Vec<u8>,
+    random: Draw,
     /// What was told, by whom, when.
     pub events: Vec<(Micros, usize, News)>,
     /// Datagrams that were sent, and their bytes by the core's own bound.
@@ -53,13 +53,13 @@
     members: Members,
     up: bool,
     /// The wake that counts; one that was asked for before does not.
-    wake: u64,
-    wakes_at: Option<Micros>,
+    timer: u64,
+    timer_at: Option<Micros>,
 }
 
 #[derive(Clone)]
-enum Ev {
-    Wake { node: usize, wake: u64 },
+enum ClusterEvent {
+    Timer { node: usize, timer: u64 },
     Arrive { to: usize, from: usize, message: Box<Message> },
     Start { node: usize },
 }
@@ -87,42 +87,42 @@
     ///
     /// The bounds are no good, or they do not agree within five minutes.
     pub fn converged(count: usize, seed: u64, config: &Config) -> Result<Cluster, String> {
-        let mut crowd = Cluster {
+        let mut cluster = Cluster {
             nodes: Vec::with_capacity(count),
             config: config.clone(),
             queue: Queue::default(),
             now: 0,
             network: Network::default(),
-            parts: vec![0; count],
-            draw: Draw::new(seed, "crowd", count as u64, 0),
+            partitions: vec![0; count],
+            random: Draw::new(seed, "crowd", count as u64, 0),
             events: Vec::new(),
             sent: (0, 0),
         };
         for node in 0..count {
-            let members = crowd.born(node, config)?;
-            crowd.nodes.push(Node { members, up: false, wake: 0, wakes_at: None });
-            let at = crowd.draw.below(1_000_000) as Micros;
-            crowd.queue.put(at, Ev::Start { node });
+            let members = cluster.new_member(node, config)?;
+            cluster.nodes.push(Node { members, up: false, timer: 0, timer_at: None });
+            let at = cluster.random.below(1_000_000) as Micros;
+            cluster.queue.put(at, ClusterEvent::Start { node });
         }
-        let whole = |crowd: &Cluster| {
-            crowd.has_converged() && crowd.nodes[0].members.view(crowd.now).members.len() == count
+        let whole = |cluster: &Cluster| {
+            cluster.has_converged() && cluster.nodes[0].members.view(cluster.now).members.len() == count
         };
-        match crowd.run_until(300_000_000, whole) {
-            Some(_) => Ok(crowd),
+        match cluster.run_until(300_000_000, whole) {
+            Some(_) => Ok(cluster),
             None => Err(format!("{count} members do not agree within five minutes")),
         }
     }
 
-    fn born(&mut self, node: usize, config: &Config) -> Result<Members, String> {
+    fn new_member(&mut self, node: usize, config: &Config) -> Result<Members, String> {
         let seeds = (0..3).map(address).collect();
-        let seed = self.draw.below(usize::MAX >> 12) as u64;
-        let wall = WALL + self.now / 1_000;
-        Members::new(config.clone(), name(node), Card::at(address(node)), seeds, seed, self.now, wall)
+        let seed = self.random.below(usize::MAX >> 12) as u64;
+        let unix_ms = START_UNIX_MS + self.now / 1_000;
+        Members::new(config.clone(), name(node), Card::at(address(node)), seeds, seed, self.now, unix_ms)
     }
 
     /// Another course from here on: what the network draws is drawn anew.
     pub fn reseed(&mut self, seed: u64) {
-        self.draw = Draw::new(seed, "crowd goes on", self.nodes.len() as u64, self.now);
+        self.random = Draw::new(seed, "crowd goes on", self.nodes.len() as u64, self.now);
     }
 
     /// How many there are, those that are down among them.
@@ -136,8 +136,8 @@
     }
 
     /// Parts from now on: nothing passes between two that are in different ones.
-    pub fn partition(&mut self, part: impl Fn(usize) -> u8) {
-        self.parts = (0..self.nodes.len()).map(part).collect();
+    pub fn partition(&mut self, partition_of: impl Fn(usize) -> u8) {
+        self.partitions = (0..self.nodes.len()).map(partition_of).collect();
     }
 
     /// Whether the lists of all that run are equal.
@@ -149,9 +149,9 @@
 
     /// Whether all that run take this one to be so.
     pub fn all_report(&self, node: usize, condition: Condition) -> bool {
-        let whom = name(node);
-        let others = self.nodes.iter().enumerate().filter(|(other, at)| *other != node && at.up);
-        others.map(|(_, at)| at.members.condition(&whom)).all(|seen| seen == Some(condition))
+        let name = name(node);
+        let others = self.nodes.iter().enumerate().filter(|(index, other)| *index != node && other.up);
+        others.map(|(_, other)| other.members.condition(&name)).all(|reported| reported == Some(condition))
     }
 
     /// A member.
@@ -160,9 +160,9 @@
     }
 
     /// How many news of a kind were told from a moment on of members that do not pass.
-    pub fn events_since(&self, at: Micros, what: What, but: impl Fn(&Name) -> bool) -> usize {
-        let news = self.events.iter().filter(|(when, _, news)| *when >= at && news.what == what);
-        news.filter(|(_, _, news)| !but(&news.name)).count()
+    pub fn events_since(&self, at: Micros, kind: What, except: impl Fn(&Name) -> bool) -> usize {
+        let events = self.events.iter().filter(|(when, _, event)| *when >= at && event.what == kind);
+        events.filter(|(_, _, event)| !except(&event.name)).count()
     }
 
     /// Goes on for so long.
@@ -170,81 +170,81 @@
         let until = self.now + time;
         while let Some((at, event)) = self.queue.take(until) {
             self.now = at;
-            self.play(event);
+            self.handle(event);
         }
         self.now = until;
     }
 
     /// Goes on until a condition holds, looked at ten times a second; how long it took, or `None` if it did not in that time.
     pub fn run_until(&mut self, time: Micros, holds: impl Fn(&Cluster) -> bool) -> Option<Micros> {
-        let began = self.now;
-        while self.now < began + time {
+        let started_at = self.now;
+        while self.now < started_at + time {
             if holds(self) {
-                return Some(self.now - began);
+                return Some(self.now - started_at);
             }
             self.run(100_000);
         }
-        holds(self).then_some(self.now - began)
+        holds(self).then_some(self.now - started_at)
     }
 
-    fn play(&mut self, event: Ev) {
-        let mut out = Vec::new();
+    fn handle(&mut self, event: ClusterEvent) {
+        let mut actions = Vec::new();
         let now = self.now;
         let node = match event {
-            Ev::Start { node } => {
+            ClusterEvent::Start { node } => {
                 // It lives from here on. The bounds were good for the one that holds its place.
-                if let Ok(members) = self.born(node, &self.config.clone()) {
+                if let Ok(members) = self.new_member(node, &self.config.clone()) {
                     self.nodes[node].members = members;
                 }
                 self.nodes[node].up = true;
                 node
             }
-            Ev::Wake { node, wake } => {
-                let at = &mut self.nodes[node];
-                if !at.up || at.wake != wake {
+            ClusterEvent::Timer { node, timer } => {
+                let state = &mut self.nodes[node];
+                if !state.up || state.timer != timer {
                     return;
                 }
-                at.wakes_at = None;
-                at.members.wake(now, &mut out);
+                state.timer_at = None;
+                state.members.wake(now, &mut actions);
                 node
             }
-            Ev::Arrive { to, from, message } => {
+            ClusterEvent::Arrive { to, from, message } => {
                 // One that was on its way when the parts were cut is lost as well.
-                if !self.nodes[to].up || self.parts[to] != self.parts[from] {
+                if !self.nodes[to].up || self.partitions[to] != self.partitions[from] {
                     return;
                 }
-                self.nodes[to].members.hear(now, *message, &mut out);
+                self.nodes[to].members.hear(now, *message, &mut actions);
                 to
             }
         };
-        for out in out {
-            match out {
-                Out::Tell(news) => self.events.push((now, node, news)),
+        for action in actions {
+            match action {
+                Out::Tell(event) => self.events.push((now, node, event)),
                 Out::Send { to, message } => self.send(node, node_at(to), message),
             }
         }
-        let at = &mut self.nodes[node];
-        let wakes_at = at.members.wakes_at().map(|wakes_at| wakes_at.max(now));
-        if at.up && wakes_at != at.wakes_at.filter(|_| at.wake > 0) {
-            at.wake += 1;
-            at.wakes_at = wakes_at;
-            if let Some(wakes_at) = wakes_at {
-                self.queue.put(wakes_at, Ev::Wake { node, wake: at.wake });
+        let state = &mut self.nodes[node];
+        let timer_at = state.members.wakes_at().map(|timeout| timeout.max(now));
+        if state.up && timer_at != state.timer_at.filter(|_| state.timer > 0) {
+            state.timer += 1;
+            state.timer_at = timer_at;
+            if let Some(timer_at) = timer_at {
+                self.queue.put(timer_at, ClusterEvent::Timer { node, timer: state.timer });
             }
         }
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         self.sent.0 += 1;
-        self.sent.1 += message.size_most() as u64 + HEAD;
+        self.sent.1 += message.size_most() as u64 + DATAGRAM_OVERHEAD;
         if to >= self.nodes.len()
-            || self.parts[from] != self.parts[to]
-            || self.draw.happens(self.network.loss)
+            || self.partitions[from] != self.partitions[to]
+            || self.random.happens(self.network.loss)
         {
             return;
         }
-        let (least, most) = self.network.delay;
-        let delay = least + self.draw.below((most - least) as usize + 1) as Micros;
-        self.queue.put(self.now + delay, Ev::Arrive { to, from, message: Box::new(message) });
+        let (min, max) = self.network.delay;
+        let delay = min + self.random.below((max - min) as usize + 1) as Micros;
+        self.queue.put(self.now + delay, ClusterEvent::Arrive { to, from, message: Box::new(message) });
     }
 }
--- a/lab/src/compare.rs
+++ b/lab/src/compare.rs
@@ -12,39 +12,44 @@
 
 /// Median, least and most.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Spread {
+pub struct Summary {
     /// The middle one.
     pub median: f64,
     /// The least.
-    pub least: f64,
+    #[serde(rename = "least")]
+    pub min: f64,
     /// The most.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
-impl Spread {
+impl Summary {
     /// Of some values.
-    pub fn of(mut values: Vec<f64>) -> Spread {
+    pub fn new(mut values: Vec<f64>) -> Summary {
         values.sort_unstable_by(f64::total_cmp);
-        let at = |place: usize| values.get(place).copied().unwrap_or(f64::NAN);
-        Spread { median: at(values.len() / 2), least: at(0), most: at(values.len().saturating_sub(1)) }
+        let value = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
+        Summary { median: value(values.len() / 2), min: value(0), max: value(values.len().saturating_sub(1)) }
     }
 }
 
 /// One of those compared, on one scenario.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
+pub struct ComparisonRow {
     /// The scenario.
     pub scenario: String,
     /// Who decides.
-    pub picks: BalancerKind,
+    #[serde(rename = "picks")]
+    pub balancer: BalancerKind,
     /// Share of the worth that was served.
-    pub served: Spread,
+    pub served: Summary,
     /// 99th percentile of served answers, in milliseconds.
-    pub p99_ms: Spread,
+    pub p99_ms: Summary,
     /// Attempts for each thing that was wanted.
-    pub sends: Spread,
+    #[serde(rename = "sends")]
+    pub attempts: Summary,
     /// Broken rules, over all seeds; at most 1,000 are noted of a run.
-    pub broken: BTreeMap<Rule, usize>,
+    #[serde(rename = "broken")]
+    pub violations: BTreeMap<Rule, usize>,
 }
 
 /// Plays each scenario under each seed and each of those compared. `done` hears of each run.
@@ -55,66 +60,69 @@
 pub fn compare(
     scenarios: &[Scenario],
     seeds: &RangeInclusive<u64>,
-    picks: &[BalancerKind],
-    done: impl Fn() + Sync,
-) -> Result<Vec<Line>, String> {
+    balancers: &[BalancerKind],
+    on_run_done: impl Fn() + Sync,
+) -> Result<Vec<ComparisonRow>, String> {
     let limits = Limits { stops: false, ..Limits::default() };
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for scenario in scenarios {
-        for &picks in picks {
+        for &balancer in balancers {
             let runs: Vec<_> = seeds
                 .clone()
                 .into_par_iter()
                 .map(|seed| {
-                    let outcome = play_with(scenario, seed, Depth::Fleet, &limits, picks, None);
-                    done();
+                    let outcome = play_with(scenario, seed, Depth::Fleet, &limits, balancer, None);
+                    on_run_done();
                     outcome.map(|outcome| {
                         let all = &outcome.tally.all;
-                        let mut broken = BTreeMap::<Rule, usize>::new();
-                        outcome.breaks.iter().for_each(|at| *broken.entry(at.rule).or_default() += 1);
-                        let sends = outcome.tally.sent as f64 / all.wanted.max(1) as f64;
-                        (all.served(), all.ms(99.0), sends, broken)
+                        let mut violations = BTreeMap::<Rule, usize>::new();
+                        outcome
+                            .breaks
+                            .iter()
+                            .for_each(|violation| *violations.entry(violation.rule).or_default() += 1);
+                        let attempts = outcome.tally.sent as f64 / all.wanted.max(1) as f64;
+                        (all.served(), all.ms(99.0), attempts, violations)
                     })
                 })
                 .collect::<Result<_, _>>()?;
-            let mut broken = BTreeMap::<Rule, usize>::new();
-            for (rule, count) in runs.iter().flat_map(|(.., broken)| broken) {
-                *broken.entry(*rule).or_default() += count;
+            let mut violations = BTreeMap::<Rule, usize>::new();
+            for (rule, count) in runs.iter().flat_map(|(.., of_run)| of_run) {
+                *violations.entry(*rule).or_default() += count;
             }
-            lines.push(Line {
+            rows.push(ComparisonRow {
                 scenario: scenario.name.clone(),
-                picks,
-                served: Spread::of(runs.iter().map(|run| run.0).collect()),
-                p99_ms: Spread::of(runs.iter().map(|run| run.1).collect()),
-                sends: Spread::of(runs.iter().map(|run| run.2).collect()),
-                broken,
+                balancer,
+                served: Summary::new(runs.iter().map(|run| run.0).collect()),
+                p99_ms: Summary::new(runs.iter().map(|run| run.1).collect()),
+                attempts: Summary::new(runs.iter().map(|run| run.2).collect()),
+                violations,
             });
         }
     }
-    Ok(lines)
+    Ok(rows)
 }
 
 /// The lines as a table of Markdown: share of worth served, and below it the 99th percentile and broken rules.
-pub fn table(lines: &[Line]) -> String {
+pub fn table(rows: &[ComparisonRow]) -> String {
     let mut text = String::from("| scenario | who | served | p99 ms | sends | broken: 1, 2, 3, 4 |\n");
     text += "| --- | --- | --- | --- | --- | --- |\n";
-    for line in lines {
+    for row in rows {
         let rules = [Rule::OneAnswer, Rule::NoEffectTwice, Rule::NothingToTheGone, Rule::ColdHostStands];
-        let broken =
-            rules.map(|rule| line.broken.get(&rule).copied().unwrap_or_default().to_string()).join(", ");
-        let Line { served, p99_ms, sends, .. } = line;
+        let violations =
+            rules.map(|rule| row.violations.get(&rule).copied().unwrap_or_default().to_string()).join(", ");
+        let ComparisonRow { served, p99_ms, attempts, .. } = row;
         let _ = writeln!(
             text,
-            "| {} | {} | {:.3} ({:.3} to {:.3}) | {:.0} ({:.0} to {:.0}) | {:.2} | {broken} |",
-            line.scenario,
-            line.picks.name(),
+            "| {} | {} | {:.3} ({:.3} to {:.3}) | {:.0} ({:.0} to {:.0}) | {:.2} | {violations} |",
+            row.scenario,
+            row.balancer.name(),
             served.median,
-            served.least,
-            served.most,
+            served.min,
+            served.max,
             p99_ms.median,
-            p99_ms.least,
-            p99_ms.most,
-            sends.median,
+            p99_ms.min,
+            p99_ms.max,
+            attempts.median,
         );
     }
     text
--- a/lab/src/explore.rs
+++ b/lab/src/explore.rs
@@ -13,18 +13,19 @@
 /// A break, with all that plays it again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Found {
+pub struct Counterexample {
     /// The seed.
     pub seed: u64,
     /// The depth.
     pub depth: Depth,
     /// Which rule, and what happened.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// The settled scenario.
     pub scenario: Scenario,
 }
 
-impl Found {
+impl Counterexample {
     /// Its text, as a file.
     pub fn text(&self) -> String {
         toml::to_string(self).unwrap_or_default()
@@ -35,10 +36,10 @@
     /// # Errors
     ///
     /// A file that is none, or whose scenario cannot be played.
-    pub fn parse(text: &str) -> Result<Found, String> {
-        let found: Found = toml::from_str(text).map_err(|error| error.to_string())?;
-        found.scenario.check().map_err(|error| format!("scenario.{error}"))?;
-        Ok(found)
+    pub fn parse(text: &str) -> Result<Counterexample, String> {
+        let counterexample: Counterexample = toml::from_str(text).map_err(|error| error.to_string())?;
+        counterexample.scenario.check().map_err(|error| format!("scenario.{error}"))?;
+        Ok(counterexample)
     }
 }
 
@@ -63,9 +64,9 @@
     seeds: RangeInclusive<u64>,
     depth: Depth,
     limits: &Limits,
-    done: impl Fn() + Sync,
+    on_run_done: impl Fn() + Sync,
 ) -> Sweep {
-    let each: Vec<_> = seeds
+    let runs: Vec<_> = seeds
         .into_par_iter()
         .map(|seed| {
             let outcome = play(scenario, seed, depth, limits).map(|mut outcome| {
@@ -75,17 +76,17 @@
                     (!outcome.breaks.is_empty()).then(|| outcome.breaks.swap_remove(0)),
                 )
             });
-            done();
+            on_run_done();
             (seed, outcome)
         })
         .collect();
-    let mut sweep = Sweep { seeds: each.len(), ..Sweep::default() };
-    for (seed, outcome) in each {
+    let mut sweep = Sweep { seeds: runs.len(), ..Sweep::default() };
+    for (seed, outcome) in runs {
         match outcome {
-            Ok((hash, ended, broken)) => {
+            Ok((hash, ended, violation)) => {
                 sweep.hashes.insert(seed, hash);
                 sweep.virtual_seconds += ended as f64 / 1e6;
-                broken.into_iter().for_each(|broken| drop(sweep.violations.insert(seed, broken)));
+                violation.into_iter().for_each(|violation| drop(sweep.violations.insert(seed, violation)));
             }
             Err(reason) => drop(sweep.failed.insert(seed, reason)),
         }
@@ -97,56 +98,56 @@
 #[derive(Clone, Debug)]
 pub struct Shrunk {
     /// The smaller one.
-    pub found: Found,
+    pub counterexample: Counterexample,
     /// Its break.
-    pub broken: Break,
+    pub violation: Break,
     /// Runs that this took.
     pub runs: usize,
 }
 
 /// Most runs that making one break small may take.
-const RUNS_MOST: usize = 400;
+const MAX_SHRINK_RUNS: usize = 400;
 
 /// Makes a break small. `None`: the scenario does not break this rule under this seed.
 pub fn shrink(scenario: &Scenario, seed: u64, depth: Depth, rule: Rule, limits: &Limits) -> Option<Shrunk> {
-    let mut shrinker = Shrinker { seed, depth, rule, limits: *limits, runs: 0 };
+    let mut shrinker = Shrinker { seed, depth, invariant: rule, limits: *limits, runs: 0 };
     let mut best = settle(scenario, seed);
-    let mut broken = shrinker.breaks(&best)?;
+    let mut violation = shrinker.find_violation(&best)?;
     loop {
         let before = size(&best);
-        for next in smaller(&best, &broken) {
-            if let Some(again) = shrinker.breaks(&next) {
-                (best, broken) = (next, again);
+        for next in smaller(&best, &violation) {
+            if let Some(next_violation) = shrinker.find_violation(&next) {
+                (best, violation) = (next, next_violation);
                 break;
             }
-            if shrinker.runs >= RUNS_MOST {
+            if shrinker.runs >= MAX_SHRINK_RUNS {
                 break;
             }
         }
-        if size(&best) == before || shrinker.runs >= RUNS_MOST {
+        if size(&best) == before || shrinker.runs >= MAX_SHRINK_RUNS {
             break;
         }
     }
     best.name = format!("{}, shrunk", scenario.name);
-    let found = Found { seed, depth, what: broken.to_string(), scenario: best };
-    Some(Shrunk { found, broken, runs: shrinker.runs })
+    let counterexample = Counterexample { seed, depth, description: violation.to_string(), scenario: best };
+    Some(Shrunk { counterexample, violation, runs: shrinker.runs })
 }
 
 struct Shrinker {
     seed: u64,
     depth: Depth,
-    rule: Rule,
+    invariant: Rule,
     limits: Limits,
     runs: usize,
 }
 
 impl Shrinker {
     /// The break of the same rule, if it is still there.
-    fn breaks(&mut self, scenario: &Scenario) -> Option<Break> {
+    fn find_violation(&mut self, scenario: &Scenario) -> Option<Break> {
         scenario.check().ok()?;
         self.runs += 1;
         let outcome = play(scenario, self.seed, self.depth, &Limits { tells: false, ..self.limits }).ok()?;
-        outcome.breaks.into_iter().find(|broken| broken.rule == self.rule)
+        outcome.breaks.into_iter().find(|violation| violation.rule == self.invariant)
     }
 }
 
@@ -164,9 +165,9 @@
 }
 
 /// Scenarios that are smaller in one way each, those that take the most away first.
-fn smaller(scenario: &Scenario, broken: &Break) -> Vec<Scenario> {
+fn smaller(scenario: &Scenario, violation: &Break) -> Vec<Scenario> {
     let mut all = Vec::new();
-    let mut with = |change: &dyn Fn(&mut Scenario)| {
+    let mut add = |change: &dyn Fn(&mut Scenario)| {
         let mut next = scenario.clone();
         change(&mut next);
         next.warm_up = next.warm_up.min(next.seconds);
@@ -176,49 +177,49 @@
         }
     };
     // Nothing is asked after the break.
-    let upto = ((broken.at as f64 / 1e6 + 0.05) * 1e3).ceil() / 1e3;
-    with(&|next| {
-        next.seconds = next.seconds.min(upto);
+    let end = ((violation.at as f64 / 1e6 + 0.05) * 1e3).ceil() / 1e3;
+    add(&|next| {
+        next.seconds = next.seconds.min(end);
         next.faults.retain(|fault| fault.at <= Some(next.seconds));
     });
     let count = scenario.faults.len();
-    let mut part = count;
-    while part > 0 {
-        for from in (0..count).step_by(part) {
-            with(&|next| drop(next.faults.drain(from..(from + part).min(count))));
+    let mut batch = count;
+    while batch > 0 {
+        for start in (0..count).step_by(batch) {
+            add(&|next| drop(next.faults.drain(start..(start + batch).min(count))));
         }
-        part /= 2;
+        batch /= 2;
     }
-    for by in [4, 2] {
-        with(&|next| {
-            let proxies = (next.load.proxies / by).max(1);
+    for divisor in [4, 2] {
+        add(&|next| {
+            let proxies = (next.load.proxies / divisor).max(1);
             next.load.rate *= proxies as f64 / next.load.proxies as f64;
             next.load.proxies = proxies;
-            next.faults.iter_mut().for_each(|fault| keep(&mut fault.proxies, proxies));
+            next.faults.iter_mut().for_each(|fault| limit_targets(&mut fault.proxies, proxies));
         });
-        with(&|next| {
-            next.fleet.hosts = (next.fleet.hosts / by).max(1);
+        add(&|next| {
+            next.fleet.hosts = (next.fleet.hosts / divisor).max(1);
             next.fleet.pods = next.fleet.pods.min(next.fleet.hosts);
             next.fleet.zones = next.fleet.zones.min(next.fleet.pods);
             next.fleet.spares = 0;
             let hosts = next.fleet.hosts;
-            next.faults.iter_mut().for_each(|fault| keep(&mut fault.hosts, hosts));
+            next.faults.iter_mut().for_each(|fault| limit_targets(&mut fault.hosts, hosts));
         });
-        with(&|next| next.load.rate = (next.load.rate / by as f64).max(1.0));
+        add(&|next| next.load.rate = (next.load.rate / divisor as f64).max(1.0));
     }
     for number in 0..count {
-        with(&|next| next.faults[number].lasts = (next.faults[number].lasts / 2.0).max(0.05));
+        add(&|next| next.faults[number].lasts = (next.faults[number].lasts / 2.0).max(0.05));
     }
-    with(&|next| next.seconds = (next.seconds * 0.9 * 1e3).ceil() / 1e3);
+    add(&|next| next.seconds = (next.seconds * 0.9 * 1e3).ceil() / 1e3);
     all
 }
 
 /// Leaves those below a number; one at the least.
-fn keep(which: &mut Which, below: usize) {
-    if let Which::These(these) = which {
-        these.retain(|&one| one < below);
-        if these.is_empty() {
-            these.push(0);
+fn limit_targets(targets: &mut Which, count: usize) {
+    if let Which::These(indices) = targets {
+        indices.retain(|&index| index < count);
+        if indices.is_empty() {
+            indices.push(0);
         }
     }
 }
--- a/lab/src/fleet/exchange.rs
+++ b/lab/src/fleet/exchange.rs
@@ -1,7 +1,7 @@
 //! Exchanges in fleet depth: an attempt on a connection that is modelled, from its decision to its outcome.
 
-use super::proxy::Kept;
-use super::{Ev, FleetSimulation};
+use super::proxy::IdleConnection;
+use super::{FleetEvent, FleetSimulation};
 use crate::draw::Draw;
 use crate::log::Of;
 use crate::model::host::{Ends, Up};
@@ -11,13 +11,13 @@
 use policy::{CallId, Load, Outcome};
 
 /// What is held back by a cut way looks again after this, as its sender would send it again.
-const AGAIN: Micros = 50_000;
+const RETRANSMIT: Micros = 50_000;
 
 /// How far an exchange is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// Its connection is being opened.
-    Opens,
+    Connecting,
     /// Its request is written.
     Written,
 }
@@ -31,8 +31,8 @@
     pub host: usize,
     /// The host's start that the connection leads to.
     pub epoch: u32,
-    pub sent: Micros,
-    pub until: Micros,
+    pub sent_at: Micros,
+    pub deadline: Micros,
     pub stage: Stage,
     /// It is the first on its connection.
     pub first: bool,
@@ -42,57 +42,60 @@
 
 /// What happens to one.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Way {
+pub(super) enum ExchangeEvent {
     /// Its connection's first word is at the host.
-    Knocks,
+    SynArrived,
     /// Its connection is up.
-    Opened,
+    Connected,
     /// Its connection is refused.
     Refused,
     /// Its request is at the host.
-    Arrives,
+    RequestArrived,
     /// The host's word is back.
-    Back(Ends, Load2),
+    ResponseArrived(Ends, LoadReport),
     /// Its connection has broken.
-    Broken { stale: bool },
+    Reset { stale: bool },
     /// Its time is up.
-    Expires,
+    DeadlineExpired,
     /// Its connection's time to come up is.
-    TooSlow,
+    ConnectTimeout,
 }
 
 /// A report, in hand and waiting, where there is one.
-pub(super) type Load2 = Option<(u32, u32)>;
+pub(super) type LoadReport = Option<(u32, u32)>;
 
-impl Way {
+impl ExchangeEvent {
     /// Whether it goes back from the host, there, or is the proxy's own.
-    fn back(self) -> Option<bool> {
+    fn is_from_host(self) -> Option<bool> {
         match self {
-            Way::Knocks | Way::Arrives => Some(false),
-            Way::Opened | Way::Refused | Way::Back(..) | Way::Broken { .. } => Some(true),
-            Way::Expires | Way::TooSlow => None,
+            ExchangeEvent::SynArrived | ExchangeEvent::RequestArrived => Some(false),
+            ExchangeEvent::Connected
+            | ExchangeEvent::Refused
+            | ExchangeEvent::ResponseArrived(..)
+            | ExchangeEvent::Reset { .. } => Some(true),
+            ExchangeEvent::DeadlineExpired | ExchangeEvent::ConnectTimeout => None,
         }
     }
 }
 
 impl FleetSimulation {
-    fn put_way(&mut self, exchange: u64, after: Micros, way: Way) {
-        self.queue.put(self.model.now + after, Ev::Exchange { exchange, way });
+    fn schedule_event(&mut self, exchange: u64, delay: Micros, event: ExchangeEvent) {
+        self.queue.put(self.model.now + delay, FleetEvent::Exchange { exchange, event });
     }
 
     /// Sends something on its way between an exchange's proxy and host.
-    fn goes(&mut self, number: u64, way: Way) {
-        let at = &self.exchanges[&number];
-        let back = way.back() == Some(true);
-        let (_, longer) = self.model.way(at.proxy, at.host, back);
+    fn transmit(&mut self, id: u64, event: ExchangeEvent) {
+        let exchange = &self.exchanges[&id];
+        let from_host = event.is_from_host() == Some(true);
+        let (_, added) = self.model.way(exchange.proxy, exchange.host, from_host);
         let network = &self.model.scenario.network;
-        let near = self.model.proxies[at.proxy].zone == self.model.hosts[at.host].zone;
+        let near = self.model.proxies[exchange.proxy].zone == self.model.hosts[exchange.host].zone;
         let mean = if near { network.near_us } else { network.far_us };
-        let stage = u64::from(back) << 1 | u64::from(at.stage == Stage::Written);
-        let name = u64::from(at.call) << 8 | u64::from(at.attempt);
+        let stage = u64::from(from_host) << 1 | u64::from(exchange.stage == Stage::Written);
+        let name = u64::from(exchange.call) << 8 | u64::from(exchange.attempt);
         let share = Draw::new(self.model.seed, "way", name, stage).share();
-        let after = (mean * (1.0 + network.jitter * share)) as Micros + longer;
-        self.put_way(number, after, way);
+        let delay = (mean * (1.0 + network.jitter * share)) as Micros + added;
+        self.schedule_event(id, delay, event);
     }
 
     pub(super) fn send(&mut self, proxy: usize, call: u32, host: usize, until: Option<Micros>) {
@@ -100,249 +103,266 @@
         let ready = self.proxies[proxy].is_ready(host);
         let Some(open) = self.proxies[proxy].calls.get_mut(&call) else { return };
         let attempt = open.attempts.len() as u32;
-        let until = until.map_or(open.deadline, |at| at.saturating_sub(super::EPOCH).min(open.deadline));
-        let goes = ready && !open.answered && now < until;
-        let kept = if goes { self.kept(proxy, host) } else { None };
-        let full = goes && kept.is_none() && !self.has_room(proxy);
+        let deadline = until.map_or(open.deadline, |at| at.saturating_sub(super::EPOCH).min(open.deadline));
+        let sendable = ready && !open.answered && now < deadline;
+        let reused = if sendable { self.take_idle(proxy, host) } else { None };
+        let full = sendable && reused.is_none() && !self.make_room(proxy);
         let Some(open) = self.proxies[proxy].calls.get_mut(&call) else { return };
-        if !goes || full {
+        if !sendable || full {
             open.attempts.push(None);
             let closed = open.answered;
-            return self.outcome(proxy, call, attempt, Outcome::NotSent, 0, closed, Load::default());
+            return self.report_outcome(proxy, call, attempt, Outcome::NotSent, 0, closed, Load::default());
         }
         self.next_exchange += 1;
-        let number = self.next_exchange;
-        open.attempts.push(Some(number));
-        let epoch = kept.map_or(self.model.hosts[host].epoch, |kept| kept.epoch);
-        let (stage, first) = (Stage::Opens, kept.is_none());
+        let id = self.next_exchange;
+        open.attempts.push(Some(id));
+        let epoch = reused.map_or(self.model.hosts[host].epoch, |idle| idle.epoch);
+        let (stage, first) = (Stage::Connecting, reused.is_none());
         let counted = !first;
-        let (sent, same) = (now, epoch == self.model.hosts[host].epoch);
-        let exchange = Exchange { proxy, call, attempt, host, epoch, sent, until, stage, first, counted };
-        self.exchanges.insert(number, exchange);
-        self.put_way(number, until - now, Way::Expires);
+        let (sent_at, same_process) = (now, epoch == self.model.hosts[host].epoch);
+        let exchange =
+            Exchange { proxy, call, attempt, host, epoch, sent_at, deadline, stage, first, counted };
+        self.exchanges.insert(id, exchange);
+        self.schedule_event(id, deadline - now, ExchangeEvent::DeadlineExpired);
         if first {
             self.proxies[proxy].open += 1;
-            self.put_way(number, self.site.connect.min(until - now), Way::TooSlow);
-            return self.goes(number, Way::Knocks);
+            self.schedule_event(
+                id,
+                self.limits.connect_timeout.min(deadline - now),
+                ExchangeEvent::ConnectTimeout,
+            );
+            return self.transmit(id, ExchangeEvent::SynArrived);
         }
-        if same && self.model.hosts[host].up == Up::Up && self.model.is_stale(call, host) {
+        if same_process && self.model.hosts[host].up == Up::Up && self.model.is_stale(call, host) {
             // It is written to what its host has closed: it never comes there.
-            self.written(number);
-            return self.goes(number, Way::Broken { stale: true });
+            self.record_written(id);
+            return self.transmit(id, ExchangeEvent::Reset { stale: true });
         }
-        self.writes(number);
+        self.write_request(id);
     }
 
     /// Takes a kept connection to a host, the last that was kept.
-    fn kept(&mut self, proxy: usize, host: usize) -> Option<Kept> {
+    fn take_idle(&mut self, proxy: usize, host: usize) -> Option<IdleConnection> {
         self.proxies[proxy].idle.get_mut(&host)?.pop()
     }
 
     /// Whether a connection more may be opened; the oldest idle one is closed for it.
-    fn has_room(&mut self, proxy: usize) -> bool {
-        if self.proxies[proxy].open < self.site.connections {
+    fn make_room(&mut self, proxy: usize) -> bool {
+        if self.proxies[proxy].open < self.limits.connections {
             return true;
         }
         let idle = &self.proxies[proxy].idle;
-        let oldest = idle.iter().filter_map(|(&host, kept)| Some((kept.first()?.since, host))).min();
+        let oldest =
+            idle.iter().filter_map(|(&host, connections)| Some((connections.first()?.since, host))).min();
         let Some((since, host)) = oldest else { return false };
-        self.close_old(proxy, host, since);
+        self.close_idle_since(proxy, host, since);
         true
     }
 
     /// Closes a kept connection, if it is still kept.
-    pub(super) fn close_old(&mut self, proxy: usize, host: usize, since: Micros) {
-        let at = &mut self.proxies[proxy];
-        let Some(kept) = at.idle.get_mut(&host) else { return };
-        let Some(place) = kept.iter().position(|kept| kept.since == since) else { return };
-        let kept = kept.remove(place);
-        at.open = at.open.saturating_sub(1);
-        self.closed(host, kept.epoch);
+    pub(super) fn close_idle_since(&mut self, proxy: usize, host: usize, since: Micros) {
+        let state = &mut self.proxies[proxy];
+        let Some(connections) = state.idle.get_mut(&host) else { return };
+        let Some(index) = connections.iter().position(|idle| idle.since == since) else { return };
+        let idle = connections.remove(index);
+        state.open = state.open.saturating_sub(1);
+        self.connection_closed(host, idle.epoch);
     }
 
     /// A connection to a host's start is no longer.
-    pub(super) fn closed(&mut self, host: usize, epoch: u32) {
+    pub(super) fn connection_closed(&mut self, host: usize, epoch: u32) {
         let host = &mut self.model.hosts[host];
         if host.epoch == epoch {
             host.connections = host.connections.saturating_sub(1);
         }
     }
 
-    fn written(&mut self, number: u64) {
-        let Some(at) = self.exchanges.get_mut(&number) else { return };
-        at.stage = Stage::Written;
-        let (call, host) = (at.call, at.host);
+    fn record_written(&mut self, id: u64) {
+        let Some(exchange) = self.exchanges.get_mut(&id) else { return };
+        exchange.stage = Stage::Written;
+        let (call, host) = (exchange.call, exchange.host);
         self.model.sent(call, host, self.model.now);
     }
 
-    fn writes(&mut self, number: u64) {
-        self.written(number);
-        self.goes(number, Way::Arrives);
+    fn write_request(&mut self, id: u64) {
+        self.record_written(id);
+        self.transmit(id, ExchangeEvent::RequestArrived);
     }
 
-    pub(super) fn exchange(&mut self, number: u64, way: Way) {
-        let Some(at) = self.exchanges.get(&number) else { return };
-        if let Some(back) = way.back() {
-            if self.model.way(at.proxy, at.host, back).0 {
-                return self.put_way(number, AGAIN, way);
+    pub(super) fn handle_exchange(&mut self, id: u64, event: ExchangeEvent) {
+        let Some(exchange) = self.exchanges.get(&id) else { return };
+        if let Some(from_host) = event.is_from_host() {
+            if self.model.way(exchange.proxy, exchange.host, from_host).0 {
+                return self.schedule_event(id, RETRANSMIT, event);
             }
         }
-        let (host, epoch, call, until, first) = (at.host, at.epoch, at.call, at.until, at.first);
-        match way {
-            Way::Knocks => self.knocks(number, host),
-            Way::Opened => {
+        let (host, epoch, call, deadline, first) =
+            (exchange.host, exchange.epoch, exchange.call, exchange.deadline, exchange.first);
+        match event {
+            ExchangeEvent::SynArrived => self.receive_syn(id, host),
+            ExchangeEvent::Connected => {
                 // What was decided may have been overtaken by the list: then nothing is written.
-                if at.stage == Stage::Opens {
-                    self.writes(number);
+                if exchange.stage == Stage::Connecting {
+                    self.write_request(id);
                 }
             }
-            Way::Refused => self.ends(number, Outcome::NoConnection, None, false),
-            Way::Arrives => match self.model.hosts[host].up {
+            ExchangeEvent::Refused => self.finish(id, Outcome::NoConnection, None, false),
+            ExchangeEvent::RequestArrived => match self.model.hosts[host].up {
                 Up::Up if self.model.hosts[host].epoch == epoch => {
-                    self.model.reached(call, host, number, until, first, &mut self.queue);
+                    self.model.reached(call, host, id, deadline, first, &mut self.queue);
                 }
                 // It knows nothing of this connection.
-                Up::Up | Up::Dead => self.goes(number, Way::Broken { stale: !first }),
+                Up::Up | Up::Dead => self.transmit(id, ExchangeEvent::Reset { stale: !first }),
                 Up::Vanished => {}
             },
-            Way::Back(ends, load) => self.back(number, ends, load),
-            Way::Broken { stale } => {
+            ExchangeEvent::ResponseArrived(result, load) => self.receive_response(id, result, load),
+            ExchangeEvent::Reset { stale } => {
                 let outcome = if stale { Outcome::Stale } else { Outcome::Reset };
-                self.ends(number, outcome, None, false);
+                self.finish(id, outcome, None, false);
             }
-            Way::Expires => {
+            ExchangeEvent::DeadlineExpired => {
                 let outcome =
-                    if at.stage == Stage::Written { Outcome::TimedOut } else { Outcome::NoConnection };
-                self.ends(number, outcome, None, false);
+                    if exchange.stage == Stage::Written { Outcome::TimedOut } else { Outcome::NoConnection };
+                self.finish(id, outcome, None, false);
             }
-            Way::TooSlow => {
-                if at.stage == Stage::Opens {
-                    self.ends(number, Outcome::NoConnection, None, false);
+            ExchangeEvent::ConnectTimeout => {
+                if exchange.stage == Stage::Connecting {
+                    self.finish(id, Outcome::NoConnection, None, false);
                 }
             }
         }
     }
 
-    fn knocks(&mut self, number: u64, host: usize) {
-        let most = self.model.scenario.fleet.connections;
-        let at = &mut self.model.hosts[host];
-        match at.up {
+    fn receive_syn(&mut self, id: u64, host: usize) {
+        let limit = self.model.scenario.fleet.connections;
+        let host_state = &mut self.model.hosts[host];
+        match host_state.up {
             Up::Vanished => {}
-            Up::Up if at.connections < most => {
-                at.connections += 1;
-                let (open, epoch) = (at.connections, at.epoch);
+            Up::Up if host_state.connections < limit => {
+                host_state.connections += 1;
+                let (open, epoch) = (host_state.connections, host_state.epoch);
                 self.model.tally.opened += 1;
                 self.model.tally.connections = self.model.tally.connections.max(open);
-                if let Some(exchange) = self.exchanges.get_mut(&number) {
+                if let Some(exchange) = self.exchanges.get_mut(&id) {
                     exchange.counted = true;
                     exchange.epoch = epoch;
                 }
-                self.goes(number, Way::Opened);
+                self.transmit(id, ExchangeEvent::Connected);
             }
             Up::Up | Up::Dead => {
-                self.model.log.note(self.model.now, Of::Connection, [number, host as u64, 0]);
-                self.goes(number, Way::Refused);
+                self.model.log.note(self.model.now, Of::Connection, [id, host as u64, 0]);
+                self.transmit(id, ExchangeEvent::Refused);
             }
         }
     }
 
     /// A host has a word on an exchange.
-    pub(super) fn says(&mut self, number: u64, ends: Ends) {
-        let Some(at) = self.exchanges.get(&number) else { return };
-        let host = at.host;
+    pub(super) fn host_responds(&mut self, id: u64, result: Ends) {
+        let Some(exchange) = self.exchanges.get(&id) else { return };
+        let host = exchange.host;
         let reports = self.model.scenario.fleet.reports;
         let report = self.model.hosts[host].report(self.model.now, host, reports);
-        let report = report.map(|(in_hand, waiting)| (in_hand as u32, waiting as u32));
-        match ends {
-            Ends::Reset => self.goes(number, Way::Broken { stale: false }),
+        let report = report.map(|(active, waiting)| (active as u32, waiting as u32));
+        match result {
+            Ends::Reset => self.transmit(id, ExchangeEvent::Reset { stale: false }),
             Ends::Never => {}
-            Ends::Served | Ends::TurnedAway | Ends::Error => self.goes(number, Way::Back(ends, report)),
+            Ends::Served | Ends::TurnedAway | Ends::Error => {
+                self.transmit(id, ExchangeEvent::ResponseArrived(result, report))
+            }
         }
     }
 
-    fn back(&mut self, number: u64, ends: Ends, load: Load2) {
-        let outcome = match ends {
+    fn receive_response(&mut self, id: u64, result: Ends, load: LoadReport) {
+        let outcome = match result {
             Ends::Served => Outcome::Served,
             Ends::TurnedAway => Outcome::TurnedAway,
             Ends::Error => Outcome::Error,
             Ends::Reset | Ends::Never => Outcome::Unknown,
         };
-        self.ends(number, outcome, load, true);
+        self.finish(id, outcome, load, true);
     }
 
     /// An attempt is over, and its connection is kept or not.
-    fn ends(&mut self, number: u64, outcome: Outcome, load: Load2, keeps: bool) {
-        let Some(at) = self.exchanges.remove(&number) else { return };
+    fn finish(&mut self, id: u64, outcome: Outcome, load: LoadReport, keep_connection: bool) {
+        let Some(exchange) = self.exchanges.remove(&id) else { return };
         let now = self.model.now;
-        self.leaves_connection(number, &at, keeps);
-        let said = match outcome {
+        self.release_connection(id, &exchange, keep_connection);
+        let cause = match outcome {
             Outcome::Stale => Some("stale"),
             Outcome::Reset => Some("reset"),
             Outcome::TimedOut => Some("timed out"),
             Outcome::NoConnection => Some("no connection"),
             _ => None,
         };
-        said.into_iter().for_each(|said| self.model.ended_by(at.call, said));
-        let proxy = &mut self.proxies[at.proxy];
-        let Some(open) = proxy.calls.get_mut(&at.call) else { return };
-        open.attempts[at.attempt as usize] = None;
-        let answers = outcome == Outcome::Served && !open.answered;
-        open.answered |= answers;
+        cause.into_iter().for_each(|cause| self.model.ended_by(exchange.call, cause));
+        let proxy = &mut self.proxies[exchange.proxy];
+        let Some(open) = proxy.calls.get_mut(&exchange.call) else { return };
+        open.attempts[exchange.attempt as usize] = None;
+        let is_answer = outcome == Outcome::Served && !open.answered;
+        open.answered |= is_answer;
         let closed = open.answered;
-        if answers {
-            self.model.answered(at.call, Answer::Served, now, &mut self.queue);
+        if is_answer {
+            self.model.answered(exchange.call, Answer::Served, now, &mut self.queue);
         }
-        let load = load.map_or_else(Load::default, |(in_hand, waiting)| Load {
-            active: Some(in_hand.into()),
+        let load = load.map_or_else(Load::default, |(active, waiting)| Load {
+            active: Some(active.into()),
             waiting: Some(waiting.into()),
             cpu: None,
         });
-        self.outcome(at.proxy, at.call, at.attempt, outcome, now - at.sent, closed, load);
-        self.proxies[at.proxy].tidy(at.call);
+        self.report_outcome(
+            exchange.proxy,
+            exchange.call,
+            exchange.attempt,
+            outcome,
+            now - exchange.sent_at,
+            closed,
+            load,
+        );
+        self.proxies[exchange.proxy].remove_if_finished(exchange.call);
     }
 
-    fn leaves_connection(&mut self, number: u64, at: &Exchange, keeps: bool) {
+    fn release_connection(&mut self, id: u64, exchange: &Exchange, keep: bool) {
         let now = self.model.now;
-        let ready = self.proxies[at.proxy].is_ready(at.host);
-        if keeps && ready && self.model.hosts[at.host].epoch == at.epoch {
-            let kept = self.proxies[at.proxy].idle.entry(at.host).or_default();
+        let ready = self.proxies[exchange.proxy].is_ready(exchange.host);
+        if keep && ready && self.model.hosts[exchange.host].epoch == exchange.epoch {
+            let connections = self.proxies[exchange.proxy].idle.entry(exchange.host).or_default();
             // The time names it: two at once differ.
-            let since = kept.last().map_or(now, |last| now.max(last.since + 1));
-            kept.push(Kept { since, epoch: at.epoch });
-            let old = Ev::Old { proxy: at.proxy, host: at.host, since };
-            return self.queue.put(now + self.site.keep, old);
+            let since = connections.last().map_or(now, |last| now.max(last.since + 1));
+            connections.push(IdleConnection { since, epoch: exchange.epoch });
+            let timeout = FleetEvent::IdleTimeout { proxy: exchange.proxy, host: exchange.host, since };
+            return self.queue.put(now + self.limits.idle_timeout, timeout);
         }
-        let proxy = &mut self.proxies[at.proxy];
+        let proxy = &mut self.proxies[exchange.proxy];
         proxy.open = proxy.open.saturating_sub(1);
-        if at.counted {
-            self.closed(at.host, at.epoch);
+        if exchange.counted {
+            self.connection_closed(exchange.host, exchange.epoch);
         }
-        if !keeps && at.stage == Stage::Written {
-            self.model.hosts[at.host].forget(number);
+        if !keep && exchange.stage == Stage::Written {
+            self.model.hosts[exchange.host].forget(id);
         }
     }
 
     /// An exchange of a process that is no more.
-    pub(super) fn drop_exchange(&mut self, number: u64) {
-        if let Some(at) = self.exchanges.remove(&number) {
-            self.leaves_connection(number, &at, false);
+    pub(super) fn drop_exchange(&mut self, id: u64) {
+        if let Some(exchange) = self.exchanges.remove(&id) {
+            self.release_connection(id, &exchange, false);
         }
     }
 
     pub(super) fn cancel(&mut self, proxy: usize, call: u32, attempt: u32) {
         let Some(open) = self.proxies[proxy].calls.get_mut(&call) else { return };
-        let Some(number) = open.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
+        let Some(id) = open.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
         let closed = open.answered;
-        let Some(at) = self.exchanges.remove(&number) else { return };
-        self.leaves_connection(number, &at, false);
+        let Some(exchange) = self.exchanges.remove(&id) else { return };
+        self.release_connection(id, &exchange, false);
         self.model.ended_by(call, "called off");
-        let elapsed = self.model.now - at.sent;
-        self.outcome(proxy, call, attempt, Outcome::CalledOff, elapsed, closed, Load::default());
-        self.proxies[proxy].tidy(call);
+        let elapsed = self.model.now - exchange.sent_at;
+        self.report_outcome(proxy, call, attempt, Outcome::CalledOff, elapsed, closed, Load::default());
+        self.proxies[proxy].remove_if_finished(call);
     }
 
-    #[expect(clippy::too_many_arguments, reason = "they are the event's")]
-    fn outcome(
+    #[expect(clippy::too_many_arguments, reason = "they are the fields of the event")]
+    fn report_outcome(
         &mut self,
         proxy: usize,
         call: u32,
@@ -353,24 +373,24 @@
         load: Load,
     ) {
         let call = CallId(call.into());
-        self.module(proxy, policy::Event::Outcome { call, attempt, outcome, elapsed, closed, load });
+        self.feed_balancer(proxy, policy::Event::Outcome { call, attempt, outcome, elapsed, closed, load });
     }
 
     /// Takes back what is not yet written to hosts that are not ready, and closes what is idle there.
-    pub(super) fn withdraw(&mut self, proxy: usize) {
-        let gone: Vec<u64> = self.proxies[proxy]
+    pub(super) fn leave_unready_hosts(&mut self, proxy: usize) {
+        let connecting: Vec<u64> = self.proxies[proxy]
             .calls
             .values()
             .flat_map(|open| open.attempts.iter().flatten().copied())
-            .filter(|number| {
-                let at = &self.exchanges[number];
-                at.stage == Stage::Opens && !self.proxies[proxy].is_ready(at.host)
+            .filter(|id| {
+                let exchange = &self.exchanges[id];
+                exchange.stage == Stage::Connecting && !self.proxies[proxy].is_ready(exchange.host)
             })
             .collect();
         // The list first, then what it undoes: events wait in their order while the proxy is busy.
         self.proxies[proxy].busy = true;
-        for number in gone {
-            self.ends(number, Outcome::NotSent, None, false);
+        for id in connecting {
+            self.finish(id, Outcome::NotSent, None, false);
         }
         self.proxies[proxy].busy = false;
         let hosts: Vec<usize> = self.proxies[proxy].idle.keys().copied().collect();
@@ -382,37 +402,39 @@
     }
 
     fn close_idle(&mut self, proxy: usize, host: usize) {
-        let kept = self.proxies[proxy].idle.remove(&host).unwrap_or_default();
-        for kept in kept {
+        let connections = self.proxies[proxy].idle.remove(&host).unwrap_or_default();
+        for idle in connections {
             self.proxies[proxy].open = self.proxies[proxy].open.saturating_sub(1);
-            self.closed(host, kept.epoch);
+            self.connection_closed(host, idle.epoch);
         }
     }
 
     /// A host went down or came up.
-    pub(super) fn host(&mut self, host: usize) {
+    pub(super) fn host_changed(&mut self, host: usize) {
         if self.model.hosts[host].up == Up::Vanished {
             return;
         }
         // Its system resets what it does not know, and what its dead process had.
         let epoch = self.model.hosts[host].epoch;
-        let out: Vec<(u64, bool)> = self
+        let lost: Vec<(u64, bool)> = self
             .exchanges
             .iter()
-            .filter(|(_, at)| at.host == host && at.epoch != epoch && at.stage == Stage::Written)
-            .map(|(&number, at)| (number, at.counted))
+            .filter(|(_, exchange)| {
+                exchange.host == host && exchange.epoch != epoch && exchange.stage == Stage::Written
+            })
+            .map(|(&id, exchange)| (id, exchange.counted))
             .collect();
-        for (number, counted) in out {
+        for (id, counted) in lost {
             if counted {
-                self.goes(number, Way::Broken { stale: false });
+                self.transmit(id, ExchangeEvent::Reset { stale: false });
             }
         }
         for proxy in 0..self.proxies.len() {
-            let at = &mut self.proxies[proxy];
-            let Some(kept) = at.idle.get_mut(&host) else { continue };
-            let before = kept.len();
-            kept.retain(|kept| kept.epoch == epoch);
-            at.open = at.open.saturating_sub(before - kept.len());
+            let state = &mut self.proxies[proxy];
+            let Some(connections) = state.idle.get_mut(&host) else { continue };
+            let before = connections.len();
+            connections.retain(|idle| idle.epoch == epoch);
+            state.open = state.open.saturating_sub(before - connections.len());
         }
     }
 }
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -4,14 +4,14 @@
 mod exchange;
 mod proxy;
 
-use crate::baseline::{BalancerKind, Decide};
+use crate::baseline::{BalancerKind, LoadBalancer};
 use crate::log::Of;
 use crate::model::{Answer, Event, Leak, Model, Out};
 use crate::queue::Queue;
 use crate::run::{Limits, Outcome};
 use crate::scenario::Scenario;
 use crate::Micros;
-use exchange::{Exchange, Way};
+use exchange::{Exchange, ExchangeEvent};
 use nettleworks_engine::config::Config;
 use nettleworks_policy as policy;
 use proxy::Proxy;
@@ -20,10 +20,10 @@
 
 /// What the queue holds.
 #[derive(Clone, Copy, Debug)]
-enum Ev {
+enum FleetEvent {
     Model(Event),
     /// A proxy's module has asked to be woken.
-    Wake {
+    Timer {
         proxy: usize,
         epoch: u32,
         number: u64,
@@ -33,15 +33,15 @@
         proxy: usize,
         epoch: u32,
         watch: u64,
-        what: Watch,
+        event: WatchEvent,
     },
     /// Something of an exchange.
     Exchange {
         exchange: u64,
-        way: Way,
+        event: ExchangeEvent,
     },
     /// A kept connection is too old.
-    Old {
+    IdleTimeout {
         proxy: usize,
         host: usize,
         since: Micros,
@@ -49,38 +49,38 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Watch {
-    Opens,
-    Begins,
-    Hears,
-    Silent,
-    Fails,
-    Retries,
+enum WatchEvent {
+    RequestArrived,
+    Accepted,
+    UpdateArrived,
+    TimedOut,
+    Failed,
+    Retry,
 }
 
-impl From<Event> for Ev {
-    fn from(event: Event) -> Ev {
-        Ev::Model(event)
+impl From<Event> for FleetEvent {
+    fn from(event: Event) -> FleetEvent {
+        FleetEvent::Model(event)
     }
 }
 
 /// What the module is told once.
-struct Site {
+struct ConnectionLimits {
     config: Config,
-    connect: Micros,
-    keep: Micros,
+    connect_timeout: Micros,
+    idle_timeout: Micros,
     connections: usize,
 }
 
 /// A fleet that plays a scenario.
 pub struct FleetSimulation {
     model: Model,
-    queue: Queue<Ev>,
+    queue: Queue<FleetEvent>,
     proxies: Vec<Proxy>,
     exchanges: BTreeMap<u64, Exchange>,
     next_exchange: u64,
-    site: Site,
-    picks: BalancerKind,
+    limits: ConnectionLimits,
+    balancer: BalancerKind,
     actions: Vec<policy::Action>,
     events: u64,
 }
@@ -91,14 +91,14 @@
     /// # Errors
     ///
     /// What the daemon's checks say of the configuration.
-    pub fn new(scenario: Rc<Scenario>, seed: u64, picks: BalancerKind) -> Result<FleetSimulation, String> {
+    pub fn new(scenario: Rc<Scenario>, seed: u64, balancer: BalancerKind) -> Result<FleetSimulation, String> {
         let mut queue = Queue::default();
         let model = Model::new(scenario.clone(), seed, &mut queue);
         let config = crate::site::config(&scenario, seed, 0, crate::site::discovery_address(), None)?;
-        let site = Site {
-            connect: config.connect_timeout.as_micros() as Micros,
+        let limits = ConnectionLimits {
+            connect_timeout: config.connect_timeout.as_micros() as Micros,
             // As the engine keeps them.
-            keep: config.conn_idle.mul_f64(0.9).as_micros() as Micros,
+            idle_timeout: config.conn_idle.mul_f64(0.9).as_micros() as Micros,
             connections: config.connections_to_hosts(),
             config,
         };
@@ -108,13 +108,13 @@
             proxies: Vec::new(),
             exchanges: BTreeMap::new(),
             next_exchange: 0,
-            site,
-            picks,
+            limits,
+            balancer,
             actions: Vec::new(),
             events: 0,
         };
         for number in 0..scenario.load.proxies {
-            let proxy = Proxy::new(fleet.decide(number, 0), 0);
+            let proxy = Proxy::new(fleet.new_balancer(number, 0), 0);
             fleet.proxies.push(proxy);
         }
         for number in 0..scenario.load.proxies {
@@ -123,16 +123,17 @@
         Ok(fleet)
     }
 
-    fn decide(&self, proxy: usize, epoch: u32) -> Box<dyn Decide> {
+    fn new_balancer(&self, proxy: usize, epoch: u32) -> Box<dyn LoadBalancer> {
         let seed = crate::draw::name(self.model.seed, "proxy", proxy as u64) ^ u64::from(epoch);
-        let settings = policy::Settings { balancer_index: proxy as u32, ..self.site.config.settings.clone() };
-        self.picks.make(seed, settings)
+        let settings =
+            policy::Settings { balancer_index: proxy as u32, ..self.limits.config.settings.clone() };
+        self.balancer.build(seed, settings)
     }
 
     fn start(&mut self, proxy: usize) {
-        self.module(proxy, policy::Event::Start);
-        if let Some(known) = self.model.proxies[proxy].known.clone() {
-            self.takes(proxy, &known, policy::ListKind::Cached);
+        self.feed_balancer(proxy, policy::Event::Start);
+        if let Some(cached) = self.model.proxies[proxy].known.clone() {
+            self.apply_update(proxy, &cached, policy::ListKind::Cached);
         }
         if !self.model.scenario.discovery.asked {
             self.subscribe(proxy);
@@ -149,7 +150,7 @@
             self.events += 1;
             self.handle(event);
             while let Some(out) = self.model.out.pop_front() {
-                self.carry(out);
+                self.carry_out(out);
             }
             if !self.model.breaks.is_empty() && limits.stops {
                 break;
@@ -158,34 +159,34 @@
         Outcome::of(self.model, self.events)
     }
 
-    fn handle(&mut self, event: Ev) {
+    fn handle(&mut self, event: FleetEvent) {
         match event {
-            Ev::Model(event) => self.model.handle(event, &mut self.queue),
-            Ev::Wake { proxy, epoch, number } => {
-                let at = &self.proxies[proxy];
-                if at.up && at.epoch == epoch && at.wake == number {
-                    self.module(proxy, policy::Event::Timer);
+            FleetEvent::Model(event) => self.model.handle(event, &mut self.queue),
+            FleetEvent::Timer { proxy, epoch, number } => {
+                let state = &self.proxies[proxy];
+                if state.up && state.epoch == epoch && state.timer == number {
+                    self.feed_balancer(proxy, policy::Event::Timer);
                 }
             }
-            Ev::Watch { proxy, epoch, watch, what } => {
-                let at = &self.proxies[proxy];
-                if at.up && at.epoch == epoch && at.watch == watch {
-                    self.watch(proxy, what);
+            FleetEvent::Watch { proxy, epoch, watch, event } => {
+                let state = &self.proxies[proxy];
+                if state.up && state.epoch == epoch && state.watch == watch {
+                    self.handle_watch(proxy, event);
                 }
             }
-            Ev::Exchange { exchange, way } => self.exchange(exchange, way),
-            Ev::Old { proxy, host, since } => self.close_old(proxy, host, since),
+            FleetEvent::Exchange { exchange, event } => self.handle_exchange(exchange, event),
+            FleetEvent::IdleTimeout { proxy, host, since } => self.close_idle_since(proxy, host, since),
         }
     }
 
-    fn carry(&mut self, out: Out) {
+    fn carry_out(&mut self, out: Out) {
         match out {
-            Out::Ask(call) => self.ask(call),
-            Out::Leave(call) => self.leave(call),
-            Out::Says { exchange, ends, .. } => self.says(exchange, ends),
-            Out::Host(host) => self.host(host),
-            Out::News => self.news(),
-            Out::Proxy { proxy, starts } => self.process(proxy, starts),
+            Out::Ask(call) => self.receive_request(call),
+            Out::Leave(call) => self.client_left(call),
+            Out::Says { exchange, ends, .. } => self.host_responds(exchange, ends),
+            Out::Host(host) => self.host_changed(host),
+            Out::News => self.list_changed(),
+            Out::Proxy { proxy, starts } => self.start_or_kill(proxy, starts),
             // What is held back looks again by itself.
             Out::Ways => {}
             // There is nothing to read.
@@ -193,24 +194,24 @@
         }
     }
 
-    fn ask(&mut self, call: u32) {
-        let at = self.model.call(call);
-        let (proxy, class, tenant) = (at.proxy as usize, at.class, at.tenant);
-        // As the engine keeps some of the client's time for the way back.
-        let deadline = at.deadline.saturating_sub(10_000);
-        let (time_left, resent) = (deadline - self.model.now, at.again);
+    // As the engine keeps some of the client's time for the way back.
+    fn receive_request(&mut self, call: u32) {
+        let request = self.model.call(call);
+        let (proxy, class, tenant) = (request.proxy as usize, request.class, request.tenant);
+        let deadline = request.deadline.saturating_sub(10_000);
+        let (time_left, resent) = (deadline - self.model.now, request.again);
         self.proxies[proxy].open(call, deadline);
         let (call, class) = (policy::CallId(call.into()), policy::ClassId(class.into()));
         let tenant = Some(policy::TenantId(tenant.into()));
-        self.module(proxy, policy::Event::Request { call, class, tenant, time_left, resent });
+        self.feed_balancer(proxy, policy::Event::Request { call, class, tenant, time_left, resent });
     }
 
-    fn leave(&mut self, call: u32) {
+    fn client_left(&mut self, call: u32) {
         let proxy = self.model.call(call).proxy as usize;
         if let Some(open) = self.proxies[proxy].calls.get_mut(&call) {
             open.answered = true;
-            self.module(proxy, policy::Event::Cancelled { call: policy::CallId(call.into()) });
-            self.proxies[proxy].tidy(call);
+            self.feed_balancer(proxy, policy::Event::Cancelled { call: policy::CallId(call.into()) });
+            self.proxies[proxy].remove_if_finished(call);
         }
     }
 
@@ -220,11 +221,11 @@
         if !std::mem::replace(&mut open.answered, true) {
             self.model.answered(call, answer, self.model.now, &mut self.queue);
         }
-        self.proxies[proxy].tidy(call);
+        self.proxies[proxy].remove_if_finished(call);
     }
 
     /// Feeds the module, and carries out what it says.
-    fn module(&mut self, proxy: usize, event: policy::Event) {
+    fn feed_balancer(&mut self, proxy: usize, event: policy::Event) {
         self.proxies[proxy].events.push_back(event);
         self.process_events(proxy);
     }
@@ -236,16 +237,16 @@
         }
         let mut actions = std::mem::take(&mut self.actions);
         while let Some(event) = self.proxies[proxy].events.pop_front() {
-            self.proxies[proxy].decide.handle(self.model.now + EPOCH, event, &mut actions);
+            self.proxies[proxy].balancer.handle(self.model.now + EPOCH, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(proxy, action);
+                self.perform(proxy, action);
             }
         }
         self.actions = actions;
         self.proxies[proxy].busy = false;
     }
 
-    fn carry_out(&mut self, proxy: usize, action: policy::Action) {
+    fn perform(&mut self, proxy: usize, action: policy::Action) {
         use policy::Action;
         match action {
             Action::Send { call, server, until } => {
@@ -257,10 +258,10 @@
             Action::Fail { call, .. } => self.answer(call.0 as u32, Answer::Failed),
             Action::Cancel { call, attempt } => self.cancel(proxy, call.0 as u32, attempt),
             Action::SetTimer { after } => {
-                let at = &mut self.proxies[proxy];
-                at.wake += 1;
-                let (epoch, number) = (at.epoch, at.wake);
-                self.queue.put(self.model.now + after.max(1), Ev::Wake { proxy, epoch, number });
+                let state = &mut self.proxies[proxy];
+                state.timer += 1;
+                let (epoch, number) = (state.epoch, state.timer);
+                self.queue.put(self.model.now + after.max(1), FleetEvent::Timer { proxy, epoch, number });
             }
             Action::Subscribe => self.subscribe(proxy),
             Action::Log { .. } | Action::ShareObservation { .. } | Action::HealthCheck { .. } => {}
@@ -268,19 +269,19 @@
     }
 
     /// A proxy's process dies or starts.
-    fn process(&mut self, proxy: usize, starts: bool) {
+    fn start_or_kill(&mut self, proxy: usize, starts: bool) {
         if starts {
             let epoch = self.proxies[proxy].epoch + 1;
-            self.proxies[proxy] = Proxy::new(self.decide(proxy, epoch), epoch);
+            self.proxies[proxy] = Proxy::new(self.new_balancer(proxy, epoch), epoch);
             return self.start(proxy);
         }
         self.proxies[proxy].up = false;
-        let out: Vec<u64> =
+        let open: Vec<u64> =
             self.exchanges.iter().filter(|(_, at)| at.proxy == proxy).map(|(&number, _)| number).collect();
-        out.into_iter().for_each(|number| self.drop_exchange(number));
+        open.into_iter().for_each(|number| self.drop_exchange(number));
         let idle = std::mem::take(&mut self.proxies[proxy].idle);
-        for (host, kept) in idle {
-            kept.into_iter().for_each(|kept| self.closed(host, kept.epoch));
+        for (host, connections) in idle {
+            connections.into_iter().for_each(|idle| self.connection_closed(host, idle.epoch));
         }
         self.proxies[proxy].calls.clear();
         self.model.proxy_has_died(proxy, &mut self.queue);
--- a/lab/src/full/bridge.rs
+++ b/lab/src/full/bridge.rs
@@ -1,7 +1,7 @@
 //! The world of the full stack on real time, its connections carried over real sockets on loopback.
 
-use super::net::World;
-use super::socket::{Door, Node, Shared};
+use super::net::Simulation;
+use super::socket::{ProxyListener, ProxyNetwork, SharedSimulation};
 use crate::model::Model;
 use crate::queue::Queue;
 use crate::run::Outcome;
@@ -30,51 +30,55 @@
     let mut model = Model::new(scenario.clone(), seed, &mut queue);
     model.stores = scenario.load.keys > 0;
     let (hosts, proxies) = (scenario.fleet.hosts, scenario.load.proxies);
-    let world = Rc::new(RefCell::new(World::new(model, queue)));
+    let simulation = Rc::new(RefCell::new(Simulation::new(model, queue)));
     let built = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = built.map_err(|error| error.to_string())?;
     let tasks = LocalSet::new();
     let events = tasks.block_on(&runtime, async {
-        let bad = |error: std::io::Error| error.to_string();
-        let discovery = TcpListener::bind("127.0.0.1:0").await.map_err(bad)?;
-        let mut real = Vec::new();
+        let to_text = |error: std::io::Error| error.to_string();
+        let discovery = TcpListener::bind("127.0.0.1:0").await.map_err(to_text)?;
+        let mut addresses = Vec::new();
         let mut listeners = Vec::new();
         for _ in 0..hosts {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(bad)?;
-            real.push(listener.local_addr().map_err(bad)?);
+            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(to_text)?;
+            addresses.push(listener.local_addr().map_err(to_text)?);
             listeners.push(listener);
         }
-        world.borrow_mut().addresses = Some(real);
+        simulation.borrow_mut().real_addresses = Some(addresses);
         let mut stops = Vec::new();
         let mut threads = Vec::new();
         for proxy in 0..proxies {
             let (started, address) = mpsc::channel();
             let (stop, stopped) = oneshot::channel::<()>();
-            let config = site::config(&scenario, seed, proxy, discovery.local_addr().map_err(bad)?, None)?;
-            threads.push(std::thread::spawn(move || serve(config, &started, stopped)));
+            let config =
+                site::config(&scenario, seed, proxy, discovery.local_addr().map_err(to_text)?, None)?;
+            threads.push(std::thread::spawn(move || run_proxy(config, &started, stopped)));
             stops.push(stop);
             let address = address.recv_timeout(Duration::from_secs(10)).map_err(|error| error.to_string())?;
-            spawn_local(clients(world.clone(), proxy, address));
+            spawn_local(relay_clients(simulation.clone(), proxy, address));
         }
         for (host, listener) in listeners.into_iter().enumerate() {
-            spawn_local(peer(world.clone(), listener, site::host_address(host), proxies));
+            spawn_local(relay_to_peer(simulation.clone(), listener, site::host_address(host), proxies));
         }
-        spawn_local(peer(world.clone(), discovery, site::discovery_address(), proxies));
-        let events = Clock { world: world.clone(), start: Instant::now(), events: 0 }.await;
+        spawn_local(relay_to_peer(simulation.clone(), discovery, site::discovery_address(), proxies));
+        let events =
+            RealTimeDriver { simulation: simulation.clone(), start: Instant::now(), events: 0 }.await;
         drop(stops);
         for thread in threads {
-            thread.join().map_err(|_| "a proxy has panicked".to_owned())?;
+            thread.join().map_err(|_| "a proxy panicked".to_owned())?;
         }
         Ok::<_, String>(events)
     })?;
     drop(tasks);
     drop(runtime);
-    let world = Rc::try_unwrap(world).map_err(|_| "an end outlives its run".to_owned())?.into_inner();
-    Ok(Outcome::of(world.model, events))
+    let simulation = Rc::try_unwrap(simulation)
+        .map_err(|_| "a task still holds the simulation after the run".to_owned())?
+        .into_inner();
+    Ok(Outcome::of(simulation.model, events))
 }
 
 /// A real proxy, until it is told to stop.
-fn serve(
+fn run_proxy(
     config: nettleworks::config::Config,
     started: &mpsc::Sender<SocketAddr>,
     stopped: oneshot::Receiver<()>,
@@ -94,14 +98,14 @@
 }
 
 /// Carries connections of the model's clients to a proxy.
-async fn clients(world: Shared, proxy: usize, address: SocketAddr) {
-    let door = Door { world, proxy };
+async fn relay_clients(simulation: SharedSimulation, proxy: usize, address: SocketAddr) {
+    let listener = ProxyListener { simulation, proxy };
     loop {
-        let accepted = std::future::poll_fn(|context| door.poll_accept(context)).await;
-        let Ok(end) = accepted else { return };
+        let accepted = std::future::poll_fn(|context| listener.poll_accept(context)).await;
+        let Ok(simulated) = accepted else { return };
         spawn_local(async move {
             if let Ok(stream) = TcpStream::connect(address).await {
-                carry(stream, end).await;
+                relay(stream, simulated).await;
             }
         });
     }
@@ -109,62 +113,67 @@
 
 /// Carries connections of proxies to a peer of the model. Which proxy it is shows in nothing but the peer's zone: they are
 /// taken in turn.
-async fn peer(world: Shared, listener: TcpListener, at: SocketAddr, proxies: usize) {
+async fn relay_to_peer(
+    simulation: SharedSimulation,
+    listener: TcpListener,
+    address: SocketAddr,
+    proxies: usize,
+) {
     let mut next = 0;
     while let Ok((stream, _)) = listener.accept().await {
         next += 1;
-        let node = Node { world: world.clone(), proxy: next % proxies };
-        let dialing = node.connect(at);
+        let network = ProxyNetwork { simulation: simulation.clone(), proxy: next % proxies };
+        let connecting = network.connect(address);
         spawn_local(async move {
-            match dialing.await {
-                Ok(end) => carry(stream, end).await,
-                Err(_) => reset(&stream),
+            match connecting.await {
+                Ok(simulated) => relay(stream, simulated).await,
+                Err(_) => reset_on_close(&stream),
             }
         });
     }
 }
 
-async fn carry(mut stream: TcpStream, mut end: Box<dyn VirtualStream>) {
-    // A side that has no delay of its own must not be given one.
+// A side that has no delay of its own must not be given one.
+async fn relay(mut stream: TcpStream, mut simulated: Box<dyn VirtualStream>) {
     let _ = stream.set_nodelay(true);
-    if copy_bidirectional(&mut stream, &mut *end).await.is_err() {
-        reset(&stream);
+    if copy_bidirectional(&mut stream, &mut *simulated).await.is_err() {
+        reset_on_close(&stream);
     }
 }
 
 /// The next close of this stream resets it.
-fn reset(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
 /// Does what is due, and never sleeps: events come closer together than timers do.
-struct Clock {
-    world: Shared,
+struct RealTimeDriver {
+    simulation: SharedSimulation,
     start: Instant,
     events: u64,
 }
 
-impl Future for Clock {
+impl Future for RealTimeDriver {
     type Output = u64;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<u64> {
         let now = self.start.elapsed().as_micros() as Micros;
         let mut count = 0;
         {
-            let mut world = self.world.borrow_mut();
-            if now >= world.model.end() {
+            let mut simulation = self.simulation.borrow_mut();
+            if now >= simulation.model.end() {
                 return Poll::Ready(self.events);
             }
             loop {
-                world.model.now = now;
-                if let Some(out) = world.model.out.pop_front() {
+                simulation.model.now = now;
+                if let Some(out) = simulation.model.out.pop_front() {
                     // Processes stay up here.
-                    let _ = world.carry(out);
+                    let _ = simulation.carry_out(out);
                     continue;
                 }
-                let Some((_, event)) = world.queue.take(now) else { break };
+                let Some((_, event)) = simulation.queue.take(now) else { break };
                 count += 1;
-                world.handle(event);
+                simulation.handle(event);
             }
         }
         self.events += count;
--- a/lab/src/full/mod.rs
+++ b/lab/src/full/mod.rs
@@ -8,10 +8,10 @@
 pub(crate) mod bridge;
 mod net;
 mod peers;
-mod play;
+mod runner;
 mod socket;
 #[cfg(test)]
 mod tests;
 mod wire;
 
-pub(crate) use play::run_scenario;
+pub(crate) use runner::run_scenario;
--- a/lab/src/full/net.rs
+++ b/lab/src/full/net.rs
@@ -14,94 +14,94 @@
 use std::task::{Context, Poll, Waker};
 use tokio::io::ReadBuf;
 
-pub(super) type ConnId = u64;
+pub(super) type ConnectionId = u64;
 
 /// The side that has opened a connection, and the one that has taken it.
-pub(super) const OPENER: usize = 0;
-pub(super) const TAKER: usize = 1;
+pub(super) const INITIATOR: usize = 0;
+pub(super) const ACCEPTOR: usize = 1;
 
 /// Bytes that a connection holds on their way to a reader: beyond, its writer waits.
-const WINDOW: usize = 256 << 10;
+const RECEIVE_WINDOW: usize = 256 << 10;
 /// Most bytes of one piece: what a system takes of a write at once, while there is room.
-const PIECE: usize = 16 << 10;
+const MAX_SEGMENT: usize = 16 << 10;
 /// A word that opens a connection and is not answered is said again after this.
-const SAID_AGAIN: Micros = 1_000_000;
+const SYN_RETRANSMIT: Micros = 1_000_000;
 
 /// What the queue holds.
 #[derive(Debug)]
-pub(super) enum Ev {
+pub(super) enum NetworkEvent {
     Model(Event),
     /// Something is there, at one side of a connection.
-    Piece {
-        conn: ConnId,
+    Segment {
+        conn: ConnectionId,
         side: usize,
-        piece: Piece,
+        segment: Segment,
     },
     /// A connection has been idle at its host since its exchange of this number.
-    Idle {
-        conn: ConnId,
+    IdleTimeout {
+        conn: ConnectionId,
         served: u32,
     },
     /// A watch's turn at a busy discovery: it knows the list as of a version, or fails.
-    Turn {
-        conn: ConnId,
+    WatchReply {
+        conn: ConnectionId,
         since: Option<u64>,
         fails: bool,
     },
     /// A watch's time for a heartbeat.
-    Beat {
-        conn: ConnId,
+    Heartbeat {
+        conn: ConnectionId,
     },
 }
 
-impl From<Event> for Ev {
-    fn from(event: Event) -> Ev {
-        Ev::Model(event)
+impl From<Event> for NetworkEvent {
+    fn from(event: Event) -> NetworkEvent {
+        NetworkEvent::Model(event)
     }
 }
 
 /// What goes over a connection.
 #[derive(Debug)]
-pub(super) enum Piece {
+pub(super) enum Segment {
     /// It is to be opened.
-    Opens,
+    Syn,
     /// It is open.
-    Open,
+    SynAck,
     /// Bytes, written then; with what they tell of the list.
-    Bytes(Vec<u8>, Micros, Option<Box<News>>),
+    Data(Vec<u8>, Micros, Option<Box<News>>),
     /// Nothing more comes.
-    End,
+    Fin,
     /// It is broken; or refused.
     Reset,
 }
 
 /// One side of a connection.
 #[derive(Debug, Default)]
-pub(super) struct Side {
+pub(super) struct Endpoint {
     /// What has come and was not read.
-    pub come: VecDeque<u8>,
+    pub received: VecDeque<u8>,
     /// When the last of it was written.
-    pub written: Micros,
+    pub written_at: Micros,
     /// Nothing more will come.
     pub ended: bool,
     pub reset: bool,
     /// This side has closed.
     pub closed: bool,
     /// This side has ended its sending.
-    shut: bool,
+    shut_down: bool,
     /// Bytes on their way to this side, or come and not read.
-    pub under_way: usize,
-    reader: Option<Waker>,
-    writer: Option<Waker>,
+    pub unread: usize,
+    read_waker: Option<Waker>,
+    write_waker: Option<Waker>,
     /// When the last piece to this side comes: none overtakes another.
-    last: Micros,
+    last_arrival: Micros,
     /// What a cut holds back, in order.
-    held: VecDeque<Piece>,
+    blocked: VecDeque<Segment>,
 }
 
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum For {
+pub(super) enum ConnectionKind {
     /// A client's to its proxy.
     Client,
     /// A proxy's to a host, of this start.
@@ -111,13 +111,13 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Conn {
+pub(super) struct Connection {
     pub proxy: usize,
-    pub of: For,
-    pub sides: [Side; 2],
-    pub up: bool,
+    pub kind: ConnectionKind,
+    pub endpoints: [Endpoint; 2],
+    pub established: bool,
     /// Pieces so far: their draws' names.
-    pieces: u64,
+    segments: u64,
     /// The call that is on it: a client's, or one at a host.
     pub call: Option<u32>,
     /// The exchange at the host.
@@ -127,289 +127,297 @@
     /// Its host has closed it unnoticed.
     pub stale: bool,
     /// A request has begun to be written and its answer is not there yet.
-    pub asking: bool,
+    pub request_open: bool,
     /// Up to which version its watch has heard.
-    pub heard: Option<Option<u64>>,
+    pub watch_version: Option<Option<u64>>,
     /// Its watch's answer has begun.
-    pub begun: bool,
+    pub head_sent: bool,
     /// It is counted at its host.
     pub counted: bool,
 }
 
 /// A proxy's door.
 #[derive(Debug, Default)]
-pub(super) struct Door {
-    pub waiting: VecDeque<ConnId>,
+pub(super) struct AcceptQueue {
+    pub pending: VecDeque<ConnectionId>,
     waker: Option<Waker>,
 }
 
 /// All of a run but the proxies' tasks.
-pub(super) struct World {
+pub(super) struct Simulation {
     pub model: Model,
-    pub queue: Queue<Ev>,
-    pub conns: BTreeMap<ConnId, Conn>,
-    pub doors: Vec<Door>,
+    pub queue: Queue<NetworkEvent>,
+    pub connections: BTreeMap<ConnectionId, Connection>,
+    pub accept_queues: Vec<AcceptQueue>,
     /// Idle connections of clients, by proxy.
-    pub idle: Vec<Vec<ConnId>>,
+    pub idle: Vec<Vec<ConnectionId>>,
     /// Connections of open exchanges.
-    pub exchanges: BTreeMap<u64, ConnId>,
-    pub next: u64,
+    pub exchanges: BTreeMap<u64, ConnectionId>,
     /// Where hosts listen in truth, where the run is on real sockets.
-    pub addresses: Option<Vec<SocketAddr>>,
+    pub last_id: u64,
+    pub real_addresses: Option<Vec<SocketAddr>>,
 }
 
-impl World {
-    pub fn new(model: Model, queue: Queue<Ev>) -> World {
+impl Simulation {
+    pub fn new(model: Model, queue: Queue<NetworkEvent>) -> Simulation {
         let proxies = model.proxies.len();
-        World {
+        Simulation {
             model,
             queue,
-            conns: BTreeMap::new(),
-            doors: (0..proxies).map(|_| Door::default()).collect(),
+            connections: BTreeMap::new(),
+            accept_queues: (0..proxies).map(|_| AcceptQueue::default()).collect(),
             idle: vec![Vec::new(); proxies],
             exchanges: BTreeMap::new(),
-            next: 0,
-            addresses: None,
+            last_id: 0,
+            real_addresses: None,
         }
     }
 
-    pub fn open(&mut self, proxy: usize, of: For) -> ConnId {
-        self.next += 1;
-        let conn = Conn {
+    pub fn open(&mut self, proxy: usize, kind: ConnectionKind) -> ConnectionId {
+        self.last_id += 1;
+        let conn = Connection {
             proxy,
-            of,
-            sides: Default::default(),
-            up: false,
-            pieces: 0,
+            kind,
+            endpoints: Default::default(),
+            established: false,
+            segments: 0,
             call: None,
             exchange: None,
             served: 0,
             stale: false,
-            asking: false,
-            heard: None,
-            begun: false,
+            request_open: false,
+            watch_version: None,
+            head_sent: false,
             counted: false,
         };
-        self.conns.insert(self.next, conn);
-        let number = self.next;
-        self.put(number, TAKER, Piece::Opens);
-        number
+        self.connections.insert(self.last_id, conn);
+        let id = self.last_id;
+        self.send_segment(id, ACCEPTOR, Segment::Syn);
+        id
     }
 
     /// A proxy opens a connection.
-    pub fn dial(&mut self, proxy: usize, address: SocketAddr) -> ConnId {
+    pub fn dial(&mut self, proxy: usize, address: SocketAddr) -> ConnectionId {
         match site::host_at(address).filter(|&host| host < self.model.hosts.len()) {
             Some(host) => {
                 let epoch = self.model.hosts[host].epoch;
-                self.open(proxy, For::Host { host, epoch })
+                self.open(proxy, ConnectionKind::Host { host, epoch })
             }
             None => {
                 self.model.tally.watches += 1;
-                self.open(proxy, For::Discovery)
+                self.open(proxy, ConnectionKind::Discovery)
             }
         }
     }
 
     /// Whether what goes to a side does not pass now, and how long its way is without a draw.
-    fn way(&self, conn: &Conn, side: usize) -> (bool, f64, Micros) {
+    fn link_to(&self, conn: &Connection, side: usize) -> (bool, f64, Micros) {
         let network = &self.model.scenario.network;
-        match conn.of {
-            For::Client => (false, network.beside_us, 0),
-            For::Discovery => (false, network.near_us, 0),
-            For::Host { host, .. } => {
-                let (cut, longer) = self.model.way(conn.proxy, host, side == OPENER);
+        match conn.kind {
+            ConnectionKind::Client => (false, network.beside_us, 0),
+            ConnectionKind::Discovery => (false, network.near_us, 0),
+            ConnectionKind::Host { host, .. } => {
+                let (cut, added) = self.model.way(conn.proxy, host, side == INITIATOR);
                 let near = self.model.proxies[conn.proxy].zone == self.model.hosts[host].zone;
-                (cut, if near { network.near_us } else { network.far_us }, longer)
+                (cut, if near { network.near_us } else { network.far_us }, added)
             }
         }
     }
 
     /// Does what an event of the queue says.
-    pub fn handle(&mut self, event: Ev) {
+    pub fn handle(&mut self, event: NetworkEvent) {
         match event {
-            Ev::Model(event) => self.model.handle(event, &mut self.queue),
-            Ev::Piece { conn, side, piece } => self.piece(conn, side, piece),
-            Ev::Idle { conn, served } => self.is_idle(conn, served),
-            Ev::Turn { conn, since, fails } => self.turn(conn, since, fails),
-            Ev::Beat { conn } => self.beat(conn),
+            NetworkEvent::Model(event) => self.model.handle(event, &mut self.queue),
+            NetworkEvent::Segment { conn, side, segment } => self.receive_segment(conn, side, segment),
+            NetworkEvent::IdleTimeout { conn, served } => self.close_if_idle(conn, served),
+            NetworkEvent::WatchReply { conn, since, fails } => self.reply_to_watch(conn, since, fails),
+            NetworkEvent::Heartbeat { conn } => self.send_heartbeat(conn),
         }
     }
 
     /// Sends a piece on its way to a side.
-    pub fn put(&mut self, number: ConnId, side: usize, piece: Piece) {
-        let Some(conn) = self.conns.get(&number) else { return };
-        let (cut, mean, longer) = self.way(conn, side);
+    pub fn send_segment(&mut self, id: ConnectionId, side: usize, segment: Segment) {
+        let Some(conn) = self.connections.get(&id) else { return };
+        let (cut, mean, added) = self.link_to(conn, side);
         let network = &self.model.scenario.network;
-        let draw = |pieces| Draw::new(self.model.seed, "piece", number, pieces).share();
-        let after = mean * (1.0 + network.jitter * draw(conn.pieces)) + longer as f64;
-        let at = self.model.now + (after as Micros).max(1);
+        let draw = |segments| Draw::new(self.model.seed, "piece", id, segments).share();
+        let delay = mean * (1.0 + network.jitter * draw(conn.segments)) + added as f64;
+        let arrival = self.model.now + (delay as Micros).max(1);
         // One piece after the other goes through what the connection has of the line.
-        let takes = match &piece {
-            Piece::Bytes(bytes, ..) if network.megabits > 0.0 => bytes.len() as f64 * 8.0 / network.megabits,
+        let transmission = match &segment {
+            Segment::Data(bytes, ..) if network.megabits > 0.0 => bytes.len() as f64 * 8.0 / network.megabits,
             _ => 0.0,
         };
-        let Some(conn) = self.conns.get_mut(&number) else { return };
-        conn.pieces += 1;
-        let to = &mut conn.sides[side];
-        if cut || !to.held.is_empty() {
+        let Some(conn) = self.connections.get_mut(&id) else { return };
+        conn.segments += 1;
+        let to = &mut conn.endpoints[side];
+        if cut || !to.blocked.is_empty() {
             self.model.tally.held += 1;
-            return to.held.push_back(piece);
+            return to.blocked.push_back(segment);
         }
-        to.last = to.last.max(at) + takes as Micros;
-        self.queue.put(to.last, Ev::Piece { conn: number, side, piece });
+        to.last_arrival = to.last_arrival.max(arrival) + transmission as Micros;
+        self.queue.put(to.last_arrival, NetworkEvent::Segment { conn: id, side, segment });
     }
 
     /// Ways have changed: what is held back and may pass goes on.
-    pub fn ways(&mut self) {
-        let held: Vec<(ConnId, usize)> = self
-            .conns
+    pub fn links_changed(&mut self) {
+        let released: Vec<(ConnectionId, usize)> = self
+            .connections
             .iter()
-            .flat_map(|(&number, conn)| [(number, conn, OPENER), (number, conn, TAKER)])
-            .filter(|(_, conn, side)| !conn.sides[*side].held.is_empty() && !self.way(conn, *side).0)
-            .map(|(number, _, side)| (number, side))
+            .flat_map(|(&id, conn)| [(id, conn, INITIATOR), (id, conn, ACCEPTOR)])
+            .filter(|(_, conn, side)| {
+                !conn.endpoints[*side].blocked.is_empty() && !self.link_to(conn, *side).0
+            })
+            .map(|(id, _, side)| (id, side))
             .collect();
-        for (number, side) in held {
-            let Some(conn) = self.conns.get_mut(&number) else { continue };
-            let pieces = std::mem::take(&mut conn.sides[side].held);
-            pieces.into_iter().for_each(|piece| self.put(number, side, piece));
+        for (id, side) in released {
+            let Some(conn) = self.connections.get_mut(&id) else { continue };
+            let segments = std::mem::take(&mut conn.endpoints[side].blocked);
+            segments.into_iter().for_each(|segment| self.send_segment(id, side, segment));
         }
     }
 
     /// A piece is there.
-    pub fn piece(&mut self, number: ConnId, side: usize, piece: Piece) {
-        let Some(conn) = self.conns.get(&number) else { return };
+    pub fn receive_segment(&mut self, id: ConnectionId, side: usize, segment: Segment) {
+        let Some(conn) = self.connections.get(&id) else { return };
         // A cut that began while it was under way keeps it too.
-        if self.way(conn, side).0 {
-            if let Some(conn) = self.conns.get_mut(&number) {
+        if self.link_to(conn, side).0 {
+            if let Some(conn) = self.connections.get_mut(&id) {
                 self.model.tally.held += 1;
-                conn.sides[side].held.push_back(piece);
+                conn.endpoints[side].blocked.push_back(segment);
             }
             return;
         }
-        if side == TAKER {
-            if let For::Host { host, epoch } = conn.of {
-                if self.lost_at_host(number, host, epoch, &piece) {
+        if side == ACCEPTOR {
+            if let ConnectionKind::Host { host, epoch } = conn.kind {
+                if self.lost_at_host(id, host, epoch, &segment) {
                     return;
                 }
             }
         }
-        let Some(conn) = self.conns.get_mut(&number) else { return };
-        let to = &mut conn.sides[side];
-        let heard = (side, conn.of);
-        match piece {
-            Piece::Opens => return self.opens(number),
-            Piece::Open => {
-                conn.up = true;
-                self.wake(number, side);
-                if heard == (OPENER, For::Client) {
-                    self.client_up(number);
+        let Some(conn) = self.connections.get_mut(&id) else { return };
+        let to = &mut conn.endpoints[side];
+        let receiver = (side, conn.kind);
+        match segment {
+            Segment::Syn => return self.receive_syn(id),
+            Segment::SynAck => {
+                conn.established = true;
+                self.wake(id, side);
+                if receiver == (INITIATOR, ConnectionKind::Client) {
+                    self.client_connected(id);
                 }
                 return;
             }
-            Piece::Bytes(bytes, written, told) => {
+            Segment::Data(bytes, written_at, update) => {
                 if to.closed {
                     // Nobody is there any more: its system says so.
                     let other = 1 - side;
-                    return self.put(number, other, Piece::Reset);
+                    return self.send_segment(id, other, Segment::Reset);
                 }
-                to.come.extend(&bytes);
-                to.written = written;
-                if let (Some(news), proxy) = (told, conn.proxy) {
-                    self.model.told(proxy, &news);
+                to.received.extend(&bytes);
+                to.written_at = written_at;
+                if let (Some(update), proxy) = (update, conn.proxy) {
+                    self.model.told(proxy, &update);
                 }
             }
-            Piece::End => to.ended = true,
-            Piece::Reset => {
+            Segment::Fin => to.ended = true,
+            Segment::Reset => {
                 to.ended = true;
                 to.reset = true;
-                to.come.clear();
+                to.received.clear();
             }
         }
-        self.wake(number, side);
-        match heard {
-            (OPENER, For::Client) => self.client_hears(number),
-            (TAKER, For::Host { host, .. }) => self.host_hears(number, host),
-            (TAKER, For::Discovery) => self.discovery_hears(number),
+        self.wake(id, side);
+        match receiver {
+            (INITIATOR, ConnectionKind::Client) => self.client_receives(id),
+            (ACCEPTOR, ConnectionKind::Host { host, .. }) => self.host_receives(id, host),
+            (ACCEPTOR, ConnectionKind::Discovery) => self.discovery_receives(id),
             _ => {}
         }
-        self.tidy(number);
+        self.remove_if_closed(id);
     }
 
     /// What comes to a host that is not there, or knows nothing of the connection.
-    fn lost_at_host(&mut self, number: ConnId, host: usize, epoch: u32, piece: &Piece) -> bool {
-        let at = &self.model.hosts[host];
-        if matches!(piece, Piece::Opens) {
-            return at.up == Up::Vanished;
+    fn lost_at_host(&mut self, id: ConnectionId, host: usize, epoch: u32, segment: &Segment) -> bool {
+        let host_state = &self.model.hosts[host];
+        if matches!(segment, Segment::Syn) {
+            return host_state.up == Up::Vanished;
         }
-        let stale = self.conns.get(&number).is_some_and(|conn| conn.stale);
-        let call = self.conns.get(&number).and_then(|conn| conn.call);
-        if let Some(call) = call.filter(|_| stale && at.up == Up::Up && matches!(piece, Piece::Bytes(..))) {
+        let stale = self.connections.get(&id).is_some_and(|conn| conn.stale);
+        let call = self.connections.get(&id).and_then(|conn| conn.call);
+        if let Some(call) =
+            call.filter(|_| stale && host_state.up == Up::Up && matches!(segment, Segment::Data(..)))
+        {
             self.model.ended_by(call, "stale");
         }
-        let at = &self.model.hosts[host];
-        let ends = matches!(piece, Piece::End | Piece::Reset);
-        match at.up {
-            Up::Up if at.epoch == epoch && !stale => return false,
+        let host_state = &self.model.hosts[host];
+        let closes = matches!(segment, Segment::Fin | Segment::Reset);
+        match host_state.up {
+            Up::Up if host_state.epoch == epoch && !stale => return false,
             // Nothing is said; but who ends it there will not hear of it again.
             Up::Vanished => {}
-            Up::Up | Up::Dead if !matches!(piece, Piece::Reset) => self.put(number, OPENER, Piece::Reset),
+            Up::Up | Up::Dead if !matches!(segment, Segment::Reset) => {
+                self.send_segment(id, INITIATOR, Segment::Reset)
+            }
             Up::Up | Up::Dead => {}
         }
-        if ends || self.model.hosts[host].up != Up::Vanished {
-            self.uncount(number);
-            self.abandon(number, TAKER);
+        if closes || self.model.hosts[host].up != Up::Vanished {
+            self.uncount(id);
+            self.abandon(id, ACCEPTOR);
         }
         true
     }
 
-    fn opens(&mut self, number: ConnId) {
-        let Some(conn) = self.conns.get_mut(&number) else { return };
+    fn receive_syn(&mut self, id: ConnectionId) {
+        let Some(conn) = self.connections.get_mut(&id) else { return };
         let proxy = conn.proxy;
-        match conn.of {
-            For::Client => {
+        match conn.kind {
+            ConnectionKind::Client => {
                 let backlog = self.model.scenario.network.backlog;
                 if !self.model.proxies[proxy].up {
-                    self.put(number, OPENER, Piece::Reset);
-                    return self.abandon(number, TAKER);
+                    self.send_segment(id, INITIATOR, Segment::Reset);
+                    return self.abandon(id, ACCEPTOR);
                 }
-                let door = &mut self.doors[proxy];
-                if door.waiting.len() >= backlog {
-                    let at = self.model.now + SAID_AGAIN;
-                    return self.queue.put(at, Ev::Piece { conn: number, side: TAKER, piece: Piece::Opens });
+                let accept_queue = &mut self.accept_queues[proxy];
+                if accept_queue.pending.len() >= backlog {
+                    let at = self.model.now + SYN_RETRANSMIT;
+                    let retransmission =
+                        NetworkEvent::Segment { conn: id, side: ACCEPTOR, segment: Segment::Syn };
+                    return self.queue.put(at, retransmission);
                 }
-                door.waiting.push_back(number);
-                if let Some(waker) = door.waker.take() {
+                accept_queue.pending.push_back(id);
+                if let Some(waker) = accept_queue.waker.take() {
                     waker.wake();
                 }
-                self.put(number, OPENER, Piece::Open);
+                self.send_segment(id, INITIATOR, Segment::SynAck);
             }
-            For::Host { host, .. } => {
-                let most = self.model.scenario.fleet.connections;
-                let at = &mut self.model.hosts[host];
-                if at.up != Up::Up || at.connections >= most {
+            ConnectionKind::Host { host, .. } => {
+                let limit = self.model.scenario.fleet.connections;
+                let host_state = &mut self.model.hosts[host];
+                if host_state.up != Up::Up || host_state.connections >= limit {
                     self.model.log.note(self.model.now, Of::Connection, [proxy as u64, host as u64, 0]);
-                    self.put(number, OPENER, Piece::Reset);
-                    return self.abandon(number, TAKER);
+                    self.send_segment(id, INITIATOR, Segment::Reset);
+                    return self.abandon(id, ACCEPTOR);
                 }
-                at.connections += 1;
-                conn.of = For::Host { host, epoch: at.epoch };
+                host_state.connections += 1;
+                conn.kind = ConnectionKind::Host { host, epoch: host_state.epoch };
                 conn.counted = true;
-                let open = at.connections;
+                let open = host_state.connections;
                 self.model.tally.opened += 1;
                 self.model.tally.connections = self.model.tally.connections.max(open);
-                self.put(number, OPENER, Piece::Open);
+                self.send_segment(id, INITIATOR, Segment::SynAck);
             }
-            For::Discovery if self.model.registry.down => {
-                self.put(number, OPENER, Piece::Reset);
-                self.abandon(number, TAKER);
+            ConnectionKind::Discovery if self.model.registry.down => {
+                self.send_segment(id, INITIATOR, Segment::Reset);
+                self.abandon(id, ACCEPTOR);
             }
-            For::Discovery => self.put(number, OPENER, Piece::Open),
+            ConnectionKind::Discovery => self.send_segment(id, INITIATOR, Segment::SynAck),
         }
     }
 
-    pub fn uncount(&mut self, number: ConnId) {
-        let Some(conn) = self.conns.get_mut(&number) else { return };
-        if let (For::Host { host, epoch }, true) = (conn.of, std::mem::take(&mut conn.counted)) {
+    pub fn uncount(&mut self, id: ConnectionId) {
+        let Some(conn) = self.connections.get_mut(&id) else { return };
+        if let (ConnectionKind::Host { host, epoch }, true) = (conn.kind, std::mem::take(&mut conn.counted)) {
             let host = &mut self.model.hosts[host];
             if host.epoch == epoch {
                 host.connections = host.connections.saturating_sub(1);
@@ -417,161 +425,167 @@
         }
     }
 
-    fn wake(&mut self, number: ConnId, side: usize) {
-        if let Some(waker) = self.conns.get_mut(&number).and_then(|conn| conn.sides[side].reader.take()) {
+    fn wake(&mut self, id: ConnectionId, side: usize) {
+        if let Some(waker) =
+            self.connections.get_mut(&id).and_then(|conn| conn.endpoints[side].read_waker.take())
+        {
             waker.wake();
         }
     }
 
     /// Forgets a connection that both sides have closed.
-    pub fn tidy(&mut self, number: ConnId) {
-        let over = |conn: &Conn| conn.sides.iter().all(|side| side.closed);
-        if self.conns.get(&number).is_some_and(over) {
-            self.uncount(number);
-            self.conns.remove(&number);
+    pub fn remove_if_closed(&mut self, id: ConnectionId) {
+        let closed = |conn: &Connection| conn.endpoints.iter().all(|side| side.closed);
+        if self.connections.get(&id).is_some_and(closed) {
+            self.uncount(id);
+            self.connections.remove(&id);
         }
     }
 
     /// A side knows nothing of it any more, and says nothing.
-    pub fn abandon(&mut self, number: ConnId, side: usize) {
-        if let Some(conn) = self.conns.get_mut(&number) {
-            conn.sides[side].closed = true;
-            conn.sides[side].come.clear();
+    pub fn abandon(&mut self, id: ConnectionId, side: usize) {
+        if let Some(conn) = self.connections.get_mut(&id) {
+            conn.endpoints[side].closed = true;
+            conn.endpoints[side].received.clear();
         }
-        self.tidy(number);
+        self.remove_if_closed(id);
     }
 
     /// A side closes. What has come and was not read makes it a reset, as systems do.
-    pub fn close(&mut self, number: ConnId, side: usize) {
-        let Some(conn) = self.conns.get_mut(&number) else { return };
-        let at = &mut conn.sides[side];
-        if std::mem::replace(&mut at.closed, true) {
+    pub fn close(&mut self, id: ConnectionId, side: usize) {
+        let Some(conn) = self.connections.get_mut(&id) else { return };
+        let endpoint = &mut conn.endpoints[side];
+        if std::mem::replace(&mut endpoint.closed, true) {
             return;
         }
-        let piece = match (at.come.is_empty(), at.shut) {
-            (false, _) => Some(Piece::Reset),
-            (true, false) => Some(Piece::End),
+        let segment = match (endpoint.received.is_empty(), endpoint.shut_down) {
+            (false, _) => Some(Segment::Reset),
+            (true, false) => Some(Segment::Fin),
             (true, true) => None,
         };
-        at.come.clear();
-        at.reader = None;
-        let gone = at.reset || conn.sides[1 - side].closed;
-        if let Some(piece) = piece.filter(|_| !gone) {
-            self.put(number, 1 - side, piece);
+        endpoint.received.clear();
+        endpoint.read_waker = None;
+        let peer_closed = endpoint.reset || conn.endpoints[1 - side].closed;
+        if let Some(segment) = segment.filter(|_| !peer_closed) {
+            self.send_segment(id, 1 - side, segment);
         }
-        self.tidy(number);
+        self.remove_if_closed(id);
     }
 
-    pub fn shut(&mut self, number: ConnId, side: usize) {
-        let Some(conn) = self.conns.get_mut(&number) else { return };
-        if !std::mem::replace(&mut conn.sides[side].shut, true) {
-            self.put(number, 1 - side, Piece::End);
+    pub fn shut_down(&mut self, id: ConnectionId, side: usize) {
+        let Some(conn) = self.connections.get_mut(&id) else { return };
+        if !std::mem::replace(&mut conn.endpoints[side].shut_down, true) {
+            self.send_segment(id, 1 - side, Segment::Fin);
         }
     }
 
-    pub fn poll_up(&mut self, number: ConnId, context: &Context<'_>) -> Poll<io::Result<()>> {
-        let Some(conn) = self.conns.get_mut(&number) else {
+    pub fn poll_connected(&mut self, id: ConnectionId, context: &Context<'_>) -> Poll<io::Result<()>> {
+        let Some(conn) = self.connections.get_mut(&id) else {
             return Poll::Ready(Err(io::ErrorKind::ConnectionRefused.into()));
         };
-        if conn.sides[OPENER].reset {
-            self.close(number, OPENER);
+        if conn.endpoints[INITIATOR].reset {
+            self.close(id, INITIATOR);
             return Poll::Ready(Err(io::ErrorKind::ConnectionRefused.into()));
         }
-        if conn.up {
+        if conn.established {
             return Poll::Ready(Ok(()));
         }
-        conn.sides[OPENER].reader = Some(context.waker().clone());
+        conn.endpoints[INITIATOR].read_waker = Some(context.waker().clone());
         Poll::Pending
     }
 
     pub fn poll_read(
         &mut self,
-        number: ConnId,
+        id: ConnectionId,
         side: usize,
         context: &Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let Some(conn) = self.conns.get_mut(&number) else { return Poll::Ready(Ok(())) };
-        let at = &mut conn.sides[side];
-        if at.reset {
+        let Some(conn) = self.connections.get_mut(&id) else { return Poll::Ready(Ok(())) };
+        let endpoint = &mut conn.endpoints[side];
+        if endpoint.reset {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        if at.come.is_empty() {
-            if at.ended {
+        if endpoint.received.is_empty() {
+            if endpoint.ended {
                 return Poll::Ready(Ok(()));
             }
-            at.reader = Some(context.waker().clone());
+            endpoint.read_waker = Some(context.waker().clone());
             return Poll::Pending;
         }
-        let count = buffer.remaining().min(at.come.len());
-        let (first, rest) = at.come.as_slices();
+        let count = buffer.remaining().min(endpoint.received.len());
+        let (first, rest) = endpoint.received.as_slices();
         let part = count.min(first.len());
         buffer.put_slice(&first[..part]);
         buffer.put_slice(&rest[..count - part]);
-        at.come.drain(..count);
-        self.read(number, side, count);
+        endpoint.received.drain(..count);
+        self.bytes_read(id, side, count);
         Poll::Ready(Ok(()))
     }
 
     /// So much has been read there: its writer may go on.
-    pub fn read(&mut self, number: ConnId, side: usize, count: usize) {
-        let Some(conn) = self.conns.get_mut(&number) else { return };
-        conn.sides[side].under_way = conn.sides[side].under_way.saturating_sub(count);
-        if let Some(waker) = conn.sides[1 - side].writer.take() {
+    pub fn bytes_read(&mut self, id: ConnectionId, side: usize, count: usize) {
+        let Some(conn) = self.connections.get_mut(&id) else { return };
+        conn.endpoints[side].unread = conn.endpoints[side].unread.saturating_sub(count);
+        if let Some(waker) = conn.endpoints[1 - side].write_waker.take() {
             waker.wake();
         }
     }
 
     pub fn poll_write(
         &mut self,
-        number: ConnId,
+        id: ConnectionId,
         side: usize,
         context: &Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let broken = || Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
-        let Some(conn) = self.conns.get_mut(&number) else { return broken() };
-        if conn.sides[side].reset || conn.sides[side].shut {
+        let Some(conn) = self.connections.get_mut(&id) else { return broken() };
+        if conn.endpoints[side].reset || conn.endpoints[side].shut_down {
             return broken();
         }
-        let room = WINDOW.saturating_sub(conn.sides[1 - side].under_way).min(bytes.len()).min(PIECE);
+        let room =
+            RECEIVE_WINDOW.saturating_sub(conn.endpoints[1 - side].unread).min(bytes.len()).min(MAX_SEGMENT);
         if room == 0 {
-            conn.sides[side].writer = Some(context.waker().clone());
+            conn.endpoints[side].write_waker = Some(context.waker().clone());
             return Poll::Pending;
         }
-        let (of, asking) = (conn.of, conn.asking);
-        if let (For::Host { host, .. }, OPENER, false) = (of, side, asking) {
-            self.asks_host(number, host, bytes);
+        let (kind, request_open) = (conn.kind, conn.request_open);
+        if let (ConnectionKind::Host { host, .. }, INITIATOR, false) = (kind, side, request_open) {
+            self.request_started(id, host, bytes);
         }
-        self.write(number, 1 - side, bytes[..room].to_vec(), None);
+        self.write(id, 1 - side, bytes[..room].to_vec(), None);
         Poll::Ready(Ok(room))
     }
 
     /// Sends bytes to a side.
-    pub fn write(&mut self, number: ConnId, to: usize, bytes: Vec<u8>, told: Option<Box<News>>) {
-        let Some(conn) = self.conns.get_mut(&number) else { return };
-        conn.sides[to].under_way += bytes.len();
-        let piece = Piece::Bytes(bytes, self.model.now, told);
-        self.put(number, to, piece);
+    pub fn write(&mut self, id: ConnectionId, to: usize, bytes: Vec<u8>, update: Option<Box<News>>) {
+        let Some(conn) = self.connections.get_mut(&id) else { return };
+        conn.endpoints[to].unread += bytes.len();
+        let segment = Segment::Data(bytes, self.model.now, update);
+        self.send_segment(id, to, segment);
     }
 
-    pub fn is_quiet(&self, number: ConnId, side: usize) -> bool {
-        let side = self.conns.get(&number).map(|conn| &conn.sides[side]);
-        side.is_some_and(|side| side.come.is_empty() && !side.ended && !side.reset)
+    pub fn has_no_pending_input(&self, id: ConnectionId, side: usize) -> bool {
+        let side = self.connections.get(&id).map(|conn| &conn.endpoints[side]);
+        side.is_some_and(|side| side.received.is_empty() && !side.ended && !side.reset)
     }
 
-    pub fn is_left(&self, number: ConnId, side: usize) -> bool {
-        self.conns.get(&number).map(|conn| &conn.sides[side]).is_none_or(|side| side.ended || side.reset)
+    pub fn is_closed_by_peer(&self, id: ConnectionId, side: usize) -> bool {
+        self.connections
+            .get(&id)
+            .map(|conn| &conn.endpoints[side])
+            .is_none_or(|side| side.ended || side.reset)
     }
 
-    pub fn poll_accept(&mut self, proxy: usize, context: &Context<'_>) -> Poll<ConnId> {
-        let door = &mut self.doors[proxy];
-        while let Some(number) = door.waiting.pop_front() {
-            if self.conns.contains_key(&number) {
-                return Poll::Ready(number);
+    pub fn poll_accept(&mut self, proxy: usize, context: &Context<'_>) -> Poll<ConnectionId> {
+        let accept_queue = &mut self.accept_queues[proxy];
+        while let Some(id) = accept_queue.pending.pop_front() {
+            if self.connections.contains_key(&id) {
+                return Poll::Ready(id);
             }
         }
-        door.waker = Some(context.waker().clone());
+        accept_queue.waker = Some(context.waker().clone());
         Poll::Pending
     }
 }
--- a/lab/src/full/play.rs
+++ b/lab/src/full/runner.rs
@@ -1,7 +1,7 @@
 //! Plays a run: the proxies' tasks, and time that moves when none of them can go on.
 
-use super::net::World;
-use super::socket::{Door, Node, Shared};
+use super::net::Simulation;
+use super::socket::{ProxyListener, ProxyNetwork, SharedSimulation};
 use crate::model::{Leak, Model};
 use crate::queue::Queue;
 use crate::run::{Limits, Outcome};
@@ -22,7 +22,7 @@
 use tokio::time::{advance, Instant, Sleep};
 
 /// tokio's timers come on whole milliseconds.
-const TICK: Micros = 1_000;
+const TIMER_RESOLUTION: Micros = 1_000;
 
 /// Plays a settled scenario.
 pub(crate) fn run_scenario(
@@ -39,18 +39,18 @@
     model.stores = scenario.load.keys > 0;
     model.log.tells = limits.tells;
     let proxies = scenario.load.proxies;
-    let world = Rc::new(RefCell::new(World::new(model, queue)));
+    let simulation = Rc::new(RefCell::new(Simulation::new(model, queue)));
     // Without the system's sockets: nothing of them is used.
     let built = runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let runtime = built.map_err(|error| error.to_string())?;
-    let _inside = runtime.enter();
+    let runtime_context = runtime.enter();
     let mut run = Run {
-        world: world.clone(),
-        processes: (0..proxies).map(|proxy| Process::new(proxy, world.clone())).collect(),
+        simulation: simulation.clone(),
+        processes: (0..proxies).map(|proxy| Process::new(proxy, simulation.clone())).collect(),
         start: Instant::now(),
         sleep: Box::pin(tokio::time::sleep(Duration::ZERO)),
         settled: false,
-        stops: limits.stops,
+        stop_on_violation: limits.stops,
         events: 0,
     };
     for process in &mut run.processes {
@@ -58,24 +58,26 @@
     }
     let events = runtime.block_on(&mut run);
     drop(run);
-    drop(_inside);
+    drop(runtime_context);
     drop(runtime);
     #[cfg(feature = "mutants")]
     nettleworks_engine::mutant::activate(None);
-    let world = Rc::try_unwrap(world).map_err(|_| "an end outlives its run".to_owned())?.into_inner();
-    Ok(Outcome::of(world.model, events?))
+    let simulation = Rc::try_unwrap(simulation)
+        .map_err(|_| "a task still holds the simulation after the run".to_owned())?
+        .into_inner();
+    Ok(Outcome::of(simulation.model, events?))
 }
 
 /// Notes that a process's tasks can go on, and wakes the run.
-struct Flag {
-    set: AtomicBool,
-    run: Mutex<Option<Waker>>,
+struct ReadyFlag {
+    is_set: AtomicBool,
+    run_waker: Mutex<Option<Waker>>,
 }
 
-impl Wake for Flag {
+impl Wake for ReadyFlag {
     fn wake(self: Arc<Self>) {
-        self.set.store(true, Ordering::Relaxed);
-        if let Some(run) = &*self.run.lock().unwrap_or_else(PoisonError::into_inner) {
+        self.is_set.store(true, Ordering::Relaxed);
+        if let Some(run) = &*self.run_waker.lock().unwrap_or_else(PoisonError::into_inner) {
             run.wake_by_ref();
         }
     }
@@ -84,44 +86,48 @@
 /// A proxy's process.
 struct Process {
     proxy: usize,
-    node: Rc<Node>,
+    network: Rc<ProxyNetwork>,
     starts: u64,
     tasks: Option<LocalSet>,
-    flag: Arc<Flag>,
+    flag: Arc<ReadyFlag>,
     waker: Waker,
 }
 
 impl Process {
-    fn new(proxy: usize, world: Shared) -> Process {
-        let flag = Arc::new(Flag { set: AtomicBool::new(false), run: Mutex::new(None) });
+    fn new(proxy: usize, simulation: SharedSimulation) -> Process {
+        let flag = Arc::new(ReadyFlag { is_set: AtomicBool::new(false), run_waker: Mutex::new(None) });
         let waker = Waker::from(flag.clone());
-        Process { proxy, node: Rc::new(Node { world, proxy }), starts: 0, tasks: None, flag, waker }
+        let network = Rc::new(ProxyNetwork { simulation, proxy });
+        Process { proxy, network, starts: 0, tasks: None, flag, waker }
     }
 
     fn start(&mut self, scenario: &Scenario, seed: u64) -> Result<(), String> {
         // Another start draws otherwise.
         let seed = seed ^ self.starts << 48;
         self.starts += 1;
-        let known = self.node.world.borrow().known(self.proxy);
-        let config = site::config(scenario, seed, self.proxy, site::discovery_address(), known)?;
-        let door = Listener::Virtual(Box::new(Door { world: self.node.world.clone(), proxy: self.proxy }));
+        let cached_list = self.network.simulation.borrow().cached_list(self.proxy);
+        let config = site::config(scenario, seed, self.proxy, site::discovery_address(), cached_list)?;
+        let listener = Listener::Virtual(Box::new(ProxyListener {
+            simulation: self.network.simulation.clone(),
+            proxy: self.proxy,
+        }));
         let tasks = LocalSet::new();
         let proxy = self.proxy;
         let log = Rc::new(move |line: &str| tracing::debug!(proxy, line));
         let reload = async || std::future::pending().await;
-        tasks.spawn_local(nettleworks::run(config, log, door, reload, std::future::pending()));
+        tasks.spawn_local(nettleworks::run(config, log, listener, reload, std::future::pending()));
         self.tasks = Some(tasks);
-        self.flag.set.store(true, Ordering::Relaxed);
+        self.flag.is_set.store(true, Ordering::Relaxed);
         Ok(())
     }
 
     /// Runs what can go on. Whether anything could.
-    fn run(&mut self) -> bool {
-        if !self.flag.set.swap(false, Ordering::Relaxed) {
+    fn poll_tasks(&mut self) -> bool {
+        if !self.flag.is_set.swap(false, Ordering::Relaxed) {
             return false;
         }
         if let Some(tasks) = &mut self.tasks {
-            let _inside = enter(self.node.clone());
+            let _network = enter(self.network.clone());
             // It ends only with its process: the proxy serves for good.
             let _ = Pin::new(tasks).poll(&mut Context::from_waker(&self.waker));
         }
@@ -129,20 +135,20 @@
     }
 
     /// The process dies: its system ends all that it had.
-    fn die(&mut self) {
-        let _inside = enter(self.node.clone());
+    fn kill(&mut self) {
+        let _network = enter(self.network.clone());
         self.tasks = None;
     }
 }
 
 struct Run {
-    world: Shared,
+    simulation: SharedSimulation,
     processes: Vec<Process>,
     start: Instant,
     sleep: Pin<Box<Sleep>>,
     /// No task could go on when tasks that had stood back were woken.
     settled: bool,
-    stops: bool,
+    stop_on_violation: bool,
     events: u64,
 }
 
@@ -152,40 +158,40 @@
     }
 
     /// Does what is due. Whether anything was.
-    fn due(&mut self, now: Micros) -> Result<bool, String> {
-        let mut any = false;
+    fn handle_due(&mut self, now: Micros) -> Result<bool, String> {
+        let mut progressed = false;
         loop {
-            let mut world = self.world.borrow_mut();
-            world.model.now = now;
-            if let Some(out) = world.model.out.pop_front() {
-                let process = world.carry(out);
-                drop(world);
+            let mut simulation = self.simulation.borrow_mut();
+            simulation.model.now = now;
+            if let Some(out) = simulation.model.out.pop_front() {
+                let process = simulation.carry_out(out);
+                drop(simulation);
                 if let Some((proxy, starts)) = process {
-                    self.process(proxy, starts)?;
+                    self.start_or_kill(proxy, starts)?;
                 }
-                any = true;
+                progressed = true;
                 continue;
             }
-            let Some((_, event)) = world.queue.take(now) else { return Ok(any) };
-            any = true;
+            let Some((_, event)) = simulation.queue.take(now) else { return Ok(progressed) };
+            progressed = true;
             self.events += 1;
-            world.handle(event);
+            simulation.handle(event);
         }
     }
 
-    fn process(&mut self, proxy: usize, starts: bool) -> Result<(), String> {
+    fn start_or_kill(&mut self, proxy: usize, starts: bool) -> Result<(), String> {
         if starts {
             let (scenario, seed) = {
-                let world = self.world.borrow();
-                (world.model.scenario.clone(), world.model.seed)
+                let simulation = self.simulation.borrow();
+                (simulation.model.scenario.clone(), simulation.model.seed)
             };
             return self.processes[proxy].start(&scenario, seed);
         }
-        self.processes[proxy].die();
-        let mut world = self.world.borrow_mut();
+        self.processes[proxy].kill();
+        let mut simulation = self.simulation.borrow_mut();
         // Those that nobody had accepted.
-        for conn in std::mem::take(&mut world.doors[proxy].waiting) {
-            world.close(conn, super::net::TAKER);
+        for conn in std::mem::take(&mut simulation.accept_queues[proxy].pending) {
+            simulation.close(conn, super::net::ACCEPTOR);
         }
         // Its clients hear of it by their connections' ends, behind what it had said before.
         Ok(())
@@ -198,29 +204,29 @@
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Self::Output> {
         let run = &mut *self;
         for process in &run.processes {
-            let mut waker = process.flag.run.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut waker = process.flag.run_waker.lock().unwrap_or_else(PoisonError::into_inner);
             if waker.as_ref().is_none_or(|waker| !waker.will_wake(context.waker())) {
                 *waker = Some(context.waker().clone());
             }
         }
         loop {
             let now = run.now();
-            run.world.borrow_mut().model.now = now;
-            let mut any = false;
+            run.simulation.borrow_mut().model.now = now;
+            let mut progressed = false;
             for process in &mut run.processes {
-                any |= process.run();
+                progressed |= process.poll_tasks();
             }
-            match run.due(now) {
-                Ok(due) => any |= due,
+            match run.handle_due(now) {
+                Ok(due) => progressed |= due,
                 Err(reason) => return Poll::Ready(Err(reason)),
             }
             {
-                let world = run.world.borrow();
-                if run.stops && !world.model.breaks.is_empty() {
+                let simulation = run.simulation.borrow();
+                if run.stop_on_violation && !simulation.model.breaks.is_empty() {
                     return Poll::Ready(Ok(run.events));
                 }
             }
-            if any {
+            if progressed {
                 run.settled = false;
                 continue;
             }
@@ -231,27 +237,27 @@
                 return Poll::Pending;
             }
             let (next, end) = {
-                let world = run.world.borrow();
-                (world.queue.next_at().unwrap_or(Micros::MAX), world.model.end())
+                let simulation = run.simulation.borrow();
+                (simulation.queue.next_at().unwrap_or(Micros::MAX), simulation.model.end())
             };
             if now >= end {
                 return Poll::Ready(Ok(run.events));
             }
             // No timer comes before the next whole millisecond. The runtime moves by whole ones, so that is where it must
             // be given the time.
-            let tick = (now / TICK + 1) * TICK;
+            let tick = (now / TIMER_RESOLUTION + 1) * TIMER_RESOLUTION;
             let next = next.min(end);
-            if next < tick || !now.is_multiple_of(TICK) {
+            if next < tick || !now.is_multiple_of(TIMER_RESOLUTION) {
                 // Time moves at the first poll; what is left of the future is of no use.
-                let moved = pin!(advance(Duration::from_micros(next.min(tick) - now)));
-                let _ = moved.poll(&mut Context::from_waker(Waker::noop()));
+                let advanced = pin!(advance(Duration::from_micros(next.min(tick) - now)));
+                let _ = advanced.poll(&mut Context::from_waker(Waker::noop()));
                 // Timers that are due now are woken by the runtime too.
                 run.settled = next < tick;
                 continue;
             }
             // The runtime moves on to the first timer, this or a proxy's.
             run.settled = false;
-            let until = run.start + Duration::from_micros(next / TICK * TICK);
+            let until = run.start + Duration::from_micros(next / TIMER_RESOLUTION * TIMER_RESOLUTION);
             run.sleep.as_mut().reset(until);
             if run.sleep.as_mut().poll(context).is_pending() {
                 return Poll::Pending;
--- a/lab/src/full/socket.rs
+++ b/lab/src/full/socket.rs
@@ -1,6 +1,6 @@
 //! The proxies' ends of connections, as the engine has them.
 
-use super::net::{ConnId, World, OPENER, TAKER};
+use super::net::{ConnectionId, Simulation, ACCEPTOR, INITIATOR};
 use nettleworks_engine::net::{ConnectFuture, Network, VirtualListener, VirtualStream};
 use std::cell::RefCell;
 use std::fmt;
@@ -14,44 +14,48 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// The world, shared by all ends of one run.
-pub(super) type Shared = Rc<RefCell<World>>;
+pub(super) type SharedSimulation = Rc<RefCell<Simulation>>;
 
 /// The network as one proxy has it.
-pub(super) struct Node {
-    pub world: Shared,
+pub(super) struct ProxyNetwork {
+    pub simulation: SharedSimulation,
     pub proxy: usize,
 }
 
-impl Network for Node {
+impl Network for ProxyNetwork {
     fn connect(&self, address: SocketAddr) -> ConnectFuture {
-        let conn = self.world.borrow_mut().dial(self.proxy, address);
-        Box::pin(Dial { world: self.world.clone(), conn, done: false })
+        let conn = self.simulation.borrow_mut().dial(self.proxy, address);
+        Box::pin(PendingConnect { simulation: self.simulation.clone(), conn, done: false })
     }
 
     fn unix_time(&self) -> Duration {
-        let world = self.world.borrow();
-        let off = world.model.proxies[self.proxy].clock;
-        let now = (crate::site::EPOCH * 1_000_000 + world.model.now) as i64;
-        Duration::from_micros(now.saturating_add(off).max(0) as u64)
+        let simulation = self.simulation.borrow();
+        let clock_offset = simulation.model.proxies[self.proxy].clock;
+        let now = (crate::site::EPOCH * 1_000_000 + simulation.model.now) as i64;
+        Duration::from_micros(now.saturating_add(clock_offset).max(0) as u64)
     }
 }
 
-struct Dial {
-    world: Shared,
-    conn: ConnId,
+struct PendingConnect {
+    simulation: SharedSimulation,
+    conn: ConnectionId,
     done: bool,
 }
 
-impl Future for Dial {
+impl Future for PendingConnect {
     type Output = io::Result<Box<dyn VirtualStream>>;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Self::Output> {
-        let up = self.world.borrow_mut().poll_up(self.conn, context);
-        match up {
+        let connected = self.simulation.borrow_mut().poll_connected(self.conn, context);
+        match connected {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Ok(())) => {
                 self.done = true;
-                Poll::Ready(Ok(Box::new(End { world: self.world.clone(), conn: self.conn, side: OPENER })))
+                Poll::Ready(Ok(Box::new(SimulatedStream {
+                    simulation: self.simulation.clone(),
+                    conn: self.conn,
+                    side: INITIATOR,
+                })))
             }
             Poll::Ready(Err(error)) => {
                 self.done = true;
@@ -61,46 +65,46 @@
     }
 }
 
-impl Drop for Dial {
+impl Drop for PendingConnect {
     fn drop(&mut self) {
         if !self.done {
-            self.world.borrow_mut().close(self.conn, OPENER);
+            self.simulation.borrow_mut().close(self.conn, INITIATOR);
         }
     }
 }
 
 /// A proxy's end of a connection.
-pub(super) struct End {
-    world: Shared,
-    conn: ConnId,
+pub(super) struct SimulatedStream {
+    simulation: SharedSimulation,
+    conn: ConnectionId,
     side: usize,
 }
 
-impl fmt::Debug for End {
+impl fmt::Debug for SimulatedStream {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "End({}, {})", self.conn, self.side)
+        write!(f, "SimulatedStream({}, {})", self.conn, self.side)
     }
 }
 
-impl Drop for End {
+impl Drop for SimulatedStream {
     fn drop(&mut self) {
-        self.world.borrow_mut().close(self.conn, self.side);
+        self.simulation.borrow_mut().close(self.conn, self.side);
     }
 }
 
-impl AsyncRead for End {
+impl AsyncRead for SimulatedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.world.borrow_mut().poll_read(self.conn, self.side, context, buffer)
+        self.simulation.borrow_mut().poll_read(self.conn, self.side, context, buffer)
     }
 }
 
-impl AsyncWrite for End {
+impl AsyncWrite for SimulatedStream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.world.borrow_mut().poll_write(self.conn, self.side, context, bytes)
+        self.simulation.borrow_mut().poll_write(self.conn, self.side, context, bytes)
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -108,36 +112,38 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.world.borrow_mut().shut(self.conn, self.side);
+        self.simulation.borrow_mut().shut_down(self.conn, self.side);
         Poll::Ready(Ok(()))
     }
 }
 
-impl VirtualStream for End {
+impl VirtualStream for SimulatedStream {
     fn has_no_pending_input(&self) -> bool {
-        self.world.borrow().is_quiet(self.conn, self.side)
+        self.simulation.borrow().has_no_pending_input(self.conn, self.side)
     }
 
     fn is_closed_by_peer(&self) -> bool {
-        self.world.borrow().is_left(self.conn, self.side)
+        self.simulation.borrow().is_closed_by_peer(self.conn, self.side)
     }
 }
 
 /// Where a proxy accepts.
-pub(super) struct Door {
-    pub world: Shared,
+pub(super) struct ProxyListener {
+    pub simulation: SharedSimulation,
     pub proxy: usize,
 }
 
-impl fmt::Debug for Door {
+impl fmt::Debug for ProxyListener {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Door({})", self.proxy)
+        write!(f, "ProxyListener({})", self.proxy)
     }
 }
 
-impl VirtualListener for Door {
+impl VirtualListener for ProxyListener {
     fn poll_accept(&self, context: &mut Context<'_>) -> Poll<io::Result<Box<dyn VirtualStream>>> {
-        let accepted = self.world.borrow_mut().poll_accept(self.proxy, context);
-        accepted.map(|conn| Ok(Box::new(End { world: self.world.clone(), conn, side: TAKER }) as _))
+        let accepted = self.simulation.borrow_mut().poll_accept(self.proxy, context);
+        accepted.map(|conn| {
+            Ok(Box::new(SimulatedStream { simulation: self.simulation.clone(), conn, side: ACCEPTOR }) as _)
+        })
     }
 }
--- a/lab/src/full/tests.rs
+++ b/lab/src/full/tests.rs
@@ -1,6 +1,6 @@
 //! The simulated network by itself: what a side writes comes in order and late, or is held, or is lost, as it should.
 
-use super::net::{ConnId, Ev, For, World, OPENER, TAKER};
+use super::net::{ConnectionId, ConnectionKind, NetworkEvent, Simulation, ACCEPTOR, INITIATOR};
 use crate::fault::settle;
 use crate::model::Model;
 use crate::queue::Queue;
@@ -17,83 +17,88 @@
 const MS: Micros = 1_000;
 
 #[derive(Default)]
-struct Woken(AtomicUsize);
+struct WakeCounter(AtomicUsize);
 
-impl Wake for Woken {
+impl Wake for WakeCounter {
     fn wake(self: Arc<Self>) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-struct Net {
-    world: World,
-    woken: Arc<Woken>,
+struct TestNetwork {
+    simulation: Simulation,
+    wake_counter: Arc<WakeCounter>,
     waker: Waker,
 }
 
-impl Net {
+impl TestNetwork {
     /// Nobody asks for anything by itself; discovery and hosts are there.
-    fn new(more: &str) -> Net {
+    fn new(more: &str) -> TestNetwork {
         let text = format!("name = \"x\"\nseconds = 60.0\n{more}");
         let mut scenario = Scenario::parse(&text).unwrap_or_else(|error| panic!("{error}"));
         scenario.load.rate = 1e-4;
-        let mut queue = Queue::<Ev>::default();
+        let mut queue = Queue::<NetworkEvent>::default();
         let model = Model::new(Rc::new(settle(&scenario, 1)), 1, &mut queue);
-        let woken = Arc::new(Woken::default());
-        Net { world: World::new(model, queue), waker: Waker::from(woken.clone()), woken }
+        let wake_counter = Arc::new(WakeCounter::default());
+        let waker = Waker::from(wake_counter.clone());
+        TestNetwork { simulation: Simulation::new(model, queue), waker, wake_counter }
     }
 
-    fn until(&mut self, at: Micros) {
-        while let Some((now, event)) = self.world.queue.take(at) {
-            self.world.model.now = now;
-            self.world.handle(event);
-            while let Some(out) = self.world.model.out.pop_front() {
-                self.world.carry(out);
+    fn run_until(&mut self, at: Micros) {
+        while let Some((now, event)) = self.simulation.queue.take(at) {
+            self.simulation.model.now = now;
+            self.simulation.handle(event);
+            while let Some(out) = self.simulation.model.out.pop_front() {
+                self.simulation.carry_out(out);
             }
         }
-        self.world.model.now = at;
+        self.simulation.model.now = at;
     }
 
     /// A proxy dials a host, and is connected within `wait` if it is at all.
-    fn dial(&mut self, host: usize, wait: Micros) -> Poll<Result<ConnId, ErrorKind>> {
-        let conn = self.world.dial(0, site::host_address(host));
-        self.until(self.world.model.now + wait);
+    fn dial(&mut self, host: usize, wait: Micros) -> Poll<Result<ConnectionId, ErrorKind>> {
+        let conn = self.simulation.dial(0, site::host_address(host));
+        self.run_until(self.simulation.model.now + wait);
         let context = Context::from_waker(&self.waker);
-        self.world.poll_up(conn, &context).map(|up| up.map(|()| conn).map_err(|error| error.kind()))
+        self.simulation
+            .poll_connected(conn, &context)
+            .map(|connected| connected.map(|()| conn).map_err(|error| error.kind()))
     }
 
-    fn connected(&mut self, host: usize) -> ConnId {
+    fn connected(&mut self, host: usize) -> ConnectionId {
         match self.dial(host, 10 * MS) {
             Poll::Ready(Ok(conn)) => conn,
             other => panic!("{other:?}"),
         }
     }
 
-    fn write(&mut self, conn: ConnId, side: usize, bytes: &[u8]) -> Poll<Result<usize, ErrorKind>> {
+    fn write(&mut self, conn: ConnectionId, side: usize, bytes: &[u8]) -> Poll<Result<usize, ErrorKind>> {
         let context = Context::from_waker(&self.waker);
-        self.world.poll_write(conn, side, &context, bytes).map(|wrote| wrote.map_err(|error| error.kind()))
+        self.simulation
+            .poll_write(conn, side, &context, bytes)
+            .map(|wrote| wrote.map_err(|error| error.kind()))
     }
 
-    fn read(&mut self, conn: ConnId, side: usize) -> Poll<Result<Vec<u8>, ErrorKind>> {
+    fn read(&mut self, conn: ConnectionId, side: usize) -> Poll<Result<Vec<u8>, ErrorKind>> {
         let mut space = vec![0; 64 << 10];
         let mut buffer = ReadBuf::new(&mut space);
         let context = Context::from_waker(&self.waker);
-        let read = self.world.poll_read(conn, side, &context, &mut buffer);
+        let read = self.simulation.poll_read(conn, side, &context, &mut buffer);
         read.map(|read| read.map(|()| buffer.filled().to_vec()).map_err(|error| error.kind()))
     }
 
-    fn woken(&self) -> usize {
-        self.woken.0.load(Ordering::Relaxed)
+    fn wake_ups(&self) -> usize {
+        self.wake_counter.0.load(Ordering::Relaxed)
     }
 
     fn connections(&self, host: usize) -> usize {
-        self.world.model.hosts[host].connections
+        self.simulation.model.hosts[host].connections
     }
 }
 
 #[test]
-fn a_connection_takes_two_ways_and_a_zone_away_takes_longer() {
-    let mut net = Net::new("[network]\nnear_us = 300.0\nfar_us = 4000.0\njitter = 0.0");
+fn connecting_takes_one_round_trip_which_is_longer_to_another_zone() {
+    let mut net = TestNetwork::new("[network]\nnear_us = 300.0\nfar_us = 4000.0\njitter = 0.0");
     assert!(matches!(net.dial(0, 599), Poll::Pending));
     assert!(matches!(net.dial(0, 600), Poll::Ready(Ok(_))));
     // Host 1 is of pod 1, in the other zone.
@@ -103,268 +108,288 @@
 }
 
 #[test]
-fn bytes_come_in_order_whatever_the_jitter() {
-    let mut net = Net::new("[network]\njitter = 10.0");
+fn bytes_arrive_in_order_under_large_jitter() {
+    let mut net = TestNetwork::new("[network]\njitter = 10.0");
     let conn = net.connected(0);
     // To the proxy's side, as a host would say it.
     for number in 0..200_u8 {
-        net.world.write(conn, OPENER, vec![number], None);
-        net.until(net.world.model.now + 40);
+        net.simulation.write(conn, INITIATOR, vec![number], None);
+        net.run_until(net.simulation.model.now + 40);
     }
-    net.until(net.world.model.now + 100 * MS);
-    assert_eq!(net.read(conn, OPENER), Poll::Ready(Ok((0..200).collect())));
+    net.run_until(net.simulation.model.now + 100 * MS);
+    assert_eq!(net.read(conn, INITIATOR), Poll::Ready(Ok((0..200).collect())));
 }
 
 #[test]
 fn a_line_of_so_many_megabits_takes_its_time() {
-    let mut net = Net::new("[network]\nmegabits = 8.0\njitter = 0.0\nnear_us = 100.0");
+    let mut net = TestNetwork::new("[network]\nmegabits = 8.0\njitter = 0.0\nnear_us = 100.0");
     let conn = net.connected(0);
-    let start = net.world.model.now;
+    let start = net.simulation.model.now;
     // 16 KiB at a megabyte a second, twice.
     for _ in 0..2 {
-        net.world.write(conn, OPENER, vec![7; 16 << 10], None);
+        net.simulation.write(conn, INITIATOR, vec![7; 16 << 10], None);
     }
-    net.until(start + 16_384 + 99);
-    assert_eq!(net.read(conn, OPENER), Poll::Pending);
-    net.until(start + 16_384 + 100);
-    assert_eq!(net.read(conn, OPENER).map(|read| read.map(|bytes| bytes.len())), Poll::Ready(Ok(16 << 10)));
-    net.until(start + 2 * 16_384 + 99);
-    assert_eq!(net.read(conn, OPENER), Poll::Pending);
-    net.until(start + 2 * 16_384 + 100);
-    assert!(matches!(net.read(conn, OPENER), Poll::Ready(Ok(_))));
+    net.run_until(start + 16_384 + 99);
+    assert_eq!(net.read(conn, INITIATOR), Poll::Pending);
+    net.run_until(start + 16_384 + 100);
+    assert_eq!(
+        net.read(conn, INITIATOR).map(|read| read.map(|bytes| bytes.len())),
+        Poll::Ready(Ok(16 << 10))
+    );
+    net.run_until(start + 2 * 16_384 + 99);
+    assert_eq!(net.read(conn, INITIATOR), Poll::Pending);
+    net.run_until(start + 2 * 16_384 + 100);
+    assert!(matches!(net.read(conn, INITIATOR), Poll::Ready(Ok(_))));
 }
 
 #[test]
-fn a_writer_waits_while_its_reader_does_not_read_and_is_woken_when_it_does() {
-    let mut net = Net::new("[[fault]]\nwhat = \"slow-reader\"\nat = 0.0\nfor = 50.0");
-    net.until(MS);
-    let conn = net.world.open(0, For::Client);
-    net.until(10 * MS);
+fn a_write_waits_for_a_full_window_and_is_woken_by_reads() {
+    let mut net = TestNetwork::new("[[fault]]\nwhat = \"slow-reader\"\nat = 0.0\nfor = 50.0");
+    net.run_until(MS);
+    let conn = net.simulation.open(0, ConnectionKind::Client);
+    net.run_until(10 * MS);
     let mut wrote = 0;
-    while let Poll::Ready(Ok(count)) = net.write(conn, TAKER, &[1; 64 << 10]) {
+    while let Poll::Ready(Ok(count)) = net.write(conn, ACCEPTOR, &[1; 64 << 10]) {
         wrote += count;
     }
     assert_eq!(wrote, 256 << 10);
-    net.until(100 * MS);
-    assert_eq!(net.write(conn, TAKER, &[1]), Poll::Pending);
-    let woken = net.woken();
-    assert_eq!(net.read(conn, OPENER).map(|read| read.map(|bytes| bytes.len())), Poll::Ready(Ok(64 << 10)));
-    assert!(net.woken() > woken);
-    assert_eq!(net.write(conn, TAKER, &[1; 64 << 10]), Poll::Ready(Ok(16 << 10)), "a piece at a time");
+    net.run_until(100 * MS);
+    assert_eq!(net.write(conn, ACCEPTOR, &[1]), Poll::Pending);
+    let before = net.wake_ups();
+    assert_eq!(
+        net.read(conn, INITIATOR).map(|read| read.map(|bytes| bytes.len())),
+        Poll::Ready(Ok(64 << 10))
+    );
+    assert!(net.wake_ups() > before);
+    assert_eq!(net.write(conn, ACCEPTOR, &[1; 64 << 10]), Poll::Ready(Ok(16 << 10)), "one segment per write");
 }
 
 #[test]
-fn what_a_cut_holds_back_comes_in_its_order_when_it_ends() {
-    for (what, there, back) in [("cut", false, false), ("cut-there", false, true), ("cut-back", true, false)]
+fn segments_blocked_by_a_partition_arrive_in_order_after_it() {
+    for (what, to_host_passes, to_proxy_passes) in
+        [("cut", false, false), ("cut-there", false, true), ("cut-back", true, false)]
     {
         let fault = format!("[[fault]]\nwhat = \"{what}\"\nat = 1.0\nfor = 2.0\nhosts = {{ these = [0] }}");
-        let mut net = Net::new(&fault);
+        let mut net = TestNetwork::new(&fault);
         let (cut, other) = (net.connected(0), net.connected(3));
-        net.until(1_500 * MS);
+        net.run_until(1_500 * MS);
         for number in 0..5 {
             for conn in [cut, other] {
-                net.world.write(conn, TAKER, vec![number], None);
-                net.world.write(conn, OPENER, vec![number], None);
+                net.simulation.write(conn, ACCEPTOR, vec![number], None);
+                net.simulation.write(conn, INITIATOR, vec![number], None);
             }
-            net.until(net.world.model.now + 10 * MS);
+            net.run_until(net.simulation.model.now + 10 * MS);
         }
         // At the host's side what has come shows unread: it is no request.
-        let come = |net: &Net, conn: ConnId| net.world.conns[&conn].sides[TAKER].come.len();
-        assert_eq!((come(&net, other), come(&net, cut)), (5, if there { 5 } else { 0 }), "{what}");
-        assert_eq!(net.read(other, OPENER), Poll::Ready(Ok(vec![0, 1, 2, 3, 4])));
-        assert_eq!(net.read(cut, OPENER).is_ready(), back, "{what}");
+        let received = |net: &TestNetwork, conn: ConnectionId| {
+            net.simulation.connections[&conn].endpoints[ACCEPTOR].received.len()
+        };
+        assert_eq!(
+            (received(&net, other), received(&net, cut)),
+            (5, if to_host_passes { 5 } else { 0 }),
+            "{what}"
+        );
+        assert_eq!(net.read(other, INITIATOR), Poll::Ready(Ok(vec![0, 1, 2, 3, 4])));
+        assert_eq!(net.read(cut, INITIATOR).is_ready(), to_proxy_passes, "{what}");
         // A new connection comes up only when both ways are open.
         assert!(net.dial(0, 1_000 * MS).is_pending());
-        net.until(3_100 * MS);
-        assert_eq!(come(&net, cut), 5);
-        let rest = if back { Poll::Pending } else { Poll::Ready(Ok(vec![0, 1, 2, 3, 4])) };
-        assert_eq!(net.read(cut, OPENER), rest, "{what}");
-        assert!(net.world.model.tally.held > 0);
+        net.run_until(3_100 * MS);
+        assert_eq!(received(&net, cut), 5);
+        let remaining = if to_proxy_passes { Poll::Pending } else { Poll::Ready(Ok(vec![0, 1, 2, 3, 4])) };
+        assert_eq!(net.read(cut, INITIATOR), remaining, "{what}");
+        assert!(net.simulation.model.tally.held > 0);
     }
 }
 
 #[test]
-fn a_way_back_that_is_slow_leaves_the_way_there_as_it_is() {
-    let mut net = Net::new(
+fn a_delay_from_the_host_does_not_delay_the_direction_to_it() {
+    let mut net = TestNetwork::new(
         "[network]\njitter = 0.0\nnear_us = 200.0\n[[fault]]\nwhat = \"delay-back\"\nat = 1.0\nfor = 9.0\nmuch = 30.0",
     );
     let conn = net.connected(0);
-    net.until(2_000 * MS);
-    net.world.write(conn, TAKER, b"there".to_vec(), None);
-    net.world.write(conn, OPENER, b"back".to_vec(), None);
-    net.until(2_000 * MS + 200);
-    assert_eq!(net.world.conns[&conn].sides[TAKER].come.len(), 5);
-    net.until(2_000 * MS + 30_199);
-    assert!(net.read(conn, OPENER).is_pending());
-    net.until(2_000 * MS + 30_200);
-    assert_eq!(net.read(conn, OPENER), Poll::Ready(Ok(b"back".to_vec())));
+    net.run_until(2_000 * MS);
+    net.simulation.write(conn, ACCEPTOR, b"there".to_vec(), None);
+    net.simulation.write(conn, INITIATOR, b"back".to_vec(), None);
+    net.run_until(2_000 * MS + 200);
+    assert_eq!(net.simulation.connections[&conn].endpoints[ACCEPTOR].received.len(), 5);
+    net.run_until(2_000 * MS + 30_199);
+    assert!(net.read(conn, INITIATOR).is_pending());
+    net.run_until(2_000 * MS + 30_200);
+    assert_eq!(net.read(conn, INITIATOR), Poll::Ready(Ok(b"back".to_vec())));
 }
 
 #[test]
-fn a_dead_host_refuses_and_resets_and_a_vanished_one_says_nothing() {
+fn a_dead_host_refuses_and_resets_and_a_vanished_one_does_not_answer() {
     let fault =
         |what: &str| format!("[[fault]]\nwhat = \"{what}\"\nat = 1.0\nfor = 2.0\nhosts = {{ these = [0] }}");
-    let mut net = Net::new(&fault("kill"));
+    let mut net = TestNetwork::new(&fault("kill"));
     let conn = net.connected(0);
-    net.until(1_010 * MS);
-    assert_eq!(net.read(conn, OPENER), Poll::Ready(Err(ErrorKind::ConnectionReset)));
-    assert_eq!(net.write(conn, OPENER, b"x"), Poll::Ready(Err(ErrorKind::BrokenPipe)));
+    net.run_until(1_010 * MS);
+    assert_eq!(net.read(conn, INITIATOR), Poll::Ready(Err(ErrorKind::ConnectionReset)));
+    assert_eq!(net.write(conn, INITIATOR, b"x"), Poll::Ready(Err(ErrorKind::BrokenPipe)));
     assert_eq!(net.dial(0, 10 * MS), Poll::Ready(Err(ErrorKind::ConnectionRefused)));
 
-    let mut net = Net::new(&fault("vanish"));
+    let mut net = TestNetwork::new(&fault("vanish"));
     let conn = net.connected(0);
-    net.until(1_010 * MS);
+    net.run_until(1_010 * MS);
     // Half-open: it takes bytes and says nothing, and new ones never come up.
-    assert_eq!(net.write(conn, OPENER, b"x"), Poll::Ready(Ok(1)));
-    assert!(net.read(conn, OPENER).is_pending() && net.world.is_quiet(conn, OPENER));
+    assert_eq!(net.write(conn, INITIATOR, b"x"), Poll::Ready(Ok(1)));
+    assert!(net.read(conn, INITIATOR).is_pending() && net.simulation.has_no_pending_input(conn, INITIATOR));
     assert!(net.dial(0, 1_500 * MS).is_pending());
     // Back again, it knows nothing of it and says so to whoever writes.
-    net.until(3_100 * MS);
-    assert!(net.read(conn, OPENER).is_pending());
-    assert_eq!(net.write(conn, OPENER, b"y"), Poll::Ready(Ok(1)));
-    net.until(3_110 * MS);
-    assert_eq!(net.read(conn, OPENER), Poll::Ready(Err(ErrorKind::ConnectionReset)));
+    net.run_until(3_100 * MS);
+    assert!(net.read(conn, INITIATOR).is_pending());
+    assert_eq!(net.write(conn, INITIATOR, b"y"), Poll::Ready(Ok(1)));
+    net.run_until(3_110 * MS);
+    assert_eq!(net.read(conn, INITIATOR), Poll::Ready(Err(ErrorKind::ConnectionReset)));
     assert!(matches!(net.dial(0, 10 * MS), Poll::Ready(Ok(_))));
 }
 
 #[test]
-fn a_host_holds_so_many_connections_and_those_that_end_make_room() {
-    let mut net = Net::new("[fleet]\nconnections = 2");
+fn a_host_refuses_connections_over_its_limit_until_others_close() {
+    let mut net = TestNetwork::new("[fleet]\nconnections = 2");
     let (first, _second) = (net.connected(0), net.connected(0));
     assert_eq!(net.dial(0, 10 * MS), Poll::Ready(Err(ErrorKind::ConnectionRefused)));
-    net.world.close(first, OPENER);
-    net.until(net.world.model.now + 10 * MS);
+    net.simulation.close(first, INITIATOR);
+    net.run_until(net.simulation.model.now + 10 * MS);
     assert_eq!(net.connections(0), 1);
     net.connected(0);
-    assert_eq!((net.connections(0), net.world.model.tally.connections), (2, 2));
+    assert_eq!((net.connections(0), net.simulation.model.tally.connections), (2, 2));
 }
 
 #[test]
-fn a_door_holds_so_many_and_whoever_finds_it_full_knocks_again() {
-    let mut net = Net::new("[network]\nbacklog = 2\njitter = 0.0");
-    let conns: Vec<ConnId> = (0..3).map(|_| net.world.open(0, For::Client)).collect();
-    net.until(10 * MS);
-    let up = |net: &Net| conns.iter().filter(|conn| net.world.conns[conn].up).count();
-    assert_eq!((up(&net), net.world.doors[0].waiting.len()), (2, 2));
+fn a_syn_for_a_full_accept_queue_is_retransmitted_after_a_second() {
+    let mut net = TestNetwork::new("[network]\nbacklog = 2\njitter = 0.0");
+    let conns: Vec<ConnectionId> = (0..3).map(|_| net.simulation.open(0, ConnectionKind::Client)).collect();
+    net.run_until(10 * MS);
+    let established =
+        |net: &TestNetwork| conns.iter().filter(|conn| net.simulation.connections[conn].established).count();
+    assert_eq!((established(&net), net.simulation.accept_queues[0].pending.len()), (2, 2));
     let context = Context::from_waker(&net.waker);
-    assert_eq!(net.world.poll_accept(0, &context), Poll::Ready(conns[0]));
-    net.until(990 * MS);
-    assert_eq!(up(&net), 2);
-    net.until(1_010 * MS);
-    assert_eq!(up(&net), 3);
+    assert_eq!(net.simulation.poll_accept(0, &context), Poll::Ready(conns[0]));
+    net.run_until(990 * MS);
+    assert_eq!(established(&net), 2);
+    net.run_until(1_010 * MS);
+    assert_eq!(established(&net), 3);
 }
 
 #[test]
-fn a_close_ends_what_was_read_and_resets_what_was_not() {
-    let mut net = Net::new("");
+fn a_close_with_unread_bytes_resets_the_connection() {
+    let mut net = TestNetwork::new("");
     let conn = net.connected(0);
-    net.world.write(conn, OPENER, b"read".to_vec(), None);
-    net.until(net.world.model.now + 10 * MS);
-    assert!(matches!(net.read(conn, OPENER), Poll::Ready(Ok(_))));
-    net.world.close(conn, OPENER);
-    net.until(net.world.model.now + 10 * MS);
-    assert!(!net.world.conns.contains_key(&conn), "both sides are done with it");
+    net.simulation.write(conn, INITIATOR, b"read".to_vec(), None);
+    net.run_until(net.simulation.model.now + 10 * MS);
+    assert!(matches!(net.read(conn, INITIATOR), Poll::Ready(Ok(_))));
+    net.simulation.close(conn, INITIATOR);
+    net.run_until(net.simulation.model.now + 10 * MS);
+    assert!(!net.simulation.connections.contains_key(&conn), "both endpoints are closed");
 
     // The other way round: the host closes, and the proxy has not read all.
     let conn = net.connected(0);
-    net.world.write(conn, OPENER, b"unread".to_vec(), None);
-    net.world.close(conn, TAKER);
-    net.until(net.world.model.now + 10 * MS);
-    assert!(!net.world.is_quiet(conn, OPENER));
-    assert_eq!(net.read(conn, OPENER), Poll::Ready(Ok(b"unread".to_vec())));
-    assert_eq!(net.read(conn, OPENER), Poll::Ready(Ok(Vec::new())), "the end");
+    net.simulation.write(conn, INITIATOR, b"unread".to_vec(), None);
+    net.simulation.close(conn, ACCEPTOR);
+    net.run_until(net.simulation.model.now + 10 * MS);
+    assert!(!net.simulation.has_no_pending_input(conn, INITIATOR));
+    assert_eq!(net.read(conn, INITIATOR), Poll::Ready(Ok(b"unread".to_vec())));
+    assert_eq!(net.read(conn, INITIATOR), Poll::Ready(Ok(Vec::new())), "end of stream");
 
     // Bytes for a side that has closed are answered by a reset.
     let conn = net.connected(0);
-    net.world.write(conn, OPENER, b"late".to_vec(), None);
-    net.world.close(conn, OPENER);
-    net.until(net.world.model.now + 10 * MS);
-    assert!(!net.world.conns.contains_key(&conn));
+    net.simulation.write(conn, INITIATOR, b"late".to_vec(), None);
+    net.simulation.close(conn, INITIATOR);
+    net.run_until(net.simulation.model.now + 10 * MS);
+    assert!(!net.simulation.connections.contains_key(&conn));
 }
 
 /// Each way in which a connection may be lost leaves nothing in the table once the proxy is done with its side.
 #[test]
-fn lost_connections_leave_nothing_behind() {
+fn lost_connections_are_removed() {
     for what in ["kill", "vanish", "cut", "drain"] {
         let fault = format!("[[fault]]\nwhat = \"{what}\"\nat = 1.0\nfor = 2.0\nhosts = {{ these = [0] }}");
-        let mut net = Net::new(&fault);
-        let open: Vec<ConnId> = (0..4).map(|_| net.connected(0)).collect();
-        net.until(1_900 * MS);
+        let mut net = TestNetwork::new(&fault);
+        let open: Vec<ConnectionId> = (0..4).map(|_| net.connected(0)).collect();
+        net.run_until(1_900 * MS);
         // One is closed meanwhile, one written to, one dialled and given up, and the rest found lost later.
-        net.world.close(open[0], OPENER);
-        let _ = net.write(open[1], OPENER, b"x");
-        let dialled = net.world.dial(0, site::host_address(0));
-        net.until(2_500 * MS);
-        net.world.close(dialled, OPENER);
-        net.until(3_500 * MS);
+        net.simulation.close(open[0], INITIATOR);
+        let _ = net.write(open[1], INITIATOR, b"x");
+        let dialled = net.simulation.dial(0, site::host_address(0));
+        net.run_until(2_500 * MS);
+        net.simulation.close(dialled, INITIATOR);
+        net.run_until(3_500 * MS);
         for &conn in &open[1..] {
-            let _ = net.write(conn, OPENER, b"y");
+            let _ = net.write(conn, INITIATOR, b"y");
         }
-        net.until(3_600 * MS);
-        open[1..].iter().for_each(|&conn| net.world.close(conn, OPENER));
-        net.until(5_000 * MS);
-        let left: Vec<_> = net.world.conns.values().collect();
-        assert!(left.is_empty(), "{what}: {left:?}");
+        net.run_until(3_600 * MS);
+        open[1..].iter().for_each(|&conn| net.simulation.close(conn, INITIATOR));
+        net.run_until(5_000 * MS);
+        let remaining: Vec<_> = net.simulation.connections.values().collect();
+        assert!(remaining.is_empty(), "{what}: {remaining:?}");
         assert_eq!(net.connections(0), 0, "{what}");
     }
 }
 
 #[test]
-fn discovery_tells_the_list_then_what_changes_and_beats_meanwhile() {
+fn a_watch_gets_the_full_list_then_changes_and_heartbeats() {
     let fault = "[[fault]]\nwhat = \"discovery-wrong\"\nat = 3.0\nfor = 1.0\nhosts = { these = [2] }\n\
                  [[fault]]\nwhat = \"discovery-silent\"\nat = 10.0\nfor = 10.0\n\
                  [[fault]]\nwhat = \"discovery-down\"\nat = 30.0\nfor = 5.0";
-    let mut net = Net::new(fault);
-    let conn = net.world.dial(0, site::discovery_address());
-    net.until(10 * MS);
-    let asks = b"GET /catalog/members?follow=1 HTTP/1.1\r\nHost: d\r\n\r\n";
-    assert!(matches!(net.write(conn, OPENER, asks), Poll::Ready(Ok(_))));
-    net.until(20 * MS);
-    let said = |net: &mut Net| match net.read(conn, OPENER) {
+    let mut net = TestNetwork::new(fault);
+    let conn = net.simulation.dial(0, site::discovery_address());
+    net.run_until(10 * MS);
+    let request = b"GET /catalog/members?follow=1 HTTP/1.1\r\nHost: d\r\n\r\n";
+    assert!(matches!(net.write(conn, INITIATOR, request), Poll::Ready(Ok(_))));
+    net.run_until(20 * MS);
+    let read_text = |net: &mut TestNetwork| match net.read(conn, INITIATOR) {
         Poll::Ready(Ok(bytes)) => String::from_utf8(bytes).expect("text"),
         Poll::Ready(Err(error)) => format!("{error:?}"),
         Poll::Pending => String::new(),
     };
-    let first = said(&mut net);
+    let first = read_text(&mut net);
     assert!(
         first.contains("\"whole\":true") && first.contains("\"h-5\"") && first.contains("chunked"),
         "{first}"
     );
-    net.until(2_100 * MS);
-    assert_eq!(said(&mut net), "1\r\n\n\r\n", "a heartbeat");
-    net.until(3_100 * MS);
-    let gone = said(&mut net);
-    assert!(gone.contains("\"whole\":false") && gone.contains("h-2") && gone.contains("Gone"), "{gone}");
-    net.until(4_100 * MS);
-    assert!(said(&mut net).contains("Ready"));
-    net.until(10_100 * MS);
-    said(&mut net);
-    net.until(19_900 * MS);
-    assert_eq!(said(&mut net), "", "nothing at all");
-    net.until(24_000 * MS);
-    assert!(!said(&mut net).is_empty());
-    net.until(30_100 * MS);
-    assert_eq!(said(&mut net), "ConnectionReset");
-    assert_eq!(net.world.model.tally.watches, 1);
+    net.run_until(2_100 * MS);
+    assert_eq!(read_text(&mut net), "1\r\n\n\r\n", "a heartbeat");
+    net.run_until(3_100 * MS);
+    let removal = read_text(&mut net);
+    assert!(
+        removal.contains("\"whole\":false") && removal.contains("h-2") && removal.contains("Gone"),
+        "{removal}"
+    );
+    net.run_until(4_100 * MS);
+    assert!(read_text(&mut net).contains("Ready"));
+    net.run_until(10_100 * MS);
+    read_text(&mut net);
+    net.run_until(19_900 * MS);
+    assert_eq!(read_text(&mut net), "", "no data");
+    net.run_until(24_000 * MS);
+    assert!(!read_text(&mut net).is_empty());
+    net.run_until(30_100 * MS);
+    assert_eq!(read_text(&mut net), "ConnectionReset");
+    assert_eq!(net.simulation.model.tally.watches, 1);
 }
 
 /// Found by a sweep (chaos, seed 679): a watch that began while discovery was silent was sent changes without an answer's head,
 /// and its proxy held to what it could not read.
 #[test]
-fn a_watch_that_begins_in_silence_is_answered_from_its_head_when_it_ends() {
-    let mut net = Net::new(
+fn a_watch_begun_during_silence_gets_a_complete_response_after_it() {
+    let mut net = TestNetwork::new(
         "[[fault]]\nwhat = \"discovery-silent\"\nat = 1.0\nfor = 3.0\n\
          [[fault]]\nwhat = \"discovery-wrong\"\nat = 2.0\nfor = 9.0\nhosts = { these = [2] }",
     );
-    net.until(1_500 * MS);
-    let conn = net.world.dial(0, site::discovery_address());
-    net.until(1_510 * MS);
-    let asks = b"GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: d\r\n\r\n";
-    assert!(matches!(net.write(conn, OPENER, asks), Poll::Ready(Ok(_))));
-    net.until(3_990 * MS);
-    assert!(net.read(conn, OPENER).is_pending(), "not even a heartbeat");
-    net.until(4_010 * MS);
-    let Poll::Ready(Ok(said)) = net.read(conn, OPENER) else { panic!("an answer") };
-    let said = String::from_utf8(said).expect("text");
-    assert!(said.starts_with("HTTP/1.1 200 OK") && said.contains("h-2") && said.contains("Gone"), "{said}");
+    net.run_until(1_500 * MS);
+    let conn = net.simulation.dial(0, site::discovery_address());
+    net.run_until(1_510 * MS);
+    let request = b"GET /catalog/members?follow=1&since=1 HTTP/1.1\r\nHost: d\r\n\r\n";
+    assert!(matches!(net.write(conn, INITIATOR, request), Poll::Ready(Ok(_))));
+    net.run_until(3_990 * MS);
+    assert!(net.read(conn, INITIATOR).is_pending(), "no heartbeat either");
+    net.run_until(4_010 * MS);
+    let Poll::Ready(Ok(response)) = net.read(conn, INITIATOR) else { panic!("no response") };
+    let response = String::from_utf8(response).expect("text");
+    assert!(
+        response.starts_with("HTTP/1.1 200 OK") && response.contains("h-2") && response.contains("Gone"),
+        "{response}"
+    );
 }
