--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -5,7 +5,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use nettleworks_lab::baseline::BalancerKind;
 use nettleworks_lab::compare;
-use nettleworks_lab::explore::{shrink, sweep, Found};
+use nettleworks_lab::explore::{shrink, sweep, Counterexample};
 use nettleworks_lab::report;
 use nettleworks_lab::run::{play, play_with, Depth, Limits, Outcome};
 use nettleworks_lab::scenario::Scenario;
@@ -20,9 +20,9 @@
 use std::time::Instant;
 
 /// Writes a line. Whoever asked may have stopped reading.
-macro_rules! say {
-    ($($words:tt)*) => {{
-        let _ = writeln!(std::io::stdout(), $($words)*);
+macro_rules! print_line {
+    ($($arguments:tt)*) => {{
+        let _ = writeln!(std::io::stdout(), $($arguments)*);
     }};
 }
 
@@ -47,14 +47,14 @@
         #[arg(long, value_enum, default_value_t = Depth::Full)]
         depth: Depth,
         /// Who decides (fleet depth)
-        #[arg(long, value_enum, default_value_t = BalancerKind::Ours)]
-        picks: BalancerKind,
+        #[arg(long = "picks", value_name = "PICKS", value_enum, default_value_t = BalancerKind::Ours)]
+        balancer: BalancerKind,
         /// Each event as a line of JSON into this file, with its virtual time
         #[arg(long, value_name = "FILE")]
         events: Option<PathBuf>,
         /// Go on after a broken rule
-        #[arg(long)]
-        goes_on: bool,
+        #[arg(long = "goes-on")]
+        keep_going: bool,
         /// One JSON object instead of lines to read
         #[arg(long)]
         json: bool,
@@ -103,7 +103,8 @@
         out: PathBuf,
     },
     /// Play scenarios in both depths and on real loopback sockets, in real time; a table of Markdown
-    Truth {
+    #[command(name = "truth")]
+    Fidelity {
         /// The scenarios
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
@@ -113,7 +114,8 @@
     /// Play a break again that explore has written
     Replay {
         /// Its file
-        found: PathBuf,
+        #[arg(value_name = "FOUND")]
+        counterexample: PathBuf,
         /// Each event as a line of JSON into this file
         #[arg(long, value_name = "FILE")]
         events: Option<PathBuf>,
@@ -126,7 +128,7 @@
     let number = |text: &str| text.parse::<u64>().map_err(|error| format!("{text}: {error}"));
     let (first, last) = (number(first)?, number(last.trim_start_matches('='))?);
     if first > last || last - first >= 10_000_000 {
-        return Err(format!("{text}: not from a lower to a higher seed, or over 10,000,000 of them"));
+        return Err(format!("{text}: not in ascending order, or more than 10,000,000 seeds"));
     }
     Ok(first..=last)
 }
@@ -149,20 +151,20 @@
     paths.iter().map(|path| load(path)).collect()
 }
 
-fn bar(length: u64, what: &str) -> ProgressBar {
-    let bar = ProgressBar::new(length).with_message(what.to_owned());
+fn progress_bar(length: u64, message: &str) -> ProgressBar {
+    let bar = ProgressBar::new(length).with_message(message.to_owned());
     if let Ok(style) = ProgressStyle::with_template("{msg:32} {wide_bar} {pos}/{len} {eta}") {
         bar.set_style(style);
     }
     bar
 }
 
-fn count(seeds: &RangeInclusive<u64>) -> u64 {
+fn seed_count(seeds: &RangeInclusive<u64>) -> u64 {
     seeds.end() - seeds.start() + 1
 }
 
 fn main() -> ExitCode {
-    match act(Arguments::parse().command) {
+    match execute(Arguments::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(reason) => {
@@ -172,14 +174,15 @@
     }
 }
 
-fn act(command: Command) -> Result<bool, String> {
+fn execute(command: Command) -> Result<bool, String> {
     match command {
-        Command::Run { scenario, seed, depth, picks, events, goes_on, json } => {
+        Command::Run { scenario, seed, depth, balancer, events, keep_going, json } => {
             let scenario = load(&scenario)?;
-            let limits = Limits { stops: !goes_on, tells: log_to(events.as_deref())?, ..Limits::default() };
+            let limits =
+                Limits { stops: !keep_going, tells: log_to(events.as_deref())?, ..Limits::default() };
             let start = Instant::now();
-            let outcome = play_with(&scenario, seed, depth, &limits, picks, None)?;
-            tell(&outcome, start.elapsed().as_secs_f64(), json);
+            let outcome = play_with(&scenario, seed, depth, &limits, balancer, None)?;
+            print_outcome(&outcome, start.elapsed().as_secs_f64(), json);
             Ok(outcome.breaks.is_empty() && outcome.missed.is_empty())
         }
         Command::Explore { scenarios, seeds, depth, light, out } => {
@@ -193,43 +196,47 @@
         }
         Command::Compare { scenarios, seeds, out } => {
             let scenarios = load_all(&scenarios)?;
-            let bar = bar(count(&seeds) * (scenarios.len() * BalancerKind::ALL.len()) as u64, "compare");
-            let lines = compare::compare(&scenarios, &seeds, &BalancerKind::ALL, || bar.inc(1))?;
+            let bar = progress_bar(
+                seed_count(&seeds) * (scenarios.len() * BalancerKind::ALL.len()) as u64,
+                "compare",
+            );
+            let rows = compare::compare(&scenarios, &seeds, &BalancerKind::ALL, || bar.inc(1))?;
             bar.finish_and_clear();
-            let table = compare::table(&lines);
+            let table = compare::table(&rows);
             match out {
                 Some(path) => {
                     std::fs::write(&path, table).map_err(|error| format!("{}: {error}", path.display()))?;
                 }
-                None => say!("{}", table.trim_end()),
+                None => print_line!("{}", table.trim_end()),
             }
-            let ours = lines.iter().filter(|line| line.picks == BalancerKind::Ours);
-            Ok(ours.clone().all(|line| line.broken.is_empty()))
+            let ours = rows.iter().filter(|row| row.balancer == BalancerKind::Ours);
+            Ok(ours.clone().all(|row| row.violations.is_empty()))
         }
         Command::Report { scenario, seeds, depth, out } => {
             let scenario = load(&scenario)?;
-            let bar = bar(count(&seeds) + report::RUNS, "report");
+            let bar = progress_bar(seed_count(&seeds) + report::LOAD_RUNS, "report");
             let page = report::page(&scenario, &seeds, depth, || bar.inc(1))?;
             bar.finish_and_clear();
             std::fs::write(&out, page).map_err(|error| format!("{}: {error}", out.display()))?;
-            say!("{}", out.display());
+            print_line!("{}", out.display());
             Ok(true)
         }
-        Command::Truth { scenarios, seed } => {
-            let all = load_all(&scenarios)?;
-            let all: Vec<_> =
-                all.iter().map(|scenario| truth::compare(scenario, seed)).collect::<Result<_, _>>()?;
-            say!("{}", truth::table(&all).trim_end());
+        Command::Fidelity { scenarios, seed } => {
+            let scenarios = load_all(&scenarios)?;
+            let reports: Vec<_> =
+                scenarios.iter().map(|scenario| truth::compare(scenario, seed)).collect::<Result<_, _>>()?;
+            print_line!("{}", truth::table(&reports).trim_end());
             Ok(true)
         }
-        Command::Replay { found, events } => {
+        Command::Replay { counterexample: path, events } => {
             let text =
-                std::fs::read_to_string(&found).map_err(|error| format!("{}: {error}", found.display()))?;
-            let found = Found::parse(&text).map_err(|error| format!("{}: {error}", found.display()))?;
+                std::fs::read_to_string(&path).map_err(|error| format!("{}: {error}", path.display()))?;
+            let counterexample =
+                Counterexample::parse(&text).map_err(|error| format!("{}: {error}", path.display()))?;
             let limits = Limits { tells: log_to(events.as_deref())?, ..Limits::default() };
             let start = Instant::now();
-            let outcome = play(&found.scenario, found.seed, found.depth, &limits)?;
-            tell(&outcome, start.elapsed().as_secs_f64(), false);
+            let outcome = play(&counterexample.scenario, counterexample.seed, counterexample.depth, &limits)?;
+            print_outcome(&outcome, start.elapsed().as_secs_f64(), false);
             Ok(outcome.breaks.is_empty())
         }
     }
@@ -241,50 +248,51 @@
     depths: &[Depth],
     out: &Path,
 ) -> Result<bool, String> {
-    let mut good = true;
+    let mut passed = true;
     for scenario in scenarios {
         for &depth in depths {
             let start = Instant::now();
-            let bar = bar(count(seeds), &scenario.name);
+            let bar = progress_bar(seed_count(seeds), &scenario.name);
             let swept = sweep(scenario, seeds.clone(), depth, &Limits::default(), || bar.inc(1));
             bar.finish_and_clear();
             let (seconds, broken) = (start.elapsed().as_secs_f64(), swept.violations.len());
-            say!(
+            print_line!(
                 "{} ({depth:?}): {} seeds, {broken} broken, {} not played; {:.0} virtual seconds in {seconds:.1}",
                 scenario.name,
                 swept.seeds,
                 swept.failed.len(),
                 swept.virtual_seconds
             );
-            good &= broken == 0 && swept.failed.is_empty();
-            swept.failed.iter().take(3).for_each(|(seed, reason)| say!("  seed {seed}: {reason}"));
+            passed &= broken == 0 && swept.failed.is_empty();
+            swept.failed.iter().take(3).for_each(|(seed, reason)| print_line!("  seed {seed}: {reason}"));
             // The first of each rule is made small.
-            let mut rules = Vec::new();
-            for (&seed, at) in &swept.violations {
-                if rules.contains(&at.rule) {
+            let mut violated = Vec::new();
+            for (&seed, violation) in &swept.violations {
+                if violated.contains(&violation.rule) {
                     continue;
                 }
-                rules.push(at.rule);
-                say!("  seed {seed}: {at}");
-                at.last.iter().rev().take(12).rev().for_each(|noted| say!("    {noted}"));
-                let Some(small) = shrink(scenario, seed, depth, at.rule, &Limits::default()) else {
+                violated.push(violation.rule);
+                print_line!("  seed {seed}: {violation}");
+                violation.last.iter().rev().take(12).rev().for_each(|event| print_line!("    {event}"));
+                let Some(shrunk) = shrink(scenario, seed, depth, violation.rule, &Limits::default()) else {
                     continue;
                 };
-                let name = format!("{}-{depth:?}-{:?}-{seed}.toml", scenario.name, at.rule).to_lowercase();
+                let name =
+                    format!("{}-{depth:?}-{:?}-{seed}.toml", scenario.name, violation.rule).to_lowercase();
                 let path = out.join(name);
-                std::fs::write(&path, small.found.text())
+                std::fs::write(&path, shrunk.counterexample.text())
                     .map_err(|error| format!("{}: {error}", path.display()))?;
-                say!("  made small in {} runs: {}", small.runs, small.broken);
-                say!("  again: nettleworks-lab replay {}", path.display());
+                print_line!("  shrunk in {} runs: {}", shrunk.runs, shrunk.violation);
+                print_line!("  to repeat: nettleworks-lab replay {}", path.display());
             }
         }
     }
-    Ok(good)
+    Ok(passed)
 }
 
-fn tell(outcome: &Outcome, seconds: f64, as_json: bool) {
+fn print_outcome(outcome: &Outcome, seconds: f64, as_json: bool) {
     let (tally, all) = (&outcome.tally, &outcome.tally.all);
-    let faster = outcome.ended as f64 / 1e6 / seconds.max(1e-9);
+    let speedup = outcome.ended as f64 / 1e6 / seconds.max(1e-9);
     if as_json {
         let object = json!({
             "scenario": outcome.scenario.name, "seed": outcome.seed, "hash": format!("{:016x}", outcome.hash),
@@ -294,31 +302,40 @@
             "watches": tally.watches, "held": tally.held, "held_up": tally.held_up, "keys": tally.keys, "key_repeats": tally.key_repeats,
             "replays": tally.replays, "two_answers": tally.two_answers, "broken": outcome.breaks, "missed": outcome.missed,
         });
-        return say!("{object}");
+        return print_line!("{object}");
     }
-    say!(
+    print_line!(
         "{} under seed {}: log {:016x}, {} events",
         outcome.scenario.name,
         outcome.seed,
         outcome.hash,
         outcome.logged
     );
-    say!("  {:.3} virtual seconds in {seconds:.2}, {faster:.0} times as fast", outcome.ended as f64 / 1e6);
-    say!("  {:.4} of the worth served of {} wanted: {:?}", all.served(), all.wanted, all.ended);
-    say!("  p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms", all.ms(50.0), all.ms(99.0), all.ms(99.9));
+    print_line!(
+        "  {:.3} virtual seconds in {seconds:.2}, {speedup:.0} times as fast",
+        outcome.ended as f64 / 1e6
+    );
+    print_line!("  {:.4} of the worth served of {} wanted: {:?}", all.served(), all.wanted, all.ended);
+    print_line!("  p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms", all.ms(50.0), all.ms(99.0), all.ms(99.9));
     for (class, part) in outcome.scenario.classes.iter().zip(&tally.classes) {
-        say!("    {:24} {:.4} of {}, p99 {:.1} ms", class.name, part.served(), part.wanted, part.ms(99.0));
+        print_line!(
+            "    {:24} {:.4} of {}, p99 {:.1} ms",
+            class.name,
+            part.served(),
+            part.wanted,
+            part.ms(99.0)
+        );
     }
-    say!("  {} attempts, repeats {:?}", tally.sent, tally.repeats);
-    say!(
+    print_line!("  {} attempts, repeats {:?}", tally.sent, tally.repeats);
+    print_line!(
         "  {} connections opened, {} at one host at the most; {} watches",
         tally.opened,
         tally.connections,
         tally.watches
     );
-    for at in outcome.breaks.iter().take(5) {
-        say!("  BROKEN {at}");
-        at.last.iter().for_each(|noted| say!("    {noted}"));
+    for violation in outcome.breaks.iter().take(5) {
+        print_line!("  BROKEN {violation}");
+        violation.last.iter().for_each(|event| print_line!("    {event}"));
     }
-    outcome.missed.iter().for_each(|missed| say!("  MISSED {missed}"));
+    outcome.missed.iter().for_each(|missed| print_line!("  MISSED {missed}"));
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -11,11 +11,11 @@
 use std::ops::RangeInclusive;
 
 /// Times of the scenario's load, of which goodput is plotted.
-const TIMES: [f64; 8] = [0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0];
+const LOAD_MULTIPLES: [f64; 8] = [0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0];
 /// How many runs a report takes beside one for each seed.
-pub const RUNS: u64 = (TIMES.len() * BalancerKind::ALL.len()) as u64;
+pub const LOAD_RUNS: u64 = (LOAD_MULTIPLES.len() * BalancerKind::ALL.len()) as u64;
 /// Hosts that have a line of their own.
-const HOSTS_MOST: usize = 16;
+const MAX_HOST_SERIES: usize = 16;
 
 /// A line of a plot.
 struct Series {
@@ -32,7 +32,7 @@
     scenario: &Scenario,
     seeds: &RangeInclusive<u64>,
     depth: Depth,
-    done: impl Fn() + Sync,
+    on_run_done: impl Fn() + Sync,
 ) -> Result<String, String> {
     let limits = Limits { stops: false, ..Limits::default() };
     let runs: Vec<Outcome> = seeds
@@ -40,7 +40,7 @@
         .into_par_iter()
         .map(|seed| {
             let outcome = play(scenario, seed, depth, &limits);
-            done();
+            on_run_done();
             outcome
         })
         .collect::<Result<_, _>>()?;
@@ -67,91 +67,103 @@
         scenario.load.rate,
         first.seed
     );
-    for (title, what, series) in over_time(first) {
-        page += &plot(title, "seconds", what, &series, &bands(&first.scenario))?;
+    for (title, unit, series) in series_over_time(first) {
+        page += &plot(title, "seconds", unit, &series, &fault_intervals(&first.scenario))?;
     }
     page += &plot(
         "Goodput against offered load",
         "worth offered a second",
         "worth served a second",
-        &against_load(scenario, *seeds.start(), &done)?,
+        &goodput_by_load(scenario, *seeds.start(), &on_run_done)?,
         &[],
     )?;
-    page += &faults(&first.scenario);
-    page += &table(&runs);
+    page += &fault_table(&first.scenario);
+    page += &seed_table(&runs);
     page += "</html>\n";
     Ok(page)
 }
 
-fn over_time(run: &Outcome) -> Vec<(&'static str, &'static str, Vec<Series>)> {
+fn series_over_time(run: &Outcome) -> Vec<(&'static str, &'static str, Vec<Series>)> {
     let seconds = || (0_u32..).zip(&run.tally.seconds);
-    let line = |name: &str, value: &dyn Fn(&crate::tally::Part) -> f64| Series {
+    let series = |name: &str, value: &dyn Fn(&crate::tally::Part) -> f64| Series {
         name: name.to_owned(),
-        points: seconds().filter_map(|(at, of)| Some((at.into(), value(of.part.as_ref()?)))).collect(),
+        points: seconds()
+            .filter_map(|(at, second)| Some((at.into(), value(second.part.as_ref()?))))
+            .collect(),
     };
-    let goodput = vec![line("offered", &|part| part.offered), line("served", &|part| part.got)];
-    let times = [50.0, 90.0, 99.0].map(|at| line(&format!("p{at}"), &move |part| part.ms(at)));
-    let hosts = run.scenario.fleet.hosts.min(HOSTS_MOST);
+    let goodput = vec![series("offered", &|part| part.offered), series("served", &|part| part.got)];
+    let latency = [50.0, 90.0, 99.0]
+        .map(|percentile| series(&format!("p{percentile}"), &move |part| part.ms(percentile)));
+    let hosts = run.scenario.fleet.hosts.min(MAX_HOST_SERIES);
     let load = (0..hosts).map(|host| Series {
         name: format!("host {host}"),
         points: seconds()
-            .map(|(at, of)| (at.into(), of.host.get(&host).copied().unwrap_or_default().into()))
+            .map(|(at, second)| (at.into(), second.host.get(&host).copied().unwrap_or_default().into()))
             .collect(),
     });
     let causes = run.tally.repeats.keys().map(|&cause| Series {
         name: cause.to_owned(),
         points: seconds()
-            .map(|(at, of)| (at.into(), of.repeats.get(cause).copied().unwrap_or_default().into()))
+            .map(|(at, second)| (at.into(), second.repeats.get(cause).copied().unwrap_or_default().into()))
             .collect(),
     });
     let refused = Series {
         name: "refusals".to_owned(),
-        points: seconds().map(|(at, of)| (at.into(), of.refused.into())).collect(),
+        points: seconds().map(|(at, second)| (at.into(), second.refused.into())).collect(),
     };
     vec![
         ("Goodput", "worth a second", goodput),
-        ("Time to an answer, of what was served, by when it was asked", "milliseconds", times.into()),
+        ("Time to an answer, of what was served, by when it was asked", "milliseconds", latency.into()),
         ("Attempts at each host", "a second", load.collect()),
         ("Repeats by cause, and refusals", "a second", causes.chain([refused]).collect()),
     ]
 }
 
 /// When faults are on.
-fn bands(scenario: &Scenario) -> Vec<(f64, f64)> {
-    let band = |fault: &crate::fault::Fault| fault.at.map(|at| (at, at + fault.lasts));
-    scenario.faults.iter().filter_map(band).collect()
+fn fault_intervals(scenario: &Scenario) -> Vec<(f64, f64)> {
+    let interval = |fault: &crate::fault::Fault| fault.at.map(|at| (at, at + fault.lasts));
+    scenario.faults.iter().filter_map(interval).collect()
 }
 
-fn against_load(scenario: &Scenario, seed: u64, done: &(impl Fn() + Sync)) -> Result<Vec<Series>, String> {
-    let all: Vec<(BalancerKind, f64)> =
-        BalancerKind::ALL.iter().flat_map(|&picks| TIMES.map(|times| (picks, times))).collect();
+fn goodput_by_load(
+    scenario: &Scenario,
+    seed: u64,
+    on_run_done: &(impl Fn() + Sync),
+) -> Result<Vec<Series>, String> {
+    let all: Vec<(BalancerKind, f64)> = BalancerKind::ALL
+        .iter()
+        .flat_map(|&balancer| LOAD_MULTIPLES.map(|multiple| (balancer, multiple)))
+        .collect();
     let limits = Limits { stops: false, ..Limits::default() };
     let runs: Vec<_> = all
         .into_par_iter()
-        .map(|(picks, times)| {
+        .map(|(balancer, multiple)| {
             let mut scenario = scenario.clone();
-            scenario.load.rate = (scenario.load.rate * times).min(200_000.0);
-            let outcome = play_with(&scenario, seed, Depth::Fleet, &limits, picks, None);
-            done();
+            scenario.load.rate = (scenario.load.rate * multiple).min(200_000.0);
+            let outcome = play_with(&scenario, seed, Depth::Fleet, &limits, balancer, None);
+            on_run_done();
             let seconds = scenario.seconds - scenario.warm_up;
-            outcome.map(|run| (picks, (run.tally.all.offered / seconds, run.tally.all.got / seconds)))
+            outcome.map(|run| (balancer, (run.tally.all.offered / seconds, run.tally.all.got / seconds)))
         })
         .collect::<Result<_, _>>()?;
     let mut series = BTreeMap::<BalancerKind, Vec<(f64, f64)>>::new();
-    runs.into_iter().for_each(|(picks, point)| series.entry(picks).or_default().push(point));
-    Ok(series.into_iter().map(|(picks, points)| Series { name: picks.name().to_owned(), points }).collect())
+    runs.into_iter().for_each(|(balancer, point)| series.entry(balancer).or_default().push(point));
+    Ok(series
+        .into_iter()
+        .map(|(balancer, points)| Series { name: balancer.name().to_owned(), points })
+        .collect())
 }
 
 fn plot(
     title: &str,
-    across: &str,
-    up: &str,
+    x_label: &str,
+    y_label: &str,
     series: &[Series],
-    bands: &[(f64, f64)],
+    intervals: &[(f64, f64)],
 ) -> Result<String, String> {
     let points = || series.iter().flat_map(|series| &series.points);
-    let most = |value: fn(&(f64, f64)) -> f64| points().map(value).fold(1.0_f64, f64::max);
-    let (right, top) = (most(|point| point.0), most(|point| point.1) * 1.05);
+    let max = |value: fn(&(f64, f64)) -> f64| points().map(value).fold(1.0_f64, f64::max);
+    let (right, top) = (max(|point| point.0), max(|point| point.1) * 1.05);
     let mut text = String::new();
     let mut draw = || -> Result<(), Box<dyn std::error::Error>> {
         let area = SVGBackend::with_string(&mut text, (960, 320)).into_drawing_area();
@@ -164,8 +176,8 @@
             .build_cartesian_2d(0.0..right, 0.0..top)?;
         let grey = BLACK.mix(0.07).filled();
         let shade = |&(from, to): &(f64, f64)| Rectangle::new([(from, 0.0), (to.min(right), top)], grey);
-        chart.draw_series(bands.iter().filter(|band| band.0 < right).map(shade))?;
-        chart.configure_mesh().light_line_style(TRANSPARENT).x_desc(across).y_desc(up).draw()?;
+        chart.draw_series(intervals.iter().filter(|interval| interval.0 < right).map(shade))?;
+        chart.configure_mesh().light_line_style(TRANSPARENT).x_desc(x_label).y_desc(y_label).draw()?;
         for (number, series) in series.iter().enumerate() {
             let color = Palette99::pick(number).to_rgba();
             chart
@@ -185,14 +197,14 @@
     Ok(text)
 }
 
-fn faults(scenario: &Scenario) -> String {
+fn fault_table(scenario: &Scenario) -> String {
     if scenario.faults.is_empty() {
         return String::new();
     }
     let mut text = "<h2>Faults</h2><table><tr><th>what<th>at s<th>for s<th>hosts<th>proxies</tr>".to_owned();
     for fault in &scenario.faults {
-        let which = |which: &crate::fault::Which| match which {
-            crate::fault::Which::These(these) => escape(&format!("{these:?}")),
+        let targets = |targets: &crate::fault::Which| match targets {
+            crate::fault::Which::These(indices) => escape(&format!("{indices:?}")),
             _ => "all".to_owned(),
         };
         let _ = write!(
@@ -201,14 +213,14 @@
             fault.what,
             fault.at.unwrap_or_default(),
             fault.lasts,
-            which(&fault.hosts),
-            which(&fault.proxies)
+            targets(&fault.hosts),
+            targets(&fault.proxies)
         );
     }
     text + "</table>"
 }
 
-fn table(runs: &[Outcome]) -> String {
+fn seed_table(runs: &[Outcome]) -> String {
     let mut text =
         "<h2>Seeds</h2><table><tr><th>seed<th>served<th>p50 ms<th>p99 ms<th>attempts<th>broken<th>log</tr>"
             .to_owned();
--- a/lab/tests/depths.rs
+++ b/lab/tests/depths.rs
@@ -10,7 +10,7 @@
 use nettleworks_lab::scenario::Scenario;
 
 /// By how much the share of the worth served may differ between the depths, by fault. Most differ by less than a hundredth.
-fn apart(what: What) -> f64 {
+fn tolerance(what: What) -> f64 {
     match what {
         // Kept connections are another's last ones, and each break costs a budget.
         What::Stale | What::Resets => 0.06,
@@ -20,7 +20,7 @@
     }
 }
 
-fn with(what: What) -> Scenario {
+fn scenario_with(what: What) -> Scenario {
     let text = "name = \"x\"\nseconds = 12.0\n[fleet]\nhosts = 6\npods = 3\n[load]\nproxies = 3\nrate = 250.0\ntaps = 0.0";
     let mut scenario = scenario(text);
     scenario.name = format!("{what:?}");
@@ -29,20 +29,20 @@
 }
 
 #[test]
-fn each_fault_does_much_the_same_in_both_depths() {
+fn each_fault_has_a_similar_effect_in_both_depths() {
     for what in What::ALL {
-        let scenario = with(what);
+        let scenario = scenario_with(what);
         let served = DEPTHS.map(|depth| sound(&scenario, 3, depth).tally.all.served());
-        assert!((served[0] - served[1]).abs() <= apart(what), "{what:?}: {served:?}");
+        assert!((served[0] - served[1]).abs() <= tolerance(what), "{what:?}: {served:?}");
     }
 }
 
 /// Faults that a proxy cannot hide from its clients do show, and a proxy is itself again behind all of them.
 #[test]
-fn faults_show_while_they_last_and_no_longer() {
+fn faults_lower_the_served_share_only_while_they_last() {
     for what in [What::Restart, What::Resets, What::Errors] {
         for depth in DEPTHS {
-            let outcome = sound(&with(what), 3, depth);
+            let outcome = sound(&scenario_with(what), 3, depth);
             let during = (4..7).map(|second| served_in(&outcome, second)).fold(1.0, f64::min);
             assert!(during < 0.98, "{what:?} {depth:?}: {during}");
             assert!(served_in(&outcome, 2) > 0.99 && served_in(&outcome, 11) > 0.99, "{what:?} {depth:?}");
@@ -50,12 +50,12 @@
     }
 }
 
-fn calm(more: &str) -> Scenario {
-    scenario(&format!("name = \"x\"\nseconds = 8.0\n{more}"))
+fn calm(settings: &str) -> Scenario {
+    scenario(&format!("name = \"x\"\nseconds = 8.0\n{settings}"))
 }
 
 #[test]
-fn no_host_is_given_more_connections_than_it_holds() {
+fn no_host_gets_more_connections_than_its_limit() {
     let scenario = calm("[fleet]\nconnections = 5\n[load]\nproxies = 4\nrate = 900.0");
     for depth in DEPTHS {
         let outcome = whole(&scenario, 1, depth);
@@ -64,36 +64,36 @@
 }
 
 #[test]
-fn connections_are_kept_and_closed_when_they_are_old() {
+fn connections_are_reused_and_closed_after_the_idle_timeout() {
     for depth in DEPTHS {
-        let keeps = sound(&calm("[load]\nproxies = 2\nrate = 200.0"), 1, depth).tally;
-        assert!(keeps.opened * 20 < keeps.sent, "{depth:?}: {} for {}", keeps.opened, keeps.sent);
+        let tally = sound(&calm("[load]\nproxies = 2\nrate = 200.0"), 1, depth).tally;
+        assert!(tally.opened * 20 < tally.sent, "{depth:?}: {} for {}", tally.opened, tally.sent);
         // Hosts keep them for 10 ms, and one is used every 60.
-        let closes = sound(&calm("[fleet]\nkeep_ms = 10\n[load]\nproxies = 2\nrate = 200.0"), 1, depth).tally;
-        assert!(closes.opened * 2 > closes.sent, "{depth:?}: {} for {}", closes.opened, closes.sent);
+        let tally = sound(&calm("[fleet]\nkeep_ms = 10\n[load]\nproxies = 2\nrate = 200.0"), 1, depth).tally;
+        assert!(tally.opened * 2 > tally.sent, "{depth:?}: {} for {}", tally.opened, tally.sent);
     }
 }
 
 #[test]
-fn a_proxy_that_may_hold_few_connections_opens_no_more() {
+fn a_proxy_at_its_connection_limit_replaces_its_oldest_idle_connection() {
     // 64 descriptors leave 12 for hosts.
     for depth in DEPTHS {
-        let few = calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0\nsockets = 64");
-        let most = sound(&few, 1, depth).tally;
-        let many =
-            sound(&calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0"), 1, depth).tally;
+        let limited = calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0\nsockets = 64");
+        let limited = sound(&limited, 1, depth);
+        let unlimited =
+            sound(&calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0"), 1, depth);
         assert!(
-            most.opened > many.opened,
-            "{depth:?}: the oldest idle one makes room, {} {}",
-            most.opened,
-            many.opened
+            limited.tally.opened > unlimited.tally.opened,
+            "{depth:?}: the oldest idle connection is replaced, {} {}",
+            limited.tally.opened,
+            unlimited.tally.opened
         );
-        assert!(most.all.served() > 0.97, "{depth:?}: {}", most.all.served());
+        assert!(limited.tally.all.served() > 0.97, "{depth:?}: {}", limited.tally.all.served());
     }
 }
 
 #[test]
-fn watches_begin_again_after_discovery_was_down_or_silent() {
+fn watches_are_reopened_after_discovery_was_down_or_silent() {
     for what in [What::DiscoveryDown, What::DiscoverySilent] {
         let mut scenario = calm("[load]\nproxies = 5");
         scenario.seconds = 25.0;
@@ -105,13 +105,13 @@
             assert!(outcome.tally.watches >= 10, "{what:?} {depth:?}: {}", outcome.tally.watches);
             let host_1 =
                 |second: usize| outcome.tally.seconds[second].host.get(&1).copied().unwrap_or_default();
-            assert!(host_1(24) > 0, "{what:?} {depth:?}: it is in use again");
+            assert!(host_1(24) > 0, "{what:?} {depth:?}: host 1 is not used again");
         }
     }
 }
 
 #[test]
-fn a_list_that_is_pushed_is_watched_as_well() {
+fn a_pushed_list_is_watched_as_well() {
     let mut scenario = calm("[discovery]\nasked = false\n[load]\nproxies = 3");
     scenario.faults.push(fault(What::DiscoveryDown, 2.0, 2.0, Which::All, Which::All));
     for depth in DEPTHS {
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn reports_that_lie_or_lag_break_nothing() {
+fn wrong_or_late_load_reports_do_no_harm() {
     for reports in ["honest", "lagging", "lying", "none"] {
         let text = format!("[fleet]\nreports = \"{reports}\"\n[load]\nproxies = 3\nrate = 500.0");
         for depth in DEPTHS {
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_miss_of_what_must_hold_is_told_and_breaks_no_rule() {
+fn a_missed_expectation_is_reported_and_violates_no_invariant() {
     for depth in DEPTHS {
         let outcome = sound(&calm("[must]\nserved = 1.0\np99_ms = 3.0"), 1, depth);
         assert!(outcome.missed.iter().any(|missed| missed.contains("percentile")), "{:?}", outcome.missed);
@@ -144,30 +144,31 @@
 /// Work of a second that hosts take at once is bounded by the module's budgets: in a crowd a fleet serves what it can, and the
 /// rest is refused at once. Random choice, with the same clients, does far less.
 #[test]
-fn a_crowd_is_turned_away_early_and_the_rest_is_served() {
+fn overload_is_refused_early_and_the_rest_is_served() {
     let scenario = common::shipped("metastable").light(16.0, 150.0);
     let ours = DEPTHS.map(|depth| sound(&scenario, 1, depth).tally.all.served());
     let limits = nettleworks_lab::run::Limits { stops: false, ..Default::default() };
     let random = nettleworks_lab::baseline::BalancerKind::Random;
-    let plain = nettleworks_lab::run::play_with(&scenario, 1, Depth::Fleet, &limits, random, None)
-        .expect("it is played");
-    let plain = plain.tally.all.served();
-    assert!(ours[0] > 1.5 * plain && ours[1] > 1.5 * plain, "{ours:?} {plain}");
+    let baseline = nettleworks_lab::run::play_with(&scenario, 1, Depth::Fleet, &limits, random, None)
+        .expect("the scenario is valid");
+    let baseline = baseline.tally.all.served();
+    assert!(ours[0] > 1.5 * baseline && ours[1] > 1.5 * baseline, "{ours:?} {baseline}");
 }
 
 /// A power cut under nearly all that warm hosts bear: what spreads calls evenly pushes cold hosts over, ours does not, with few
 /// proxies and with many.
 #[test]
-fn a_cold_fleet_under_full_load_stands() {
-    let broken = |outcome: &Outcome| outcome.breaks.iter().any(|broken| broken.rule == Rule::ColdHostStands);
+fn a_cold_fleet_under_full_load_is_not_overloaded() {
+    let overloads =
+        |outcome: &Outcome| outcome.breaks.iter().any(|violation| violation.rule == Rule::ColdHostStands);
     let limits = nettleworks_lab::run::Limits { stops: false, ..Default::default() };
-    let plain = nettleworks_lab::baseline::BalancerKind::LeastOfTwo;
+    let least_of_two = nettleworks_lab::baseline::BalancerKind::LeastOfTwo;
     for proxies in [4, 60] {
         let mut scenario = common::shipped("cold-fleet-busy");
         scenario.seconds = 14.0;
         scenario.load.proxies = proxies;
-        let evenly = nettleworks_lab::run::play_with(&scenario, 1, Depth::Fleet, &limits, plain, None);
-        assert!(broken(&evenly.expect("it is played")), "{proxies}");
+        let evenly = nettleworks_lab::run::play_with(&scenario, 1, Depth::Fleet, &limits, least_of_two, None);
+        assert!(overloads(&evenly.expect("the scenario is valid")), "{proxies}");
         sound(&scenario, 1, Depth::Fleet);
     }
     sound(&common::shipped("cold-fleet-busy").light(14.0, 600.0), 1, Depth::Full);
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_its_host_has_closed_breaks_before_anything_runs() {
+fn attempts_on_connections_closed_by_the_host_are_retried_as_stale() {
     let mut scenario = calm("[load]\nproxies = 2\nrate = 60.0\ntaps = 0.0");
     scenario.faults.push(stale(2.0));
     for depth in DEPTHS {
--- a/lab/tests/determinism.rs
+++ b/lab/tests/determinism.rs
@@ -20,31 +20,31 @@
 
 fn hash(scenario: &Scenario, depth: Depth, leak: Option<Leak>) -> u64 {
     let limits = Limits { stops: false, ..Limits::default() };
-    play_with(scenario, 7, depth, &limits, BalancerKind::Ours, leak).expect("it is played").hash
+    play_with(scenario, 7, depth, &limits, BalancerKind::Ours, leak).expect("the scenario is valid").hash
 }
 
 #[test]
-fn a_seed_has_one_log_on_one_thread_and_on_four() {
+fn a_seed_gives_the_same_log_on_one_thread_and_on_four() {
     for name in ["chaos", "keys"] {
         let scenario = shipped(name, 8.0);
         for depth in DEPTHS {
-            let on = |threads| {
+            let hashes_on = |threads| {
                 let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
                 pool.install(|| sweep(&scenario, 1..=6, depth, &Limits::default(), || ())).hashes
             };
-            let (one, four, again) = (on(1), on(4), on(4));
+            let (one, four, again) = (hashes_on(1), hashes_on(4), hashes_on(4));
             assert_eq!(one.len(), 6);
             assert!(one == four && four == again, "{name} {depth:?}: {one:x?} {four:x?} {again:x?}");
             let mut all: Vec<u64> = one.into_values().collect();
             all.sort_unstable();
             all.dedup();
-            assert_eq!(all.len(), 6, "another seed is another course");
+            assert_eq!(all.len(), 6, "different seeds give different logs");
         }
     }
 }
 
 #[test]
-fn hosts_that_no_list_names_change_nothing() {
+fn hosts_that_are_not_listed_change_nothing() {
     for depth in DEPTHS {
         let scenario = shipped("chaos", 8.0);
         let mut more = scenario.clone();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_leak_of_the_machine_into_a_run_is_noticed() {
+fn nondeterminism_of_the_machine_is_detected() {
     let scenario = shipped("calm", 4.0);
     for depth in DEPTHS {
         for leak in [Leak::Clock, Leak::MapOrder, Leak::Thread] {
@@ -69,13 +69,14 @@
 }
 
 #[test]
-fn a_settled_scenario_that_was_written_down_plays_the_same() {
+fn a_scenario_with_resolved_faults_runs_the_same_after_a_round_trip() {
     let scenario = shipped("chaos", 8.0);
     let settled = nettleworks_lab::fault::settle(&scenario, 3);
     assert!(settled.chaos.is_none() && settled.faults.len() >= 14);
     let read = Scenario::parse(&settled.text()).unwrap_or_else(|error| panic!("{error}"));
     for depth in DEPTHS {
-        let hash = |scenario| play(scenario, 3, depth, &Limits::default()).expect("it is played").hash;
+        let hash =
+            |scenario| play(scenario, 3, depth, &Limits::default()).expect("the scenario is valid").hash;
         assert_eq!(hash(&scenario), hash(&read));
     }
 }
--- a/lab/tests/growth.rs
+++ b/lab/tests/growth.rs
@@ -4,9 +4,9 @@
 use nettleworks_lab::run::{play, Depth, Limits, Outcome};
 use nettleworks_lab::scenario::Scenario;
 
-fn played(text: &str, seed: u64) -> Outcome {
+fn run(text: &str, seed: u64) -> Outcome {
     let scenario = Scenario::parse(text).unwrap_or_else(|error| panic!("{error}"));
-    let outcome = play(&scenario, seed, Depth::Full, &Limits::default()).expect("it is played");
+    let outcome = play(&scenario, seed, Depth::Full, &Limits::default()).expect("the scenario is valid");
     assert_eq!(outcome.breaks, []);
     outcome
 }
@@ -21,8 +21,8 @@
 
 /// Thirty proxies before thirty hosts that hold few connections.
 #[test]
-fn hosts_at_their_connection_cap_are_not_asked_for_more_than_pays() {
-    let outcome = played(
+fn proxies_stay_below_the_connection_limit_of_the_hosts() {
+    let outcome = run(
         "name = \"x\"\nseconds = 12.0\nwarm_up = 4.0\n[fleet]\nhosts = 30\nconnections = 10\nhandshake_us = 12000.0\n\
          [load]\nproxies = 30\nrate = 1800.0",
         1,
--- a/lab/tests/standing.rs
+++ b/lab/tests/standing.rs
@@ -11,7 +11,7 @@
 
 const DAYS: [&str; 8] = ["calm", "roll", "herd", "zone", "zone-release", "split", "join", "soak"];
 
-fn day(name: &str) -> Scenario {
+fn load_day(name: &str) -> Scenario {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("scenarios/standing/standing-{name}.toml"));
     Scenario::load(&path).unwrap_or_else(|error| panic!("{error}"))
 }
@@ -19,7 +19,7 @@
 /// The same with a tenth of proxies and hosts, which leaves each proxy and each host its load, in half the time; of the
 /// long day its first minute.
 fn small(name: &str) -> Scenario {
-    let mut small = day(name);
+    let mut small = load_day(name);
     if name == "soak" {
         small.seconds = 60.0;
         small.faults.iter_mut().for_each(|fault| fault.stagger /= 8.0);
@@ -31,17 +31,17 @@
     small.load.proxies /= 10;
     small.load.rate /= 10.0;
     small.fleet.connections /= 2;
-    let fewer = |which: &mut Which| match which {
+    let scale_down = |targets: &mut Which| match targets {
         Which::Any(count) => *count = count.div_ceil(10),
-        Which::These(these) => {
-            *these = these.iter().filter(|&one| one % 10 == 0).map(|one| one / 10).collect();
+        Which::These(indices) => {
+            *indices = indices.iter().filter(|&index| index % 10 == 0).map(|index| index / 10).collect();
         }
         Which::All | Which::Pod(_) | Which::Zone(_) => {}
     };
     for fault in &mut small.faults {
         fault.stagger *= 10.0;
-        fewer(&mut fault.hosts);
-        fewer(&mut fault.proxies);
+        scale_down(&mut fault.hosts);
+        scale_down(&mut fault.proxies);
     }
     let small = small.light(small.seconds / 2.0, f64::MAX);
     small.check().unwrap_or_else(|error| panic!("{error}"));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn each_day_in_the_small_keeps_the_rules_in_both_depths() {
+fn each_scaled_down_day_violates_no_invariant_in_both_depths() {
     for name in DAYS {
         for depth in [Depth::Full, Depth::Fleet] {
             let outcome = sound(&small(name), 2, depth);
@@ -68,7 +68,7 @@
 
 /// Six seconds of the calm day at full size; hosts hold so many connections.
 fn calm(proxies: usize, connections: usize) -> Outcome {
-    let mut calm = day("calm");
+    let mut calm = load_day("calm");
     (calm.seconds, calm.warm_up) = (6.0, 2.0);
     calm.load.curve.clear();
     (calm.load.proxies, calm.fleet.connections) = (proxies, connections);
@@ -78,7 +78,7 @@
 /// The collapse that the operators met: each proxy keeps a connection to most hosts, hosts run out of them, and what is
 /// refused there is held against the hosts.
 #[test]
-fn three_hundred_proxies_do_not_use_up_the_hosts_connections() {
+fn three_hundred_proxies_do_not_exhaust_the_connections_of_the_hosts() {
     let outcome = calm(300, 40);
     let (open, served) = (outcome.tally.connections, served(&outcome, 2..6));
     assert!(open <= 25, "{open} of 40 at one host");
@@ -87,15 +87,15 @@
 
 /// There are 6,000 places for connections, and a thousand that would keep eight each: they learn to keep fewer.
 #[test]
-fn a_thousand_proxies_share_the_places_that_there_are() {
+fn a_thousand_proxies_share_too_few_connections() {
     let outcome = calm(1_000, 30);
     assert!(served(&outcome, 2..6) > 0.95, "{}", served(&outcome, 2..6));
 }
 
 /// Without a list from before a thousand proxies have nothing to go by, and their clients are there at once.
 #[test]
-fn a_thousand_that_start_without_a_list_serve_within_two_seconds() {
-    let mut start = day("calm");
+fn a_thousand_proxies_without_a_cached_list_serve_within_two_seconds() {
+    let mut start = load_day("calm");
     (start.seconds, start.warm_up) = (5.0, 0.0);
     start.load.curve.clear();
     start.load.proxies = 1_000;
@@ -107,19 +107,19 @@
 /// Seven in ten start at once before a discovery that answers in turn: they ask one after the other, and what they know
 /// from before serves meanwhile.
 #[test]
-fn a_herd_that_has_a_list_is_served_while_discovery_is_overbooked() {
-    let mut herd = day("herd");
+fn restarted_proxies_serve_with_cached_lists_while_discovery_is_overloaded() {
+    let mut herd = load_day("herd");
     (herd.seconds, herd.warm_up) = (14.0, 1.0);
     let outcome = whole(&herd, 1, Depth::Fleet);
     assert_eq!(outcome.breaks, []);
     // Each of 300 begins once and 210 once more.
-    assert!(outcome.tally.watches <= 600, "{} asks", outcome.tally.watches);
+    assert!(outcome.tally.watches <= 600, "{} watches", outcome.tally.watches);
     assert!(served(&outcome, 10..14) > 0.93, "{}", served(&outcome, 10..14));
 }
 
 /// At full size until so many seconds.
-fn until(name: &str, seconds: f64) -> Outcome {
-    let mut day = day(name);
+fn run_until(name: &str, seconds: f64) -> Outcome {
+    let mut day = load_day(name);
     day.seconds = seconds;
     // Those that come later are not there.
     day.faults.retain(|fault| fault.at.is_none_or(|at| at < seconds));
@@ -128,16 +128,16 @@
 
 /// Each proxy meets its hosts seldom, and a third of them is silent while others drain.
 #[test]
-fn a_zone_lost_while_a_release_runs_costs_little_beside_its_own_calls() {
-    let outcome = until("zone-release", 13.0);
+fn losing_a_zone_during_a_release_costs_little_more_than_its_own_calls() {
+    let outcome = run_until("zone-release", 13.0);
     let lost = served(&outcome, 7..12);
     assert!(lost > 0.94, "{lost}");
 }
 
 /// Most of the hosts that a proxy has met are gone within 7 s, and one in five of the new ones fails.
 #[test]
-fn six_in_ten_replaced_with_some_bad_leave_most_calls_served() {
-    let outcome = until("join", 14.0);
+fn replacing_six_of_ten_hosts_with_some_faulty_ones_leaves_most_calls_served() {
+    let outcome = run_until("join", 14.0);
     let during = served(&outcome, 5..13);
     assert!(during > 0.9, "{during}");
 }
--- a/lab/tests/tools.rs
+++ b/lab/tests/tools.rs
@@ -4,8 +4,8 @@
 
 use common::{path, scenario, shipped};
 use nettleworks_lab::baseline::BalancerKind;
-use nettleworks_lab::compare::{compare, table, Spread};
-use nettleworks_lab::explore::{sweep, Found};
+use nettleworks_lab::compare::{compare, table, Summary};
+use nettleworks_lab::explore::{sweep, Counterexample};
 use nettleworks_lab::judge::Rule;
 use nettleworks_lab::report;
 use nettleworks_lab::run::{Depth, Limits};
@@ -15,8 +15,8 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-fn lab(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_nettleworks-lab")).args(words).output().expect("it runs")
+fn lab(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_nettleworks-lab")).args(arguments).output().expect("the program starts")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -31,7 +31,7 @@
     folder
 }
 
-fn small(name: &str, text: &str) -> String {
+fn scenario_file(name: &str, text: &str) -> String {
     let path = folder(name).join("scenario.toml");
     std::fs::write(&path, text).expect("written");
     path.display().to_string()
@@ -40,8 +40,8 @@
 const CALM: &str = "name = \"small\"\nseconds = 3.0\n[load]\nproxies = 2\nrate = 100.0\n";
 
 #[test]
-fn a_run_says_what_came_of_it_and_the_same_twice() {
-    let file = small("run", CALM);
+fn a_run_prints_its_results_and_repeats_them() {
+    let file = scenario_file("run", CALM);
     for depth in ["full", "fleet"] {
         let run = || lab(&["run", &file, "--depth", depth, "--seed", "5", "--json"]);
         let (first, second) = (run(), run());
@@ -52,13 +52,13 @@
         assert!(values[0]["served"].as_f64().is_some_and(|served| served > 0.99), "{}", values[0]);
         assert_eq!(values[0]["broken"], serde_json::json!([]));
     }
-    let told = text(&lab(&["run", &file]).stdout);
-    assert!(told.contains("small under seed 1") && told.contains("registro-entrada"), "{told}");
+    let printed = text(&lab(&["run", &file]).stdout);
+    assert!(printed.contains("small under seed 1") && printed.contains("registro-entrada"), "{printed}");
 }
 
 #[test]
-fn events_are_lines_of_json_in_virtual_time_and_all_of_them() {
-    let file = small("events", CALM);
+fn events_are_written_as_json_lines_in_order_of_virtual_time() {
+    let file = scenario_file("events", CALM);
     let events = folder("events-out").join("events.json");
     let output = lab(&["run", &file, "--json", "--events", &events.display().to_string()]);
     assert!(output.status.success());
@@ -72,13 +72,13 @@
         last = at;
         asked += u64::from(line["of"] == "Asked");
     }
-    let told: Value = serde_json::from_slice(&output.stdout).expect("an object");
-    assert!(asked >= told["wanted"].as_u64().expect("a count") && last > 2_900_000, "{asked} {last}");
+    let result: Value = serde_json::from_slice(&output.stdout).expect("an object");
+    assert!(asked >= result["wanted"].as_u64().expect("a count") && last > 2_900_000, "{asked} {last}");
 }
 
 #[test]
-fn a_miss_ends_with_1_and_what_cannot_be_played_with_2_and_a_reason() {
-    let missed = small("missed", &format!("{CALM}[must]\np99_ms = 0.5\n"));
+fn a_missed_expectation_exits_with_1_and_invalid_input_with_2_and_a_reason() {
+    let missed = scenario_file("missed", &format!("{CALM}[must]\np99_ms = 0.5\n"));
     let output = lab(&["run", &missed]);
     assert_eq!(output.status.code(), Some(1));
     assert!(text(&output.stdout).contains("MISSED"));
@@ -88,24 +88,24 @@
         ("wrong-3", "name = \"x\"\nseconds = 500000.0\n[load]\nrate = 1000.0\n", "load.rate"),
         ("wrong-4", "name = \"x\"\nseconds = 5.0\n[fleet]\nhosts = 2000\n[load]\nproxies = 9000\n", "load.proxies"),
     ] {
-        let wrong = small(name, content);
-        for words in [&["run", &wrong][..], &["explore", &wrong], &["compare", &wrong], &["report", &wrong], &["truth", &wrong]] {
-            let output = lab(words);
-            let said = text(&output.stderr);
-            assert_eq!(output.status.code(), Some(2), "{words:?}: {said}");
-            assert!(said.contains(place) && output.stdout.is_empty(), "{words:?}: {said}");
+        let wrong = scenario_file(name, content);
+        for arguments in [&["run", &wrong][..], &["explore", &wrong], &["compare", &wrong], &["report", &wrong], &["truth", &wrong]] {
+            let output = lab(arguments);
+            let error = text(&output.stderr);
+            assert_eq!(output.status.code(), Some(2), "{arguments:?}: {error}");
+            assert!(error.contains(place) && output.stdout.is_empty(), "{arguments:?}: {error}");
         }
     }
-    for words in [
+    for arguments in [
         &["run", "/nowhere/x.toml"][..],
         &["replay", "/nowhere/x.toml"],
         &["explore"],
         &["explore", "x", "--seeds", "9..1"],
     ] {
-        assert_eq!(lab(words).status.code(), Some(2), "{words:?}");
+        assert_eq!(lab(arguments).status.code(), Some(2), "{arguments:?}");
     }
     // In fleet depth alone may another decide.
-    let good = small("good", CALM);
+    let good = scenario_file("good", CALM);
     assert_eq!(lab(&["run", &good, "--picks", "random"]).status.code(), Some(2));
     assert_eq!(lab(&["run", &good, "--picks", "random", "--depth", "fleet"]).status.code(), Some(0));
 }
@@ -113,53 +113,54 @@
 /// A break is written down small, and played again by the one command that is named. Under a store of keys that holds but
 /// a few, in a scenario of the lab's own, ours breaks nothing; so the break is one of a plain balancer's scenario, settled here.
 #[test]
-fn explore_says_that_nothing_broke_and_replay_plays_a_file_again() {
-    let file = small("explore", CALM);
+fn explore_reports_no_violations_and_replay_repeats_a_file() {
+    let file = scenario_file("explore", CALM);
     let output = lab(&["explore", &file, "--seeds", "1..3", "--light"]);
-    let said = text(&output.stdout);
-    assert!(output.status.success() && said.matches("3 seeds, 0 broken").count() == 2, "{said}");
-    let settled = nettleworks_lab::fault::settle(&shipped("chaos").light(4.0, 60.0), 2);
-    let found = Found { seed: 2, depth: Depth::Full, what: "nothing".to_owned(), scenario: settled };
-    assert_eq!(Found::parse(&found.text()), Ok(found.clone()));
+    let printed = text(&output.stdout);
+    assert!(output.status.success() && printed.matches("3 seeds, 0 broken").count() == 2, "{printed}");
+    let resolved = nettleworks_lab::fault::settle(&shipped("chaos").light(4.0, 60.0), 2);
+    let counterexample =
+        Counterexample { seed: 2, depth: Depth::Full, description: "nothing".to_owned(), scenario: resolved };
+    assert_eq!(Counterexample::parse(&counterexample.text()), Ok(counterexample.clone()));
     let path = folder("replay").join("found.toml");
-    std::fs::write(&path, found.text()).expect("written");
+    std::fs::write(&path, counterexample.text()).expect("written");
     let output = lab(&["replay", &path.display().to_string()]);
     assert!(output.status.success());
-    let hash = sweep(&found.scenario, 2..=2, Depth::Full, &Limits::default(), || ()).hashes[&2];
+    let hash = sweep(&counterexample.scenario, 2..=2, Depth::Full, &Limits::default(), || ()).hashes[&2];
     assert!(text(&output.stdout).contains(&format!("{hash:016x}")), "{}", text(&output.stdout));
-    assert!(Found::parse("seed = 1").is_err());
-    let broken = found.text().replace("hosts = 8", "hosts = 0");
-    assert!(Found::parse(&broken).expect_err("it cannot be played").contains("fleet.hosts"));
+    assert!(Counterexample::parse("seed = 1").is_err());
+    let invalid = counterexample.text().replace("hosts = 8", "hosts = 0");
+    assert!(Counterexample::parse(&invalid).expect_err("the scenario is invalid").contains("fleet.hosts"));
 }
 
 #[test]
-fn a_comparison_has_a_line_for_each_and_shows_what_the_plain_ones_break() {
+fn a_comparison_has_a_row_per_balancer_and_counts_violations_of_baselines() {
     let scenario = shipped("reset-storm").light(10.0, 150.0);
     let count = AtomicU64::new(0);
-    let lines = compare(&[scenario], &(1..=4), &BalancerKind::ALL, || {
+    let rows = compare(&[scenario], &(1..=4), &BalancerKind::ALL, || {
         count.fetch_add(1, Ordering::Relaxed);
     });
-    let lines = lines.expect("they are played");
-    assert_eq!((lines.len(), count.load(Ordering::Relaxed)), (6, 24));
-    for line in &lines {
-        let twice = line.broken.get(&Rule::NoEffectTwice).copied().unwrap_or_default();
-        assert_eq!(twice > 0, line.picks != BalancerKind::Ours, "{line:?}");
-        assert!(line.served.least <= line.served.median && line.served.median <= line.served.most);
+    let rows = rows.expect("the scenario is valid");
+    assert_eq!((rows.len(), count.load(Ordering::Relaxed)), (6, 24));
+    for row in &rows {
+        let duplicates = row.violations.get(&Rule::NoEffectTwice).copied().unwrap_or_default();
+        assert_eq!(duplicates > 0, row.balancer != BalancerKind::Ours, "{row:?}");
+        assert!(row.served.min <= row.served.median && row.served.median <= row.served.max);
     }
-    let table = table(&lines);
-    for picks in BalancerKind::ALL {
-        assert!(table.contains(&format!("| reset-storm | {} |", picks.name())), "{table}");
+    let table = table(&rows);
+    for balancer in BalancerKind::ALL {
+        assert!(table.contains(&format!("| reset-storm | {} |", balancer.name())), "{table}");
     }
-    let spread = Spread::of(vec![3.0, 1.0, 2.0]);
-    assert_eq!((spread.median, spread.least, spread.most), (2.0, 1.0, 3.0));
-    assert!(Spread::of(Vec::new()).median.is_nan());
+    let summary = Summary::new(vec![3.0, 1.0, 2.0]);
+    assert_eq!((summary.median, summary.min, summary.max), (2.0, 1.0, 3.0));
+    assert!(Summary::new(Vec::new()).median.is_nan());
 }
 
 #[test]
 fn a_report_is_one_page_with_its_plots_faults_and_seeds() {
     let mut scenario = shipped("one-way").light(10.0, 60.0);
     scenario.name = "one <way> & back".to_owned();
-    let page = report::page(&scenario, &(3..=5), Depth::Fleet, || ()).expect("a page");
+    let page = report::page(&scenario, &(3..=5), Depth::Fleet, || ()).expect("a report");
     assert_eq!(page.matches("<svg").count(), 5);
     for title in [
         "Goodput",
@@ -175,14 +176,14 @@
     assert_eq!(page.matches("<code>").count(), 3, "a line for each seed");
     // Nothing is fetched from elsewhere.
     assert!(!page.contains("<script") && !page.contains("src=") && !page.contains("<link"));
-    for picks in BalancerKind::ALL {
-        assert!(page.contains(picks.name()), "{picks:?}");
+    for balancer in BalancerKind::ALL {
+        assert!(page.contains(balancer.name()), "{balancer:?}");
     }
 }
 
 /// On real sockets the same scenario is served as well; times there are the machine's own, and judged by nobody here.
 #[test]
-fn the_same_world_runs_on_real_loopback_sockets() {
+fn the_same_scenario_runs_on_real_loopback_sockets() {
     let mut scenario =
         scenario("name = \"x\"\nseconds = 2.0\nwarm_up = 0.5\n[load]\nproxies = 2\nrate = 60.0");
     // A slow machine is no fault of the proxies.
@@ -191,17 +192,17 @@
         class.aim_ms = 1_500.0;
         class.deadline_ms = 3_000.0;
     });
-    let real = nettleworks_lab::real::play(&scenario, 1).expect("it is played");
+    let real = nettleworks_lab::real::play(&scenario, 1).expect("the scenario is valid");
     let full = common::sound(&scenario, 1, Depth::Full);
     // The same clients ask for the same; one may come a moment later here, and so just count or not.
     assert!(real.tally.all.wanted.abs_diff(full.tally.all.wanted) <= 3);
     assert!(real.tally.all.served() > 0.99, "{:?}", real.tally.all.ended);
-    assert!(real.breaks.iter().all(|broken| broken.rule != Rule::NoEffectTwice), "{:?}", real.breaks);
+    assert!(real.breaks.iter().all(|violation| violation.rule != Rule::NoEffectTwice), "{:?}", real.breaks);
     assert!(real.tally.opened > 0 && real.tally.watches == 2);
 }
 
 #[test]
-fn how_far_a_depth_is_off_is_a_share_of_the_real_figure() {
+fn the_error_of_a_depth_is_relative_to_the_real_figure() {
     let figures = |served, p50_ms, p99_ms| truth::Figures { served, p50_ms, p99_ms };
     let truth = Truth {
         scenario: "x".to_owned(),
@@ -209,14 +210,14 @@
         full: figures(0.8, 11.0, 50.0),
         fleet: figures(0.4, 10.0, 100.0),
     };
-    let round = |off: [f64; 3]| off.map(|off| (off * 100.0).round());
-    assert_eq!(round(truth.off(Depth::Full)), [0.0, 10.0, 50.0]);
-    assert_eq!(round(truth.off(Depth::Fleet)), [50.0, 0.0, 0.0]);
+    let percent = |errors: [f64; 3]| errors.map(|error| (error * 100.0).round());
+    assert_eq!(percent(truth.off(Depth::Full)), [0.0, 10.0, 50.0]);
+    assert_eq!(percent(truth.off(Depth::Fleet)), [50.0, 0.0, 0.0]);
     assert!(truth::table(&[truth]).contains("| x | 0.800, 0.800, 0.400 |"));
 }
 
 #[test]
-fn every_shipped_scenario_is_where_the_pages_say() {
+fn every_documented_scenario_is_shipped() {
     for name in [
         "calm",
         "dawn",
