--- a/lab/src/baseline/envoy.rs
+++ b/lab/src/baseline/envoy.rs
@@ -1,6 +1,6 @@
 //! Retry budget and outlier ejection with the defaults of Envoy's published documentation: "Circuit breaking" and
 //! "Outlier detection" of its architecture overview, and the API reference of `RetryPolicy`, `CircuitBreakers` and
-//! `OutlierDetection`. Names here are those of its fields.
+//! `OutlierDetection`. The constants are named after its fields.
 
 use super::selection::HostSelector;
 use nettleworks_policy::{Micros, Outcome, ServerId};
@@ -8,7 +8,7 @@
 
 /// `retry_policy.num_retries`: 1.
 const NUM_RETRIES: usize = 1;
-/// `retry_back_off.base_interval`: 25 ms; `max_interval`: ten times that. The pause is drawn from 0 to the interval.
+/// `retry_back_off.base_interval`: 25 ms; `max_interval`: ten times that. The delay is random, from 0 to the interval.
 const BASE_INTERVAL: f64 = 25_000.0;
 const MAX_INTERVAL: f64 = 250_000.0;
 /// `retry_budget.budget_percent`: 20% of active requests, and `min_retry_concurrency`: 3.
@@ -21,7 +21,7 @@
 /// `outlier_detection.base_ejection_time`: 30 s, times how often the host was ejected; `max_ejection_time`: 300 s.
 const BASE_EJECTION_TIME: Micros = 30_000_000;
 const MAX_EJECTION_TIME: Micros = 300_000_000;
-/// `outlier_detection.max_ejection_percent`: 10%, but one host at the least.
+/// `outlier_detection.max_ejection_percent`: 10%, but at least one host.
 const MAX_EJECTION_PERCENT: usize = 10;
 /// `outlier_detection.success_rate_minimum_hosts`: 5, `success_rate_request_volume`: 100, `success_rate_stdev_factor`:
 /// 1,900 thousandths.
@@ -29,14 +29,15 @@
 const SUCCESS_RATE_REQUEST_VOLUME: u32 = 100;
 const SUCCESS_RATE_STDEV_FACTOR: f64 = 1.9;
 
-/// How many retries there may be at a time.
+/// Limits the number of concurrent retries.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RetryBudget {
     active_retries: usize,
 }
 
 impl RetryBudget {
-    /// Whether a request that was tried so often may be tried again, and after which pause.
+    /// Grants a retry to a request after a number of attempts, given the number of active requests. Returns the delay before it,
+    /// for which `jitter` is a random number from 0 to 1, or `None` if the request may not be retried.
     pub fn try_retry(&mut self, attempts: usize, active: usize, jitter: f64) -> Option<Micros> {
         let limit = (active as f64 * BUDGET_PERCENT / 100.0).max(MIN_RETRY_CONCURRENCY);
         if attempts > NUM_RETRIES || self.active_retries as f64 >= limit {
@@ -47,7 +48,7 @@
         Some((interval * jitter) as Micros + 1)
     }
 
-    /// A retry has ended.
+    /// Returns the place of a retry that has ended.
     pub fn release(&mut self) {
         self.active_retries = self.active_retries.saturating_sub(1);
     }
@@ -56,13 +57,17 @@
 #[derive(Clone, Debug, Default)]
 struct HostRecord {
     consecutive_failures: u32,
+    /// Successful requests in the current interval.
     successes: u32,
+    /// All requests in the current interval.
     requests: u32,
+    /// Multiplier of the next ejection's time.
     ejections: u32,
+    /// When the current ejection ends.
     ejected_until: Option<Micros>,
 }
 
-/// Hosts that are left out for a while.
+/// Outlier detection: ejects failing hosts for a time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OutlierDetection {
     hosts: BTreeMap<ServerId, HostRecord>,
@@ -70,7 +75,7 @@
 }
 
 impl OutlierDetection {
-    /// A request to a host has ended.
+    /// Records the outcome of a request to a host. Enough failures in a row eject the host.
     pub fn record(&mut self, now: Micros, server: ServerId, outcome: Outcome, selector: &mut HostSelector) {
         if matches!(outcome, Outcome::CalledOff | Outcome::NotSent | Outcome::Unusable) {
             return;
@@ -89,6 +94,7 @@
         }
     }
 
+    /// Ejects a host unless it is ejected already or too many hosts are.
     fn eject(&mut self, now: Micros, server: ServerId, selector: &mut HostSelector) {
         let ejected = self.hosts.values().filter(|host| host.ejected_until.is_some()).count();
         let limit = (selector.listed_count() * MAX_EJECTION_PERCENT / 100).max(1);
@@ -102,7 +108,7 @@
         selector.set_ejected(server, true);
     }
 
-    /// Looks through the hosts, once an interval.
+    /// Once per interval, ends ejections that are over and ejects hosts whose success rate is an outlier.
     pub fn check(&mut self, now: Micros, selector: &mut HostSelector) {
         if now < self.checked_at + INTERVAL {
             return;
@@ -152,7 +158,7 @@
                 ejections.record(0, ServerId(server), Outcome::Error, &mut selector);
             }
         }
-        // The second may not go: a tenth of ten is one.
+        // Only one of ten hosts may be ejected, so the second stays.
         let mut selected = std::collections::BTreeSet::new();
         selected.extend((0..400).filter_map(|_| selector.select(0, &[])).map(|server| server.0));
         assert!(!selected.contains(&3) && selected.contains(&4));
--- a/lab/src/baseline/mod.rs
+++ b/lab/src/baseline/mod.rs
@@ -1,6 +1,6 @@
-//! What a team would pick instead of our decision module, on the same interface: they are told the same and can do the
-//! same. They retry what proves that it never ran, and what their class lets run again, and know nothing of pods,
-//! windows, cold hosts or budgets in flight.
+//! Baseline balancers: common load-balancing algorithms behind the interface of our decision module, with the same events and
+//! actions. They retry attempts that certainly did not run, and others where the class allows a repeat. They know nothing of
+//! pods, per-server windows, cold hosts or limits on requests in flight.
 
 mod envoy;
 mod selection;
@@ -15,9 +15,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Decides for a proxy.
+/// A load balancer of one proxy.
 pub trait LoadBalancer {
-    /// Takes an event and says what to do.
+    /// Handles an event at a time in microseconds, and appends the actions for the proxy to `actions`.
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
 }
 
@@ -27,26 +27,26 @@
     }
 }
 
-/// Who decides.
+/// Which load balancer the proxies use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum BalancerKind {
-    /// Our decision module.
+    /// The decision module of this project.
     Ours,
-    /// Any ready host.
+    /// A random ready host.
     Random,
-    /// One after the other.
+    /// The ready hosts in rotation.
     RoundRobin,
-    /// The one with fewer requests out, of two.
+    /// The host with fewer requests in flight, of two random ones.
     LeastOfTwo,
-    /// The one with the lower peak-sensitive mean of answer times, times requests out, of two (as Finagle's).
+    /// The host with the lower product of peak EWMA latency and requests in flight, of two random ones, as in Finagle.
     PeakEwma,
-    /// The one with fewer requests out, of two, with a retry budget and outlier ejection, by Envoy's defaults.
+    /// As [`BalancerKind::LeastOfTwo`], with a retry budget and outlier ejection with the defaults of Envoy.
     Envoy,
 }
 
 impl BalancerKind {
-    /// All, ours first.
+    /// All kinds, the decision module first.
     pub const ALL: [BalancerKind; 6] = [
         BalancerKind::Ours,
         BalancerKind::Random,
@@ -56,7 +56,7 @@
         BalancerKind::Envoy,
     ];
 
-    /// Its name in tables.
+    /// The name in tables and reports.
     pub fn name(self) -> &'static str {
         match self {
             BalancerKind::Ours => "ours",
@@ -68,7 +68,7 @@
         }
     }
 
-    /// One that decides, of a seed.
+    /// Builds a balancer of this kind whose random decisions derive from `seed`.
     pub(crate) fn build(self, seed: u64, settings: policy::Settings) -> Box<dyn LoadBalancer> {
         let algorithm = match self {
             BalancerKind::Ours => return Box::new(Balancer::new(seed, settings)),
@@ -81,37 +81,39 @@
     }
 }
 
-/// A watch of the list that has failed is asked for again after this.
+/// A failed watch of the server list is opened again after this time.
 const RESUBSCRIBE_DELAY: Micros = 1_000_000;
-/// What a refused client is told.
+/// The retry delay that a refused client is given.
 const RETRY_AFTER: Micros = 1_000_000;
-/// Tries of a request in all, where there is no retry budget: as many as our module is allowed.
+/// Maximum number of attempts of a request where there is no retry budget, the same as for the decision module.
 const MAX_ATTEMPTS: usize = 3;
 
 struct Call {
     idempotency: Idempotency,
     deadline: Micros,
     attempts: Vec<(ServerId, Option<Outcome>)>,
-    /// It waits to be tried again.
+    /// A retry is scheduled.
     retry_pending: bool,
-    /// It has a place in the retry budget: from when its repeat is granted until that has ended.
+    /// The call holds a place in the retry budget, from when its retry is granted until the retry has ended.
     holds_budget: bool,
 }
 
 impl Call {
+    /// Whether an attempt is in flight.
     fn in_flight(&self) -> bool {
         self.attempts.iter().any(|(_, outcome)| outcome.is_none())
     }
 }
 
-/// A plain balancer.
+/// A baseline balancer.
 struct BaselineBalancer {
     settings: policy::Settings,
     selector: HostSelector,
     calls: BTreeMap<CallId, Call>,
-    /// Calls that wait, by when they go.
+    /// Scheduled retries, by time.
     retries: BTreeSet<(Micros, CallId)>,
     subscribe_at: Option<Micros>,
+    /// Retry budget and outlier detection, with [`BalancerKind::Envoy`].
     envoy: Option<(RetryBudget, OutlierDetection)>,
 }
 
@@ -132,6 +134,7 @@
         }
     }
 
+    /// Sends the next attempt of a call, or ends the call if there is no host.
     fn start_attempt(&mut self, now: Micros, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.retry_pending = false;
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Forgets a call, and gives back its place in the retry budget.
+    /// Removes a call, and returns its place in the retry budget.
     fn remove(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
         if let Some((budget, _)) = self.envoy.as_mut().filter(|_| call.holds_budget) {
@@ -158,7 +161,7 @@
         Some(call)
     }
 
-    /// Ends a call unserved; refused only if it surely never ran.
+    /// Ends a call without a response. It is refused if none of its attempts ran, and failed otherwise.
     fn give_up(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.remove(id) else { return };
         let never_ran = call.attempts.iter().all(|(_, outcome)| outcome.is_some_and(Outcome::never_ran));
@@ -168,6 +171,7 @@
         });
     }
 
+    /// Handles the outcome of an attempt: ends the call, or retries it where that is allowed.
     fn handle_outcome(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
         let &Event::Outcome { call: id, attempt, outcome, elapsed, closed, .. } = event else { return };
         let Some(call) = self.calls.get_mut(&id) else { return };
@@ -210,6 +214,7 @@
         }
     }
 
+    /// Starts retries that are due, ends calls whose deadline has passed, and opens the watch again when that is due.
     fn handle_timers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(&(at, id)) = self.retries.first().filter(|(at, _)| *at <= now) {
             self.retries.remove(&(at, id));
@@ -230,6 +235,7 @@
         }
     }
 
+    /// Sets the timer to the next retry or subscription.
     fn set_timer(&self, now: Micros, actions: &mut Vec<Action>) {
         let retry_at = self.retries.first().map(|&(at, _)| at);
         if let Some(at) = retry_at.into_iter().chain(self.subscribe_at).min() {
@@ -242,7 +248,7 @@
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start if self.settings.pull_list => actions.push(Action::Subscribe),
-            // Where the list is pushed, whoever carries this watches again by itself.
+            // Where the list is pushed, the proxy opens a failed watch again by itself.
             Event::ServerList { kind: ListKind::Failed | ListKind::Silent, .. } => {
                 self.subscribe_at = self.settings.pull_list.then_some(now + RESUBSCRIBE_DELAY);
             }
@@ -295,6 +301,7 @@
 
     const MS: Micros = 1_000;
 
+    /// A balancer under test, with its clock and the last call number.
     struct Harness {
         balancer: Box<dyn LoadBalancer>,
         now: Micros,
@@ -341,7 +348,7 @@
             self.event(Event::Outcome { call, attempt, outcome, elapsed, closed, load })
         }
 
-        /// A call that is served after so long; where it went.
+        /// Serves a call after the time that `elapsed` gives for its host. Returns the host.
         fn serve(&mut self, elapsed: impl Fn(u32) -> Micros) -> u32 {
             let (call, actions) = self.request(0);
             let host = sent(&actions).expect("it is sent");
@@ -386,7 +393,7 @@
                 counts[2] == 0 && counts[3] == 0 && counts[1] > 100 && counts[4] > 100,
                 "{kind:?} {counts:?}"
             );
-            // A whole list without them takes the others away, too.
+            // A full list removes hosts that it does not name.
             harness.list(ListKind::Full, [(3, ServerState::Ready)].into_iter());
             assert_eq!(harness.serve(|_| MS), 3, "{kind:?}");
             harness.list(ListKind::Full, std::iter::empty());
@@ -405,7 +412,7 @@
 
     #[test]
     fn least_of_two_avoids_a_silent_host_and_peak_ewma_a_slow_one() {
-        // Host 1 never answers: what is out there counts against it.
+        // Host 1 never responds, so its requests stay in flight.
         for (kind, most) in [(BalancerKind::LeastOfTwo, 8), (BalancerKind::Random, 200)] {
             let mut harness = Harness::new(kind, 4);
             let mut unanswered = 0;
@@ -435,7 +442,7 @@
                 let (mut tried, mut attempt) = (vec![sent(&actions).expect("it is sent")], 0);
                 let last = loop {
                     let mut actions = harness.end(call, attempt, Outcome::TurnedAway, MS);
-                    // As Envoy there is a pause first.
+                    // With Envoy's retry policy there is a delay first.
                     harness.now += 300 * MS;
                     actions.extend(harness.event(Event::Timer));
                     let Some(host) = sent(&actions) else { break actions };
@@ -484,7 +491,7 @@
         }
     }
 
-    /// Retries whose clients leave, or whose time is up meanwhile, give their places in the budget back.
+    /// A retry returns its place in the budget however it ends: cancelled, served or failed.
     #[test]
     fn the_retry_budget_is_restored_when_its_calls_end() {
         let mut harness = Harness::new(BalancerKind::Envoy, 4);
--- a/lab/src/baseline/selection.rs
+++ b/lab/src/baseline/selection.rs
@@ -1,14 +1,14 @@
-//! Which host a plain balancer picks.
+//! Host selection of the baseline balancers.
 
 use nettleworks_policy::{Micros, Outcome, ServerId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Time over which Finagle's peak EWMA forgets: its default decay time, 10 s.
+/// Decay time of the peak EWMA, in microseconds: 10 s, the default of Finagle.
 const DECAY_TIME: f64 = 10e6;
 
-/// How it picks.
+/// Algorithm by which a host is selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SelectionAlgorithm {
     Random,
@@ -22,17 +22,19 @@
     ready: bool,
     ejected: bool,
     in_flight: u32,
-    /// Peak-sensitive mean of answer times, in microseconds, and when it was last told.
+    /// Peak EWMA of response times, in microseconds.
     latency: f64,
+    /// When `latency` was last updated.
     updated_at: Micros,
 }
 
-/// Picks.
+/// Selects a host for each attempt, among the hosts that are listed as ready and not ejected.
 pub(super) struct HostSelector {
     algorithm: SelectionAlgorithm,
     random: Pcg64Mcg,
     hosts: BTreeMap<ServerId, HostState>,
     candidates: Vec<ServerId>,
+    /// Position of the round robin.
     next: usize,
 }
 
@@ -43,20 +45,23 @@
         HostSelector { algorithm, random, hosts: BTreeMap::new(), candidates: Vec::new(), next }
     }
 
+    /// A random number from 0 to 1.
     pub fn uniform(&mut self) -> f64 {
         self.random.random::<f64>()
     }
 
+    /// A random number below `bound`.
     fn random_below(&mut self, bound: usize) -> usize {
         ((self.uniform() * bound as f64) as usize).min(bound.saturating_sub(1))
     }
 
-    /// The whole list is coming.
+    /// Marks all hosts as not listed, before a full list is applied.
     pub fn clear(&mut self) {
         self.hosts.values_mut().for_each(|host| host.ready = false);
         self.update_candidates();
     }
 
+    /// Applies an entry of the list.
     pub fn set_listed(&mut self, server: ServerId, ready: bool) {
         let host = self.hosts.entry(server).or_default();
         if host.ready != ready {
@@ -65,6 +70,7 @@
         }
     }
 
+    /// Ejects a host, or ends its ejection.
     pub fn set_ejected(&mut self, server: ServerId, ejected: bool) {
         if let Some(host) = self.hosts.get_mut(&server) {
             host.ejected = ejected;
@@ -72,18 +78,19 @@
         }
     }
 
+    /// Rebuilds the candidates after a change.
     fn update_candidates(&mut self) {
         let listed = self.hosts.iter().filter(|(_, host)| host.ready);
         let candidates = listed.clone().filter(|(_, host)| !host.ejected);
         self.candidates = candidates.map(|(&server, _)| server).collect();
     }
 
-    /// Hosts that are listed, ejected ones too.
+    /// Number of hosts that are listed as ready, including ejected ones.
     pub fn listed_count(&self) -> usize {
         self.hosts.values().filter(|host| host.ready).count()
     }
 
-    /// One that was not tried, if there is any.
+    /// Selects a host, one that has not been tried if there is any. `None` if there are no candidates.
     pub fn select(&mut self, now: Micros, tried: &[ServerId]) -> Option<ServerId> {
         let mut untried: Vec<ServerId> = if tried.is_empty() {
             Vec::new()
@@ -119,6 +126,7 @@
         }
     }
 
+    /// The cost by which two hosts are compared: requests in flight, or the decayed latency times these.
     fn cost(&self, now: Micros, server: ServerId) -> f64 {
         let Some(host) = self.hosts.get(&server) else { return f64::MAX };
         let in_flight = f64::from(host.in_flight);
@@ -126,24 +134,26 @@
             return in_flight;
         }
         let decay = (-(now.saturating_sub(host.updated_at) as f64) / DECAY_TIME).exp();
-        // One that has never answered and has a request out is dear: nothing is known of it.
+        // A host without a measured latency is expensive once it has a request in flight.
         if host.latency == 0.0 {
             return if host.in_flight == 0 { 0.0 } else { 1e12 + in_flight };
         }
         host.latency * decay * (in_flight + 1.0)
     }
 
+    /// Counts an attempt that is sent to a host.
     pub fn attempt_started(&mut self, server: ServerId) {
         self.hosts.entry(server).or_default().in_flight += 1;
     }
 
-    /// What was out there is no longer, and says nothing.
+    /// Counts an attempt as ended without a measurement, as it was cancelled.
     pub fn attempt_cancelled(&mut self, server: ServerId) {
         if let Some(host) = self.hosts.get_mut(&server) {
             host.in_flight = host.in_flight.saturating_sub(1);
         }
     }
 
+    /// Counts an attempt as ended, and updates the latency of its host.
     pub fn attempt_ended(&mut self, now: Micros, server: ServerId, outcome: Outcome, elapsed: Micros) {
         self.attempt_cancelled(server);
         if let Some(host) = self.hosts.get_mut(&server) {
@@ -152,6 +162,7 @@
             }
             let time = elapsed as f64;
             let weight = (-(now.saturating_sub(host.updated_at) as f64) / DECAY_TIME).exp();
+            // A peak replaces the average at once.
             host.latency =
                 if time > host.latency { time } else { host.latency * weight + time * (1.0 - weight) };
             host.updated_at = now;
--- a/lab/src/cluster.rs
+++ b/lab/src/cluster.rs
@@ -1,5 +1,5 @@
-//! Members on virtual time: the real core (`nettleworks-members`), up to thousands of them, and a network that loses,
-//! delays and cuts. The same seed plays the same course.
+//! A cluster of up to thousands of members on virtual time: the real membership protocol (`nettleworks-members`) over a simulated
+//! network with loss, delay and partitions. The same seed gives the same run.
 
 use crate::draw::Draw;
 use crate::queue::Queue;
@@ -7,38 +7,38 @@
 use nettleworks_members::{Card, Condition, Config, Members, Message, Name, News, Out, What};
 use std::net::SocketAddr;
 
-/// The wall clock at the start: some day, in milliseconds since 1970.
+/// Wall-clock time at the start of a run, in milliseconds since 1970. The date has no meaning.
 const START_UNIX_MS: u64 = 1_700_000_000_000;
-/// One hears at this port, at an address of its own.
+/// Port on which each member listens, at an address of its own.
 const PORT: u16 = 7_000;
-/// Bytes that a datagram takes beside its message: version, MAC, session and counter.
+/// Bytes of a datagram in addition to its message: version, MAC, session and counter.
 const DATAGRAM_OVERHEAD: u64 = 37;
 
-/// A crowd of members.
+/// A simulated cluster of members.
 #[derive(Clone)]
 pub struct Cluster {
     nodes: Vec<Node>,
     config: Config,
     queue: Queue<ClusterEvent>,
-    /// The present moment.
+    /// The current virtual time.
     pub now: Micros,
-    /// What the network does.
+    /// Loss and delay of the network.
     pub network: Network,
-    /// Which part each is in: nothing passes between two parts.
+    /// The partition that each node is in. No datagram passes between two partitions.
     partitions: Vec<u8>,
     random: Draw,
-    /// What was told, by whom, when.
+    /// The member events that were notified: when, by which node, and the event.
     pub events: Vec<(Micros, usize, News)>,
-    /// Datagrams that were sent, and their bytes by the core's own bound.
+    /// Number of datagrams that were sent, and their bytes by the protocol's upper bound of a message's size.
     pub sent: (u64, u64),
 }
 
-/// What becomes of a datagram.
+/// Loss and delay of datagrams.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// Share that is lost.
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    /// Least and most time on the way, in microseconds.
+    /// Minimum and maximum delay, in microseconds.
     pub delay: (Micros, Micros),
 }
 
@@ -52,7 +52,7 @@
 struct Node {
     members: Members,
     up: bool,
-    /// The wake that counts; one that was asked for before does not.
+    /// Number of the timer that was set last. Earlier timers are ignored.
     timer: u64,
     timer_at: Option<Micros>,
 }
@@ -75,17 +75,17 @@
     }
 }
 
-/// A member's name.
+/// The name of the member on a node.
 pub fn name(node: usize) -> Name {
     Name::new(&format!("m-{node}")).unwrap_or_else(|_| unreachable!("letters and digits"))
 }
 
 impl Cluster {
-    /// So many that start within a second, three of them seeds of all. Runs until all agree.
+    /// Starts `count` members within a second, with the first three as seeds of all, and runs until their member lists agree.
     ///
     /// # Errors
     ///
-    /// The bounds are no good, or they do not agree within five minutes.
+    /// `config` is invalid, or the lists do not agree within five minutes of virtual time.
     pub fn converged(count: usize, seed: u64, config: &Config) -> Result<Cluster, String> {
         let mut cluster = Cluster {
             nodes: Vec::with_capacity(count),
@@ -113,6 +113,7 @@
         }
     }
 
+    /// The membership state of a member that starts now.
     fn new_member(&mut self, node: usize, config: &Config) -> Result<Members, String> {
         let seeds = (0..3).map(address).collect();
         let seed = self.random.below(usize::MAX >> 12) as u64;
@@ -120,52 +121,52 @@
         Members::new(config.clone(), name(node), Card::at(address(node)), seeds, seed, self.now, unix_ms)
     }
 
-    /// Another course from here on: what the network draws is drawn anew.
+    /// Reseeds the loss and delay of the network, so that clones of a cluster run differently from here on.
     pub fn reseed(&mut self, seed: u64) {
         self.random = Draw::new(seed, "crowd goes on", self.nodes.len() as u64, self.now);
     }
 
-    /// How many there are, those that are down among them.
+    /// Number of members, including those that are down.
     pub fn count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// It runs no more.
+    /// Stops a member for good, without notice to the others.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].up = false;
     }
 
-    /// Parts from now on: nothing passes between two that are in different ones.
+    /// Partitions the network from now on: no datagram passes between nodes for which `partition_of` differs.
     pub fn partition(&mut self, partition_of: impl Fn(usize) -> u8) {
         self.partitions = (0..self.nodes.len()).map(partition_of).collect();
     }
 
-    /// Whether the lists of all that run are equal.
+    /// Whether all running members have the same member list.
     pub fn has_converged(&self) -> bool {
         let mut digests = self.nodes.iter().filter(|node| node.up).map(|node| node.members.digest());
         let first = digests.next();
         digests.all(|digest| Some(digest) == first)
     }
 
-    /// Whether all that run take this one to be so.
+    /// Whether all other running members report this condition for the member on a node.
     pub fn all_report(&self, node: usize, condition: Condition) -> bool {
         let name = name(node);
         let others = self.nodes.iter().enumerate().filter(|(index, other)| *index != node && other.up);
         others.map(|(_, other)| other.members.condition(&name)).all(|reported| reported == Some(condition))
     }
 
-    /// A member.
+    /// The membership state of the member on a node.
     pub fn member(&self, node: usize) -> &Members {
         &self.nodes[node].members
     }
 
-    /// How many news of a kind were told from a moment on of members that do not pass.
+    /// Number of events of a kind since a time, without those about members for which `except` is true.
     pub fn events_since(&self, at: Micros, kind: What, except: impl Fn(&Name) -> bool) -> usize {
         let events = self.events.iter().filter(|(when, _, event)| *when >= at && event.what == kind);
         events.filter(|(_, _, event)| !except(&event.name)).count()
     }
 
-    /// Goes on for so long.
+    /// Runs for a time in microseconds.
     pub fn run(&mut self, time: Micros) {
         let until = self.now + time;
         while let Some((at, event)) = self.queue.take(until) {
@@ -175,7 +176,8 @@
         self.now = until;
     }
 
-    /// Goes on until a condition holds, looked at ten times a second; how long it took, or `None` if it did not in that time.
+    /// Runs until a condition holds, which is checked ten times per second of virtual time. Returns the time it took, or `None` if
+    /// the condition does not hold within `time`.
     pub fn run_until(&mut self, time: Micros, holds: impl Fn(&Cluster) -> bool) -> Option<Micros> {
         let started_at = self.now;
         while self.now < started_at + time {
@@ -187,12 +189,13 @@
         holds(self).then_some(self.now - started_at)
     }
 
+    /// Handles an event of the queue, and the actions of the member to which it happens.
     fn handle(&mut self, event: ClusterEvent) {
         let mut actions = Vec::new();
         let now = self.now;
         let node = match event {
             ClusterEvent::Start { node } => {
-                // It lives from here on. The bounds were good for the one that holds its place.
+                // The state is created anew so that its clock begins now. `config` was valid when the cluster was created.
                 if let Ok(members) = self.new_member(node, &self.config.clone()) {
                     self.nodes[node].members = members;
                 }
@@ -209,7 +212,7 @@
                 node
             }
             ClusterEvent::Arrive { to, from, message } => {
-                // One that was on its way when the parts were cut is lost as well.
+                // A datagram that was in flight when the network was partitioned is lost as well.
                 if !self.nodes[to].up || self.partitions[to] != self.partitions[from] {
                     return;
                 }
@@ -234,6 +237,7 @@
         }
     }
 
+    /// Sends a datagram, which the network may lose.
     fn send(&mut self, from: usize, to: usize, message: Message) {
         self.sent.0 += 1;
         self.sent.1 += message.size_most() as u64 + DATAGRAM_OVERHEAD;
--- a/lab/src/compare.rs
+++ b/lab/src/compare.rs
@@ -1,4 +1,4 @@
-//! The same seeds under our module and under what a team would pick instead, in fleet depth.
+//! Comparison of load balancers: the same scenarios and seeds under our decision module and under baselines, in fleet depth.
 
 use crate::baseline::BalancerKind;
 use crate::judge::Rule;
@@ -10,21 +10,21 @@
 use std::fmt::Write;
 use std::ops::RangeInclusive;
 
-/// Median, least and most.
+/// Median, minimum and maximum of some values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// The middle one.
+    /// The median; of an even number of values the higher of the two in the middle.
     pub median: f64,
-    /// The least.
+    /// The minimum.
     #[serde(rename = "least")]
     pub min: f64,
-    /// The most.
+    /// The maximum.
     #[serde(rename = "most")]
     pub max: f64,
 }
 
 impl Summary {
-    /// Of some values.
+    /// Summarizes values. Without values all fields are NaN.
     pub fn new(mut values: Vec<f64>) -> Summary {
         values.sort_unstable_by(f64::total_cmp);
         let value = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
@@ -32,31 +32,31 @@
     }
 }
 
-/// One of those compared, on one scenario.
+/// The results of one load balancer in one scenario, over all seeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct ComparisonRow {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Who decides.
+    /// The load balancer.
     #[serde(rename = "picks")]
     pub balancer: BalancerKind,
-    /// Share of the worth that was served.
+    /// Share of the requested value that was served, from 0 to 1.
     pub served: Summary,
-    /// 99th percentile of served answers, in milliseconds.
+    /// 99th percentile of the time to a served response, in milliseconds.
     pub p99_ms: Summary,
-    /// Attempts for each thing that was wanted.
+    /// Attempts per operation.
     #[serde(rename = "sends")]
     pub attempts: Summary,
-    /// Broken rules, over all seeds; at most 1,000 are noted of a run.
+    /// Number of violations of each invariant, over all seeds. At most 1,000 are recorded per run.
     #[serde(rename = "broken")]
     pub violations: BTreeMap<Rule, usize>,
 }
 
-/// Plays each scenario under each seed and each of those compared. `done` hears of each run.
+/// Runs each scenario with each seed and each load balancer. Calls `on_run_done` after each run, possibly from several threads.
 ///
 /// # Errors
 ///
-/// A scenario that cannot be played.
+/// The configuration of a scenario's proxies is invalid.
 pub fn compare(
     scenarios: &[Scenario],
     seeds: &RangeInclusive<u64>,
@@ -102,7 +102,8 @@
     Ok(rows)
 }
 
-/// The lines as a table of Markdown: share of worth served, and below it the 99th percentile and broken rules.
+/// Formats rows as a Markdown table: share of the value served, 99th percentile, attempts per operation, and violations of each
+/// invariant.
 pub fn table(rows: &[ComparisonRow]) -> String {
     let mut text = String::from("| scenario | who | served | p99 ms | sends | broken: 1, 2, 3, 4 |\n");
     text += "| --- | --- | --- | --- | --- | --- |\n";
--- a/lab/src/explore.rs
+++ b/lab/src/explore.rs
@@ -1,5 +1,5 @@
-//! Sweeps seeds on all cores, and makes a break that was found small: fewer faults, proxies, hosts and calls, a shorter
-//! time, as long as the same rule breaks under the same seed.
+//! Runs scenarios with many seeds on all cores, and shrinks a run that violates an invariant: to fewer faults, proxies, hosts and
+//! calls and a shorter time, as long as the same seed still violates the same invariant.
 
 use crate::fault::{settle, Which};
 use crate::judge::{Break, Rule};
@@ -10,32 +10,32 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// A break, with all that plays it again.
+/// A run that violates an invariant, with all that is needed to repeat it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counterexample {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The depth.
+    /// Depth of the run.
     pub depth: Depth,
-    /// Which rule, and what happened.
+    /// The invariant, and how it was violated.
     #[serde(rename = "what")]
     pub description: String,
-    /// The settled scenario.
+    /// The scenario with its faults resolved.
     pub scenario: Scenario,
 }
 
 impl Counterexample {
-    /// Its text, as a file.
+    /// The content of its file, in TOML.
     pub fn text(&self) -> String {
         toml::to_string(self).unwrap_or_default()
     }
 
-    /// Reads such a file.
+    /// Parses the content of such a file.
     ///
     /// # Errors
     ///
-    /// A file that is none, or whose scenario cannot be played.
+    /// The text is not a valid file, or its scenario is invalid.
     pub fn parse(text: &str) -> Result<Counterexample, String> {
         let counterexample: Counterexample = toml::from_str(text).map_err(|error| error.to_string())?;
         counterexample.scenario.check().map_err(|error| format!("scenario.{error}"))?;
@@ -43,22 +43,22 @@
     }
 }
 
-/// What a sweep found.
+/// Results of a scenario over a range of seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Sweep {
-    /// Seeds that were played.
+    /// Number of seeds.
     pub seeds: usize,
-    /// Those under which a rule broke, with the first break.
+    /// The first violation of an invariant, by seed, where there was one.
     pub violations: BTreeMap<u64, Break>,
-    /// Those that could not be played, and why.
+    /// Seeds whose run could not be started, and why.
     pub failed: BTreeMap<u64, String>,
-    /// Seconds of virtual time.
+    /// Virtual time of all runs, in seconds.
     pub virtual_seconds: f64,
-    /// Those whose event logs are known: their hashes.
+    /// Hash of the event log, by seed.
     pub hashes: BTreeMap<u64, u64>,
 }
 
-/// Plays a scenario under each seed, on all cores. `done` hears of each; it may be called by several threads.
+/// Runs a scenario with each seed, on all cores. Calls `on_run_done` after each run, possibly from several threads.
 pub fn sweep(
     scenario: &Scenario,
     seeds: RangeInclusive<u64>,
@@ -94,21 +94,21 @@
     sweep
 }
 
-/// How far a break was made smaller.
+/// Result of shrinking a run that violates an invariant.
 #[derive(Clone, Debug)]
 pub struct Shrunk {
-    /// The smaller one.
+    /// The smallest run that was found.
     pub counterexample: Counterexample,
-    /// Its break.
+    /// Its violation.
     pub violation: Break,
-    /// Runs that this took.
+    /// Number of runs that shrinking took.
     pub runs: usize,
 }
 
-/// Most runs that making one break small may take.
+/// Maximum number of runs for shrinking one violation.
 const MAX_SHRINK_RUNS: usize = 400;
 
-/// Makes a break small. `None`: the scenario does not break this rule under this seed.
+/// Shrinks a run that violates an invariant. `None` if the scenario does not violate it with this seed.
 pub fn shrink(scenario: &Scenario, seed: u64, depth: Depth, rule: Rule, limits: &Limits) -> Option<Shrunk> {
     let mut shrinker = Shrinker { seed, depth, invariant: rule, limits: *limits, runs: 0 };
     let mut best = settle(scenario, seed);
@@ -142,7 +142,7 @@
 }
 
 impl Shrinker {
-    /// The break of the same rule, if it is still there.
+    /// Runs a scenario and returns its violation of the same invariant, if there is one.
     fn find_violation(&mut self, scenario: &Scenario) -> Option<Break> {
         scenario.check().ok()?;
         self.runs += 1;
@@ -151,7 +151,7 @@
     }
 }
 
-/// What is to become less. Two scenarios of one size are taken for the same.
+/// The measures that shrinking reduces. Scenarios with equal measures are considered equally small.
 fn size(scenario: &Scenario) -> (usize, usize, usize, u64, u64, u64) {
     let lasts: f64 = scenario.faults.iter().map(|fault| fault.lasts).sum();
     (
@@ -164,7 +164,7 @@
     )
 }
 
-/// Scenarios that are smaller in one way each, those that take the most away first.
+/// Scenarios that are each smaller in one respect, with the largest reductions first.
 fn smaller(scenario: &Scenario, violation: &Break) -> Vec<Scenario> {
     let mut all = Vec::new();
     let mut add = |change: &dyn Fn(&mut Scenario)| {
@@ -176,7 +176,7 @@
             all.push(next);
         }
     };
-    // Nothing is asked after the break.
+    // Nothing after the violation is needed.
     let end = ((violation.at as f64 / 1e6 + 0.05) * 1e3).ceil() / 1e3;
     add(&|next| {
         next.seconds = next.seconds.min(end);
@@ -214,7 +214,7 @@
     all
 }
 
-/// Leaves those below a number; one at the least.
+/// Removes targets that no longer exist, with `count` left. At least one target stays.
 fn limit_targets(targets: &mut Which, count: usize) {
     if let Which::These(indices) = targets {
         indices.retain(|&index| index < count);
--- a/lab/src/fleet/exchange.rs
+++ b/lab/src/fleet/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges in fleet depth: an attempt on a connection that is modelled, from its decision to its outcome.
+//! Exchanges in fleet depth: one attempt on a modelled connection, from the balancer's decision to its outcome.
 
 use super::proxy::IdleConnection;
 use super::{FleetEvent, FleetSimulation};
@@ -10,62 +10,62 @@
 use nettleworks_policy as policy;
 use policy::{CallId, Load, Outcome};
 
-/// What is held back by a cut way looks again after this, as its sender would send it again.
+/// Retransmission interval of events that a network partition blocks.
 const RETRANSMIT: Micros = 50_000;
 
-/// How far an exchange is.
+/// Progress of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Its connection is being opened.
+    /// Its connection is being established.
     Connecting,
-    /// Its request is written.
+    /// Its request has been written.
     Written,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Exchange {
     pub proxy: usize,
     pub call: u32,
     pub attempt: u32,
     pub host: usize,
-    /// The host's start that the connection leads to.
+    /// Number of starts of the host when the connection was opened. It identifies the host's process.
     pub epoch: u32,
     pub sent_at: Micros,
     pub deadline: Micros,
     pub stage: Stage,
-    /// It is the first on its connection.
+    /// Whether this is the first exchange on its connection.
     pub first: bool,
-    /// Its connection is counted at the host.
+    /// Whether its connection is counted in the host's number of open connections.
     pub counted: bool,
 }
 
-/// What happens to one.
+/// An event of an exchange.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ExchangeEvent {
-    /// Its connection's first word is at the host.
+    /// The SYN of its connection arrives at the host.
     SynArrived,
-    /// Its connection is up.
+    /// Its connection is established.
     Connected,
     /// Its connection is refused.
     Refused,
-    /// Its request is at the host.
+    /// Its request arrives at the host.
     RequestArrived,
-    /// The host's word is back.
+    /// The host's response arrives at the proxy.
     ResponseArrived(Ends, LoadReport),
-    /// Its connection has broken.
+    /// The reset of its connection arrives at the proxy. `stale`: the host had closed or lost the connection before the request.
     Reset { stale: bool },
-    /// Its time is up.
+    /// The deadline of the attempt has passed.
     DeadlineExpired,
-    /// Its connection's time to come up is.
+    /// The connect timeout has passed.
     ConnectTimeout,
 }
 
-/// A report, in hand and waiting, where there is one.
+/// A host's load report, if it sends one: requests in progress and requests waiting.
 pub(super) type LoadReport = Option<(u32, u32)>;
 
 impl ExchangeEvent {
-    /// Whether it goes back from the host, there, or is the proxy's own.
+    /// Whether the event travels from the host to the proxy (`true`) or to the host (`false`). `None` for the proxy's timers.
     fn is_from_host(self) -> Option<bool> {
         match self {
             ExchangeEvent::SynArrived | ExchangeEvent::RequestArrived => Some(false),
@@ -83,7 +83,7 @@
         self.queue.put(self.model.now + delay, FleetEvent::Exchange { exchange, event });
     }
 
-    /// Sends something on its way between an exchange's proxy and host.
+    /// Schedules the arrival of an event after the network delay between an exchange's proxy and host.
     fn transmit(&mut self, id: u64, event: ExchangeEvent) {
         let exchange = &self.exchanges[&id];
         let from_host = event.is_from_host() == Some(true);
@@ -98,6 +98,7 @@
         self.schedule_event(id, delay, event);
     }
 
+    /// Starts an attempt of a call, as the balancer has decided. `until` is its deadline in the balancer's clock.
     pub(super) fn send(&mut self, proxy: usize, call: u32, host: usize, until: Option<Micros>) {
         let now = self.model.now;
         let ready = self.proxies[proxy].is_ready(host);
@@ -134,19 +135,19 @@
             return self.transmit(id, ExchangeEvent::SynArrived);
         }
         if same_process && self.model.hosts[host].up == Up::Up && self.model.is_stale(call, host) {
-            // It is written to what its host has closed: it never comes there.
+            // The host has already closed this connection: the request is written but never arrives.
             self.record_written(id);
             return self.transmit(id, ExchangeEvent::Reset { stale: true });
         }
         self.write_request(id);
     }
 
-    /// Takes a kept connection to a host, the last that was kept.
+    /// Takes the most recently used idle connection of a proxy to a host.
     fn take_idle(&mut self, proxy: usize, host: usize) -> Option<IdleConnection> {
         self.proxies[proxy].idle.get_mut(&host)?.pop()
     }
 
-    /// Whether a connection more may be opened; the oldest idle one is closed for it.
+    /// Returns whether a proxy may open one more connection. At its limit, it closes the oldest idle one first.
     fn make_room(&mut self, proxy: usize) -> bool {
         if self.proxies[proxy].open < self.limits.connections {
             return true;
@@ -159,7 +160,7 @@
         true
     }
 
-    /// Closes a kept connection, if it is still kept.
+    /// Closes the connection that has been idle since this time, unless it has been used again or closed.
     pub(super) fn close_idle_since(&mut self, proxy: usize, host: usize, since: Micros) {
         let state = &mut self.proxies[proxy];
         let Some(connections) = state.idle.get_mut(&host) else { return };
@@ -169,7 +170,7 @@
         self.connection_closed(host, idle.epoch);
     }
 
-    /// A connection to a host's start is no longer.
+    /// Takes a closed connection out of the number of open connections of a host's process.
     pub(super) fn connection_closed(&mut self, host: usize, epoch: u32) {
         let host = &mut self.model.hosts[host];
         if host.epoch == epoch {
@@ -177,6 +178,7 @@
         }
     }
 
+    /// Records that the request of an exchange has been written.
     fn record_written(&mut self, id: u64) {
         let Some(exchange) = self.exchanges.get_mut(&id) else { return };
         exchange.stage = Stage::Written;
@@ -189,6 +191,7 @@
         self.transmit(id, ExchangeEvent::RequestArrived);
     }
 
+    /// Handles an event of an exchange. Events of an exchange that has ended are ignored.
     pub(super) fn handle_exchange(&mut self, id: u64, event: ExchangeEvent) {
         let Some(exchange) = self.exchanges.get(&id) else { return };
         if let Some(from_host) = event.is_from_host() {
@@ -201,7 +204,7 @@
         match event {
             ExchangeEvent::SynArrived => self.receive_syn(id, host),
             ExchangeEvent::Connected => {
-                // What was decided may have been overtaken by the list: then nothing is written.
+                // The request is written only once, and not if a list update has meanwhile cancelled the exchange.
                 if exchange.stage == Stage::Connecting {
                     self.write_request(id);
                 }
@@ -211,7 +214,7 @@
                 Up::Up if self.model.hosts[host].epoch == epoch => {
                     self.model.reached(call, host, id, deadline, first, &mut self.queue);
                 }
-                // It knows nothing of this connection.
+                // The host does not know this connection and resets it.
                 Up::Up | Up::Dead => self.transmit(id, ExchangeEvent::Reset { stale: !first }),
                 Up::Vanished => {}
             },
@@ -233,6 +236,7 @@
         }
     }
 
+    /// Accepts or refuses the connection of an exchange at its host.
     fn receive_syn(&mut self, id: u64, host: usize) {
         let limit = self.model.scenario.fleet.connections;
         let host_state = &mut self.model.hosts[host];
@@ -256,7 +260,7 @@
         }
     }
 
-    /// A host has a word on an exchange.
+    /// Sends the result of an exchange from its host to the proxy.
     pub(super) fn host_responds(&mut self, id: u64, result: Ends) {
         let Some(exchange) = self.exchanges.get(&id) else { return };
         let host = exchange.host;
@@ -282,7 +286,7 @@
         self.finish(id, outcome, load, true);
     }
 
-    /// An attempt is over, and its connection is kept or not.
+    /// Ends an exchange: keeps or closes its connection, and reports the outcome to the balancer.
     fn finish(&mut self, id: u64, outcome: Outcome, load: LoadReport, keep_connection: bool) {
         let Some(exchange) = self.exchanges.remove(&id) else { return };
         let now = self.model.now;
@@ -321,12 +325,13 @@
         self.proxies[exchange.proxy].remove_if_finished(exchange.call);
     }
 
+    /// Makes the connection of an exchange idle if it can be used again, and closes it otherwise.
     fn release_connection(&mut self, id: u64, exchange: &Exchange, keep: bool) {
         let now = self.model.now;
         let ready = self.proxies[exchange.proxy].is_ready(exchange.host);
         if keep && ready && self.model.hosts[exchange.host].epoch == exchange.epoch {
             let connections = self.proxies[exchange.proxy].idle.entry(exchange.host).or_default();
-            // The time names it: two at once differ.
+            // `since` identifies a connection to a host, so it must be unique.
             let since = connections.last().map_or(now, |last| now.max(last.since + 1));
             connections.push(IdleConnection { since, epoch: exchange.epoch });
             let timeout = FleetEvent::IdleTimeout { proxy: exchange.proxy, host: exchange.host, since };
@@ -342,13 +347,14 @@
         }
     }
 
-    /// An exchange of a process that is no more.
+    /// Removes an exchange of a proxy whose process has died.
     pub(super) fn drop_exchange(&mut self, id: u64) {
         if let Some(exchange) = self.exchanges.remove(&id) {
             self.release_connection(id, &exchange, false);
         }
     }
 
+    /// Cancels an attempt, as the balancer has decided.
     pub(super) fn cancel(&mut self, proxy: usize, call: u32, attempt: u32) {
         let Some(open) = self.proxies[proxy].calls.get_mut(&call) else { return };
         let Some(id) = open.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
@@ -376,7 +382,7 @@
         self.feed_balancer(proxy, policy::Event::Outcome { call, attempt, outcome, elapsed, closed, load });
     }
 
-    /// Takes back what is not yet written to hosts that are not ready, and closes what is idle there.
+    /// Ends a proxy's exchanges that are still connecting to hosts that are not ready, and closes idle connections to such hosts.
     pub(super) fn leave_unready_hosts(&mut self, proxy: usize) {
         let connecting: Vec<u64> = self.proxies[proxy]
             .calls
@@ -387,7 +393,8 @@
                 exchange.stage == Stage::Connecting && !self.proxies[proxy].is_ready(exchange.host)
             })
             .collect();
-        // The list first, then what it undoes: events wait in their order while the proxy is busy.
+        // The balancer must see the list before the outcomes that follow from it: while the proxy is busy, events are queued in
+        // order.
         self.proxies[proxy].busy = true;
         for id in connecting {
             self.finish(id, Outcome::NotSent, None, false);
@@ -401,6 +408,7 @@
         }
     }
 
+    /// Closes all idle connections of a proxy to a host.
     fn close_idle(&mut self, proxy: usize, host: usize) {
         let connections = self.proxies[proxy].idle.remove(&host).unwrap_or_default();
         for idle in connections {
@@ -409,12 +417,12 @@
         }
     }
 
-    /// A host went down or came up.
+    /// Resets the connections of a host's previous process after the host has died or restarted.
     pub(super) fn host_changed(&mut self, host: usize) {
         if self.model.hosts[host].up == Up::Vanished {
             return;
         }
-        // Its system resets what it does not know, and what its dead process had.
+        // The operating system resets the connections of a dead process and connections that it does not know.
         let epoch = self.model.hosts[host].epoch;
         let lost: Vec<(u64, bool)> = self
             .exchanges
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Fleet depth: the decision module of each proxy, or a baseline in its place, in an event queue. Connections are modelled:
-//! opening, keeping, breaking, bounds. There are no bytes and no tasks, so thousands of proxies play faster than time.
+//! Fleet depth: the decision module of each proxy, or a baseline balancer in its place, driven by an event queue. Connections are
+//! modelled with their establishment, reuse, loss and limits, but without bytes and tasks, so that thousands of proxies are
+//! simulated faster than real time.
 
 mod exchange;
 mod proxy;
@@ -18,29 +19,29 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What the queue holds.
+/// An event of the queue in fleet depth.
 #[derive(Clone, Copy, Debug)]
 enum FleetEvent {
     Model(Event),
-    /// A proxy's module has asked to be woken.
+    /// The timer of a proxy's balancer. Only the timer that was set last fires.
     Timer {
         proxy: usize,
         epoch: u32,
         number: u64,
     },
-    /// A watch is up, or what was news for it is there.
+    /// An event of a proxy's watch.
     Watch {
         proxy: usize,
         epoch: u32,
         watch: u64,
         event: WatchEvent,
     },
-    /// Something of an exchange.
+    /// An event of an exchange.
     Exchange {
         exchange: u64,
         event: ExchangeEvent,
     },
-    /// A kept connection is too old.
+    /// The idle timeout of a connection.
     IdleTimeout {
         proxy: usize,
         host: usize,
@@ -48,13 +49,20 @@
     },
 }
 
+/// An event of a proxy's watch of the server list.
 #[derive(Clone, Copy, Debug)]
 enum WatchEvent {
+    /// Its request arrives at discovery.
     RequestArrived,
+    /// Discovery replies to its request.
     Accepted,
+    /// An update of the list arrives at the proxy.
     UpdateArrived,
+    /// It has been silent for so long that the proxy gives it up.
     TimedOut,
+    /// It has failed.
     Failed,
+    /// It is opened again, where the list is pushed.
     Retry,
 }
 
@@ -64,15 +72,16 @@
     }
 }
 
-/// What the module is told once.
+/// The configuration of the proxies, and the limits that the modelled connections take from it.
 struct ConnectionLimits {
     config: Config,
     connect_timeout: Micros,
     idle_timeout: Micros,
+    /// Maximum number of connections of one proxy to hosts.
     connections: usize,
 }
 
-/// A fleet that plays a scenario.
+/// A run of a scenario in fleet depth.
 pub struct FleetSimulation {
     model: Model,
     queue: Queue<FleetEvent>,
@@ -86,18 +95,18 @@
 }
 
 impl FleetSimulation {
-    /// At the start of a settled scenario, with this in the place of the decision module.
+    /// Prepares a run of a scenario whose faults have been resolved, with the given balancer in each proxy.
     ///
     /// # Errors
     ///
-    /// What the daemon's checks say of the configuration.
+    /// The scenario's configuration of a proxy is invalid.
     pub fn new(scenario: Rc<Scenario>, seed: u64, balancer: BalancerKind) -> Result<FleetSimulation, String> {
         let mut queue = Queue::default();
         let model = Model::new(scenario.clone(), seed, &mut queue);
         let config = crate::site::config(&scenario, seed, 0, crate::site::discovery_address(), None)?;
         let limits = ConnectionLimits {
             connect_timeout: config.connect_timeout.as_micros() as Micros,
-            // As the engine keeps them.
+            // The engine closes idle connections after the same share of the configured time.
             idle_timeout: config.conn_idle.mul_f64(0.9).as_micros() as Micros,
             connections: config.connections_to_hosts(),
             config,
@@ -123,6 +132,7 @@
         Ok(fleet)
     }
 
+    /// The balancer for a start of a proxy.
     fn new_balancer(&self, proxy: usize, epoch: u32) -> Box<dyn LoadBalancer> {
         let seed = crate::draw::name(self.model.seed, "proxy", proxy as u64) ^ u64::from(epoch);
         let settings =
@@ -130,6 +140,7 @@
         self.balancer.build(seed, settings)
     }
 
+    /// Starts a proxy's balancer, with the cached list if the proxy has one.
     fn start(&mut self, proxy: usize) {
         self.feed_balancer(proxy, policy::Event::Start);
         if let Some(cached) = self.model.proxies[proxy].known.clone() {
@@ -140,7 +151,7 @@
         }
     }
 
-    /// Plays to the end, or to what ends it before.
+    /// Runs to the end of the scenario, or to the first violated invariant where `limits` ask for that.
     pub fn run(mut self, limits: &Limits, leak: Option<Leak>) -> Outcome {
         self.model.leak = leak;
         self.model.log.tells = limits.tells;
@@ -179,6 +190,7 @@
         }
     }
 
+    /// Carries out an output of the model.
     fn carry_out(&mut self, out: Out) {
         match out {
             Out::Ask(call) => self.receive_request(call),
@@ -187,17 +199,18 @@
             Out::Host(host) => self.host_changed(host),
             Out::News => self.list_changed(),
             Out::Proxy { proxy, starts } => self.start_or_kill(proxy, starts),
-            // What is held back looks again by itself.
+            // Blocked events are retransmitted at a fixed interval.
             Out::Ways => {}
-            // There is nothing to read.
+            // Without bytes there are no slow readers.
             Out::Readers => {}
         }
     }
 
-    // As the engine keeps some of the client's time for the way back.
+    /// Gives a client's request to its proxy.
     fn receive_request(&mut self, call: u32) {
         let request = self.model.call(call);
         let (proxy, class, tenant) = (request.proxy as usize, request.class, request.tenant);
+        // Like the engine, reserves 10 ms of the client's time for the response.
         let deadline = request.deadline.saturating_sub(10_000);
         let (time_left, resent) = (deadline - self.model.now, request.again);
         self.proxies[proxy].open(call, deadline);
@@ -206,6 +219,7 @@
         self.feed_balancer(proxy, policy::Event::Request { call, class, tenant, time_left, resent });
     }
 
+    /// Cancels a call whose client no longer waits.
     fn client_left(&mut self, call: u32) {
         let proxy = self.model.call(call).proxy as usize;
         if let Some(open) = self.proxies[proxy].calls.get_mut(&call) {
@@ -215,6 +229,7 @@
         }
     }
 
+    /// Answers a call, unless it has been answered already.
     fn answer(&mut self, call: u32, answer: Answer) {
         let proxy = self.model.call(call).proxy as usize;
         let Some(open) = self.proxies[proxy].calls.get_mut(&call) else { return };
@@ -224,13 +239,13 @@
         self.proxies[proxy].remove_if_finished(call);
     }
 
-    /// Feeds the module, and carries out what it says.
+    /// Queues an event for a proxy's balancer and processes the queue.
     fn feed_balancer(&mut self, proxy: usize, event: policy::Event) {
         self.proxies[proxy].events.push_back(event);
         self.process_events(proxy);
     }
 
-    /// Feeds the module what waits for it.
+    /// Passes the queued events to a proxy's balancer and performs its actions. Events that the actions cause are queued.
     fn process_events(&mut self, proxy: usize) {
         if std::mem::replace(&mut self.proxies[proxy].busy, true) {
             return;
@@ -246,6 +261,7 @@
         self.proxies[proxy].busy = false;
     }
 
+    /// Performs an action of a proxy's balancer.
     fn perform(&mut self, proxy: usize, action: policy::Action) {
         use policy::Action;
         match action {
@@ -268,7 +284,7 @@
         }
     }
 
-    /// A proxy's process dies or starts.
+    /// Starts or kills the process of a proxy.
     fn start_or_kill(&mut self, proxy: usize, starts: bool) {
         if starts {
             let epoch = self.proxies[proxy].epoch + 1;
@@ -289,5 +305,5 @@
     }
 }
 
-/// Virtual time 0 in the module's clock.
+/// Virtual time 0 in the balancer's clock, in microseconds since 1970.
 const EPOCH: Micros = crate::site::EPOCH * 1_000_000;
--- a/lab/src/fleet/proxy.rs
+++ b/lab/src/fleet/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy in fleet depth: its module, open calls, kept connections, and its watch of the list.
+//! A proxy in fleet depth: its balancer, open calls, idle connections, and its watch of the server list.
 
 use super::{FleetEvent, FleetSimulation, WatchEvent};
 use crate::baseline::LoadBalancer;
@@ -9,44 +9,50 @@
 use policy::{CellId, Entry, Event, ListKind, ServerId, ServerState, ZoneId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A watch that is silent for so long is taken for dead, as in the engine.
+/// A watch that is silent for this long is given up, as in the engine.
 const SILENCE_TIMEOUT: Micros = 5_000_000;
-/// Where the list is pushed, a watch that has ended is opened again after this, and a silent one at once, as in the engine.
+/// Where the list is pushed, a watch that has failed is opened again after this time, and a silent one at once, as in the engine.
 const PUSH_RETRY: Micros = 1_000_000;
 
-/// A call on its way.
+/// A call that has not been answered yet, or still has attempts in flight.
 pub(super) struct OpenCall {
     pub deadline: Micros,
-    /// Exchanges by attempt; `None`: over.
+    /// The exchange of each attempt, `None` once the attempt has ended.
     pub attempts: Vec<Option<u64>>,
-    /// Nobody waits any more.
+    /// The client has been answered or no longer waits.
     pub answered: bool,
 }
 
-/// A connection that is kept.
+/// An idle connection to a host.
 #[derive(Clone, Copy)]
 pub(super) struct IdleConnection {
     pub since: Micros,
-    /// The host's start that it leads to.
+    /// Number of starts of the host when the connection was opened.
     pub epoch: u32,
 }
 
+/// The state of a proxy's process.
 pub(super) struct Proxy {
     pub balancer: Box<dyn LoadBalancer>,
+    /// Number of restarts of the process.
     pub epoch: u32,
     pub up: bool,
+    /// Events are queued and not passed to the balancer at once.
     pub busy: bool,
     pub events: VecDeque<Event>,
     pub calls: BTreeMap<u32, OpenCall>,
     pub idle: BTreeMap<usize, Vec<IdleConnection>>,
-    /// Connections to hosts, open or being opened.
+    /// Number of connections to hosts, established or being established.
     pub open: usize,
+    /// Number of the timer that was set last.
     pub timer: u64,
+    /// Number of the watch that was opened last.
     pub watch: u64,
-    /// The watch has been answered.
+    /// Discovery has accepted the watch and sends it updates.
     pub is_watching: bool,
+    /// Version of the list.
     pub seq: Option<u64>,
-    /// Hosts that may have something new, in order.
+    /// Whether each host is listed as ready for new requests, by host.
     pub ready: Vec<bool>,
 }
 
@@ -69,11 +75,12 @@
         }
     }
 
+    /// Adds a call.
     pub fn open(&mut self, call: u32, deadline: Micros) {
         self.calls.insert(call, OpenCall { deadline, attempts: Vec::new(), answered: false });
     }
 
-    /// Forgets a call for which nothing more is to come.
+    /// Removes a call that is answered and has no attempts in flight.
     pub fn remove_if_finished(&mut self, call: u32) {
         let finished = |open: &OpenCall| open.answered && open.attempts.iter().all(Option::is_none);
         if self.calls.get(&call).is_some_and(finished) {
@@ -87,7 +94,7 @@
 }
 
 impl FleetSimulation {
-    /// One way between a proxy and discovery.
+    /// The network delay between a proxy and discovery in one direction. `message` seeds its jitter.
     fn discovery_delay(&self, proxy: usize, message: u64) -> Micros {
         let network = &self.model.scenario.network;
         let mut draw =
@@ -95,12 +102,13 @@
         (network.near_us * (1.0 + network.jitter * draw.share())) as Micros
     }
 
+    /// Opens a watch in place of the previous one.
     pub(super) fn subscribe(&mut self, proxy: usize) {
         self.model.tally.watches += 1;
         let state = &mut self.proxies[proxy];
         state.watch += 1;
         state.is_watching = false;
-        // A connection, and the request on it.
+        // One round trip for the connection, then the request.
         let delay = 3 * self.discovery_delay(proxy, 0);
         self.schedule_watch_event(proxy, delay, WatchEvent::RequestArrived);
     }
@@ -111,6 +119,7 @@
         self.queue.put(self.model.now + delay, FleetEvent::Watch { proxy, epoch, watch, event });
     }
 
+    /// Handles an event of a proxy's watch.
     pub(super) fn handle_watch(&mut self, proxy: usize, event: WatchEvent) {
         match event {
             WatchEvent::RequestArrived if self.model.registry.down => {
@@ -149,14 +158,14 @@
         }
     }
 
-    /// Its ask has been answered: from here on it hears what changes.
+    /// Accepts a watch at discovery: from now on it gets updates, the first of them at once.
     fn accept_watch(&mut self, proxy: usize) {
         self.proxies[proxy].is_watching = true;
         let back = self.discovery_delay(proxy, 1);
         self.schedule_watch_event(proxy, back, WatchEvent::UpdateArrived);
     }
 
-    /// The list has changed, or discovery is down, or silent.
+    /// Sends updates to all watches after the list has changed, or ends the watches if discovery is down or silent.
     pub(super) fn list_changed(&mut self) {
         let (down, silent) = (self.model.registry.down, self.model.registry.silent);
         for proxy in 0..self.proxies.len() {
@@ -175,13 +184,13 @@
         }
     }
 
-    /// A proxy takes news in, as the engine does.
+    /// Handles an update of the list that arrives at a proxy.
     fn receive_update(&mut self, proxy: usize, update: &News) {
         self.model.told(proxy, update);
         self.apply_update(proxy, update, if update.whole { ListKind::Full } else { ListKind::Delta });
     }
 
-    /// Takes a list in, from whomever.
+    /// Applies a list update or a cached list to a proxy, as the engine does.
     pub(super) fn apply_update(&mut self, proxy: usize, update: &News, kind: ListKind) {
         let hosts = &self.model.hosts;
         let state = &mut self.proxies[proxy];
--- a/lab/src/full/bridge.rs
+++ b/lab/src/full/bridge.rs
@@ -1,4 +1,5 @@
-//! The world of the full stack on real time, its connections carried over real sockets on loopback.
+//! The full stack in real time: real proxies on threads of their own, connected to the model's clients, hosts and discovery over
+//! loopback sockets.
 
 use super::net::Simulation;
 use super::socket::{ProxyListener, ProxyNetwork, SharedSimulation};
@@ -23,7 +24,11 @@
 use tokio::sync::oneshot;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Plays a settled scenario on real time.
+/// Runs a scenario whose faults have been resolved, in real time.
+///
+/// # Errors
+///
+/// The scenario's configuration of a proxy is invalid, a socket cannot be opened, or a proxy does not start or panics.
 pub(crate) fn run_scenario(scenario: Scenario, seed: u64) -> Result<Outcome, String> {
     let scenario = Rc::new(scenario);
     let mut queue = Queue::default();
@@ -77,7 +82,7 @@
     Ok(Outcome::of(simulation.model, events))
 }
 
-/// A real proxy, until it is told to stop.
+/// Runs a real proxy until `stopped` resolves. Sends the address of its listener to `started`.
 fn run_proxy(
     config: nettleworks::config::Config,
     started: &mpsc::Sender<SocketAddr>,
@@ -97,7 +102,7 @@
     });
 }
 
-/// Carries connections of the model's clients to a proxy.
+/// Relays the connections of the model's clients to a real proxy.
 async fn relay_clients(simulation: SharedSimulation, proxy: usize, address: SocketAddr) {
     let listener = ProxyListener { simulation, proxy };
     loop {
@@ -111,8 +116,8 @@
     }
 }
 
-/// Carries connections of proxies to a peer of the model. Which proxy it is shows in nothing but the peer's zone: they are
-/// taken in turn.
+/// Relays connections of real proxies to a host or the discovery of the model. The proxy of a connection is not known, and
+/// matters only for the delay between its zone and the host's, so the proxies are assumed in rotation.
 async fn relay_to_peer(
     simulation: SharedSimulation,
     listener: TcpListener,
@@ -133,20 +138,23 @@
     }
 }
 
-// A side that has no delay of its own must not be given one.
+/// Copies bytes in both directions until both streams end.
 async fn relay(mut stream: TcpStream, mut simulated: Box<dyn VirtualStream>) {
+    // Nagle's algorithm would add delays that the simulated network does not have.
     let _ = stream.set_nodelay(true);
     if copy_bidirectional(&mut stream, &mut *simulated).await.is_err() {
         reset_on_close(&stream);
     }
 }
 
-/// The next close of this stream resets it.
+/// Makes the close of a stream send a reset.
 fn reset_on_close(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Does what is due, and never sleeps: events come closer together than timers do.
+/// Handles the events of the simulation when they are due. Completes at the end of the scenario with the number of events.
+///
+/// It polls without sleeping, because events are closer together than the resolution of timers.
 struct RealTimeDriver {
     simulation: SharedSimulation,
     start: Instant,
@@ -167,7 +175,7 @@
             loop {
                 simulation.model.now = now;
                 if let Some(out) = simulation.model.out.pop_front() {
-                    // Processes stay up here.
+                    // Faults do not start or kill the processes of proxies in real time.
                     let _ = simulation.carry_out(out);
                     continue;
                 }
--- a/lab/src/full/mod.rs
+++ b/lab/src/full/mod.rs
@@ -1,9 +1,9 @@
-//! Full stack: the real driver, protocol, front, key store and discovery of tens of proxies, on virtual time over
-//! simulated sockets. What is real ends at the bytes: hosts, clients and discovery are the [`crate::model`]'s, and speak
-//! HTTP/1.1 as their machines would.
+//! Full depth: the real engine, HTTP front, key store and discovery client of tens of proxies, on virtual time over simulated
+//! sockets. Everything beyond the sockets is simulated: hosts, clients and discovery belong to the [`crate::model`] and speak
+//! HTTP/1.1.
 //!
-//! Time is tokio's, paused. Its timers come on whole milliseconds; the network's events come to the microsecond, in
-//! between. Time moves only when no task of any proxy can go on ([`play::run_scenario`]).
+//! Time is the paused clock of tokio. Its timers fire on whole milliseconds, and events of the simulated network in between,
+//! with a resolution of a microsecond. Time advances only when no task of any proxy can progress ([`runner::run_scenario`]).
 
 pub(crate) mod bridge;
 mod net;
--- a/lab/src/full/net.rs
+++ b/lab/src/full/net.rs
@@ -1,4 +1,5 @@
-//! The simulated network: connections of two ends, pieces on their way, what a cut holds back, and doors.
+//! The simulated network: TCP-like connections with two endpoints, segments in flight, segments that a network partition holds
+//! back, and the accept queues of proxies.
 
 use crate::draw::Draw;
 use crate::log::Of;
@@ -16,39 +17,40 @@
 
 pub(super) type ConnectionId = u64;
 
-/// The side that has opened a connection, and the one that has taken it.
+/// Index of the endpoint that opened a connection.
 pub(super) const INITIATOR: usize = 0;
+/// Index of the endpoint that accepted a connection.
 pub(super) const ACCEPTOR: usize = 1;
 
-/// Bytes that a connection holds on their way to a reader: beyond, its writer waits.
+/// Bytes that may be in flight to an endpoint or unread there. Beyond that its peer's writes wait.
 const RECEIVE_WINDOW: usize = 256 << 10;
-/// Most bytes of one piece: what a system takes of a write at once, while there is room.
+/// Maximum bytes of one segment, which is also what a single write accepts while the window has room.
 const MAX_SEGMENT: usize = 16 << 10;
-/// A word that opens a connection and is not answered is said again after this.
+/// A SYN that finds the accept queue full is retransmitted after this time.
 const SYN_RETRANSMIT: Micros = 1_000_000;
 
-/// What the queue holds.
+/// An event of the queue in full depth.
 #[derive(Debug)]
 pub(super) enum NetworkEvent {
     Model(Event),
-    /// Something is there, at one side of a connection.
+    /// A segment arrives at one endpoint of a connection.
     Segment {
         conn: ConnectionId,
         side: usize,
         segment: Segment,
     },
-    /// A connection has been idle at its host since its exchange of this number.
+    /// The host's idle timeout of a connection, set when the response with this number was sent on it.
     IdleTimeout {
         conn: ConnectionId,
         served: u32,
     },
-    /// A watch's turn at a busy discovery: it knows the list as of a version, or fails.
+    /// A busy discovery replies to a watch that asked for changes after a version, or fails it.
     WatchReply {
         conn: ConnectionId,
         since: Option<u64>,
         fails: bool,
     },
-    /// A watch's time for a heartbeat.
+    /// A heartbeat of a watch is due.
     Heartbeat {
         conn: ConnectionId,
     },
@@ -60,53 +62,53 @@
     }
 }
 
-/// What goes over a connection.
+/// What travels over a connection in one piece, as in TCP.
 #[derive(Debug)]
 pub(super) enum Segment {
-    /// It is to be opened.
+    /// Opens the connection.
     Syn,
-    /// It is open.
+    /// Accepts the connection.
     SynAck,
-    /// Bytes, written then; with what they tell of the list.
+    /// Bytes, the time at which they were written, and the list update that they carry, if any.
     Data(Vec<u8>, Micros, Option<Box<News>>),
-    /// Nothing more comes.
+    /// The sender sends no more data.
     Fin,
-    /// It is broken; or refused.
+    /// The connection is aborted or was refused.
     Reset,
 }
 
-/// One side of a connection.
+/// One endpoint of a connection.
 #[derive(Debug, Default)]
 pub(super) struct Endpoint {
-    /// What has come and was not read.
+    /// Bytes that were received and not yet read.
     pub received: VecDeque<u8>,
-    /// When the last of it was written.
+    /// When the last received bytes were written by the peer.
     pub written_at: Micros,
-    /// Nothing more will come.
+    /// The peer sends no more data.
     pub ended: bool,
     pub reset: bool,
-    /// This side has closed.
+    /// This endpoint has closed the connection.
     pub closed: bool,
-    /// This side has ended its sending.
+    /// This endpoint has shut down its sending direction.
     shut_down: bool,
-    /// Bytes on their way to this side, or come and not read.
+    /// Bytes in flight to this endpoint, or received and not yet read.
     pub unread: usize,
     read_waker: Option<Waker>,
     write_waker: Option<Waker>,
-    /// When the last piece to this side comes: none overtakes another.
+    /// When the last segment to this endpoint arrives. Segments are never reordered.
     last_arrival: Micros,
-    /// What a cut holds back, in order.
+    /// Segments that a network partition holds back, in order.
     blocked: VecDeque<Segment>,
 }
 
-/// What a connection is for.
+/// The two parties of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionKind {
-    /// A client's to its proxy.
+    /// From a client to its proxy.
     Client,
-    /// A proxy's to a host, of this start.
+    /// From a proxy to a host process, where `epoch` counts the starts of the host.
     Host { host: usize, epoch: u32 },
-    /// A proxy's to discovery.
+    /// From a proxy to discovery.
     Discovery,
 }
 
@@ -116,34 +118,34 @@
     pub kind: ConnectionKind,
     pub endpoints: [Endpoint; 2],
     pub established: bool,
-    /// Pieces so far: their draws' names.
+    /// Segments sent so far. The count seeds the random delay of a segment.
     segments: u64,
-    /// The call that is on it: a client's, or one at a host.
+    /// The call whose request is on the connection, on the client's side or at a host.
     pub call: Option<u32>,
     /// The exchange at the host.
     pub exchange: Option<u64>,
-    /// Requests that were answered on it.
+    /// Number of responses that were sent on the connection.
     pub served: u32,
-    /// Its host has closed it unnoticed.
+    /// The host has closed the connection and the proxy does not know it yet.
     pub stale: bool,
-    /// A request has begun to be written and its answer is not there yet.
+    /// A request is being written, or its response has not been sent yet.
     pub request_open: bool,
-    /// Up to which version its watch has heard.
+    /// `None` before discovery has accepted the watch, then the list version that was sent last or that the proxy knew.
     pub watch_version: Option<Option<u64>>,
-    /// Its watch's answer has begun.
+    /// The head of the watch's response has been sent.
     pub head_sent: bool,
-    /// It is counted at its host.
+    /// The connection is counted in the host's number of open connections.
     pub counted: bool,
 }
 
-/// A proxy's door.
+/// Connections to a proxy that it has not accepted yet.
 #[derive(Debug, Default)]
 pub(super) struct AcceptQueue {
     pub pending: VecDeque<ConnectionId>,
     waker: Option<Waker>,
 }
 
-/// All of a run but the proxies' tasks.
+/// The state of a run except for the tasks of the proxies: the model, its event queue and all connections.
 pub(super) struct Simulation {
     pub model: Model,
     pub queue: Queue<NetworkEvent>,
@@ -151,10 +153,11 @@
     pub accept_queues: Vec<AcceptQueue>,
     /// Idle connections of clients, by proxy.
     pub idle: Vec<Vec<ConnectionId>>,
-    /// Connections of open exchanges.
+    /// The connection of each open exchange at a host.
     pub exchanges: BTreeMap<u64, ConnectionId>,
-    /// Where hosts listen in truth, where the run is on real sockets.
+    /// The last id given to a connection or an exchange.
     pub last_id: u64,
+    /// Real addresses of the hosts, when the run uses real sockets.
     pub real_addresses: Option<Vec<SocketAddr>>,
 }
 
@@ -196,7 +199,7 @@
         id
     }
 
-    /// A proxy opens a connection.
+    /// Opens a connection from a proxy to a host or to discovery.
     pub fn dial(&mut self, proxy: usize, address: SocketAddr) -> ConnectionId {
         match site::host_at(address).filter(|&host| host < self.model.hosts.len()) {
             Some(host) => {
@@ -210,7 +213,8 @@
         }
     }
 
-    /// Whether what goes to a side does not pass now, and how long its way is without a draw.
+    /// The link towards an endpoint: whether it is cut, its mean delay before jitter, and the delay that faults add, both in
+    /// microseconds.
     fn link_to(&self, conn: &Connection, side: usize) -> (bool, f64, Micros) {
         let network = &self.model.scenario.network;
         match conn.kind {
@@ -224,7 +228,7 @@
         }
     }
 
-    /// Does what an event of the queue says.
+    /// Handles an event of the queue.
     pub fn handle(&mut self, event: NetworkEvent) {
         match event {
             NetworkEvent::Model(event) => self.model.handle(event, &mut self.queue),
@@ -235,7 +239,7 @@
         }
     }
 
-    /// Sends a piece on its way to a side.
+    /// Sends a segment to an endpoint.
     pub fn send_segment(&mut self, id: ConnectionId, side: usize, segment: Segment) {
         let Some(conn) = self.connections.get(&id) else { return };
         let (cut, mean, added) = self.link_to(conn, side);
@@ -243,7 +247,7 @@
         let draw = |segments| Draw::new(self.model.seed, "piece", id, segments).share();
         let delay = mean * (1.0 + network.jitter * draw(conn.segments)) + added as f64;
         let arrival = self.model.now + (delay as Micros).max(1);
-        // One piece after the other goes through what the connection has of the line.
+        // Segments are transmitted one after the other over the connection's share of the bandwidth.
         let transmission = match &segment {
             Segment::Data(bytes, ..) if network.megabits > 0.0 => bytes.len() as f64 * 8.0 / network.megabits,
             _ => 0.0,
@@ -259,7 +263,7 @@
         self.queue.put(to.last_arrival, NetworkEvent::Segment { conn: id, side, segment });
     }
 
-    /// Ways have changed: what is held back and may pass goes on.
+    /// Sends the blocked segments of links that are no longer cut.
     pub fn links_changed(&mut self) {
         let released: Vec<(ConnectionId, usize)> = self
             .connections
@@ -277,10 +281,10 @@
         }
     }
 
-    /// A piece is there.
+    /// Handles a segment that arrives at an endpoint.
     pub fn receive_segment(&mut self, id: ConnectionId, side: usize, segment: Segment) {
         let Some(conn) = self.connections.get(&id) else { return };
-        // A cut that began while it was under way keeps it too.
+        // A partition that began while the segment was in flight blocks it as well.
         if self.link_to(conn, side).0 {
             if let Some(conn) = self.connections.get_mut(&id) {
                 self.model.tally.held += 1;
@@ -310,7 +314,7 @@
             }
             Segment::Data(bytes, written_at, update) => {
                 if to.closed {
-                    // Nobody is there any more: its system says so.
+                    // The operating system answers data for a closed socket with a reset.
                     let other = 1 - side;
                     return self.send_segment(id, other, Segment::Reset);
                 }
@@ -337,7 +341,7 @@
         self.remove_if_closed(id);
     }
 
-    /// What comes to a host that is not there, or knows nothing of the connection.
+    /// Handles a segment for a host that is down or does not know the connection. Returns whether the segment was lost.
     fn lost_at_host(&mut self, id: ConnectionId, host: usize, epoch: u32, segment: &Segment) -> bool {
         let host_state = &self.model.hosts[host];
         if matches!(segment, Segment::Syn) {
@@ -354,7 +358,7 @@
         let closes = matches!(segment, Segment::Fin | Segment::Reset);
         match host_state.up {
             Up::Up if host_state.epoch == epoch && !stale => return false,
-            // Nothing is said; but who ends it there will not hear of it again.
+            // A vanished host does not answer. A proxy that closes the connection gets no acknowledgement.
             Up::Vanished => {}
             Up::Up | Up::Dead if !matches!(segment, Segment::Reset) => {
                 self.send_segment(id, INITIATOR, Segment::Reset)
@@ -415,6 +419,7 @@
         }
     }
 
+    /// Takes a connection out of its host's number of open connections.
     pub fn uncount(&mut self, id: ConnectionId) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         if let (ConnectionKind::Host { host, epoch }, true) = (conn.kind, std::mem::take(&mut conn.counted)) {
@@ -433,7 +438,7 @@
         }
     }
 
-    /// Forgets a connection that both sides have closed.
+    /// Removes a connection that both endpoints have closed.
     pub fn remove_if_closed(&mut self, id: ConnectionId) {
         let closed = |conn: &Connection| conn.endpoints.iter().all(|side| side.closed);
         if self.connections.get(&id).is_some_and(closed) {
@@ -442,7 +447,7 @@
         }
     }
 
-    /// A side knows nothing of it any more, and says nothing.
+    /// Closes an endpoint without a segment to its peer.
     pub fn abandon(&mut self, id: ConnectionId, side: usize) {
         if let Some(conn) = self.connections.get_mut(&id) {
             conn.endpoints[side].closed = true;
@@ -451,7 +456,7 @@
         self.remove_if_closed(id);
     }
 
-    /// A side closes. What has come and was not read makes it a reset, as systems do.
+    /// Closes an endpoint. As in an operating system, received bytes that were not read turn the close into a reset.
     pub fn close(&mut self, id: ConnectionId, side: usize) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         let endpoint = &mut conn.endpoints[side];
@@ -472,6 +477,7 @@
         self.remove_if_closed(id);
     }
 
+    /// Shuts down the sending direction of an endpoint.
     pub fn shut_down(&mut self, id: ConnectionId, side: usize) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         if !std::mem::replace(&mut conn.endpoints[side].shut_down, true) {
@@ -523,7 +529,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// So much has been read there: its writer may go on.
+    /// Frees window space for bytes that an endpoint has read, and wakes its peer's writer.
     pub fn bytes_read(&mut self, id: ConnectionId, side: usize, count: usize) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         conn.endpoints[side].unread = conn.endpoints[side].unread.saturating_sub(count);
@@ -558,7 +564,7 @@
         Poll::Ready(Ok(room))
     }
 
-    /// Sends bytes to a side.
+    /// Sends bytes to an endpoint, with the list update that they carry, if any.
     pub fn write(&mut self, id: ConnectionId, to: usize, bytes: Vec<u8>, update: Option<Box<News>>) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         conn.endpoints[to].unread += bytes.len();
@@ -566,11 +572,13 @@
         self.send_segment(id, to, segment);
     }
 
+    /// Whether an endpoint is open and has nothing to read.
     pub fn has_no_pending_input(&self, id: ConnectionId, side: usize) -> bool {
         let side = self.connections.get(&id).map(|conn| &conn.endpoints[side]);
         side.is_some_and(|side| side.received.is_empty() && !side.ended && !side.reset)
     }
 
+    /// Whether the peer of an endpoint has closed or reset the connection.
     pub fn is_closed_by_peer(&self, id: ConnectionId, side: usize) -> bool {
         self.connections
             .get(&id)
--- a/lab/src/full/peers.rs
+++ b/lab/src/full/peers.rs
@@ -1,4 +1,4 @@
-//! What the model's clients, hosts and discovery do with connections.
+//! The model's clients, hosts and discovery as HTTP/1.1 endpoints of simulated connections.
 
 use super::net::{ConnectionId, ConnectionKind, NetworkEvent, Segment, Simulation, ACCEPTOR, INITIATOR};
 use super::wire::{self, ParsedHead};
@@ -11,11 +11,12 @@
 use crate::Micros;
 use serde_json::json;
 
-/// Discovery says something at least this often.
+/// Interval at which discovery sends a heartbeat to each watch.
 const HEARTBEAT_INTERVAL: Micros = 2_000_000;
 
 impl Simulation {
-    /// Does what the model wants of its carrier, but for proxies' processes: those come back.
+    /// Carries out an output of the model. The start or stop of a proxy's process is returned to the caller instead, as the
+    /// proxy and whether it starts.
     pub fn carry_out(&mut self, out: Out) -> Option<(usize, bool)> {
         match out {
             Out::Ask(call) => self.client_requests(call, false),
@@ -37,7 +38,7 @@
         None
     }
 
-    /// A client sends a request, on an idle connection unless that has just failed.
+    /// Sends a client's request, on an idle connection or, with `new_connection`, on a new one because an idle one has failed.
     fn client_requests(&mut self, call: u32, new_connection: bool) {
         let proxy = self.model.call(call).proxy as usize;
         let reused = if new_connection { None } else { self.idle[proxy].pop() };
@@ -45,7 +46,7 @@
         let Some(conn) = self.connections.get_mut(&id) else { return };
         conn.call = Some(call);
         if new_connection {
-            // One that fails as well is not tried again.
+            // A request is repeated only once: the mark prevents another repeat if this connection fails too.
             conn.stale = true;
         }
         if conn.established {
@@ -53,18 +54,20 @@
         }
     }
 
+    /// Sends the request of a client whose connection has been established.
     pub fn client_connected(&mut self, id: ConnectionId) {
         if let Some(call) = self.connections.get(&id).and_then(|conn| conn.call) {
             self.client_sends(id, call);
         }
     }
 
+    /// Writes the request of a call to a connection.
     fn client_sends(&mut self, id: ConnectionId, call: u32) {
         let scenario = self.model.scenario.clone();
         let request = self.model.call(call);
         let class = &scenario.classes[usize::from(request.class)];
         let method = if class.kind == Kind::Free { "GET" } else { "POST" };
-        // What is left of the client's time when it sends.
+        // The time left until the client's deadline when it sends.
         let budget = (request.deadline.saturating_sub(self.model.now) / 1_000).max(1);
         let mut text = format!(
             "{method} /api HTTP/1.1\r\nHost: api\r\nX-Call-Id: {}\r\nX-Call-Class: {}\r\nX-Caller: {}\r\nX-Budget-Ms: {budget}\r\n",
@@ -83,7 +86,7 @@
         }
         let mut bytes = (text + "\r\n").into_bytes();
         if class.kind != Kind::Free {
-            // A repeat with a key is the same request: its body says the key, and nothing of the call.
+            // A repeat with an idempotency key must be the same request, so its body depends on the key and not on the call.
             let body = if request.key == 0 {
                 format!("{call:08}")
             } else {
@@ -94,7 +97,7 @@
         self.write(id, ACCEPTOR, bytes, None);
     }
 
-    /// Something has come to a client, or its connection's end.
+    /// Reads responses from a client's connection after data or its end has arrived there.
     pub fn client_receives(&mut self, id: ConnectionId) {
         let Some(conn) = self.connections.get(&id) else { return };
         if self.model.proxies[conn.proxy].slow_reader && !conn.endpoints[INITIATOR].ended {
@@ -125,7 +128,7 @@
             conn.served += 1;
             self.bytes_read(id, INITIATOR, head.head_length + head.body_length);
             let Some(call) = call else {
-                // Nothing was asked.
+                // No request is open on this connection.
                 self.model.broken(Rule::OneAnswer, u32::MAX, None, "a response without a request".to_owned());
                 return self.client_closes(id);
             };
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Whether an answer was made for a call, or for one with its key.
+    /// Whether a response was produced for a call, or for another call with the same idempotency key.
     fn belongs_to(&self, call: u32, head: &wire::Head, body: &[u8]) -> bool {
         let source = std::str::from_utf8(body).ok().and_then(wire::parse_call_id);
         let Some(source) = source else { return false };
@@ -169,6 +172,7 @@
                 && self.model.calls.get(source as usize).is_some_and(|other| other.key == key)
     }
 
+    /// Closes a client's connection and takes it out of the idle ones.
     fn client_closes(&mut self, id: ConnectionId) {
         if let Some(conn) = self.connections.get(&id) {
             let proxy = conn.proxy;
@@ -177,11 +181,12 @@
         self.close(id, INITIATOR);
     }
 
-    /// A client's connection has ended without an answer.
+    /// Handles a client's connection that has ended without a response.
     fn client_lost(&mut self, id: ConnectionId) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         let (call, reused) = (conn.call.take(), conn.served > 0 && !conn.stale);
-        // What is closed between two requests may cross the next: that is sent once more, unless its proxy has died.
+        // The proxy may close an idle connection while the client sends its next request on it. The client repeats such a
+        // request once, unless the proxy has died.
         self.client_closes(id);
         let Some(call) = call else { return };
         let up = self.model.proxies[self.model.call(call).proxy as usize].up;
@@ -191,6 +196,7 @@
         self.model.answered(call, Answer::Broken, self.model.now, &mut self.queue);
     }
 
+    /// Closes the connection of a client that no longer waits for its response.
     fn client_leaves(&mut self, call: u32) {
         let proxy = self.model.call(call).proxy as usize;
         let carrier = self
@@ -205,7 +211,7 @@
         }
     }
 
-    /// A proxy writes the first bytes of a request to a host.
+    /// Records the attempt when a proxy writes the first bytes of a request to a host.
     pub fn request_started(&mut self, id: ConnectionId, host: usize, bytes: &[u8]) {
         let ParsedHead::Head(head) = wire::parse_request(bytes) else { return };
         let call = head.header("x-call-id").and_then(wire::parse_call_id);
@@ -219,7 +225,7 @@
         self.model.sent(call, host, self.model.now);
     }
 
-    /// Something has come to a host.
+    /// Reads a request from a host's connection after data or its end has arrived there.
     pub fn host_receives(&mut self, id: ConnectionId, host: usize) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         let first = conn.served == 0;
@@ -252,6 +258,7 @@
         self.model.reached(call, host, exchange, until, first, &mut self.queue);
     }
 
+    /// Writes the result of an exchange to its connection.
     fn host_responds(&mut self, host: usize, exchange: u64, ends: Ends) {
         let Some(id) = self.exchanges.remove(&exchange) else { return };
         let (scenario, now) = (self.model.scenario.clone(), self.model.now);
@@ -289,7 +296,7 @@
         self.queue.put(now + scenario.fleet.keep_ms * 1_000, timeout);
     }
 
-    /// A host closes what has been idle for too long.
+    /// Closes a connection at its host if it has been idle since the response with the number `served`.
     pub fn close_if_idle(&mut self, id: ConnectionId, served: u32) {
         let idle = |conn: &super::net::Connection| {
             conn.served == served && conn.exchange.is_none() && !conn.request_open
@@ -300,7 +307,8 @@
         }
     }
 
-    /// A host has died, or has come up: its system resets what it does not know.
+    /// Drops the connections of the previous process after a host has died or restarted. The operating system of a dead host
+    /// resets them.
     fn host_changed(&mut self, host: usize) {
         let (up, epoch) = (self.model.hosts[host].up, self.model.hosts[host].epoch);
         let of_previous_process = |kind: ConnectionKind| matches!(kind, ConnectionKind::Host { host: other, epoch: started } if other == host && started != epoch);
@@ -323,7 +331,7 @@
         }
     }
 
-    /// Something has come to discovery.
+    /// Reads a watch request from discovery's connection after data or its end has arrived there.
     pub fn discovery_receives(&mut self, id: ConnectionId) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         let side = &mut conn.endpoints[ACCEPTOR];
@@ -343,7 +351,7 @@
         }
     }
 
-    /// A watch's turn.
+    /// Starts the response to a watch that asked for changes after a version, or resets its connection.
     pub fn reply_to_watch(&mut self, id: ConnectionId, since: Option<u64>, fails: bool) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         if fails {
@@ -357,11 +365,11 @@
         self.queue.put(self.model.now + HEARTBEAT_INTERVAL, NetworkEvent::Heartbeat { conn: id });
     }
 
-    /// Tells a watch what it has not heard.
+    /// Sends a watch the changes of the list since the version that it has.
     fn send_changes(&mut self, id: ConnectionId) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         let Some(version) = conn.watch_version else { return };
-        // One that asked while nothing was said is answered when something is.
+        // A watch that began while discovery was silent gets the head of its response now.
         if !std::mem::replace(&mut conn.head_sent, true) {
             let head =
                 "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -375,7 +383,7 @@
         self.write(id, INITIATOR, line, Some(Box::new(update)));
     }
 
-    /// The list that a proxy's next process starts with.
+    /// The cached list with which the next process of a proxy starts.
     pub fn cached_list(&self, proxy: usize) -> Option<serde_json::Value> {
         let cached = self.model.proxies[proxy].known.as_ref()?;
         Some(self.update_json(cached))
@@ -385,6 +393,7 @@
         self.update_json(update).to_string() + "\n"
     }
 
+    /// A list update in the format of discovery.
     fn update_json(&self, update: &News) -> serde_json::Value {
         let hosts: Vec<_> = update
             .entries
@@ -407,6 +416,7 @@
         json!({"seq": update.seq, "whole": update.whole, "hosts": hosts})
     }
 
+    /// Sends a heartbeat to a watch and schedules the next one.
     pub fn send_heartbeat(&mut self, id: ConnectionId) {
         if self.connections.get(&id).is_none_or(|conn| conn.watch_version.is_none()) {
             return;
@@ -418,7 +428,7 @@
         self.queue.put(self.model.now + HEARTBEAT_INTERVAL, NetworkEvent::Heartbeat { conn: id });
     }
 
-    /// The list has changed, or discovery is down.
+    /// Sends changes to all watches after the list has changed, or resets them if discovery is down.
     fn list_changed(&mut self) {
         let watches: Vec<ConnectionId> = self
             .connections
--- a/lab/src/full/runner.rs
+++ b/lab/src/full/runner.rs
@@ -1,4 +1,4 @@
-//! Plays a run: the proxies' tasks, and time that moves when none of them can go on.
+//! Runs a scenario in full depth: polls the tasks of all proxies, and advances virtual time when none of them can progress.
 
 use super::net::Simulation;
 use super::socket::{ProxyListener, ProxyNetwork, SharedSimulation};
@@ -21,10 +21,14 @@
 use tokio::task::LocalSet;
 use tokio::time::{advance, Instant, Sleep};
 
-/// tokio's timers come on whole milliseconds.
+/// Resolution of tokio's timers: they fire on whole milliseconds.
 const TIMER_RESOLUTION: Micros = 1_000;
 
-/// Plays a settled scenario.
+/// Runs a scenario whose faults have been resolved.
+///
+/// # Errors
+///
+/// The scenario's configuration of a proxy is invalid, or the runtime cannot be built.
 pub(crate) fn run_scenario(
     scenario: Rc<Scenario>,
     seed: u64,
@@ -40,7 +44,7 @@
     model.log.tells = limits.tells;
     let proxies = scenario.load.proxies;
     let simulation = Rc::new(RefCell::new(Simulation::new(model, queue)));
-    // Without the system's sockets: nothing of them is used.
+    // The runtime has no I/O driver, as no real sockets are used.
     let built = runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let runtime = built.map_err(|error| error.to_string())?;
     let runtime_context = runtime.enter();
@@ -68,7 +72,7 @@
     Ok(Outcome::of(simulation.model, events?))
 }
 
-/// Notes that a process's tasks can go on, and wakes the run.
+/// Marks a process's tasks as runnable, and wakes the run.
 struct ReadyFlag {
     is_set: AtomicBool,
     run_waker: Mutex<Option<Waker>>,
@@ -83,7 +87,7 @@
     }
 }
 
-/// A proxy's process.
+/// The process of a proxy. It has no tasks while it is down.
 struct Process {
     proxy: usize,
     network: Rc<ProxyNetwork>,
@@ -102,7 +106,7 @@
     }
 
     fn start(&mut self, scenario: &Scenario, seed: u64) -> Result<(), String> {
-        // Another start draws otherwise.
+        // Each start of the process gets a random seed of its own.
         let seed = seed ^ self.starts << 48;
         self.starts += 1;
         let cached_list = self.network.simulation.borrow().cached_list(self.proxy);
@@ -121,32 +125,33 @@
         Ok(())
     }
 
-    /// Runs what can go on. Whether anything could.
+    /// Polls the process's tasks if any is runnable. Returns whether one was.
     fn poll_tasks(&mut self) -> bool {
         if !self.flag.is_set.swap(false, Ordering::Relaxed) {
             return false;
         }
         if let Some(tasks) = &mut self.tasks {
             let _network = enter(self.network.clone());
-            // It ends only with its process: the proxy serves for good.
+            // The tasks never complete: the proxy runs until its process is killed.
             let _ = Pin::new(tasks).poll(&mut Context::from_waker(&self.waker));
         }
         true
     }
 
-    /// The process dies: its system ends all that it had.
+    /// Kills the process. Dropping its tasks closes their connections.
     fn kill(&mut self) {
         let _network = enter(self.network.clone());
         self.tasks = None;
     }
 }
 
+/// A run as a future that completes at the end of the scenario, with the number of events.
 struct Run {
     simulation: SharedSimulation,
     processes: Vec<Process>,
     start: Instant,
     sleep: Pin<Box<Sleep>>,
-    /// No task could go on when tasks that had stood back were woken.
+    /// No task was runnable after the runtime had woken the tasks that had yielded.
     settled: bool,
     stop_on_violation: bool,
     events: u64,
@@ -157,7 +162,7 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// Does what is due. Whether anything was.
+    /// Handles the outputs of the model and the events that are due. Returns whether there were any.
     fn handle_due(&mut self, now: Micros) -> Result<bool, String> {
         let mut progressed = false;
         loop {
@@ -189,11 +194,11 @@
         }
         self.processes[proxy].kill();
         let mut simulation = self.simulation.borrow_mut();
-        // Those that nobody had accepted.
+        // Connections that the process had not accepted are closed as well.
         for conn in std::mem::take(&mut simulation.accept_queues[proxy].pending) {
             simulation.close(conn, super::net::ACCEPTOR);
         }
-        // Its clients hear of it by their connections' ends, behind what it had said before.
+        // Clients notice when their connections end, after the responses that were already in flight.
         Ok(())
     }
 }
@@ -230,7 +235,7 @@
                 run.settled = false;
                 continue;
             }
-            // Tasks that stood back (`yield_now`) are woken by the runtime, when this gives way to it.
+            // Tasks that called `yield_now` are woken by the runtime once this future returns to it.
             if !run.settled {
                 run.settled = true;
                 context.waker().wake_by_ref();
@@ -243,19 +248,19 @@
             if now >= end {
                 return Poll::Ready(Ok(run.events));
             }
-            // No timer comes before the next whole millisecond. The runtime moves by whole ones, so that is where it must
-            // be given the time.
+            // No timer fires before the next whole millisecond. The runtime advances by whole milliseconds, so time within one
+            // is advanced here, and the runtime takes over at its end.
             let tick = (now / TIMER_RESOLUTION + 1) * TIMER_RESOLUTION;
             let next = next.min(end);
             if next < tick || !now.is_multiple_of(TIMER_RESOLUTION) {
-                // Time moves at the first poll; what is left of the future is of no use.
+                // `advance` moves the time at its first poll; the rest of the future only yields.
                 let advanced = pin!(advance(Duration::from_micros(next.min(tick) - now)));
                 let _ = advanced.poll(&mut Context::from_waker(Waker::noop()));
-                // Timers that are due now are woken by the runtime too.
+                // The runtime must run before timers that are now due can wake their tasks.
                 run.settled = next < tick;
                 continue;
             }
-            // The runtime moves on to the first timer, this or a proxy's.
+            // The runtime advances to the first timer, which is this one or one of a proxy.
             run.settled = false;
             let until = run.start + Duration::from_micros(next / TIMER_RESOLUTION * TIMER_RESOLUTION);
             run.sleep.as_mut().reset(until);
--- a/lab/src/full/socket.rs
+++ b/lab/src/full/socket.rs
@@ -1,4 +1,4 @@
-//! The proxies' ends of connections, as the engine has them.
+//! The engine's network interface (`nettleworks_engine::net`) on top of the simulated network.
 
 use super::net::{ConnectionId, Simulation, ACCEPTOR, INITIATOR};
 use nettleworks_engine::net::{ConnectFuture, Network, VirtualListener, VirtualStream};
@@ -13,10 +13,10 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The world, shared by all ends of one run.
+/// The simulation, shared by all streams and listeners of one run.
 pub(super) type SharedSimulation = Rc<RefCell<Simulation>>;
 
-/// The network as one proxy has it.
+/// The simulated network from the view of one proxy.
 pub(super) struct ProxyNetwork {
     pub simulation: SharedSimulation,
     pub proxy: usize,
@@ -36,6 +36,7 @@
     }
 }
 
+/// A connection that is being established. Dropping it closes the connection.
 struct PendingConnect {
     simulation: SharedSimulation,
     conn: ConnectionId,
@@ -73,7 +74,7 @@
     }
 }
 
-/// A proxy's end of a connection.
+/// A proxy's endpoint of a connection. Dropping it closes the endpoint.
 pub(super) struct SimulatedStream {
     simulation: SharedSimulation,
     conn: ConnectionId,
@@ -127,7 +128,7 @@
     }
 }
 
-/// Where a proxy accepts.
+/// The listener of a proxy, on which the model's clients connect.
 pub(super) struct ProxyListener {
     pub simulation: SharedSimulation,
     pub proxy: usize,
--- a/lab/src/full/tests.rs
+++ b/lab/src/full/tests.rs
@@ -1,4 +1,4 @@
-//! The simulated network by itself: what a side writes comes in order and late, or is held, or is lost, as it should.
+//! Tests of the simulated network alone: order, delay, blocking and loss of segments, and the state of connections.
 
 use super::net::{ConnectionId, ConnectionKind, NetworkEvent, Simulation, ACCEPTOR, INITIATOR};
 use crate::fault::settle;
@@ -16,6 +16,7 @@
 
 const MS: Micros = 1_000;
 
+/// Counts wake-ups.
 #[derive(Default)]
 struct WakeCounter(AtomicUsize);
 
@@ -32,7 +33,7 @@
 }
 
 impl TestNetwork {
-    /// Nobody asks for anything by itself; discovery and hosts are there.
+    /// A network whose clients send next to no requests of their own. Hosts and discovery are up.
     fn new(more: &str) -> TestNetwork {
         let text = format!("name = \"x\"\nseconds = 60.0\n{more}");
         let mut scenario = Scenario::parse(&text).unwrap_or_else(|error| panic!("{error}"));
@@ -55,7 +56,7 @@
         self.simulation.model.now = at;
     }
 
-    /// A proxy dials a host, and is connected within `wait` if it is at all.
+    /// Opens a connection from proxy 0 to a host, and returns its state after `wait`.
     fn dial(&mut self, host: usize, wait: Micros) -> Poll<Result<ConnectionId, ErrorKind>> {
         let conn = self.simulation.dial(0, site::host_address(host));
         self.run_until(self.simulation.model.now + wait);
@@ -101,7 +102,7 @@
     let mut net = TestNetwork::new("[network]\nnear_us = 300.0\nfar_us = 4000.0\njitter = 0.0");
     assert!(matches!(net.dial(0, 599), Poll::Pending));
     assert!(matches!(net.dial(0, 600), Poll::Ready(Ok(_))));
-    // Host 1 is of pod 1, in the other zone.
+    // Host 1 is in pod 1, which is in the other zone.
     assert!(matches!(net.dial(1, 7_999), Poll::Pending));
     assert!(matches!(net.dial(1, 8_000), Poll::Ready(Ok(_))));
     assert_eq!((net.connections(0), net.connections(1)), (2, 2));
@@ -111,7 +112,7 @@
 fn bytes_arrive_in_order_under_large_jitter() {
     let mut net = TestNetwork::new("[network]\njitter = 10.0");
     let conn = net.connected(0);
-    // To the proxy's side, as a host would say it.
+    // Written to the proxy's endpoint, as by a host.
     for number in 0..200_u8 {
         net.simulation.write(conn, INITIATOR, vec![number], None);
         net.run_until(net.simulation.model.now + 40);
@@ -180,7 +181,7 @@
             }
             net.run_until(net.simulation.model.now + 10 * MS);
         }
-        // At the host's side what has come shows unread: it is no request.
+        // The bytes stay unread at the host, as they are not a complete request.
         let received = |net: &TestNetwork, conn: ConnectionId| {
             net.simulation.connections[&conn].endpoints[ACCEPTOR].received.len()
         };
@@ -191,7 +192,7 @@
         );
         assert_eq!(net.read(other, INITIATOR), Poll::Ready(Ok(vec![0, 1, 2, 3, 4])));
         assert_eq!(net.read(cut, INITIATOR).is_ready(), to_proxy_passes, "{what}");
-        // A new connection comes up only when both ways are open.
+        // A connection is established only when both directions pass.
         assert!(net.dial(0, 1_000 * MS).is_pending());
         net.run_until(3_100 * MS);
         assert_eq!(received(&net, cut), 5);
@@ -232,11 +233,11 @@
     let mut net = TestNetwork::new(&fault("vanish"));
     let conn = net.connected(0);
     net.run_until(1_010 * MS);
-    // Half-open: it takes bytes and says nothing, and new ones never come up.
+    // The old connection is half-open: writes succeed without an answer. New connections are never established.
     assert_eq!(net.write(conn, INITIATOR, b"x"), Poll::Ready(Ok(1)));
     assert!(net.read(conn, INITIATOR).is_pending() && net.simulation.has_no_pending_input(conn, INITIATOR));
     assert!(net.dial(0, 1_500 * MS).is_pending());
-    // Back again, it knows nothing of it and says so to whoever writes.
+    // After its restart the host does not know the old connection and answers data on it with a reset.
     net.run_until(3_100 * MS);
     assert!(net.read(conn, INITIATOR).is_pending());
     assert_eq!(net.write(conn, INITIATOR, b"y"), Poll::Ready(Ok(1)));
@@ -284,7 +285,7 @@
     net.run_until(net.simulation.model.now + 10 * MS);
     assert!(!net.simulation.connections.contains_key(&conn), "both endpoints are closed");
 
-    // The other way round: the host closes, and the proxy has not read all.
+    // The host closes while the proxy has unread bytes: the proxy still reads them.
     let conn = net.connected(0);
     net.simulation.write(conn, INITIATOR, b"unread".to_vec(), None);
     net.simulation.close(conn, ACCEPTOR);
@@ -293,7 +294,7 @@
     assert_eq!(net.read(conn, INITIATOR), Poll::Ready(Ok(b"unread".to_vec())));
     assert_eq!(net.read(conn, INITIATOR), Poll::Ready(Ok(Vec::new())), "end of stream");
 
-    // Bytes for a side that has closed are answered by a reset.
+    // Bytes for a closed endpoint are answered with a reset.
     let conn = net.connected(0);
     net.simulation.write(conn, INITIATOR, b"late".to_vec(), None);
     net.simulation.close(conn, INITIATOR);
@@ -301,7 +302,7 @@
     assert!(!net.simulation.connections.contains_key(&conn));
 }
 
-/// Each way in which a connection may be lost leaves nothing in the table once the proxy is done with its side.
+/// Connections that are lost to a fault are removed once the proxy has closed its endpoint.
 #[test]
 fn lost_connections_are_removed() {
     for what in ["kill", "vanish", "cut", "drain"] {
@@ -309,7 +310,8 @@
         let mut net = TestNetwork::new(&fault);
         let open: Vec<ConnectionId> = (0..4).map(|_| net.connected(0)).collect();
         net.run_until(1_900 * MS);
-        // One is closed meanwhile, one written to, one dialled and given up, and the rest found lost later.
+        // During the fault one connection is closed, one is written to, and a new one is opened and given up. The others are
+        // used after the fault.
         net.simulation.close(open[0], INITIATOR);
         let _ = net.write(open[1], INITIATOR, b"x");
         let dialled = net.simulation.dial(0, site::host_address(0));
@@ -370,8 +372,8 @@
     assert_eq!(net.simulation.model.tally.watches, 1);
 }
 
-/// Found by a sweep (chaos, seed 679): a watch that began while discovery was silent was sent changes without an answer's head,
-/// and its proxy held to what it could not read.
+/// A watch that began while discovery was silent was later sent changes without the head of a response, which its proxy could
+/// not parse (found by a sweep: scenario chaos, seed 679).
 #[test]
 fn a_watch_begun_during_silence_gets_a_complete_response_after_it() {
     let mut net = TestNetwork::new(
--- a/lab/src/full/wire.rs
+++ b/lab/src/full/wire.rs
@@ -1,24 +1,25 @@
-//! HTTP/1.1 as the model's clients, hosts and discovery read and write it. Heads are read by `httparse`.
+//! Parsing and writing of HTTP/1.1 for the model's clients, hosts and discovery. Heads are parsed by `httparse`.
 
 use std::collections::VecDeque;
 
-/// Most header lines of a head.
+/// Maximum number of header fields of a message.
 const MAX_HEADERS: usize = 64;
 
-/// A message's head, as far as it is of use here, and where its body is.
+/// The head of a message, as far as it is needed here, and the sizes of head and body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Head {
-    /// A request's target, or a response's status in digits.
+    /// The target of a request, or the status code of a response as text.
     pub target_or_status: String,
-    /// Names in lower case, with values.
+    /// Names, in lower case, and values of the header fields.
     headers: Vec<(String, String)>,
-    /// Bytes of head and body.
+    /// Length of the head, in bytes.
     pub head_length: usize,
-    /// See `head`.
+    /// Length of the body, in bytes.
     pub body_length: usize,
 }
 
 impl Head {
+    /// The value of the first header field with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(other, _)| other == name).map(|(_, value)| value.as_str())
     }
@@ -34,18 +35,18 @@
     }
 }
 
-/// What has been read of a message.
+/// Result of parsing the head of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ParsedHead {
-    /// Not all of its head.
+    /// The head is incomplete.
     Partial,
-    /// Its head; its body is there if so many bytes are.
+    /// The head is complete; the body may be incomplete.
     Head(Head),
-    /// It is none.
+    /// The bytes are not a valid head.
     Invalid,
 }
 
-/// Reads a request's head.
+/// Parses the head of a request.
 pub(super) fn parse_request(bytes: &[u8]) -> ParsedHead {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut fields);
@@ -58,7 +59,7 @@
     }
 }
 
-/// Reads a response's head.
+/// Parses the head of a response.
 pub(super) fn parse_response(bytes: &[u8]) -> ParsedHead {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut fields);
@@ -71,21 +72,22 @@
     }
 }
 
-/// Takes a whole message out of what has come.
+/// Removes a complete message from the received bytes and returns its body.
 pub(super) fn take_message(received: &mut VecDeque<u8>, head: &Head) -> Vec<u8> {
     received.drain(..head.head_length + head.body_length).skip(head.head_length).collect()
 }
 
-/// A call's id on the wire, and back.
+/// The id of a call as it is sent in the `X-Call-Id` header field.
 pub(super) fn format_call_id(call: u32) -> String {
     format!("{call:016x}")
 }
 
+/// Parses the id of a call. `None` if the text does not begin with one.
 pub(super) fn parse_call_id(id: &str) -> Option<u32> {
     u32::from_str_radix(id.get(..16)?, 16).ok()
 }
 
-/// A piece of a chunked body.
+/// A chunk of a body with the chunked transfer coding.
 pub(super) fn chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! `nettleworks-lab`: plays scenarios, sweeps seeds, compares, reports and replays.
+//! `nettleworks-lab`: runs scenarios, searches seeds for violations, compares load balancers, writes reports and replays
+//! violations.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -19,7 +20,7 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Writes a line. Whoever asked may have stopped reading.
+/// Prints a line to standard output. A closed pipe is ignored.
 macro_rules! print_line {
     ($($arguments:tt)*) => {{
         let _ = writeln!(std::io::stdout(), $($arguments)*);
@@ -28,7 +29,7 @@
 
 /// The real engine in a simulated fleet, on virtual time.
 ///
-/// Ends with 0 if no rule broke and what must hold held, with 1 if not, with 2 if nothing was played.
+/// Exits with 0 if no invariant was violated and all expectations were met, with 1 if not, and with 2 if nothing was run.
 #[derive(Debug, Parser)]
 #[command(name = "nettleworks-lab", version)]
 struct Arguments {
@@ -38,7 +39,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Play a scenario under one seed, and say what came of it
+    /// Run a scenario with one seed and print the results
     Run {
         /// The scenario
         scenario: PathBuf,
@@ -46,20 +47,20 @@
         seed: u64,
         #[arg(long, value_enum, default_value_t = Depth::Full)]
         depth: Depth,
-        /// Who decides (fleet depth)
+        /// The load balancer (others than ours only in fleet depth)
         #[arg(long = "picks", value_name = "PICKS", value_enum, default_value_t = BalancerKind::Ours)]
         balancer: BalancerKind,
-        /// Each event as a line of JSON into this file, with its virtual time
+        /// Write each event to this file as a line of JSON, with its virtual time
         #[arg(long, value_name = "FILE")]
         events: Option<PathBuf>,
-        /// Go on after a broken rule
+        /// Continue after a violated invariant
         #[arg(long = "goes-on")]
         keep_going: bool,
-        /// One JSON object instead of lines to read
+        /// Print one JSON object instead of text
         #[arg(long)]
         json: bool,
     },
-    /// Play scenarios under many seeds, on all cores; a break is made small and written to a file
+    /// Run scenarios with many seeds, on all cores; a violation is shrunk and written to a file
     Explore {
         /// The scenarios
         #[arg(required = true)]
@@ -67,17 +68,17 @@
         /// First and last seed, as 1..2000
         #[arg(long, default_value = "1..20", value_parser = seeds)]
         seeds: RangeInclusive<u64>,
-        /// In this depth; without it in both
+        /// The depth; both if not given
         #[arg(long, value_enum)]
         depth: Option<Depth>,
-        /// For 16 virtual seconds and at 150 calls a second at the most, as CI plays them
+        /// Limit the scenarios to 16 virtual seconds and 150 calls per second, as CI does
         #[arg(long)]
         light: bool,
-        /// Where small breaks are written
+        /// Folder for the files of shrunk violations
         #[arg(long, default_value = ".", value_name = "FOLDER")]
         out: PathBuf,
     },
-    /// Play the same seeds under our module and under what a team would pick instead; a table of Markdown
+    /// Run the same seeds with our decision module and with baseline load balancers; prints a Markdown table
     Compare {
         /// The scenarios
         #[arg(required = true)]
@@ -85,24 +86,24 @@
         /// First and last seed
         #[arg(long, default_value = "1..10", value_parser = seeds)]
         seeds: RangeInclusive<u64>,
-        /// Into this file instead of standard output
+        /// Write to this file instead of standard output
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
     },
-    /// Write a page with plots of a scenario
+    /// Write an HTML page with plots of a scenario
     Report {
         /// The scenario
         scenario: PathBuf,
-        /// First and last seed of its table; the first is plotted
+        /// First and last seed of the table; the first is plotted
         #[arg(long, default_value = "1..10", value_parser = seeds)]
         seeds: RangeInclusive<u64>,
         #[arg(long, value_enum, default_value_t = Depth::Fleet)]
         depth: Depth,
-        /// The page
+        /// The file to write
         #[arg(long, default_value = "report.html", value_name = "FILE")]
         out: PathBuf,
     },
-    /// Play scenarios in both depths and on real loopback sockets, in real time; a table of Markdown
+    /// Run scenarios in both depths and in real time on loopback sockets; prints a Markdown table
     #[command(name = "truth")]
     Fidelity {
         /// The scenarios
@@ -111,18 +112,18 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Play a break again that explore has written
+    /// Repeat a run that explore has written to a file
     Replay {
-        /// Its file
+        /// The file
         #[arg(value_name = "FOUND")]
         counterexample: PathBuf,
-        /// Each event as a line of JSON into this file
+        /// Write each event to this file as a line of JSON
         #[arg(long, value_name = "FILE")]
         events: Option<PathBuf>,
     },
 }
 
-/// Reads a range of seeds, `1..20`, the last one too; or one seed.
+/// Parses an inclusive range of seeds such as `1..20`, or a single seed.
 fn seeds(text: &str) -> Result<RangeInclusive<u64>, String> {
     let (first, last) = text.split_once("..").unwrap_or((text, text));
     let number = |text: &str| text.parse::<u64>().map_err(|error| format!("{text}: {error}"));
@@ -133,7 +134,8 @@
     Ok(first..=last)
 }
 
-/// A run's log goes to a file, in virtual time; a line as a whole, so that none is lost with the process.
+/// Writes the event log to a file if there is one. Each line is flushed, so that none is lost if the process dies. Returns whether
+/// events are to be logged.
 fn log_to(events: Option<&Path>) -> Result<bool, String> {
     let Some(path) = events else { return Ok(false) };
     let file = File::create(path).map_err(|error| format!("{}: {error}", path.display()))?;
@@ -147,7 +149,7 @@
 }
 
 fn load_all(paths: &[PathBuf]) -> Result<Vec<Scenario>, String> {
-    // All are checked before any is played.
+    // All scenarios are checked before any is run.
     paths.iter().map(|path| load(path)).collect()
 }
 
@@ -174,6 +176,7 @@
     }
 }
 
+/// Executes a command. Returns whether no invariant was violated and all expectations were met.
 fn execute(command: Command) -> Result<bool, String> {
     match command {
         Command::Run { scenario, seed, depth, balancer, events, keep_going, json } => {
@@ -242,6 +245,8 @@
     }
 }
 
+/// Sweeps the scenarios in the depths, and writes a shrunk run for the first violation of each invariant. Returns whether there
+/// were neither violations nor runs that could not be started.
 fn explore(
     scenarios: &[Scenario],
     seeds: &RangeInclusive<u64>,
@@ -265,7 +270,7 @@
             );
             passed &= broken == 0 && swept.failed.is_empty();
             swept.failed.iter().take(3).for_each(|(seed, reason)| print_line!("  seed {seed}: {reason}"));
-            // The first of each rule is made small.
+            // The first violation of each invariant is shrunk.
             let mut violated = Vec::new();
             for (&seed, violation) in &swept.violations {
                 if violated.contains(&violation.rule) {
@@ -290,6 +295,7 @@
     Ok(passed)
 }
 
+/// Prints the results of a run that took `seconds` of real time.
 fn print_outcome(outcome: &Outcome, seconds: f64, as_json: bool) {
     let (tally, all) = (&outcome.tally, &outcome.tally.all);
     let speedup = outcome.ended as f64 / 1e6 / seconds.max(1e-9);
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,5 +1,5 @@
-//! One page of HTML with plots, that needs nothing else: goodput and latency over time, hosts' load, repeats by cause, and
-//! goodput against offered load beside what a team would pick instead.
+//! A self-contained HTML page with plots: goodput and latency over time, load of the hosts, retries by cause, and goodput against
+//! offered load for our decision module and the baselines.
 
 use crate::baseline::BalancerKind;
 use crate::run::{play, play_with, Depth, Limits, Outcome};
@@ -10,24 +10,24 @@
 use std::fmt::Write;
 use std::ops::RangeInclusive;
 
-/// Times of the scenario's load, of which goodput is plotted.
+/// Multiples of the scenario's load at which goodput is plotted.
 const LOAD_MULTIPLES: [f64; 8] = [0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0];
-/// How many runs a report takes beside one for each seed.
+/// Number of runs of a report in addition to one per seed.
 pub const LOAD_RUNS: u64 = (LOAD_MULTIPLES.len() * BalancerKind::ALL.len()) as u64;
-/// Hosts that have a line of their own.
+/// Maximum number of hosts with a series of their own.
 const MAX_HOST_SERIES: usize = 16;
 
-/// A line of a plot.
+/// A series of a plot.
 struct Series {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
-/// Makes the page. `done` hears of each run.
+/// Runs the scenario and renders the page. Calls `on_run_done` after each run, possibly from several threads.
 ///
 /// # Errors
 ///
-/// A scenario that cannot be played, or a plot that cannot be drawn.
+/// The configuration of the scenario's proxies is invalid, there is no seed, or a plot cannot be drawn.
 pub fn page(
     scenario: &Scenario,
     seeds: &RangeInclusive<u64>,
@@ -83,6 +83,7 @@
     Ok(page)
 }
 
+/// Title, unit and series of each plot over time.
 fn series_over_time(run: &Outcome) -> Vec<(&'static str, &'static str, Vec<Series>)> {
     let seconds = || (0_u32..).zip(&run.tally.seconds);
     let series = |name: &str, value: &dyn Fn(&crate::tally::Part) -> f64| Series {
@@ -119,12 +120,13 @@
     ]
 }
 
-/// When faults are on.
+/// Start and end of each fault, in seconds.
 fn fault_intervals(scenario: &Scenario) -> Vec<(f64, f64)> {
     let interval = |fault: &crate::fault::Fault| fault.at.map(|at| (at, at + fault.lasts));
     scenario.faults.iter().filter_map(interval).collect()
 }
 
+/// Goodput against offered load, in value per second, for each load balancer.
 fn goodput_by_load(
     scenario: &Scenario,
     seed: u64,
@@ -154,6 +156,7 @@
         .collect())
 }
 
+/// Renders a plot as SVG. `intervals` are shaded.
 fn plot(
     title: &str,
     x_label: &str,
@@ -242,6 +245,7 @@
     text + "</table>"
 }
 
+/// Escapes text for HTML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
--- a/lab/tests/cluster.rs
+++ b/lab/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Members in their hundreds, on virtual time.
+//! Clusters of up to two hundred members on virtual time: failure detection, partitions, load of an idle cluster, determinism.
 
 use nettleworks_lab::cluster::{name, Cluster};
 use nettleworks_members::{Condition, Config, What};
@@ -43,7 +43,8 @@
     assert!(took < 30 * SECOND, "{took} from {at}");
 }
 
-/// Nothing happens: each asks one a second and is asked by one, and nobody has a reason to doubt itself.
+/// Without loss or failures each member sends one probe and one acknowledgement per second, suspects nobody, and keeps a health
+/// score of 0.
 #[test]
 fn an_idle_cluster_probes_once_a_second_and_suspects_nobody() {
     let mut cluster = new_cluster(60);
--- a/lab/tests/depths.rs
+++ b/lab/tests/depths.rs
@@ -1,5 +1,5 @@
-//! The two depths beside each other: what one fault does to a proxy must be much the same in both, or the fleet's figures
-//! mean nothing; and what fleet depth alone models of connections and watches.
+//! Comparison of the two depths: a fault must have much the same effect on a proxy in both, or results of fleet depth mean nothing.
+//! Also tests of the connections and watches that fleet depth models.
 
 mod common;
 
@@ -9,12 +9,12 @@
 use nettleworks_lab::run::{Depth, Outcome};
 use nettleworks_lab::scenario::Scenario;
 
-/// By how much the share of the worth served may differ between the depths, by fault. Most differ by less than a hundredth.
+/// How much the served share of the value may differ between the depths, by kind of fault. Most kinds differ by less than 0.01.
 fn tolerance(what: What) -> f64 {
     match what {
-        // Kept connections are another's last ones, and each break costs a budget.
+        // The depths differ in which connections are idle at the fault, and each lost connection uses up retry budget.
         What::Stale | What::Resets => 0.06,
-        // There is nothing to read in fleet depth.
+        // Fleet depth has no bytes, and so no slow readers.
         What::SlowReader => 0.4,
         _ => 0.03,
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Faults that a proxy cannot hide from its clients do show, and a proxy is itself again behind all of them.
+/// Faults that a proxy cannot hide from its clients lower the served share while they last, and it recovers fully afterwards.
 #[test]
 fn faults_lower_the_served_share_only_while_they_last() {
     for what in [What::Restart, What::Resets, What::Errors] {
@@ -50,6 +50,7 @@
     }
 }
 
+/// A scenario without faults, with further settings.
 fn calm(settings: &str) -> Scenario {
     scenario(&format!("name = \"x\"\nseconds = 8.0\n{settings}"))
 }
@@ -68,7 +69,7 @@
     for depth in DEPTHS {
         let tally = sound(&calm("[load]\nproxies = 2\nrate = 200.0"), 1, depth).tally;
         assert!(tally.opened * 20 < tally.sent, "{depth:?}: {} for {}", tally.opened, tally.sent);
-        // Hosts keep them for 10 ms, and one is used every 60.
+        // Hosts close idle connections after 10 ms, and each connection is used only every 60 ms.
         let tally = sound(&calm("[fleet]\nkeep_ms = 10\n[load]\nproxies = 2\nrate = 200.0"), 1, depth).tally;
         assert!(tally.opened * 2 > tally.sent, "{depth:?}: {} for {}", tally.opened, tally.sent);
     }
@@ -76,7 +77,7 @@
 
 #[test]
 fn a_proxy_at_its_connection_limit_replaces_its_oldest_idle_connection() {
-    // 64 descriptors leave 12 for hosts.
+    // Of 64 file descriptors a proxy uses 12 for connections to hosts.
     for depth in DEPTHS {
         let limited = calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0\nsockets = 64");
         let limited = sound(&limited, 1, depth);
@@ -98,7 +99,7 @@
         let mut scenario = calm("[load]\nproxies = 5");
         scenario.seconds = 25.0;
         scenario.faults.push(fault(what, 3.0, 9.0, Which::All, Which::All));
-        // A host goes meanwhile, and is back later: the list tells of that to whoever hears it.
+        // A host dies during the fault and returns, which a proxy learns only from a working watch.
         scenario.faults.push(fault(What::Kill, 5.0, 2.0, Which::These(vec![1]), Which::All));
         for depth in DEPTHS {
             let outcome = sound(&scenario, 1, depth);
@@ -141,8 +142,8 @@
     }
 }
 
-/// Work of a second that hosts take at once is bounded by the module's budgets: in a crowd a fleet serves what it can, and the
-/// rest is refused at once. Random choice, with the same clients, does far less.
+/// Under overload the decision module limits the requests in flight, so that hosts serve what they can and the rest is refused at
+/// once. Random selection serves far less to the same clients.
 #[test]
 fn overload_is_refused_early_and_the_rest_is_served() {
     let scenario = common::shipped("metastable").light(16.0, 150.0);
@@ -155,8 +156,8 @@
     assert!(ours[0] > 1.5 * baseline && ours[1] > 1.5 * baseline, "{ours:?} {baseline}");
 }
 
-/// A power cut under nearly all that warm hosts bear: what spreads calls evenly pushes cold hosts over, ours does not, with few
-/// proxies and with many.
+/// All hosts restart cold under a load close to the capacity of warm hosts. A balancer that spreads calls evenly overloads cold
+/// hosts; the decision module does not, with few proxies and with many.
 #[test]
 fn a_cold_fleet_under_full_load_is_not_overloaded() {
     let overloads =
--- a/lab/tests/determinism.rs
+++ b/lab/tests/determinism.rs
@@ -1,4 +1,4 @@
-//! The same seed gives the same event log, byte for byte; what would make it another is noticed.
+//! Equal seeds give equal event logs, byte for byte, and a source of nondeterminism is detected.
 
 use nettleworks_lab::baseline::BalancerKind;
 use nettleworks_lab::explore::sweep;
@@ -9,7 +9,7 @@
 
 const DEPTHS: [Depth; 2] = [Depth::Full, Depth::Fleet];
 
-/// A scenario as it is shipped, for less time.
+/// A shipped scenario, limited to a time in seconds.
 fn shipped(name: &str, seconds: f64) -> Scenario {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios").join(format!("{name}.toml"));
     let mut scenario = Scenario::load(&path).unwrap_or_else(|error| panic!("{error}"));
@@ -50,7 +50,7 @@
         let mut more = scenario.clone();
         more.fleet.spares = 5;
         assert_eq!(hash(&scenario, depth, None), hash(&more, depth, None));
-        // A host that is listed does change something.
+        // A host that is listed changes the log.
         more.fleet.hosts += 1;
         assert_ne!(hash(&scenario, depth, None), hash(&more, depth, None));
     }
--- a/lab/tests/growth.rs
+++ b/lab/tests/growth.rs
@@ -1,4 +1,4 @@
-//! A hard case of a larger fleet, in full stack: more proxies than one host's room is worth sharing, so that each has one
+//! A larger fleet in full depth: there are too many proxies for each to have a share of one host's capacity, so that each has one
 //! budget for all hosts.
 
 use nettleworks_lab::run::{play, Depth, Limits, Outcome};
@@ -11,7 +11,7 @@
     outcome
 }
 
-/// Share of what began in these seconds that was served.
+/// Share of the value of calls that began in these seconds that was served.
 fn served_in(outcome: &Outcome, seconds: std::ops::Range<usize>) -> f64 {
     let parts = outcome.tally.seconds[seconds].iter().filter_map(|second| second.part.as_ref());
     let (got, offered) =
@@ -19,7 +19,7 @@
     got / offered
 }
 
-/// Thirty proxies before thirty hosts that hold few connections.
+/// Thirty proxies share thirty hosts that accept few connections each.
 #[test]
 fn proxies_stay_below_the_connection_limit_of_the_hosts() {
     let outcome = run(
--- a/lab/tests/mutants.rs
+++ b/lab/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! Faults that are planted in the driver on purpose are found, and made small.
+//! Mutation tests: bugs that the engine's `mutants` feature adds are found by a sweep, and the runs that show them are shrunk.
 
 use nettleworks_engine::mutant::Mutant;
 use nettleworks_lab::explore::{shrink, sweep, Counterexample};
@@ -7,8 +7,9 @@
 use nettleworks_lab::scenario::Scenario;
 use std::path::Path;
 
-/// Within so many seeds of a shipped scenario each is found.
+/// Number of seeds of a shipped scenario within which each mutant must be found.
 const SEEDS: u64 = 8;
+/// A shrunk scenario must have fewer faults than this.
 const MAX_FAULTS: usize = 10;
 
 fn assert_found(mutant: Mutant, scenario: &str, rule: Rule) {
@@ -23,7 +24,7 @@
     let small = &shrunk.counterexample.scenario;
     assert!(small.faults.len() < MAX_FAULTS, "{} faults", small.faults.len());
     assert!(small.seconds < scenario.seconds || small.load.proxies < scenario.load.proxies);
-    // Its file plays the same break, and without the planted fault there is none.
+    // The file repeats the violation with the mutant, and shows none without it.
     let read = Counterexample::parse(&shrunk.counterexample.text()).expect("its own text");
     let again = play(&read.scenario, seed, Depth::Full, &limits).expect("the scenario is valid");
     assert_eq!(again.breaks.first().map(|violation| violation.at), Some(shrunk.violation.at));
--- a/lab/tests/standing.rs
+++ b/lab/tests/standing.rs
@@ -1,5 +1,5 @@
-//! The days of the standing test as scenarios of our own (`scenarios/standing/`): at full size in fleet depth, small in
-//! full stack.
+//! The scenarios in `scenarios/standing/`, which model the days of the standing test: at full size in fleet depth, and scaled down
+//! in both depths.
 
 mod common;
 
@@ -16,8 +16,8 @@
     Scenario::load(&path).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// The same with a tenth of proxies and hosts, which leaves each proxy and each host its load, in half the time; of the
-/// long day its first minute.
+/// A day scaled down to a tenth of the proxies and hosts, which keeps the load of each of them, and to half the time. Of the long day
+/// `soak`, only the first minute.
 fn small(name: &str) -> Scenario {
     let mut small = load_day(name);
     if name == "soak" {
@@ -48,7 +48,7 @@
     small
 }
 
-/// Share of the worth that began in these seconds and was served.
+/// Share of the value of calls that began in these seconds that was served.
 fn served(outcome: &Outcome, seconds: std::ops::Range<usize>) -> f64 {
     let parts = outcome.tally.seconds[seconds].iter().filter_map(|second| second.part.as_ref());
     let (got, offered) = parts.fold((0.0, 0.0), |sum, part| (sum.0 + part.got, sum.1 + part.offered));
@@ -66,7 +66,7 @@
     }
 }
 
-/// Six seconds of the calm day at full size; hosts hold so many connections.
+/// Six seconds of the calm day in fleet depth, with a number of proxies and a connection limit of each host.
 fn calm(proxies: usize, connections: usize) -> Outcome {
     let mut calm = load_day("calm");
     (calm.seconds, calm.warm_up) = (6.0, 2.0);
@@ -75,8 +75,8 @@
     sound(&calm, 1, Depth::Fleet)
 }
 
-/// The collapse that the operators met: each proxy keeps a connection to most hosts, hosts run out of them, and what is
-/// refused there is held against the hosts.
+/// Guards against a collapse that operators have seen: each proxy kept a connection to most hosts, the hosts reached their connection
+/// limits, and the proxies counted the refused connections as failures of the hosts.
 #[test]
 fn three_hundred_proxies_do_not_exhaust_the_connections_of_the_hosts() {
     let outcome = calm(300, 40);
@@ -85,14 +85,14 @@
     assert!(served > 0.99, "{served}");
 }
 
-/// There are 6,000 places for connections, and a thousand that would keep eight each: they learn to keep fewer.
+/// The hosts accept 6,000 connections, and a thousand proxies would keep eight each. They must adapt to fewer.
 #[test]
 fn a_thousand_proxies_share_too_few_connections() {
     let outcome = calm(1_000, 30);
     assert!(served(&outcome, 2..6) > 0.95, "{}", served(&outcome, 2..6));
 }
 
-/// Without a list from before a thousand proxies have nothing to go by, and their clients are there at once.
+/// A thousand proxies start without a cached list while their clients already send requests.
 #[test]
 fn a_thousand_proxies_without_a_cached_list_serve_within_two_seconds() {
     let mut start = load_day("calm");
@@ -104,29 +104,29 @@
     assert!(served(&outcome, 2..5) > 0.97, "{}", served(&outcome, 2..5));
 }
 
-/// Seven in ten start at once before a discovery that answers in turn: they ask one after the other, and what they know
-/// from before serves meanwhile.
+/// Seven of ten proxies restart at once, and discovery answers their watches one after the other. Until then they serve with their
+/// cached lists.
 #[test]
 fn restarted_proxies_serve_with_cached_lists_while_discovery_is_overloaded() {
     let mut herd = load_day("herd");
     (herd.seconds, herd.warm_up) = (14.0, 1.0);
     let outcome = whole(&herd, 1, Depth::Fleet);
     assert_eq!(outcome.breaks, []);
-    // Each of 300 begins once and 210 once more.
+    // Each of 300 proxies opens a watch, and the 210 that restart open one more.
     assert!(outcome.tally.watches <= 600, "{} watches", outcome.tally.watches);
     assert!(served(&outcome, 10..14) > 0.93, "{}", served(&outcome, 10..14));
 }
 
-/// At full size until so many seconds.
+/// The first seconds of a day at full size, in fleet depth.
 fn run_until(name: &str, seconds: f64) -> Outcome {
     let mut day = load_day(name);
     day.seconds = seconds;
-    // Those that come later are not there.
+    // Faults after the end would make the scenario invalid.
     day.faults.retain(|fault| fault.at.is_none_or(|at| at < seconds));
     sound(&day, 1, Depth::Fleet)
 }
 
-/// Each proxy meets its hosts seldom, and a third of them is silent while others drain.
+/// Each proxy rarely uses any one host, and a third of the hosts is silent while others drain.
 #[test]
 fn losing_a_zone_during_a_release_costs_little_more_than_its_own_calls() {
     let outcome = run_until("zone-release", 13.0);
@@ -134,7 +134,7 @@
     assert!(lost > 0.94, "{lost}");
 }
 
-/// Most of the hosts that a proxy has met are gone within 7 s, and one in five of the new ones fails.
+/// Most hosts that a proxy knows are removed within 7 s, and one in five of the new hosts fails.
 #[test]
 fn replacing_six_of_ten_hosts_with_some_faulty_ones_leaves_most_calls_served() {
     let outcome = run_until("join", 14.0);
--- a/lab/tests/tools.rs
+++ b/lab/tests/tools.rs
@@ -1,4 +1,4 @@
-//! The program, the comparison, the page, and the run on real sockets.
+//! The command-line program, comparisons, reports, and runs on real sockets.
 
 mod common;
 
@@ -23,7 +23,7 @@
     String::from_utf8(bytes.to_vec()).expect("text")
 }
 
-/// A folder of this test's own.
+/// Creates an empty folder for a test.
 fn folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -31,6 +31,7 @@
     folder
 }
 
+/// Writes a scenario file and returns its path.
 fn scenario_file(name: &str, text: &str) -> String {
     let path = folder(name).join("scenario.toml");
     std::fs::write(&path, text).expect("written");
@@ -104,14 +105,14 @@
     ] {
         assert_eq!(lab(arguments).status.code(), Some(2), "{arguments:?}");
     }
-    // In fleet depth alone may another decide.
+    // Baseline balancers run only in fleet depth.
     let good = scenario_file("good", CALM);
     assert_eq!(lab(&["run", &good, "--picks", "random"]).status.code(), Some(2));
     assert_eq!(lab(&["run", &good, "--picks", "random", "--depth", "fleet"]).status.code(), Some(0));
 }
 
-/// A break is written down small, and played again by the one command that is named. Under a store of keys that holds but
-/// a few, in a scenario of the lab's own, ours breaks nothing; so the break is one of a plain balancer's scenario, settled here.
+/// Replays a file as `explore` writes it for a violation. The decision module violates no invariant in the shipped scenarios, so the
+/// file is made here from a scenario with resolved faults.
 #[test]
 fn explore_reports_no_violations_and_replay_repeats_a_file() {
     let file = scenario_file("explore", CALM);
@@ -174,19 +175,19 @@
     assert!(page.contains("one &lt;way&gt; &amp; back") && !page.contains("<way>"));
     assert_eq!(page.matches("<tr><td>Cut").count(), 2);
     assert_eq!(page.matches("<code>").count(), 3, "a line for each seed");
-    // Nothing is fetched from elsewhere.
+    // The page loads no external resources.
     assert!(!page.contains("<script") && !page.contains("src=") && !page.contains("<link"));
     for balancer in BalancerKind::ALL {
         assert!(page.contains(balancer.name()), "{balancer:?}");
     }
 }
 
-/// On real sockets the same scenario is served as well; times there are the machine's own, and judged by nobody here.
+/// The same scenario is served on real sockets as well. Its times depend on the machine, so they are not checked.
 #[test]
 fn the_same_scenario_runs_on_real_loopback_sockets() {
     let mut scenario =
         scenario("name = \"x\"\nseconds = 2.0\nwarm_up = 0.5\n[load]\nproxies = 2\nrate = 60.0");
-    // A slow machine is no fault of the proxies.
+    // Generous deadlines allow for a slow machine.
     scenario.classes = shipped("calm").classes;
     scenario.classes.iter_mut().for_each(|class| {
         class.aim_ms = 1_500.0;
@@ -194,7 +195,7 @@
     });
     let real = nettleworks_lab::real::play(&scenario, 1).expect("the scenario is valid");
     let full = common::sound(&scenario, 1, Depth::Full);
-    // The same clients ask for the same; one may come a moment later here, and so just count or not.
+    // The clients send the same operations, but some may start later here and fall out of the measured time.
     assert!(real.tally.all.wanted.abs_diff(full.tally.all.wanted) <= 3);
     assert!(real.tally.all.served() > 0.99, "{:?}", real.tally.all.ended);
     assert!(real.breaks.iter().all(|violation| violation.rule != Rule::NoEffectTwice), "{:?}", real.breaks);
