--- a/lab/src/full/net.rs
+++ b/lab/src/full/net.rs
@@ -385,9 +385,9 @@
                 let accept_queue = &mut self.accept_queues[proxy];
                 if accept_queue.pending.len() >= backlog {
                     let at = self.model.now + SYN_RETRANSMIT;
-                    let retransmission =
-                        NetworkEvent::Segment { conn: id, side: ACCEPTOR, segment: Segment::Syn };
-                    return self.queue.put(at, retransmission);
+                    return self
+                        .queue
+                        .put(at, NetworkEvent::Segment { conn: id, side: ACCEPTOR, segment: Segment::Syn });
                 }
                 accept_queue.pending.push_back(id);
                 if let Some(waker) = accept_queue.waker.take() {
--- a/lab/src/full/peers.rs
+++ b/lab/src/full/peers.rs
@@ -292,8 +292,7 @@
             Ends::Never => return,
         };
         self.write(id, INITIATOR, text.into_bytes(), None);
-        let timeout = NetworkEvent::IdleTimeout { conn: id, served };
-        self.queue.put(now + scenario.fleet.keep_ms * 1_000, timeout);
+        self.queue.put(now + scenario.fleet.keep_ms * 1_000, NetworkEvent::IdleTimeout { conn: id, served });
     }
 
     /// Closes a connection at its host if it has been idle since the response with the number `served`.
--- a/lab/src/full/runner.rs
+++ b/lab/src/full/runner.rs
@@ -101,8 +101,14 @@
     fn new(proxy: usize, simulation: SharedSimulation) -> Process {
         let flag = Arc::new(ReadyFlag { is_set: AtomicBool::new(false), run_waker: Mutex::new(None) });
         let waker = Waker::from(flag.clone());
-        let network = Rc::new(ProxyNetwork { simulation, proxy });
-        Process { proxy, network, starts: 0, tasks: None, flag, waker }
+        Process {
+            proxy,
+            network: Rc::new(ProxyNetwork { simulation, proxy }),
+            starts: 0,
+            tasks: None,
+            flag,
+            waker,
+        }
     }
 
     fn start(&mut self, scenario: &Scenario, seed: u64) -> Result<(), String> {
--- a/lab/src/full/tests.rs
+++ b/lab/src/full/tests.rs
@@ -41,8 +41,11 @@
         let mut queue = Queue::<NetworkEvent>::default();
         let model = Model::new(Rc::new(settle(&scenario, 1)), 1, &mut queue);
         let wake_counter = Arc::new(WakeCounter::default());
-        let waker = Waker::from(wake_counter.clone());
-        TestNetwork { simulation: Simulation::new(model, queue), waker, wake_counter }
+        TestNetwork {
+            simulation: Simulation::new(model, queue),
+            waker: Waker::from(wake_counter.clone()),
+            wake_counter,
+        }
     }
 
     fn run_until(&mut self, at: Micros) {
