--- a/lab/src/baseline/envoy.rs
+++ b/lab/src/baseline/envoy.rs
@@ -36,8 +36,8 @@
 }
 
 impl RetryBudget {
-    /// Grants a retry to a request after a number of attempts, given the number of active requests. Returns the delay before it,
-    /// for which `jitter` is a random number from 0 to 1, or `None` if the request may not be retried.
+    /// Grants a retry to a request after a number of attempts, given the number of active requests. Returns the delay
+    /// before it, for which `jitter` is a random number from 0 to 1, or `None` if the request may not be retried.
     pub fn try_retry(&mut self, attempts: usize, active: usize, jitter: f64) -> Option<Micros> {
         let limit = (active as f64 * BUDGET_PERCENT / 100.0).max(MIN_RETRY_CONCURRENCY);
         if attempts > NUM_RETRIES || self.active_retries as f64 >= limit {
--- a/lab/src/cluster.rs
+++ b/lab/src/cluster.rs
@@ -1,5 +1,5 @@
-//! A cluster of up to thousands of members on virtual time: the real membership protocol (`nettleworks-members`) over a simulated
-//! network with loss, delay and partitions. The same seed gives the same run.
+//! A cluster of up to thousands of members on virtual time: the real membership protocol (`nettleworks-members`) over a
+//! simulated network with loss, delay and partitions. The same seed gives the same run.
 
 use crate::draw::Draw;
 use crate::queue::Queue;
@@ -176,8 +176,8 @@
         self.now = until;
     }
 
-    /// Runs until a condition holds, which is checked ten times per second of virtual time. Returns the time it took, or `None` if
-    /// the condition does not hold within `time`.
+    /// Runs until a condition holds, which is checked ten times per second of virtual time. Returns the time it took, or
+    /// `None` if the condition does not hold within `time`.
     pub fn run_until(&mut self, time: Micros, holds: impl Fn(&Cluster) -> bool) -> Option<Micros> {
         let started_at = self.now;
         while self.now < started_at + time {
--- a/lab/src/explore.rs
+++ b/lab/src/explore.rs
@@ -1,5 +1,5 @@
-//! Runs scenarios with many seeds on all cores, and shrinks a run that violates an invariant: to fewer faults, proxies, hosts and
-//! calls and a shorter time, as long as the same seed still violates the same invariant.
+//! Runs scenarios with many seeds on all cores, and shrinks a run that violates an invariant: to fewer faults, proxies,
+//! hosts and calls and a shorter time, as long as the same seed still violates the same invariant.
 
 use crate::fault::{settle, Which};
 use crate::judge::{Break, Rule};
--- a/lab/src/fleet/exchange.rs
+++ b/lab/src/fleet/exchange.rs
@@ -53,7 +53,8 @@
     RequestArrived,
     /// The host's response arrives at the proxy.
     ResponseArrived(Ends, LoadReport),
-    /// The reset of its connection arrives at the proxy. `stale`: the host had closed or lost the connection before the request.
+    /// The reset of its connection arrives at the proxy. `stale`: the host had closed or lost the connection before the
+    /// request.
     Reset { stale: bool },
     /// The deadline of the attempt has passed.
     DeadlineExpired,
@@ -382,7 +383,8 @@
         self.feed_balancer(proxy, policy::Event::Outcome { call, attempt, outcome, elapsed, closed, load });
     }
 
-    /// Ends a proxy's exchanges that are still connecting to hosts that are not ready, and closes idle connections to such hosts.
+    /// Ends a proxy's exchanges that are still connecting to hosts that are not ready, and closes idle connections to such
+    /// hosts.
     pub(super) fn leave_unready_hosts(&mut self, proxy: usize) {
         let connecting: Vec<u64> = self.proxies[proxy]
             .calls
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Fleet depth: the decision module of each proxy, or a baseline balancer in its place, driven by an event queue. Connections are
-//! modelled with their establishment, reuse, loss and limits, but without bytes and tasks, so that thousands of proxies are
-//! simulated faster than real time.
+//! Fleet depth: the decision module of each proxy, or a baseline balancer in its place, driven by an event queue.
+//! Connections are modelled with their establishment, reuse, loss and limits, but without bytes and tasks, so that
+//! thousands of proxies are simulated faster than real time.
 
 mod exchange;
 mod proxy;
--- a/lab/src/fleet/proxy.rs
+++ b/lab/src/fleet/proxy.rs
@@ -11,7 +11,8 @@
 
 /// A watch that is silent for this long is given up, as in the engine.
 const SILENCE_TIMEOUT: Micros = 5_000_000;
-/// Where the list is pushed, a watch that has failed is opened again after this time, and a silent one at once, as in the engine.
+/// Where the list is pushed, a watch that has failed is opened again after this time, and a silent one at once, as in the
+/// engine.
 const PUSH_RETRY: Micros = 1_000_000;
 
 /// A call that has not been answered yet, or still has attempts in flight.
--- a/lab/src/full/bridge.rs
+++ b/lab/src/full/bridge.rs
@@ -1,5 +1,5 @@
-//! The full stack in real time: real proxies on threads of their own, connected to the model's clients, hosts and discovery over
-//! loopback sockets.
+//! The full stack in real time: real proxies on threads of their own, connected to the model's clients, hosts and discovery
+//! over loopback sockets.
 
 use super::net::Simulation;
 use super::socket::{ProxyListener, ProxyNetwork, SharedSimulation};
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -134,8 +134,8 @@
     Ok(first..=last)
 }
 
-/// Writes the event log to a file if there is one. Each line is flushed, so that none is lost if the process dies. Returns whether
-/// events are to be logged.
+/// Writes the event log to a file if there is one. Each line is flushed, so that none is lost if the process dies. Returns
+/// whether events are to be logged.
 fn log_to(events: Option<&Path>) -> Result<bool, String> {
     let Some(path) = events else { return Ok(false) };
     let file = File::create(path).map_err(|error| format!("{}: {error}", path.display()))?;
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,5 +1,5 @@
-//! A self-contained HTML page with plots: goodput and latency over time, load of the hosts, retries by cause, and goodput against
-//! offered load for our decision module and the baselines.
+//! A self-contained HTML page with plots: goodput and latency over time, load of the hosts, retries by cause, and goodput
+//! against offered load for our decision module and the baselines.
 
 use crate::baseline::BalancerKind;
 use crate::run::{play, play_with, Depth, Limits, Outcome};
--- a/lab/tests/depths.rs
+++ b/lab/tests/depths.rs
@@ -1,5 +1,5 @@
-//! Comparison of the two depths: a fault must have much the same effect on a proxy in both, or results of fleet depth mean nothing.
-//! Also tests of the connections and watches that fleet depth models.
+//! Comparison of the two depths: a fault must have much the same effect on a proxy in both, or results of fleet depth mean
+//! nothing. Also tests of the connections and watches that fleet depth models.
 
 mod common;
 
@@ -142,8 +142,8 @@
     }
 }
 
-/// Under overload the decision module limits the requests in flight, so that hosts serve what they can and the rest is refused at
-/// once. Random selection serves far less to the same clients.
+/// Under overload the decision module limits the requests in flight, so that hosts serve what they can and the rest is
+/// refused at once. Random selection serves far less to the same clients.
 #[test]
 fn overload_is_refused_early_and_the_rest_is_served() {
     let scenario = common::shipped("metastable").light(16.0, 150.0);
--- a/lab/tests/growth.rs
+++ b/lab/tests/growth.rs
@@ -1,5 +1,5 @@
-//! A larger fleet in full depth: there are too many proxies for each to have a share of one host's capacity, so that each has one
-//! budget for all hosts.
+//! A larger fleet in full depth: there are too many proxies for each to have a share of one host's capacity, so that each
+//! has one budget for all hosts.
 
 use nettleworks_lab::run::{play, Depth, Limits, Outcome};
 use nettleworks_lab::scenario::Scenario;
--- a/lab/tests/standing.rs
+++ b/lab/tests/standing.rs
@@ -1,5 +1,5 @@
-//! The scenarios in `scenarios/standing/`, which model the days of the standing test: at full size in fleet depth, and scaled down
-//! in both depths.
+//! The scenarios in `scenarios/standing/`, which model the days of the standing test: at full size in fleet depth, and
+//! scaled down in both depths.
 
 mod common;
 
@@ -16,7 +16,8 @@
     Scenario::load(&path).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// A day scaled down to a tenth of the proxies and hosts, which keeps the load of each of them, and to half the time. Of the long day
+/// A day scaled down to a tenth of the proxies and hosts, which keeps the load of each of them, and to half the time. Of
+/// the long day
 /// `soak`, only the first minute.
 fn small(name: &str) -> Scenario {
     let mut small = load_day(name);
@@ -75,8 +76,8 @@
     sound(&calm, 1, Depth::Fleet)
 }
 
-/// Guards against a collapse that operators have seen: each proxy kept a connection to most hosts, the hosts reached their connection
-/// limits, and the proxies counted the refused connections as failures of the hosts.
+/// Guards against a collapse that operators have seen: each proxy kept a connection to most hosts, the hosts reached their
+/// connection limits, and the proxies counted the refused connections as failures of the hosts.
 #[test]
 fn three_hundred_proxies_do_not_exhaust_the_connections_of_the_hosts() {
     let outcome = calm(300, 40);
@@ -104,8 +105,8 @@
     assert!(served(&outcome, 2..5) > 0.97, "{}", served(&outcome, 2..5));
 }
 
-/// Seven of ten proxies restart at once, and discovery answers their watches one after the other. Until then they serve with their
-/// cached lists.
+/// Seven of ten proxies restart at once, and discovery answers their watches one after the other. Until then they serve
+/// with their cached lists.
 #[test]
 fn restarted_proxies_serve_with_cached_lists_while_discovery_is_overloaded() {
     let mut herd = load_day("herd");
--- a/lab/tests/tools.rs
+++ b/lab/tests/tools.rs
@@ -111,8 +111,8 @@
     assert_eq!(lab(&["run", &good, "--picks", "random", "--depth", "fleet"]).status.code(), Some(0));
 }
 
-/// Replays a file as `explore` writes it for a violation. The decision module violates no invariant in the shipped scenarios, so the
-/// file is made here from a scenario with resolved faults.
+/// Replays a file as `explore` writes it for a violation. The decision module violates no invariant in the shipped
+/// scenarios, so the file is made here from a scenario with resolved faults.
 #[test]
 fn explore_reports_no_violations_and_replay_repeats_a_file() {
     let file = scenario_file("explore", CALM);
