--- a/lab/src/compare.rs
+++ b/lab/src/compare.rs
@@ -1,6 +1,6 @@
-//! The same seeds under our module and under what a team would pick instead, in fleet depth.
+//! Comparison of load balancers: the same scenarios and seeds under our decision module and under baselines, in fleet depth.
 
-use crate::baseline::Picks;
+use crate::baseline::BalancerKind;
 use crate::invariants::Invariant;
 use crate::run::{run_scenario_with, Depth, RunOptions};
 use crate::scenario::Scenario;
@@ -10,119 +10,125 @@
 use std::fmt::Write;
 use std::ops::RangeInclusive;
 
-/// Median, least and most.
+/// Median, minimum and maximum of some values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Spread {
-    /// The middle one.
+pub struct Summary {
+    /// The median; of an even number of values the higher of the two in the middle.
     pub median: f64,
-    /// The least.
-    pub least: f64,
-    /// The most.
-    pub most: f64,
+    /// The minimum.
+    #[serde(rename = "least")]
+    pub min: f64,
+    /// The maximum.
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
-impl Spread {
-    /// Of some values.
-    pub fn of(mut values: Vec<f64>) -> Spread {
+impl Summary {
+    /// Summarizes values. Without values all fields are NaN.
+    pub fn new(mut values: Vec<f64>) -> Summary {
         values.sort_unstable_by(f64::total_cmp);
-        let at = |place: usize| values.get(place).copied().unwrap_or(f64::NAN);
-        Spread { median: at(values.len() / 2), least: at(0), most: at(values.len().saturating_sub(1)) }
+        let value = |index: usize| values.get(index).copied().unwrap_or(f64::NAN);
+        Summary { median: value(values.len() / 2), min: value(0), max: value(values.len().saturating_sub(1)) }
     }
 }
 
-/// One of those compared, on one scenario.
+/// The results of one load balancer in one scenario, over all seeds.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
-    /// The scenario.
+pub struct ComparisonRow {
+    /// Name of the scenario.
     pub scenario: String,
-    /// Who decides.
-    pub picks: Picks,
-    /// Share of the worth that was served.
-    pub served: Spread,
-    /// 99th percentile of served answers, in milliseconds.
-    pub p99_ms: Spread,
-    /// Attempts for each thing that was wanted.
-    pub sends: Spread,
-    /// Broken rules, over all seeds; at most 1,000 are noted of a run.
-    pub broken: BTreeMap<Invariant, usize>,
+    /// The load balancer.
+    #[serde(rename = "picks")]
+    pub balancer: BalancerKind,
+    /// Share of the requested value that was served, from 0 to 1.
+    pub served: Summary,
+    /// 99th percentile of the time to a served response, in milliseconds.
+    pub p99_ms: Summary,
+    /// Attempts per operation.
+    #[serde(rename = "sends")]
+    pub attempts: Summary,
+    /// Number of violations of each invariant, over all seeds. At most 1,000 are recorded per run.
+    #[serde(rename = "broken")]
+    pub violations: BTreeMap<Invariant, usize>,
 }
 
-/// Plays each scenario under each seed and each of those compared. `done` hears of each run.
+/// Runs each scenario with each seed and each load balancer. Calls `on_run_done` after each run, possibly from several threads.
 ///
 /// # Errors
 ///
-/// A scenario that cannot be played.
+/// The configuration of a scenario's proxies is invalid.
 pub fn compare(
     scenarios: &[Scenario],
     seeds: &RangeInclusive<u64>,
-    picks: &[Picks],
-    done: impl Fn() + Sync,
-) -> Result<Vec<Line>, String> {
+    balancers: &[BalancerKind],
+    on_run_done: impl Fn() + Sync,
+) -> Result<Vec<ComparisonRow>, String> {
     let limits = RunOptions { stop_on_violation: false, ..RunOptions::default() };
-    let mut lines = Vec::new();
+    let mut rows = Vec::new();
     for scenario in scenarios {
-        for &picks in picks {
+        for &balancer in balancers {
             let runs: Vec<_> = seeds
                 .clone()
                 .into_par_iter()
                 .map(|seed| {
-                    let outcome = run_scenario_with(scenario, seed, Depth::Fleet, &limits, picks, None);
-                    done();
+                    let outcome = run_scenario_with(scenario, seed, Depth::Fleet, &limits, balancer, None);
+                    on_run_done();
                     outcome.map(|outcome| {
                         let all = &outcome.metrics.all;
-                        let mut broken = BTreeMap::<Invariant, usize>::new();
+                        let mut violations = BTreeMap::<Invariant, usize>::new();
                         outcome
                             .violations
                             .iter()
-                            .for_each(|at| *broken.entry(at.invariant).or_default() += 1);
-                        let sends = outcome.metrics.attempts as f64 / all.operations.max(1) as f64;
-                        (all.served_share(), all.latency_ms(99.0), sends, broken)
+                            .for_each(|violation| *violations.entry(violation.invariant).or_default() += 1);
+                        let attempts = outcome.metrics.attempts as f64 / all.operations.max(1) as f64;
+                        (all.served_share(), all.latency_ms(99.0), attempts, violations)
                     })
                 })
                 .collect::<Result<_, _>>()?;
-            let mut broken = BTreeMap::<Invariant, usize>::new();
-            for (rule, count) in runs.iter().flat_map(|(.., broken)| broken) {
-                *broken.entry(*rule).or_default() += count;
+            let mut violations = BTreeMap::<Invariant, usize>::new();
+            for (rule, count) in runs.iter().flat_map(|(.., of_run)| of_run) {
+                *violations.entry(*rule).or_default() += count;
             }
-            lines.push(Line {
+            rows.push(ComparisonRow {
                 scenario: scenario.name.clone(),
-                picks,
-                served: Spread::of(runs.iter().map(|run| run.0).collect()),
-                p99_ms: Spread::of(runs.iter().map(|run| run.1).collect()),
-                sends: Spread::of(runs.iter().map(|run| run.2).collect()),
-                broken,
+                balancer,
+                served: Summary::new(runs.iter().map(|run| run.0).collect()),
+                p99_ms: Summary::new(runs.iter().map(|run| run.1).collect()),
+                attempts: Summary::new(runs.iter().map(|run| run.2).collect()),
+                violations,
             });
         }
     }
-    Ok(lines)
+    Ok(rows)
 }
 
-/// The lines as a table of Markdown: share of worth served, and below it the 99th percentile and broken rules.
-pub fn table(lines: &[Line]) -> String {
+/// Formats rows as a Markdown table: share of the value served, 99th percentile, attempts per operation, and violations of each
+/// invariant.
+pub fn table(rows: &[ComparisonRow]) -> String {
     let mut text = String::from("| scenario | who | served | p99 ms | sends | broken: 1, 2, 3, 4 |\n");
     text += "| --- | --- | --- | --- | --- | --- |\n";
-    for line in lines {
+    for row in rows {
         let rules = [
             Invariant::OneAnswer,
             Invariant::NoEffectTwice,
             Invariant::NothingToTheGone,
             Invariant::ColdHostStands,
         ];
-        let broken =
-            rules.map(|rule| line.broken.get(&rule).copied().unwrap_or_default().to_string()).join(", ");
-        let Line { served, p99_ms, sends, .. } = line;
+        let violations =
+            rules.map(|rule| row.violations.get(&rule).copied().unwrap_or_default().to_string()).join(", ");
+        let ComparisonRow { served, p99_ms, attempts, .. } = row;
         let _ = writeln!(
             text,
-            "| {} | {} | {:.3} ({:.3} to {:.3}) | {:.0} ({:.0} to {:.0}) | {:.2} | {broken} |",
-            line.scenario,
-            line.picks.name(),
+            "| {} | {} | {:.3} ({:.3} to {:.3}) | {:.0} ({:.0} to {:.0}) | {:.2} | {violations} |",
+            row.scenario,
+            row.balancer.name(),
             served.median,
-            served.least,
-            served.most,
+            served.min,
+            served.max,
             p99_ms.median,
-            p99_ms.least,
-            p99_ms.most,
-            sends.median,
+            p99_ms.min,
+            p99_ms.max,
+            attempts.median,
         );
     }
     text
--- a/lab/src/explore.rs
+++ b/lab/src/explore.rs
@@ -1,5 +1,5 @@
-//! Sweeps seeds on all cores, and makes a break that was found small: fewer faults, proxies, hosts and calls, a shorter
-//! time, as long as the same rule breaks under the same seed.
+//! Runs scenarios with many seeds on all cores, and shrinks a run that violates an invariant: to fewer faults, proxies,
+//! hosts and calls and a shorter time, as long as the same seed still violates the same invariant.
 
 use crate::fault::{resolve_faults, Targets};
 use crate::invariants::{Invariant, Violation};
@@ -10,62 +10,63 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// A break, with all that plays it again.
+/// A run that violates an invariant, with all that is needed to repeat it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Found {
-    /// The seed.
+pub struct Counterexample {
+    /// Seed of the run.
     pub seed: u64,
-    /// The depth.
+    /// Depth of the run.
     pub depth: Depth,
-    /// Which rule, and what happened.
-    pub what: String,
-    /// The settled scenario.
+    /// The invariant, and how it was violated.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// The scenario with its faults resolved.
     pub scenario: Scenario,
 }
 
-impl Found {
-    /// Its text, as a file.
+impl Counterexample {
+    /// The content of its file, in TOML.
     pub fn text(&self) -> String {
         toml::to_string(self).unwrap_or_default()
     }
 
-    /// Reads such a file.
+    /// Parses the content of such a file.
     ///
     /// # Errors
     ///
-    /// A file that is none, or whose scenario cannot be played.
-    pub fn parse(text: &str) -> Result<Found, String> {
-        let found: Found = toml::from_str(text).map_err(|error| error.to_string())?;
-        found.scenario.check().map_err(|error| format!("scenario.{error}"))?;
-        Ok(found)
+    /// The text is not a valid file, or its scenario is invalid.
+    pub fn parse(text: &str) -> Result<Counterexample, String> {
+        let counterexample: Counterexample = toml::from_str(text).map_err(|error| error.to_string())?;
+        counterexample.scenario.check().map_err(|error| format!("scenario.{error}"))?;
+        Ok(counterexample)
     }
 }
 
-/// What a sweep found.
+/// Results of a scenario over a range of seeds.
 #[derive(Clone, Debug, Default)]
 pub struct Sweep {
-    /// Seeds that were played.
+    /// Number of seeds.
     pub seeds: usize,
-    /// Those under which a rule broke, with the first break.
-    pub broken: BTreeMap<u64, Violation>,
-    /// Those that could not be played, and why.
+    /// The first violation of an invariant, by seed, where there was one.
+    pub violations: BTreeMap<u64, Violation>,
+    /// Seeds whose run could not be started, and why.
     pub failed: BTreeMap<u64, String>,
-    /// Seconds of virtual time.
+    /// Virtual time of all runs, in seconds.
     pub virtual_seconds: f64,
-    /// Those whose event logs are known: their hashes.
+    /// Hash of the event log, by seed.
     pub hashes: BTreeMap<u64, u64>,
 }
 
-/// Plays a scenario under each seed, on all cores. `done` hears of each; it may be called by several threads.
+/// Runs a scenario with each seed, on all cores. Calls `on_run_done` after each run, possibly from several threads.
 pub fn sweep(
     scenario: &Scenario,
     seeds: RangeInclusive<u64>,
     depth: Depth,
     limits: &RunOptions,
-    done: impl Fn() + Sync,
+    on_run_done: impl Fn() + Sync,
 ) -> Sweep {
-    let each: Vec<_> = seeds
+    let runs: Vec<_> = seeds
         .into_par_iter()
         .map(|seed| {
             let outcome = run_scenario(scenario, seed, depth, limits).map(|mut outcome| {
@@ -75,17 +76,17 @@
                     (!outcome.violations.is_empty()).then(|| outcome.violations.swap_remove(0)),
                 )
             });
-            done();
+            on_run_done();
             (seed, outcome)
         })
         .collect();
-    let mut sweep = Sweep { seeds: each.len(), ..Sweep::default() };
-    for (seed, outcome) in each {
+    let mut sweep = Sweep { seeds: runs.len(), ..Sweep::default() };
+    for (seed, outcome) in runs {
         match outcome {
-            Ok((hash, ended, broken)) => {
+            Ok((hash, ended, violation)) => {
                 sweep.hashes.insert(seed, hash);
                 sweep.virtual_seconds += ended as f64 / 1e6;
-                broken.into_iter().for_each(|broken| drop(sweep.broken.insert(seed, broken)));
+                violation.into_iter().for_each(|violation| drop(sweep.violations.insert(seed, violation)));
             }
             Err(reason) => drop(sweep.failed.insert(seed, reason)),
         }
@@ -93,21 +94,21 @@
     sweep
 }
 
-/// How far a break was made smaller.
+/// Result of shrinking a run that violates an invariant.
 #[derive(Clone, Debug)]
 pub struct Shrunk {
-    /// The smaller one.
-    pub found: Found,
-    /// Its break.
-    pub broken: Violation,
-    /// Runs that this took.
+    /// The smallest run that was found.
+    pub counterexample: Counterexample,
+    /// Its violation.
+    pub violation: Violation,
+    /// Number of runs that shrinking took.
     pub runs: usize,
 }
 
-/// Most runs that making one break small may take.
-const RUNS_MOST: usize = 400;
+/// Maximum number of runs for shrinking one violation.
+const MAX_SHRINK_RUNS: usize = 400;
 
-/// Makes a break small. `None`: the scenario does not break this rule under this seed.
+/// Shrinks a run that violates an invariant. `None` if the scenario does not violate it with this seed.
 pub fn shrink(
     scenario: &Scenario,
     seed: u64,
@@ -115,50 +116,50 @@
     rule: Invariant,
     limits: &RunOptions,
 ) -> Option<Shrunk> {
-    let mut shrinker = Shrinker { seed, depth, rule, limits: *limits, runs: 0 };
+    let mut shrinker = Shrinker { seed, depth, invariant: rule, limits: *limits, runs: 0 };
     let mut best = resolve_faults(scenario, seed);
-    let mut broken = shrinker.breaks(&best)?;
+    let mut violation = shrinker.find_violation(&best)?;
     loop {
         let before = size(&best);
-        for next in smaller(&best, &broken) {
-            if let Some(again) = shrinker.breaks(&next) {
-                (best, broken) = (next, again);
+        for next in smaller(&best, &violation) {
+            if let Some(next_violation) = shrinker.find_violation(&next) {
+                (best, violation) = (next, next_violation);
                 break;
             }
-            if shrinker.runs >= RUNS_MOST {
+            if shrinker.runs >= MAX_SHRINK_RUNS {
                 break;
             }
         }
-        if size(&best) == before || shrinker.runs >= RUNS_MOST {
+        if size(&best) == before || shrinker.runs >= MAX_SHRINK_RUNS {
             break;
         }
     }
     best.name = format!("{}, shrunk", scenario.name);
-    let found = Found { seed, depth, what: broken.to_string(), scenario: best };
-    Some(Shrunk { found, broken, runs: shrinker.runs })
+    let counterexample = Counterexample { seed, depth, description: violation.to_string(), scenario: best };
+    Some(Shrunk { counterexample, violation, runs: shrinker.runs })
 }
 
 struct Shrinker {
     seed: u64,
     depth: Depth,
-    rule: Invariant,
+    invariant: Invariant,
     limits: RunOptions,
     runs: usize,
 }
 
 impl Shrinker {
-    /// The break of the same rule, if it is still there.
-    fn breaks(&mut self, scenario: &Scenario) -> Option<Violation> {
+    /// Runs a scenario and returns its violation of the same invariant, if there is one.
+    fn find_violation(&mut self, scenario: &Scenario) -> Option<Violation> {
         scenario.check().ok()?;
         self.runs += 1;
         let outcome =
             run_scenario(scenario, self.seed, self.depth, &RunOptions { emit_events: false, ..self.limits })
                 .ok()?;
-        outcome.violations.into_iter().find(|broken| broken.invariant == self.rule)
+        outcome.violations.into_iter().find(|violation| violation.invariant == self.invariant)
     }
 }
 
-/// What is to become less. Two scenarios of one size are taken for the same.
+/// The measures that shrinking reduces. Scenarios with equal measures are considered equally small.
 fn size(scenario: &Scenario) -> (usize, usize, usize, u64, u64, u64) {
     let lasts: f64 = scenario.faults.iter().map(|fault| fault.duration).sum();
     (
@@ -171,10 +172,10 @@
     )
 }
 
-/// Scenarios that are smaller in one way each, those that take the most away first.
-fn smaller(scenario: &Scenario, broken: &Violation) -> Vec<Scenario> {
+/// Scenarios that are each smaller in one respect, with the largest reductions first.
+fn smaller(scenario: &Scenario, violation: &Violation) -> Vec<Scenario> {
     let mut all = Vec::new();
-    let mut with = |change: &dyn Fn(&mut Scenario)| {
+    let mut add = |change: &dyn Fn(&mut Scenario)| {
         let mut next = scenario.clone();
         change(&mut next);
         next.warm_up = next.warm_up.min(next.seconds);
@@ -183,50 +184,50 @@
             all.push(next);
         }
     };
-    // Nothing is asked after the break.
-    let upto = ((broken.at as f64 / 1e6 + 0.05) * 1e3).ceil() / 1e3;
-    with(&|next| {
-        next.seconds = next.seconds.min(upto);
+    // Nothing after the violation is needed.
+    let end = ((violation.at as f64 / 1e6 + 0.05) * 1e3).ceil() / 1e3;
+    add(&|next| {
+        next.seconds = next.seconds.min(end);
         next.faults.retain(|fault| fault.at <= Some(next.seconds));
     });
     let count = scenario.faults.len();
-    let mut part = count;
-    while part > 0 {
-        for from in (0..count).step_by(part) {
-            with(&|next| drop(next.faults.drain(from..(from + part).min(count))));
+    let mut batch = count;
+    while batch > 0 {
+        for start in (0..count).step_by(batch) {
+            add(&|next| drop(next.faults.drain(start..(start + batch).min(count))));
         }
-        part /= 2;
+        batch /= 2;
     }
-    for by in [4, 2] {
-        with(&|next| {
-            let proxies = (next.load.proxies / by).max(1);
+    for divisor in [4, 2] {
+        add(&|next| {
+            let proxies = (next.load.proxies / divisor).max(1);
             next.load.rate *= proxies as f64 / next.load.proxies as f64;
             next.load.proxies = proxies;
-            next.faults.iter_mut().for_each(|fault| keep(&mut fault.proxies, proxies));
+            next.faults.iter_mut().for_each(|fault| limit_targets(&mut fault.proxies, proxies));
         });
-        with(&|next| {
-            next.fleet.hosts = (next.fleet.hosts / by).max(1);
+        add(&|next| {
+            next.fleet.hosts = (next.fleet.hosts / divisor).max(1);
             next.fleet.pods = next.fleet.pods.min(next.fleet.hosts);
             next.fleet.zones = next.fleet.zones.min(next.fleet.pods);
             next.fleet.spares = 0;
             let hosts = next.fleet.hosts;
-            next.faults.iter_mut().for_each(|fault| keep(&mut fault.hosts, hosts));
+            next.faults.iter_mut().for_each(|fault| limit_targets(&mut fault.hosts, hosts));
         });
-        with(&|next| next.load.rate = (next.load.rate / by as f64).max(1.0));
+        add(&|next| next.load.rate = (next.load.rate / divisor as f64).max(1.0));
     }
     for number in 0..count {
-        with(&|next| next.faults[number].duration = (next.faults[number].duration / 2.0).max(0.05));
+        add(&|next| next.faults[number].duration = (next.faults[number].duration / 2.0).max(0.05));
     }
-    with(&|next| next.seconds = (next.seconds * 0.9 * 1e3).ceil() / 1e3);
+    add(&|next| next.seconds = (next.seconds * 0.9 * 1e3).ceil() / 1e3);
     all
 }
 
-/// Leaves those below a number; one at the least.
-fn keep(which: &mut Targets, below: usize) {
-    if let Targets::These(these) = which {
-        these.retain(|&one| one < below);
-        if these.is_empty() {
-            these.push(0);
+/// Removes targets that no longer exist, with `count` left. At least one target stays.
+fn limit_targets(targets: &mut Targets, count: usize) {
+    if let Targets::These(indices) = targets {
+        indices.retain(|&index| index < count);
+        if indices.is_empty() {
+            indices.push(0);
         }
     }
 }
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,121 +1,130 @@
-//! Fleet depth: the decision module of each proxy, or a baseline in its place, in an event queue. Connections are modelled:
-//! opening, keeping, breaking, bounds. There are no bytes and no tasks, so thousands of proxies play faster than time.
+//! Fleet depth: the decision module of each proxy, or a baseline balancer in its place, driven by an event queue.
+//! Connections are modelled with their establishment, reuse, loss and limits, but without bytes and tasks, so that
+//! thousands of proxies are simulated faster than real time.
 
 mod exchange;
 mod proxy;
 
-use crate::baseline::{Decide, Picks};
+use crate::baseline::{BalancerKind, LoadBalancer};
 use crate::event_log::EventKind;
 use crate::event_queue::EventQueue;
 use crate::model::{Answer, Event, Model, Nondeterminism, Output};
 use crate::run::{Outcome, RunOptions};
 use crate::scenario::Scenario;
 use crate::Micros;
-use exchange::{Exchange, Way};
+use exchange::{Exchange, ExchangeEvent};
 use nettleworks_engine::config::Config;
 use nettleworks_policy as policy;
 use proxy::Proxy;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What the queue holds.
+/// An event of the queue in fleet depth.
 #[derive(Clone, Copy, Debug)]
-enum Ev {
+enum FleetEvent {
     Model(Event),
-    /// A proxy's module has asked to be woken.
-    Wake {
+    /// The timer of a proxy's balancer. Only the timer that was set last fires.
+    Timer {
         proxy: usize,
         epoch: u32,
         number: u64,
     },
-    /// A watch is up, or what was news for it is there.
+    /// An event of a proxy's watch.
     Watch {
         proxy: usize,
         epoch: u32,
         watch: u64,
-        what: Watch,
+        event: WatchEvent,
     },
-    /// Something of an exchange.
+    /// An event of an exchange.
     Exchange {
         exchange: u64,
-        way: Way,
+        event: ExchangeEvent,
     },
-    /// A kept connection is too old.
-    Old {
+    /// The idle timeout of a connection.
+    IdleTimeout {
         proxy: usize,
         host: usize,
         since: Micros,
     },
 }
 
+/// An event of a proxy's watch of the server list.
 #[derive(Clone, Copy, Debug)]
-enum Watch {
-    Opens,
-    Begins,
-    Hears,
-    Silent,
-    Fails,
-    Retries,
+enum WatchEvent {
+    /// Its request arrives at discovery.
+    RequestArrived,
+    /// Discovery replies to its request.
+    Accepted,
+    /// An update of the list arrives at the proxy.
+    UpdateArrived,
+    /// It has been silent for so long that the proxy gives it up.
+    TimedOut,
+    /// It has failed.
+    Failed,
+    /// It is opened again, where the list is pushed.
+    Retry,
 }
 
-impl From<Event> for Ev {
-    fn from(event: Event) -> Ev {
-        Ev::Model(event)
+impl From<Event> for FleetEvent {
+    fn from(event: Event) -> FleetEvent {
+        FleetEvent::Model(event)
     }
 }
 
-/// What the module is told once.
-struct Site {
+/// The configuration of the proxies, and the limits that the modelled connections take from it.
+struct ConnectionLimits {
     config: Config,
-    connect: Micros,
-    keep: Micros,
+    connect_timeout: Micros,
+    idle_timeout: Micros,
+    /// Maximum number of connections of one proxy to hosts.
     connections: usize,
 }
 
-/// A fleet that plays a scenario.
-pub struct Fleet {
+/// A run of a scenario in fleet depth.
+pub struct FleetSimulation {
     model: Model,
-    queue: EventQueue<Ev>,
+    queue: EventQueue<FleetEvent>,
     proxies: Vec<Proxy>,
     exchanges: BTreeMap<u64, Exchange>,
     next_exchange: u64,
-    site: Site,
-    picks: Picks,
+    limits: ConnectionLimits,
+    balancer: BalancerKind,
     actions: Vec<policy::Action>,
     events: u64,
 }
 
-impl Fleet {
-    /// At the start of a settled scenario, with this in the place of the decision module.
+impl FleetSimulation {
+    /// Prepares a run of a scenario whose faults have been resolved, with the given balancer in each proxy.
     ///
     /// # Errors
     ///
-    /// What the daemon's checks say of the configuration.
-    pub fn new(scenario: Rc<Scenario>, seed: u64, picks: Picks) -> Result<Fleet, String> {
+    /// The scenario's configuration of a proxy is invalid.
+    pub fn new(scenario: Rc<Scenario>, seed: u64, balancer: BalancerKind) -> Result<FleetSimulation, String> {
         let mut queue = EventQueue::default();
         let model = Model::new(scenario.clone(), seed, &mut queue);
         let config =
             crate::proxy_config::config(&scenario, seed, 0, crate::proxy_config::discovery_address(), None)?;
-        let site = Site {
-            connect: config.connect_timeout.as_micros() as Micros,
-            // As the engine keeps them.
-            keep: config.conn_idle.mul_f64(0.9).as_micros() as Micros,
+        let limits = ConnectionLimits {
+            connect_timeout: config.connect_timeout.as_micros() as Micros,
+            // The engine closes idle connections after the same share of the configured time.
+            idle_timeout: config.conn_idle.mul_f64(0.9).as_micros() as Micros,
             connections: config.connections_to_hosts(),
             config,
         };
-        let mut fleet = Fleet {
+        let mut fleet = FleetSimulation {
             model,
             queue,
             proxies: Vec::new(),
             exchanges: BTreeMap::new(),
             next_exchange: 0,
-            site,
-            picks,
+            limits,
+            balancer,
             actions: Vec::new(),
             events: 0,
         };
         for number in 0..scenario.load.proxies {
-            let proxy = Proxy::new(fleet.decide(number, 0), 0);
+            let proxy = Proxy::new(fleet.new_balancer(number, 0), 0);
             fleet.proxies.push(proxy);
         }
         for number in 0..scenario.load.proxies {
@@ -124,24 +133,27 @@
         Ok(fleet)
     }
 
-    fn decide(&self, proxy: usize, epoch: u32) -> Box<dyn Decide> {
+    /// The balancer for a start of a proxy.
+    fn new_balancer(&self, proxy: usize, epoch: u32) -> Box<dyn LoadBalancer> {
         let seed = crate::random::derive_seed(self.model.seed, "proxy", proxy as u64) ^ u64::from(epoch);
-        let settings = policy::Settings { balancer_index: proxy as u32, ..self.site.config.settings.clone() };
-        self.picks.make(seed, settings)
+        let settings =
+            policy::Settings { balancer_index: proxy as u32, ..self.limits.config.settings.clone() };
+        self.balancer.build(seed, settings)
     }
 
+    /// Starts a proxy's balancer, with the cached list if the proxy has one.
     fn start(&mut self, proxy: usize) {
-        self.module(proxy, policy::Event::Start);
-        if let Some(known) = self.model.proxies[proxy].cached_list.clone() {
-            self.takes(proxy, &known, policy::ListKind::Cached);
+        self.feed_balancer(proxy, policy::Event::Start);
+        if let Some(cached) = self.model.proxies[proxy].cached_list.clone() {
+            self.apply_update(proxy, &cached, policy::ListKind::Cached);
         }
         if !self.model.scenario.discovery.pull {
             self.subscribe(proxy);
         }
     }
 
-    /// Plays to the end, or to what ends it before.
-    pub fn play(mut self, limits: &RunOptions, leak: Option<Nondeterminism>) -> Outcome {
+    /// Runs to the end of the scenario, or to the first violated invariant where `limits` ask for that.
+    pub fn run(mut self, limits: &RunOptions, leak: Option<Nondeterminism>) -> Outcome {
         self.model.nondeterminism = leak;
         self.model.log.emits_tracing = limits.emit_events;
         let end = self.model.end_time();
@@ -150,7 +162,7 @@
             self.events += 1;
             self.handle(event);
             while let Some(out) = self.model.outputs.pop_front() {
-                self.carry(out);
+                self.carry_out(out);
             }
             if !self.model.violations.is_empty() && limits.stop_on_violation {
                 break;
@@ -159,94 +171,99 @@
         Outcome::from_model(self.model, self.events)
     }
 
-    fn handle(&mut self, event: Ev) {
+    fn handle(&mut self, event: FleetEvent) {
         match event {
-            Ev::Model(event) => self.model.handle(event, &mut self.queue),
-            Ev::Wake { proxy, epoch, number } => {
-                let at = &self.proxies[proxy];
-                if at.up && at.epoch == epoch && at.wake == number {
-                    self.module(proxy, policy::Event::Timer);
+            FleetEvent::Model(event) => self.model.handle(event, &mut self.queue),
+            FleetEvent::Timer { proxy, epoch, number } => {
+                let state = &self.proxies[proxy];
+                if state.up && state.epoch == epoch && state.timer == number {
+                    self.feed_balancer(proxy, policy::Event::Timer);
                 }
             }
-            Ev::Watch { proxy, epoch, watch, what } => {
-                let at = &self.proxies[proxy];
-                if at.up && at.epoch == epoch && at.watch == watch {
-                    self.watch(proxy, what);
+            FleetEvent::Watch { proxy, epoch, watch, event } => {
+                let state = &self.proxies[proxy];
+                if state.up && state.epoch == epoch && state.watch == watch {
+                    self.handle_watch(proxy, event);
                 }
             }
-            Ev::Exchange { exchange, way } => self.exchange(exchange, way),
-            Ev::Old { proxy, host, since } => self.close_old(proxy, host, since),
+            FleetEvent::Exchange { exchange, event } => self.handle_exchange(exchange, event),
+            FleetEvent::IdleTimeout { proxy, host, since } => self.close_idle_since(proxy, host, since),
         }
     }
 
-    fn carry(&mut self, out: Output) {
+    /// Carries out an output of the model.
+    fn carry_out(&mut self, out: Output) {
         match out {
-            Output::SendRequest(call) => self.ask(call),
-            Output::CloseClient(call) => self.leave(call),
-            Output::EndExchange { exchange, result: ends, .. } => self.says(exchange, ends),
-            Output::HostChanged(host) => self.host(host),
-            Output::ListChanged => self.news(),
-            Output::ProxyProcess { proxy, starts } => self.process(proxy, starts),
-            // What is held back looks again by itself.
+            Output::SendRequest(call) => self.receive_request(call),
+            Output::CloseClient(call) => self.client_left(call),
+            Output::EndExchange { exchange, result: ends, .. } => self.host_responds(exchange, ends),
+            Output::HostChanged(host) => self.host_changed(host),
+            Output::ListChanged => self.list_changed(),
+            Output::ProxyProcess { proxy, starts } => self.start_or_kill(proxy, starts),
+            // Blocked events are retransmitted at a fixed interval.
             Output::LinksChanged => {}
-            // There is nothing to read.
+            // Without bytes there are no slow readers.
             Output::ReadersChanged => {}
         }
     }
 
-    fn ask(&mut self, call: u32) {
-        let at = self.model.call(call);
-        let (proxy, class, tenant) = (at.proxy as usize, at.class, at.tenant);
-        // As the engine keeps some of the client's time for the way back.
-        let deadline = at.deadline.saturating_sub(10_000);
-        let (time_left, resent) = (deadline - self.model.now, at.is_retry);
+    /// Gives a client's request to its proxy.
+    fn receive_request(&mut self, call: u32) {
+        let request = self.model.call(call);
+        let (proxy, class, tenant) = (request.proxy as usize, request.class, request.tenant);
+        // Like the engine, reserves 10 ms of the client's time for the response.
+        let deadline = request.deadline.saturating_sub(10_000);
+        let (time_left, resent) = (deadline - self.model.now, request.is_retry);
         self.proxies[proxy].open(call, deadline);
         let (call, class) = (policy::CallId(call.into()), policy::ClassId(class.into()));
         let tenant = Some(policy::TenantId(tenant.into()));
-        self.module(proxy, policy::Event::Request { call, class, tenant, time_left, resent });
+        self.feed_balancer(proxy, policy::Event::Request { call, class, tenant, time_left, resent });
     }
 
-    fn leave(&mut self, call: u32) {
+    /// Cancels a call whose client no longer waits.
+    fn client_left(&mut self, call: u32) {
         let proxy = self.model.call(call).proxy as usize;
         if let Some(open) = self.proxies[proxy].calls.get_mut(&call) {
             open.answered = true;
-            self.module(proxy, policy::Event::Cancelled { call: policy::CallId(call.into()) });
-            self.proxies[proxy].tidy(call);
+            self.feed_balancer(proxy, policy::Event::Cancelled { call: policy::CallId(call.into()) });
+            self.proxies[proxy].remove_if_finished(call);
         }
     }
 
+    /// Answers a call, unless it has been answered already.
     fn answer(&mut self, call: u32, answer: Answer) {
         let proxy = self.model.call(call).proxy as usize;
         let Some(open) = self.proxies[proxy].calls.get_mut(&call) else { return };
         if !std::mem::replace(&mut open.answered, true) {
             self.model.record_answer(call, answer, self.model.now, &mut self.queue);
         }
-        self.proxies[proxy].tidy(call);
+        self.proxies[proxy].remove_if_finished(call);
     }
 
-    /// Feeds the module, and carries out what it says.
-    fn module(&mut self, proxy: usize, event: policy::Event) {
+    /// Queues an event for a proxy's balancer and processes the queue.
+    fn feed_balancer(&mut self, proxy: usize, event: policy::Event) {
         self.proxies[proxy].events.push_back(event);
-        self.run(proxy);
+        self.process_events(proxy);
     }
 
-    /// Feeds the module what waits for it.
-    fn run(&mut self, proxy: usize) {
+    /// Passes the queued events to a proxy's balancer and performs its actions. Events that the actions cause are queued.
+    fn process_events(&mut self, proxy: usize) {
         if std::mem::replace(&mut self.proxies[proxy].busy, true) {
             return;
         }
         let mut actions = std::mem::take(&mut self.actions);
         while let Some(event) = self.proxies[proxy].events.pop_front() {
-            self.proxies[proxy].decide.handle(self.model.now + EPOCH, event, &mut actions);
+            self.proxies[proxy].balancer.handle(self.model.now + EPOCH, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(proxy, action);
+                self.perform(proxy, action);
             }
         }
         self.actions = actions;
         self.proxies[proxy].busy = false;
     }
 
-    fn carry_out(&mut self, proxy: usize, action: policy::Action) {
+    /// Performs an action of a proxy's balancer.
+    fn perform(&mut self, proxy: usize, action: policy::Action) {
         use policy::Action;
         match action {
             Action::Send { call, server, until } => {
@@ -258,30 +275,31 @@
             Action::Fail { call, .. } => self.answer(call.0 as u32, Answer::Failed),
             Action::Cancel { call, attempt } => self.cancel(proxy, call.0 as u32, attempt),
             Action::SetTimer { after } => {
-                let at = &mut self.proxies[proxy];
-                at.wake += 1;
-                let (epoch, number) = (at.epoch, at.wake);
-                self.queue.schedule(self.model.now + after.max(1), Ev::Wake { proxy, epoch, number });
+                let state = &mut self.proxies[proxy];
+                state.timer += 1;
+                let (epoch, number) = (state.epoch, state.timer);
+                self.queue
+                    .schedule(self.model.now + after.max(1), FleetEvent::Timer { proxy, epoch, number });
             }
             Action::Subscribe => self.subscribe(proxy),
             Action::Log { .. } | Action::ShareObservation { .. } | Action::HealthCheck { .. } => {}
         }
     }
 
-    /// A proxy's process dies or starts.
-    fn process(&mut self, proxy: usize, starts: bool) {
+    /// Starts or kills the process of a proxy.
+    fn start_or_kill(&mut self, proxy: usize, starts: bool) {
         if starts {
             let epoch = self.proxies[proxy].epoch + 1;
-            self.proxies[proxy] = Proxy::new(self.decide(proxy, epoch), epoch);
+            self.proxies[proxy] = Proxy::new(self.new_balancer(proxy, epoch), epoch);
             return self.start(proxy);
         }
         self.proxies[proxy].up = false;
-        let out: Vec<u64> =
+        let open: Vec<u64> =
             self.exchanges.iter().filter(|(_, at)| at.proxy == proxy).map(|(&number, _)| number).collect();
-        out.into_iter().for_each(|number| self.drop_exchange(number));
+        open.into_iter().for_each(|number| self.drop_exchange(number));
         let idle = std::mem::take(&mut self.proxies[proxy].idle);
-        for (host, kept) in idle {
-            kept.into_iter().for_each(|kept| self.closed(host, kept.epoch));
+        for (host, connections) in idle {
+            connections.into_iter().for_each(|idle| self.connection_closed(host, idle.epoch));
         }
         self.proxies[proxy].calls.clear();
         self.model.abort_open_calls(proxy, &mut self.queue);
@@ -289,5 +307,5 @@
     }
 }
 
-/// Virtual time 0 in the module's clock.
+/// Virtual time 0 in the balancer's clock, in microseconds since 1970.
 const EPOCH: Micros = crate::proxy_config::EPOCH * 1_000_000;
--- a/lab/src/fleet/proxy.rs
+++ b/lab/src/fleet/proxy.rs
@@ -1,7 +1,7 @@
-//! A proxy in fleet depth: its module, open calls, kept connections, and its watch of the list.
+//! A proxy in fleet depth: its balancer, open calls, idle connections, and its watch of the server list.
 
-use super::{Ev, Fleet, Watch};
-use crate::baseline::Decide;
+use super::{FleetEvent, FleetSimulation, WatchEvent};
+use crate::baseline::LoadBalancer;
 use crate::model::registry::{ListUpdate, ListingState, ReplySchedule};
 use crate::random::RandomStream;
 use crate::Micros;
@@ -9,51 +9,58 @@
 use policy::{CellId, Entry, Event, ListKind, ServerId, ServerState, ZoneId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A watch that is silent for so long is taken for dead, as in the engine.
-const SILENCE: Micros = 5_000_000;
-/// Where the list is pushed, a watch that has ended is opened again after this, and a silent one at once, as in the engine.
+/// A watch that is silent for this long is given up, as in the engine.
+const SILENCE_TIMEOUT: Micros = 5_000_000;
+/// Where the list is pushed, a watch that has failed is opened again after this time, and a silent one at once, as in the
+/// engine.
 const PUSH_RETRY: Micros = 1_000_000;
 
-/// A call on its way.
-pub(super) struct Open {
+/// A call that has not been answered yet, or still has attempts in flight.
+pub(super) struct OpenCall {
     pub deadline: Micros,
-    /// Exchanges by attempt; `None`: over.
+    /// The exchange of each attempt, `None` once the attempt has ended.
     pub attempts: Vec<Option<u64>>,
-    /// Nobody waits any more.
+    /// The client has been answered or no longer waits.
     pub answered: bool,
 }
 
-/// A connection that is kept.
+/// An idle connection to a host.
 #[derive(Clone, Copy)]
-pub(super) struct Kept {
+pub(super) struct IdleConnection {
     pub since: Micros,
-    /// The host's start that it leads to.
+    /// Number of starts of the host when the connection was opened.
     pub epoch: u32,
 }
 
+/// The state of a proxy's process.
 pub(super) struct Proxy {
-    pub decide: Box<dyn Decide>,
+    pub balancer: Box<dyn LoadBalancer>,
+    /// Number of restarts of the process.
     pub epoch: u32,
     pub up: bool,
+    /// Events are queued and not passed to the balancer at once.
     pub busy: bool,
     pub events: VecDeque<Event>,
-    pub calls: BTreeMap<u32, Open>,
-    pub idle: BTreeMap<usize, Vec<Kept>>,
-    /// Connections to hosts, open or being opened.
+    pub calls: BTreeMap<u32, OpenCall>,
+    pub idle: BTreeMap<usize, Vec<IdleConnection>>,
+    /// Number of connections to hosts, established or being established.
     pub open: usize,
-    pub wake: u64,
+    /// Number of the timer that was set last.
+    pub timer: u64,
+    /// Number of the watch that was opened last.
     pub watch: u64,
-    /// The watch has been answered.
-    pub hears: bool,
+    /// Discovery has accepted the watch and sends it updates.
+    pub is_watching: bool,
+    /// Version of the list.
     pub seq: Option<u64>,
-    /// Hosts that may have something new, in order.
+    /// Whether each host is listed as ready for new requests, by host.
     pub ready: Vec<bool>,
 }
 
 impl Proxy {
-    pub fn new(decide: Box<dyn Decide>, epoch: u32) -> Proxy {
+    pub fn new(balancer: Box<dyn LoadBalancer>, epoch: u32) -> Proxy {
         Proxy {
-            decide,
+            balancer,
             epoch,
             up: true,
             busy: false,
@@ -61,22 +68,23 @@
             calls: BTreeMap::new(),
             idle: BTreeMap::new(),
             open: 0,
-            wake: 0,
+            timer: 0,
             watch: 0,
-            hears: false,
+            is_watching: false,
             seq: None,
             ready: Vec::new(),
         }
     }
 
+    /// Adds a call.
     pub fn open(&mut self, call: u32, deadline: Micros) {
-        self.calls.insert(call, Open { deadline, attempts: Vec::new(), answered: false });
+        self.calls.insert(call, OpenCall { deadline, attempts: Vec::new(), answered: false });
     }
 
-    /// Forgets a call for which nothing more is to come.
-    pub fn tidy(&mut self, call: u32) {
-        let over = |open: &Open| open.answered && open.attempts.iter().all(Option::is_none);
-        if self.calls.get(&call).is_some_and(over) {
+    /// Removes a call that is answered and has no attempts in flight.
+    pub fn remove_if_finished(&mut self, call: u32) {
+        let finished = |open: &OpenCall| open.answered && open.attempts.iter().all(Option::is_none);
+        if self.calls.get(&call).is_some_and(finished) {
             self.calls.remove(&call);
         }
     }
@@ -86,112 +94,124 @@
     }
 }
 
-impl Fleet {
-    /// One way between a proxy and discovery.
-    fn way(&self, proxy: usize, what: u64) -> Micros {
+impl FleetSimulation {
+    /// The network delay between a proxy and discovery in one direction. `message` seeds its jitter.
+    fn discovery_delay(&self, proxy: usize, message: u64) -> Micros {
         let network = &self.model.scenario.network;
-        let mut draw =
-            RandomStream::new(self.model.seed, "watch", proxy as u64, self.proxies[proxy].watch << 32 | what);
+        let mut draw = RandomStream::new(
+            self.model.seed,
+            "watch",
+            proxy as u64,
+            self.proxies[proxy].watch << 32 | message,
+        );
         (network.near_us * (1.0 + network.jitter * draw.uniform())) as Micros
     }
 
+    /// Opens a watch in place of the previous one.
     pub(super) fn subscribe(&mut self, proxy: usize) {
         self.model.metrics.watches += 1;
-        let at = &mut self.proxies[proxy];
-        at.watch += 1;
-        at.hears = false;
-        // A connection, and the request on it.
-        let after = 3 * self.way(proxy, 0);
-        self.put_watch(proxy, after, Watch::Opens);
+        let state = &mut self.proxies[proxy];
+        state.watch += 1;
+        state.is_watching = false;
+        // One round trip for the connection, then the request.
+        let delay = 3 * self.discovery_delay(proxy, 0);
+        self.schedule_watch_event(proxy, delay, WatchEvent::RequestArrived);
     }
 
-    fn put_watch(&mut self, proxy: usize, after: Micros, what: Watch) {
-        let at = &self.proxies[proxy];
-        let (epoch, watch) = (at.epoch, at.watch);
-        self.queue.schedule(self.model.now + after, Ev::Watch { proxy, epoch, watch, what });
+    fn schedule_watch_event(&mut self, proxy: usize, delay: Micros, event: WatchEvent) {
+        let state = &self.proxies[proxy];
+        let (epoch, watch) = (state.epoch, state.watch);
+        self.queue.schedule(self.model.now + delay, FleetEvent::Watch { proxy, epoch, watch, event });
     }
 
-    pub(super) fn watch(&mut self, proxy: usize, what: Watch) {
-        match what {
-            Watch::Opens if self.model.registry.down => {
-                let back = self.way(proxy, 1);
-                self.put_watch(proxy, back, Watch::Fails);
+    /// Handles an event of a proxy's watch.
+    pub(super) fn handle_watch(&mut self, proxy: usize, event: WatchEvent) {
+        match event {
+            WatchEvent::RequestArrived if self.model.registry.down => {
+                let back = self.discovery_delay(proxy, 1);
+                self.schedule_watch_event(proxy, back, WatchEvent::Failed);
             }
-            Watch::Opens if self.model.registry.silent => self.put_watch(proxy, SILENCE, Watch::Fails),
-            Watch::Opens => {
-                let (back, now) = (self.way(proxy, 1), self.model.now);
+            WatchEvent::RequestArrived if self.model.registry.silent => {
+                self.schedule_watch_event(proxy, SILENCE_TIMEOUT, WatchEvent::Failed)
+            }
+            WatchEvent::RequestArrived => {
+                let (back, now) = (self.discovery_delay(proxy, 1), self.model.now);
                 match self.model.registry.schedule_reply(now) {
-                    ReplySchedule::Answered(at) if at == now => self.begins(proxy),
-                    ReplySchedule::Answered(at) => self.put_watch(proxy, at - now, Watch::Begins),
-                    ReplySchedule::Fails(at) => self.put_watch(proxy, at - now + back, Watch::Fails),
+                    ReplySchedule::Answered(at) if at == now => self.accept_watch(proxy),
+                    ReplySchedule::Answered(at) => {
+                        self.schedule_watch_event(proxy, at - now, WatchEvent::Accepted)
+                    }
+                    ReplySchedule::Fails(at) => {
+                        self.schedule_watch_event(proxy, at - now + back, WatchEvent::Failed)
+                    }
                 }
             }
-            Watch::Begins => self.begins(proxy),
-            Watch::Hears => {
-                if let Some(news) = self.model.registry.changes_since(self.proxies[proxy].seq) {
-                    self.hears(proxy, &news);
+            WatchEvent::Accepted => self.accept_watch(proxy),
+            WatchEvent::UpdateArrived => {
+                if let Some(update) = self.model.registry.changes_since(self.proxies[proxy].seq) {
+                    self.receive_update(proxy, &update);
                 }
             }
-            Watch::Fails | Watch::Silent => {
-                self.proxies[proxy].hears = false;
-                let (kind, retry) = match what {
-                    Watch::Silent => (ListKind::Silent, 0),
+            WatchEvent::Failed | WatchEvent::TimedOut => {
+                self.proxies[proxy].is_watching = false;
+                let (kind, retry) = match event {
+                    WatchEvent::TimedOut => (ListKind::Silent, 0),
                     _ => (ListKind::Failed, PUSH_RETRY),
                 };
-                self.module(proxy, Event::ServerList { kind, entries: Vec::new() });
+                self.feed_balancer(proxy, Event::ServerList { kind, entries: Vec::new() });
                 if !self.model.scenario.discovery.pull {
-                    self.put_watch(proxy, retry, Watch::Retries);
+                    self.schedule_watch_event(proxy, retry, WatchEvent::Retry);
                 }
             }
-            Watch::Retries => self.subscribe(proxy),
+            WatchEvent::Retry => self.subscribe(proxy),
         }
     }
 
-    /// Its ask has been answered: from here on it hears what changes.
-    fn begins(&mut self, proxy: usize) {
-        self.proxies[proxy].hears = true;
-        let back = self.way(proxy, 1);
-        self.put_watch(proxy, back, Watch::Hears);
+    /// Accepts a watch at discovery: from now on it gets updates, the first of them at once.
+    fn accept_watch(&mut self, proxy: usize) {
+        self.proxies[proxy].is_watching = true;
+        let back = self.discovery_delay(proxy, 1);
+        self.schedule_watch_event(proxy, back, WatchEvent::UpdateArrived);
     }
 
-    /// The list has changed, or discovery is down, or silent.
-    pub(super) fn news(&mut self) {
+    /// Sends updates to all watches after the list has changed, or ends the watches if discovery is down or silent.
+    pub(super) fn list_changed(&mut self) {
         let (down, silent) = (self.model.registry.down, self.model.registry.silent);
         for proxy in 0..self.proxies.len() {
-            if !self.proxies[proxy].up || !self.proxies[proxy].hears {
+            if !self.proxies[proxy].up || !self.proxies[proxy].is_watching {
                 continue;
             }
-            let after = self.way(proxy, self.model.registry.seq());
+            let delay = self.discovery_delay(proxy, self.model.registry.seq());
             match (down, silent) {
-                (true, _) => self.put_watch(proxy, after, Watch::Fails),
+                (true, _) => self.schedule_watch_event(proxy, delay, WatchEvent::Failed),
                 (_, true) => {
-                    self.proxies[proxy].hears = false;
-                    self.put_watch(proxy, SILENCE, Watch::Silent);
+                    self.proxies[proxy].is_watching = false;
+                    self.schedule_watch_event(proxy, SILENCE_TIMEOUT, WatchEvent::TimedOut);
                 }
-                _ => self.put_watch(proxy, after, Watch::Hears),
+                _ => self.schedule_watch_event(proxy, delay, WatchEvent::UpdateArrived),
             }
         }
     }
 
-    /// A proxy takes news in, as the engine does.
-    fn hears(&mut self, proxy: usize, news: &ListUpdate) {
-        self.model.record_list_update(proxy, news);
-        self.takes(proxy, news, if news.is_full { ListKind::Full } else { ListKind::Delta });
+    /// Handles an update of the list that arrives at a proxy.
+    fn receive_update(&mut self, proxy: usize, update: &ListUpdate) {
+        self.model.record_list_update(proxy, update);
+        self.apply_update(proxy, update, if update.is_full { ListKind::Full } else { ListKind::Delta });
     }
 
-    /// Takes a list in, from whomever.
-    pub(super) fn takes(&mut self, proxy: usize, news: &ListUpdate, kind: ListKind) {
+    /// Applies a list update or a cached list to a proxy, as the engine does.
+    pub(super) fn apply_update(&mut self, proxy: usize, update: &ListUpdate, kind: ListKind) {
         let hosts = &self.model.hosts;
-        let at = &mut self.proxies[proxy];
-        at.seq = Some(news.seq);
-        at.ready.resize(hosts.len(), false);
-        if news.is_full {
-            at.ready.fill(false);
+        let state = &mut self.proxies[proxy];
+        state.seq = Some(update.seq);
+        state.ready.resize(hosts.len(), false);
+        if update.is_full {
+            state.ready.fill(false);
         }
-        let mut entries = Vec::with_capacity(news.entries.len());
-        for entry in &news.entries {
-            at.ready[entry.host] = entry.state == ListingState::Ready;
-            let state = match entry.state {
+        let mut entries = Vec::with_capacity(update.entries.len());
+        for entry in &update.entries {
+            state.ready[entry.host] = entry.state == ListingState::Ready;
+            let server_state = match entry.state {
                 ListingState::Ready => ServerState::Ready,
                 ListingState::Terminating => ServerState::Draining,
                 ListingState::Removed => ServerState::Removed,
@@ -200,7 +220,7 @@
                 if entry.started == 0 { 0 } else { (entry.started / 1_000 * 1_000).max(1) + super::EPOCH };
             entries.push(Entry {
                 server: ServerId(entry.host as u32 + 1),
-                state,
+                state: server_state,
                 zone: ZoneId(hosts[entry.host].zone as u32 + 1),
                 cell: CellId(hosts[entry.host].pod as u32),
                 started,
@@ -208,7 +228,7 @@
             });
         }
         self.proxies[proxy].events.push_back(Event::ServerList { kind, entries });
-        self.withdraw(proxy);
-        self.run(proxy);
+        self.leave_unready_hosts(proxy);
+        self.process_events(proxy);
     }
 }
--- a/lab/src/full/bridge.rs
+++ b/lab/src/full/bridge.rs
@@ -1,7 +1,8 @@
-//! The world of the full stack on real time, its connections carried over real sockets on loopback.
+//! The full stack in real time: real proxies on threads of their own, connected to the model's clients, hosts and discovery
+//! over loopback sockets.
 
-use super::net::World;
-use super::socket::{Door, Node, Shared};
+use super::net::Simulation;
+use super::socket::{ProxyListener, ProxyNetwork, SharedSimulation};
 use crate::event_queue::EventQueue;
 use crate::model::Model;
 use crate::proxy_config;
@@ -23,59 +24,71 @@
 use tokio::sync::oneshot;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Plays a settled scenario on real time.
-pub(crate) fn play(scenario: Scenario, seed: u64) -> Result<Outcome, String> {
+/// Runs a scenario whose faults have been resolved, in real time.
+///
+/// # Errors
+///
+/// The scenario's configuration of a proxy is invalid, a socket cannot be opened, or a proxy does not start or panics.
+pub(crate) fn run_scenario(scenario: Scenario, seed: u64) -> Result<Outcome, String> {
     let scenario = Rc::new(scenario);
     let mut queue = EventQueue::default();
     let mut model = Model::new(scenario.clone(), seed, &mut queue);
     model.has_key_stores = scenario.load.keys > 0;
     let (hosts, proxies) = (scenario.fleet.hosts, scenario.load.proxies);
-    let world = Rc::new(RefCell::new(World::new(model, queue)));
+    let simulation = Rc::new(RefCell::new(Simulation::new(model, queue)));
     let built = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = built.map_err(|error| error.to_string())?;
     let tasks = LocalSet::new();
     let events = tasks.block_on(&runtime, async {
-        let bad = |error: std::io::Error| error.to_string();
-        let discovery = TcpListener::bind("127.0.0.1:0").await.map_err(bad)?;
-        let mut real = Vec::new();
+        let to_text = |error: std::io::Error| error.to_string();
+        let discovery = TcpListener::bind("127.0.0.1:0").await.map_err(to_text)?;
+        let mut addresses = Vec::new();
         let mut listeners = Vec::new();
         for _ in 0..hosts {
-            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(bad)?;
-            real.push(listener.local_addr().map_err(bad)?);
+            let listener = TcpListener::bind("127.0.0.1:0").await.map_err(to_text)?;
+            addresses.push(listener.local_addr().map_err(to_text)?);
             listeners.push(listener);
         }
-        world.borrow_mut().addresses = Some(real);
+        simulation.borrow_mut().real_addresses = Some(addresses);
         let mut stops = Vec::new();
         let mut threads = Vec::new();
         for proxy in 0..proxies {
             let (started, address) = mpsc::channel();
             let (stop, stopped) = oneshot::channel::<()>();
             let config =
-                proxy_config::config(&scenario, seed, proxy, discovery.local_addr().map_err(bad)?, None)?;
-            threads.push(std::thread::spawn(move || serve(config, &started, stopped)));
+                proxy_config::config(&scenario, seed, proxy, discovery.local_addr().map_err(to_text)?, None)?;
+            threads.push(std::thread::spawn(move || run_proxy(config, &started, stopped)));
             stops.push(stop);
             let address = address.recv_timeout(Duration::from_secs(10)).map_err(|error| error.to_string())?;
-            spawn_local(clients(world.clone(), proxy, address));
+            spawn_local(relay_clients(simulation.clone(), proxy, address));
         }
         for (host, listener) in listeners.into_iter().enumerate() {
-            spawn_local(peer(world.clone(), listener, proxy_config::host_address(host), proxies));
+            spawn_local(relay_to_peer(
+                simulation.clone(),
+                listener,
+                proxy_config::host_address(host),
+                proxies,
+            ));
         }
-        spawn_local(peer(world.clone(), discovery, proxy_config::discovery_address(), proxies));
-        let events = Clock { world: world.clone(), start: Instant::now(), events: 0 }.await;
+        spawn_local(relay_to_peer(simulation.clone(), discovery, proxy_config::discovery_address(), proxies));
+        let events =
+            RealTimeDriver { simulation: simulation.clone(), start: Instant::now(), events: 0 }.await;
         drop(stops);
         for thread in threads {
-            thread.join().map_err(|_| "a proxy has panicked".to_owned())?;
+            thread.join().map_err(|_| "a proxy panicked".to_owned())?;
         }
         Ok::<_, String>(events)
     })?;
     drop(tasks);
     drop(runtime);
-    let world = Rc::try_unwrap(world).map_err(|_| "an end outlives its run".to_owned())?.into_inner();
-    Ok(Outcome::from_model(world.model, events))
+    let simulation = Rc::try_unwrap(simulation)
+        .map_err(|_| "a task still holds the simulation after the run".to_owned())?
+        .into_inner();
+    Ok(Outcome::from_model(simulation.model, events))
 }
 
-/// A real proxy, until it is told to stop.
-fn serve(
+/// Runs a real proxy until `stopped` resolves. Sends the address of its listener to `started`.
+fn run_proxy(
     config: nettleworks::config::Config,
     started: &mpsc::Sender<SocketAddr>,
     stopped: oneshot::Receiver<()>,
@@ -94,78 +107,86 @@
     });
 }
 
-/// Carries connections of the model's clients to a proxy.
-async fn clients(world: Shared, proxy: usize, address: SocketAddr) {
-    let door = Door { world, proxy };
+/// Relays the connections of the model's clients to a real proxy.
+async fn relay_clients(simulation: SharedSimulation, proxy: usize, address: SocketAddr) {
+    let listener = ProxyListener { simulation, proxy };
     loop {
-        let accepted = std::future::poll_fn(|context| door.poll_accept(context)).await;
-        let Ok(end) = accepted else { return };
+        let accepted = std::future::poll_fn(|context| listener.poll_accept(context)).await;
+        let Ok(simulated) = accepted else { return };
         spawn_local(async move {
             if let Ok(stream) = TcpStream::connect(address).await {
-                carry(stream, end).await;
+                relay(stream, simulated).await;
             }
         });
     }
 }
 
-/// Carries connections of proxies to a peer of the model. Which proxy it is shows in nothing but the peer's zone: they are
-/// taken in turn.
-async fn peer(world: Shared, listener: TcpListener, at: SocketAddr, proxies: usize) {
+/// Relays connections of real proxies to a host or the discovery of the model. The proxy of a connection is not known, and
+/// matters only for the delay between its zone and the host's, so the proxies are assumed in rotation.
+async fn relay_to_peer(
+    simulation: SharedSimulation,
+    listener: TcpListener,
+    address: SocketAddr,
+    proxies: usize,
+) {
     let mut next = 0;
     while let Ok((stream, _)) = listener.accept().await {
         next += 1;
-        let node = Node { world: world.clone(), proxy: next % proxies };
-        let dialing = node.connect(at);
+        let network = ProxyNetwork { simulation: simulation.clone(), proxy: next % proxies };
+        let connecting = network.connect(address);
         spawn_local(async move {
-            match dialing.await {
-                Ok(end) => carry(stream, end).await,
-                Err(_) => reset(&stream),
+            match connecting.await {
+                Ok(simulated) => relay(stream, simulated).await,
+                Err(_) => reset_on_close(&stream),
             }
         });
     }
 }
 
-async fn carry(mut stream: TcpStream, mut end: Box<dyn VirtualStream>) {
-    // A side that has no delay of its own must not be given one.
+/// Copies bytes in both directions until both streams end.
+async fn relay(mut stream: TcpStream, mut simulated: Box<dyn VirtualStream>) {
+    // Nagle's algorithm would add delays that the simulated network does not have.
     let _ = stream.set_nodelay(true);
-    if copy_bidirectional(&mut stream, &mut *end).await.is_err() {
-        reset(&stream);
+    if copy_bidirectional(&mut stream, &mut *simulated).await.is_err() {
+        reset_on_close(&stream);
     }
 }
 
-/// The next close of this stream resets it.
-fn reset(stream: &TcpStream) {
+/// Makes the close of a stream send a reset.
+fn reset_on_close(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Does what is due, and never sleeps: events come closer together than timers do.
-struct Clock {
-    world: Shared,
+/// Handles the events of the simulation when they are due. Completes at the end of the scenario with the number of events.
+///
+/// It polls without sleeping, because events are closer together than the resolution of timers.
+struct RealTimeDriver {
+    simulation: SharedSimulation,
     start: Instant,
     events: u64,
 }
 
-impl Future for Clock {
+impl Future for RealTimeDriver {
     type Output = u64;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<u64> {
         let now = self.start.elapsed().as_micros() as Micros;
         let mut count = 0;
         {
-            let mut world = self.world.borrow_mut();
-            if now >= world.model.end_time() {
+            let mut simulation = self.simulation.borrow_mut();
+            if now >= simulation.model.end_time() {
                 return Poll::Ready(self.events);
             }
             loop {
-                world.model.now = now;
-                if let Some(out) = world.model.outputs.pop_front() {
-                    // Processes stay up here.
-                    let _ = world.carry(out);
+                simulation.model.now = now;
+                if let Some(out) = simulation.model.outputs.pop_front() {
+                    // Faults do not start or kill the processes of proxies in real time.
+                    let _ = simulation.carry_out(out);
                     continue;
                 }
-                let Some((_, event)) = world.queue.pop_due(now) else { break };
+                let Some((_, event)) = simulation.queue.pop_due(now) else { break };
                 count += 1;
-                world.handle(event);
+                simulation.handle(event);
             }
         }
         self.events += count;
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -10,8 +10,8 @@
 #![warn(missing_docs)]
 
 pub mod baseline;
+pub mod cluster;
 pub mod compare;
-pub mod crowd;
 pub mod event_log;
 pub mod event_queue;
 pub mod explore;
--- a/lab/src/loopback.rs
+++ b/lab/src/loopback.rs
@@ -14,5 +14,5 @@
 ///
 /// The daemon's checks reject the configuration, or a socket cannot be opened.
 pub fn run_scenario(scenario: &Scenario, seed: u64) -> Result<Outcome, String> {
-    bridge::play(crate::fault::resolve_faults(scenario, seed), seed)
+    bridge::run_scenario(crate::fault::resolve_faults(scenario, seed), seed)
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,11 +1,12 @@
-//! `nettleworks-lab`: plays scenarios, sweeps seeds, compares, reports and replays.
+//! `nettleworks-lab`: runs scenarios, searches seeds for violations, compares load balancers, writes reports and replays
+//! violations.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use nettleworks_lab::baseline::Picks;
+use nettleworks_lab::baseline::BalancerKind;
 use nettleworks_lab::compare;
-use nettleworks_lab::explore::{shrink, sweep, Found};
+use nettleworks_lab::explore::{shrink, sweep, Counterexample};
 use nettleworks_lab::fidelity;
 use nettleworks_lab::report;
 use nettleworks_lab::run::{run_scenario, run_scenario_with, Depth, Outcome, RunOptions};
@@ -19,16 +20,16 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Writes a line. Whoever asked may have stopped reading.
-macro_rules! say {
-    ($($words:tt)*) => {{
-        let _ = writeln!(std::io::stdout(), $($words)*);
+/// Prints a line to standard output. A closed pipe is ignored.
+macro_rules! print_line {
+    ($($arguments:tt)*) => {{
+        let _ = writeln!(std::io::stdout(), $($arguments)*);
     }};
 }
 
 /// The real engine in a simulated fleet, on virtual time.
 ///
-/// Ends with 0 if no rule broke and what must hold held, with 1 if not, with 2 if nothing was played.
+/// Exits with 0 if no invariant was violated and all expectations were met, with 1 if not, and with 2 if nothing was run.
 #[derive(Debug, Parser)]
 #[command(name = "nettleworks-lab", version)]
 struct Arguments {
@@ -38,7 +39,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Play a scenario under one seed, and say what came of it
+    /// Run a scenario with one seed and print the results
     Run {
         /// The scenario
         scenario: PathBuf,
@@ -46,20 +47,20 @@
         seed: u64,
         #[arg(long, value_enum, default_value_t = Depth::Full)]
         depth: Depth,
-        /// Who decides (fleet depth)
-        #[arg(long, value_enum, default_value_t = Picks::Ours)]
-        picks: Picks,
-        /// Each event as a line of JSON into this file, with its virtual time
+        /// The load balancer (others than ours only in fleet depth)
+        #[arg(long = "picks", value_name = "PICKS", value_enum, default_value_t = BalancerKind::Ours)]
+        balancer: BalancerKind,
+        /// Write each event to this file as a line of JSON, with its virtual time
         #[arg(long, value_name = "FILE")]
         events: Option<PathBuf>,
-        /// Go on after a broken rule
-        #[arg(long)]
-        goes_on: bool,
-        /// One JSON object instead of lines to read
+        /// Continue after a violated invariant
+        #[arg(long = "goes-on")]
+        keep_going: bool,
+        /// Print one JSON object instead of text
         #[arg(long)]
         json: bool,
     },
-    /// Play scenarios under many seeds, on all cores; a break is made small and written to a file
+    /// Run scenarios with many seeds, on all cores; a violation is shrunk and written to a file
     Explore {
         /// The scenarios
         #[arg(required = true)]
@@ -67,17 +68,17 @@
         /// First and last seed, as 1..2000
         #[arg(long, default_value = "1..20", value_parser = seeds)]
         seeds: RangeInclusive<u64>,
-        /// In this depth; without it in both
+        /// The depth; both if not given
         #[arg(long, value_enum)]
         depth: Option<Depth>,
-        /// For 16 virtual seconds and at 150 calls a second at the most, as CI plays them
+        /// Limit the scenarios to 16 virtual seconds and 150 calls per second, as CI does
         #[arg(long)]
         light: bool,
-        /// Where small breaks are written
+        /// Folder for the files of shrunk violations
         #[arg(long, default_value = ".", value_name = "FOLDER")]
         out: PathBuf,
     },
-    /// Play the same seeds under our module and under what a team would pick instead; a table of Markdown
+    /// Run the same seeds with our decision module and with baseline load balancers; prints a Markdown table
     Compare {
         /// The scenarios
         #[arg(required = true)]
@@ -85,53 +86,56 @@
         /// First and last seed
         #[arg(long, default_value = "1..10", value_parser = seeds)]
         seeds: RangeInclusive<u64>,
-        /// Into this file instead of standard output
+        /// Write to this file instead of standard output
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
     },
-    /// Write a page with plots of a scenario
+    /// Write an HTML page with plots of a scenario
     Report {
         /// The scenario
         scenario: PathBuf,
-        /// First and last seed of its table; the first is plotted
+        /// First and last seed of the table; the first is plotted
         #[arg(long, default_value = "1..10", value_parser = seeds)]
         seeds: RangeInclusive<u64>,
         #[arg(long, value_enum, default_value_t = Depth::Fleet)]
         depth: Depth,
-        /// The page
+        /// The file to write
         #[arg(long, default_value = "report.html", value_name = "FILE")]
         out: PathBuf,
     },
-    /// Play scenarios in both depths and on real loopback sockets, in real time; a table of Markdown
-    Truth {
+    /// Run scenarios in both depths and in real time on loopback sockets; prints a Markdown table
+    #[command(name = "truth")]
+    Fidelity {
         /// The scenarios
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Play a break again that explore has written
+    /// Repeat a run that explore has written to a file
     Replay {
-        /// Its file
-        found: PathBuf,
-        /// Each event as a line of JSON into this file
+        /// The file
+        #[arg(value_name = "FOUND")]
+        counterexample: PathBuf,
+        /// Write each event to this file as a line of JSON
         #[arg(long, value_name = "FILE")]
         events: Option<PathBuf>,
     },
 }
 
-/// Reads a range of seeds, `1..20`, the last one too; or one seed.
+/// Parses an inclusive range of seeds such as `1..20`, or a single seed.
 fn seeds(text: &str) -> Result<RangeInclusive<u64>, String> {
     let (first, last) = text.split_once("..").unwrap_or((text, text));
     let number = |text: &str| text.parse::<u64>().map_err(|error| format!("{text}: {error}"));
     let (first, last) = (number(first)?, number(last.trim_start_matches('='))?);
     if first > last || last - first >= 10_000_000 {
-        return Err(format!("{text}: not from a lower to a higher seed, or over 10,000,000 of them"));
+        return Err(format!("{text}: not in ascending order, or more than 10,000,000 seeds"));
     }
     Ok(first..=last)
 }
 
-/// A run's log goes to a file, in virtual time; a line as a whole, so that none is lost with the process.
+/// Writes the event log to a file if there is one. Each line is flushed, so that none is lost if the process dies. Returns
+/// whether events are to be logged.
 fn log_to(events: Option<&Path>) -> Result<bool, String> {
     let Some(path) = events else { return Ok(false) };
     let file = File::create(path).map_err(|error| format!("{}: {error}", path.display()))?;
@@ -145,24 +149,24 @@
 }
 
 fn load_all(paths: &[PathBuf]) -> Result<Vec<Scenario>, String> {
-    // All are checked before any is played.
+    // All scenarios are checked before any is run.
     paths.iter().map(|path| load(path)).collect()
 }
 
-fn bar(length: u64, what: &str) -> ProgressBar {
-    let bar = ProgressBar::new(length).with_message(what.to_owned());
+fn progress_bar(length: u64, message: &str) -> ProgressBar {
+    let bar = ProgressBar::new(length).with_message(message.to_owned());
     if let Ok(style) = ProgressStyle::with_template("{msg:32} {wide_bar} {pos}/{len} {eta}") {
         bar.set_style(style);
     }
     bar
 }
 
-fn count(seeds: &RangeInclusive<u64>) -> u64 {
+fn seed_count(seeds: &RangeInclusive<u64>) -> u64 {
     seeds.end() - seeds.start() + 1
 }
 
 fn main() -> ExitCode {
-    match act(Arguments::parse().command) {
+    match execute(Arguments::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(reason) => {
@@ -172,18 +176,19 @@
     }
 }
 
-fn act(command: Command) -> Result<bool, String> {
+/// Executes a command. Returns whether no invariant was violated and all expectations were met.
+fn execute(command: Command) -> Result<bool, String> {
     match command {
-        Command::Run { scenario, seed, depth, picks, events, goes_on, json } => {
+        Command::Run { scenario, seed, depth, balancer, events, keep_going, json } => {
             let scenario = load(&scenario)?;
             let limits = RunOptions {
-                stop_on_violation: !goes_on,
+                stop_on_violation: !keep_going,
                 emit_events: log_to(events.as_deref())?,
                 ..RunOptions::default()
             };
             let start = Instant::now();
-            let outcome = run_scenario_with(&scenario, seed, depth, &limits, picks, None)?;
-            tell(&outcome, start.elapsed().as_secs_f64(), json);
+            let outcome = run_scenario_with(&scenario, seed, depth, &limits, balancer, None)?;
+            print_outcome(&outcome, start.elapsed().as_secs_f64(), json);
             Ok(outcome.violations.is_empty() && outcome.missed_expectations.is_empty())
         }
         Command::Explore { scenarios, seeds, depth, light, out } => {
@@ -197,99 +202,110 @@
         }
         Command::Compare { scenarios, seeds, out } => {
             let scenarios = load_all(&scenarios)?;
-            let bar = bar(count(&seeds) * (scenarios.len() * Picks::ALL.len()) as u64, "compare");
-            let lines = compare::compare(&scenarios, &seeds, &Picks::ALL, || bar.inc(1))?;
+            let bar = progress_bar(
+                seed_count(&seeds) * (scenarios.len() * BalancerKind::ALL.len()) as u64,
+                "compare",
+            );
+            let rows = compare::compare(&scenarios, &seeds, &BalancerKind::ALL, || bar.inc(1))?;
             bar.finish_and_clear();
-            let table = compare::table(&lines);
+            let table = compare::table(&rows);
             match out {
                 Some(path) => {
                     std::fs::write(&path, table).map_err(|error| format!("{}: {error}", path.display()))?;
                 }
-                None => say!("{}", table.trim_end()),
+                None => print_line!("{}", table.trim_end()),
             }
-            let ours = lines.iter().filter(|line| line.picks == Picks::Ours);
-            Ok(ours.clone().all(|line| line.broken.is_empty()))
+            let ours = rows.iter().filter(|row| row.balancer == BalancerKind::Ours);
+            Ok(ours.clone().all(|row| row.violations.is_empty()))
         }
         Command::Report { scenario, seeds, depth, out } => {
             let scenario = load(&scenario)?;
-            let bar = bar(count(&seeds) + report::RUNS, "report");
+            let bar = progress_bar(seed_count(&seeds) + report::LOAD_RUNS, "report");
             let page = report::page(&scenario, &seeds, depth, || bar.inc(1))?;
             bar.finish_and_clear();
             std::fs::write(&out, page).map_err(|error| format!("{}: {error}", out.display()))?;
-            say!("{}", out.display());
+            print_line!("{}", out.display());
             Ok(true)
         }
-        Command::Truth { scenarios, seed } => {
-            let all = load_all(&scenarios)?;
-            let all: Vec<_> =
-                all.iter().map(|scenario| fidelity::compare(scenario, seed)).collect::<Result<_, _>>()?;
-            say!("{}", fidelity::table(&all).trim_end());
+        Command::Fidelity { scenarios, seed } => {
+            let scenarios = load_all(&scenarios)?;
+            let reports: Vec<_> = scenarios
+                .iter()
+                .map(|scenario| fidelity::compare(scenario, seed))
+                .collect::<Result<_, _>>()?;
+            print_line!("{}", fidelity::table(&reports).trim_end());
             Ok(true)
         }
-        Command::Replay { found, events } => {
+        Command::Replay { counterexample: path, events } => {
             let text =
-                std::fs::read_to_string(&found).map_err(|error| format!("{}: {error}", found.display()))?;
-            let found = Found::parse(&text).map_err(|error| format!("{}: {error}", found.display()))?;
+                std::fs::read_to_string(&path).map_err(|error| format!("{}: {error}", path.display()))?;
+            let counterexample =
+                Counterexample::parse(&text).map_err(|error| format!("{}: {error}", path.display()))?;
             let limits = RunOptions { emit_events: log_to(events.as_deref())?, ..RunOptions::default() };
             let start = Instant::now();
-            let outcome = run_scenario(&found.scenario, found.seed, found.depth, &limits)?;
-            tell(&outcome, start.elapsed().as_secs_f64(), false);
+            let outcome =
+                run_scenario(&counterexample.scenario, counterexample.seed, counterexample.depth, &limits)?;
+            print_outcome(&outcome, start.elapsed().as_secs_f64(), false);
             Ok(outcome.violations.is_empty())
         }
     }
 }
 
+/// Sweeps the scenarios in the depths, and writes a shrunk run for the first violation of each invariant. Returns whether there
+/// were neither violations nor runs that could not be started.
 fn explore(
     scenarios: &[Scenario],
     seeds: &RangeInclusive<u64>,
     depths: &[Depth],
     out: &Path,
 ) -> Result<bool, String> {
-    let mut good = true;
+    let mut passed = true;
     for scenario in scenarios {
         for &depth in depths {
             let start = Instant::now();
-            let bar = bar(count(seeds), &scenario.name);
+            let bar = progress_bar(seed_count(seeds), &scenario.name);
             let swept = sweep(scenario, seeds.clone(), depth, &RunOptions::default(), || bar.inc(1));
             bar.finish_and_clear();
-            let (seconds, broken) = (start.elapsed().as_secs_f64(), swept.broken.len());
-            say!(
+            let (seconds, broken) = (start.elapsed().as_secs_f64(), swept.violations.len());
+            print_line!(
                 "{} ({depth:?}): {} seeds, {broken} broken, {} not played; {:.0} virtual seconds in {seconds:.1}",
                 scenario.name,
                 swept.seeds,
                 swept.failed.len(),
                 swept.virtual_seconds
             );
-            good &= broken == 0 && swept.failed.is_empty();
-            swept.failed.iter().take(3).for_each(|(seed, reason)| say!("  seed {seed}: {reason}"));
-            // The first of each rule is made small.
-            let mut rules = Vec::new();
-            for (&seed, at) in &swept.broken {
-                if rules.contains(&at.invariant) {
+            passed &= broken == 0 && swept.failed.is_empty();
+            swept.failed.iter().take(3).for_each(|(seed, reason)| print_line!("  seed {seed}: {reason}"));
+            // The first violation of each invariant is shrunk.
+            let mut violated = Vec::new();
+            for (&seed, violation) in &swept.violations {
+                if violated.contains(&violation.invariant) {
                     continue;
                 }
-                rules.push(at.invariant);
-                say!("  seed {seed}: {at}");
-                at.recent_events.iter().rev().take(12).rev().for_each(|noted| say!("    {noted}"));
-                let Some(small) = shrink(scenario, seed, depth, at.invariant, &RunOptions::default()) else {
+                violated.push(violation.invariant);
+                print_line!("  seed {seed}: {violation}");
+                violation.last.iter().rev().take(12).rev().for_each(|event| print_line!("    {event}"));
+                let Some(shrunk) = shrink(scenario, seed, depth, violation.invariant, &RunOptions::default())
+                else {
                     continue;
                 };
-                let name =
-                    format!("{}-{depth:?}-{:?}-{seed}.toml", scenario.name, at.invariant).to_lowercase();
+                let name = format!("{}-{depth:?}-{:?}-{seed}.toml", scenario.name, violation.invariant)
+                    .to_lowercase();
                 let path = out.join(name);
-                std::fs::write(&path, small.found.text())
+                std::fs::write(&path, shrunk.counterexample.text())
                     .map_err(|error| format!("{}: {error}", path.display()))?;
-                say!("  made small in {} runs: {}", small.runs, small.broken);
-                say!("  again: nettleworks-lab replay {}", path.display());
+                print_line!("  shrunk in {} runs: {}", shrunk.runs, shrunk.violation);
+                print_line!("  to repeat: nettleworks-lab replay {}", path.display());
             }
         }
     }
-    Ok(good)
+    Ok(passed)
 }
 
-fn tell(outcome: &Outcome, seconds: f64, as_json: bool) {
+/// Prints the results of a run that took `seconds` of real time.
+fn print_outcome(outcome: &Outcome, seconds: f64, as_json: bool) {
     let (metrics, all) = (&outcome.metrics, &outcome.metrics.all);
-    let faster = outcome.end_time as f64 / 1e6 / seconds.max(1e-9);
+    let speedup = outcome.end_time as f64 / 1e6 / seconds.max(1e-9);
     if as_json {
         let object = json!({
             "scenario": outcome.scenario.name, "seed": outcome.seed, "hash": format!("{:016x}", outcome.hash),
@@ -299,25 +315,33 @@
             "watches": metrics.watches, "held": metrics.held_segments, "held_up": metrics.late_duplicates, "keys": metrics.keys, "key_repeats": metrics.key_repeats,
             "replays": metrics.replays, "two_answers": metrics.two_answers, "broken": outcome.violations, "missed": outcome.missed_expectations,
         });
-        return say!("{object}");
+        return print_line!("{object}");
     }
-    say!(
+    print_line!(
         "{} under seed {}: log {:016x}, {} events",
         outcome.scenario.name,
         outcome.seed,
         outcome.hash,
         outcome.logged_events
     );
-    say!("  {:.3} virtual seconds in {seconds:.2}, {faster:.0} times as fast", outcome.end_time as f64 / 1e6);
-    say!("  {:.4} of the worth served of {} wanted: {:?}", all.served_share(), all.operations, all.outcomes);
-    say!(
+    print_line!(
+        "  {:.3} virtual seconds in {seconds:.2}, {speedup:.0} times as fast",
+        outcome.end_time as f64 / 1e6
+    );
+    print_line!(
+        "  {:.4} of the worth served of {} wanted: {:?}",
+        all.served_share(),
+        all.operations,
+        all.outcomes
+    );
+    print_line!(
         "  p50 {:.1} ms, p99 {:.1} ms, p99.9 {:.1} ms",
         all.latency_ms(50.0),
         all.latency_ms(99.0),
         all.latency_ms(99.9)
     );
     for (class, part) in outcome.scenario.classes.iter().zip(&metrics.classes) {
-        say!(
+        print_line!(
             "    {:24} {:.4} of {}, p99 {:.1} ms",
             class.name,
             part.served_share(),
@@ -325,16 +349,16 @@
             part.latency_ms(99.0)
         );
     }
-    say!("  {} attempts, repeats {:?}", metrics.attempts, metrics.repeats);
-    say!(
+    print_line!("  {} attempts, repeats {:?}", metrics.attempts, metrics.repeats);
+    print_line!(
         "  {} connections opened, {} at one host at the most; {} watches",
         metrics.opened_connections,
         metrics.peak_connections,
         metrics.watches
     );
-    for at in outcome.violations.iter().take(5) {
-        say!("  BROKEN {at}");
-        at.recent_events.iter().for_each(|noted| say!("    {noted}"));
+    for violation in outcome.violations.iter().take(5) {
+        print_line!("  BROKEN {violation}");
+        violation.last.iter().for_each(|event| print_line!("    {event}"));
     }
-    outcome.missed_expectations.iter().for_each(|missed| say!("  MISSED {missed}"));
+    outcome.missed_expectations.iter().for_each(|missed| print_line!("  MISSED {missed}"));
 }
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -1,6 +1,6 @@
 //! One run of a scenario under a seed, at one depth, and its result.
 
-use crate::baseline::Picks;
+use crate::baseline::BalancerKind;
 use crate::fault::resolve_faults;
 use crate::invariants::Violation;
 use crate::metrics::Metrics;
@@ -103,7 +103,7 @@
     depth: Depth,
     limits: &RunOptions,
 ) -> Result<Outcome, String> {
-    run_scenario_with(scenario, seed, depth, limits, Picks::Ours, None)
+    run_scenario_with(scenario, seed, depth, limits, BalancerKind::Ours, None)
 }
 
 /// Runs a scenario with another balancer in place of the decision module (fleet depth only), or with an injected source
@@ -117,13 +117,17 @@
     seed: u64,
     depth: Depth,
     limits: &RunOptions,
-    picks: Picks,
+    picks: BalancerKind,
     nondeterminism: Option<Nondeterminism>,
 ) -> Result<Outcome, String> {
     let resolved = Rc::new(resolve_faults(scenario, seed));
     match depth {
-        Depth::Fleet => Ok(crate::fleet::Fleet::new(resolved, seed, picks)?.play(limits, nondeterminism)),
-        Depth::Full if picks == Picks::Ours => crate::full::play(resolved, seed, limits, nondeterminism),
+        Depth::Fleet => {
+            Ok(crate::fleet::FleetSimulation::new(resolved, seed, picks)?.run(limits, nondeterminism))
+        }
+        Depth::Full if picks == BalancerKind::Ours => {
+            crate::full::run_scenario(resolved, seed, limits, nondeterminism)
+        }
         Depth::Full => Err("another balancer can only run in fleet depth".to_owned()),
     }
 }
--- a/lab/tests/depths.rs
+++ b/lab/tests/depths.rs
@@ -1,5 +1,5 @@
-//! The two depths beside each other: what one fault does to a proxy must be much the same in both, or the fleet's figures
-//! mean nothing; and what fleet depth alone models of connections and watches.
+//! Comparison of the two depths: a fault must have much the same effect on a proxy in both, or results of fleet depth mean
+//! nothing. Also tests of the connections and watches that fleet depth models.
 
 mod common;
 
@@ -9,18 +9,18 @@
 use nettleworks_lab::run::{Depth, Outcome};
 use nettleworks_lab::scenario::Scenario;
 
-/// By how much the share of the worth served may differ between the depths, by fault. Most differ by less than a hundredth.
-fn apart(what: FaultKind) -> f64 {
+/// How much the served share of the value may differ between the depths, by kind of fault. Most kinds differ by less than 0.01.
+fn tolerance(what: FaultKind) -> f64 {
     match what {
-        // Kept connections are another's last ones, and each break costs a budget.
+        // The depths differ in which connections are idle at the fault, and each lost connection uses up retry budget.
         FaultKind::Stale | FaultKind::Resets => 0.06,
-        // There is nothing to read in fleet depth.
+        // Fleet depth has no bytes, and so no slow readers.
         FaultKind::SlowReader => 0.4,
         _ => 0.03,
     }
 }
 
-fn with(what: FaultKind) -> Scenario {
+fn scenario_with(what: FaultKind) -> Scenario {
     let text = "name = \"x\"\nseconds = 12.0\n[fleet]\nhosts = 6\npods = 3\n[load]\nproxies = 3\nrate = 250.0\ntaps = 0.0";
     let mut scenario = scenario(text);
     scenario.name = format!("{what:?}");
@@ -29,20 +29,20 @@
 }
 
 #[test]
-fn each_fault_does_much_the_same_in_both_depths() {
+fn each_fault_has_a_similar_effect_in_both_depths() {
     for what in FaultKind::ALL {
-        let scenario = with(what);
+        let scenario = scenario_with(what);
         let served = DEPTHS.map(|depth| sound(&scenario, 3, depth).metrics.all.served_share());
-        assert!((served[0] - served[1]).abs() <= apart(what), "{what:?}: {served:?}");
+        assert!((served[0] - served[1]).abs() <= tolerance(what), "{what:?}: {served:?}");
     }
 }
 
-/// Faults that a proxy cannot hide from its clients do show, and a proxy is itself again behind all of them.
+/// Faults that a proxy cannot hide from its clients lower the served share while they last, and it recovers fully afterwards.
 #[test]
-fn faults_show_while_they_last_and_no_longer() {
+fn faults_lower_the_served_share_only_while_they_last() {
     for what in [FaultKind::Restart, FaultKind::Resets, FaultKind::Errors] {
         for depth in DEPTHS {
-            let outcome = sound(&with(what), 3, depth);
+            let outcome = sound(&scenario_with(what), 3, depth);
             let during = (4..7).map(|second| served_in(&outcome, second)).fold(1.0, f64::min);
             assert!(during < 0.98, "{what:?} {depth:?}: {during}");
             assert!(served_in(&outcome, 2) > 0.99 && served_in(&outcome, 11) > 0.99, "{what:?} {depth:?}");
@@ -50,12 +50,13 @@
     }
 }
 
-fn calm(more: &str) -> Scenario {
-    scenario(&format!("name = \"x\"\nseconds = 8.0\n{more}"))
+/// A scenario without faults, with further settings.
+fn calm(settings: &str) -> Scenario {
+    scenario(&format!("name = \"x\"\nseconds = 8.0\n{settings}"))
 }
 
 #[test]
-fn no_host_is_given_more_connections_than_it_holds() {
+fn no_host_gets_more_connections_than_its_limit() {
     let scenario = calm("[fleet]\nconnections = 5\n[load]\nproxies = 4\nrate = 900.0");
     for depth in DEPTHS {
         let outcome = whole(&scenario, 1, depth);
@@ -64,66 +65,69 @@
 }
 
 #[test]
-fn connections_are_kept_and_closed_when_they_are_old() {
+fn connections_are_reused_and_closed_after_the_idle_timeout() {
     for depth in DEPTHS {
-        let keeps = sound(&calm("[load]\nproxies = 2\nrate = 200.0"), 1, depth).metrics;
+        let metrics = sound(&calm("[load]\nproxies = 2\nrate = 200.0"), 1, depth).metrics;
         assert!(
-            keeps.opened_connections * 20 < keeps.attempts,
+            metrics.opened_connections * 20 < metrics.attempts,
             "{depth:?}: {} for {}",
-            keeps.opened_connections,
-            keeps.attempts
+            metrics.opened_connections,
+            metrics.attempts
         );
-        // Hosts keep them for 10 ms, and one is used every 60.
-        let closes =
+        // Hosts close idle connections after 10 ms, and each connection is used only every 60 ms.
+        let metrics =
             sound(&calm("[fleet]\nkeep_ms = 10\n[load]\nproxies = 2\nrate = 200.0"), 1, depth).metrics;
         assert!(
-            closes.opened_connections * 2 > closes.attempts,
+            metrics.opened_connections * 2 > metrics.attempts,
             "{depth:?}: {} for {}",
-            closes.opened_connections,
-            closes.attempts
+            metrics.opened_connections,
+            metrics.attempts
         );
     }
 }
 
 #[test]
-fn a_proxy_that_may_hold_few_connections_opens_no_more() {
-    // 64 descriptors leave 12 for hosts.
+fn a_proxy_at_its_connection_limit_replaces_its_oldest_idle_connection() {
+    // Of 64 file descriptors a proxy uses 12 for connections to hosts.
     for depth in DEPTHS {
-        let few = calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0\nsockets = 64");
-        let most = sound(&few, 1, depth).metrics;
-        let many =
-            sound(&calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0"), 1, depth)
-                .metrics;
+        let limited = calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0\nsockets = 64");
+        let limited = sound(&limited, 1, depth);
+        let unlimited =
+            sound(&calm("[fleet]\nhosts = 40\npods = 10\n[load]\nproxies = 1\nrate = 150.0"), 1, depth);
         assert!(
-            most.opened_connections > many.opened_connections,
-            "{depth:?}: the oldest idle one makes room, {} {}",
-            most.opened_connections,
-            many.opened_connections
+            limited.metrics.opened_connections > unlimited.metrics.opened_connections,
+            "{depth:?}: the oldest idle connection is replaced, {} {}",
+            limited.metrics.opened_connections,
+            unlimited.metrics.opened_connections
+        );
+        assert!(
+            limited.metrics.all.served_share() > 0.97,
+            "{depth:?}: {}",
+            limited.metrics.all.served_share()
         );
-        assert!(most.all.served_share() > 0.97, "{depth:?}: {}", most.all.served_share());
     }
 }
 
 #[test]
-fn watches_begin_again_after_discovery_was_down_or_silent() {
+fn watches_are_reopened_after_discovery_was_down_or_silent() {
     for what in [FaultKind::DiscoveryDown, FaultKind::DiscoverySilent] {
         let mut scenario = calm("[load]\nproxies = 5");
         scenario.seconds = 25.0;
         scenario.faults.push(fault(what, 3.0, 9.0, Targets::All, Targets::All));
-        // A host goes meanwhile, and is back later: the list tells of that to whoever hears it.
+        // A host dies during the fault and returns, which a proxy learns only from a working watch.
         scenario.faults.push(fault(FaultKind::Kill, 5.0, 2.0, Targets::These(vec![1]), Targets::All));
         for depth in DEPTHS {
             let outcome = sound(&scenario, 1, depth);
             assert!(outcome.metrics.watches >= 10, "{what:?} {depth:?}: {}", outcome.metrics.watches);
             let host_1 =
                 |second: usize| outcome.metrics.seconds[second].host.get(&1).copied().unwrap_or_default();
-            assert!(host_1(24) > 0, "{what:?} {depth:?}: it is in use again");
+            assert!(host_1(24) > 0, "{what:?} {depth:?}: host 1 is not used again");
         }
     }
 }
 
 #[test]
-fn a_list_that_is_pushed_is_watched_as_well() {
+fn a_pushed_list_is_watched_as_well() {
     let mut scenario = calm("[discovery]\nasked = false\n[load]\nproxies = 3");
     scenario.faults.push(fault(FaultKind::DiscoveryDown, 2.0, 2.0, Targets::All, Targets::All));
     for depth in DEPTHS {
@@ -133,7 +137,7 @@
 }
 
 #[test]
-fn reports_that_lie_or_lag_break_nothing() {
+fn wrong_or_late_load_reports_do_no_harm() {
     for reports in ["honest", "lagging", "lying", "none"] {
         let text = format!("[fleet]\nreports = \"{reports}\"\n[load]\nproxies = 3\nrate = 500.0");
         for depth in DEPTHS {
@@ -144,7 +148,7 @@
 }
 
 #[test]
-fn a_miss_of_what_must_hold_is_told_and_breaks_no_rule() {
+fn a_missed_expectation_is_reported_and_violates_no_invariant() {
     for depth in DEPTHS {
         let outcome = sound(&calm("[must]\nserved = 1.0\np99_ms = 3.0"), 1, depth);
         assert!(
@@ -157,36 +161,36 @@
     }
 }
 
-/// Work of a second that hosts take at once is bounded by the module's budgets: in a crowd a fleet serves what it can, and the
-/// rest is refused at once. Random choice, with the same clients, does far less.
+/// Under overload the decision module limits the requests in flight, so that hosts serve what they can and the rest is
+/// refused at once. Random selection serves far less to the same clients.
 #[test]
-fn a_crowd_is_turned_away_early_and_the_rest_is_served() {
+fn overload_is_refused_early_and_the_rest_is_served() {
     let scenario = common::shipped("metastable").scaled_down(16.0, 150.0);
     let ours = DEPTHS.map(|depth| sound(&scenario, 1, depth).metrics.all.served_share());
     let limits = nettleworks_lab::run::RunOptions { stop_on_violation: false, ..Default::default() };
-    let random = nettleworks_lab::baseline::Picks::Random;
-    let plain = nettleworks_lab::run::run_scenario_with(&scenario, 1, Depth::Fleet, &limits, random, None)
-        .expect("it is played");
-    let plain = plain.metrics.all.served_share();
-    assert!(ours[0] > 1.5 * plain && ours[1] > 1.5 * plain, "{ours:?} {plain}");
+    let random = nettleworks_lab::baseline::BalancerKind::Random;
+    let baseline = nettleworks_lab::run::run_scenario_with(&scenario, 1, Depth::Fleet, &limits, random, None)
+        .expect("the scenario is valid");
+    let baseline = baseline.metrics.all.served_share();
+    assert!(ours[0] > 1.5 * baseline && ours[1] > 1.5 * baseline, "{ours:?} {baseline}");
 }
 
-/// A power cut under nearly all that warm hosts bear: what spreads calls evenly pushes cold hosts over, ours does not, with few
-/// proxies and with many.
+/// All hosts restart cold under a load close to the capacity of warm hosts. A balancer that spreads calls evenly overloads cold
+/// hosts; the decision module does not, with few proxies and with many.
 #[test]
-fn a_cold_fleet_under_full_load_stands() {
-    let broken = |outcome: &Outcome| {
-        outcome.violations.iter().any(|broken| broken.invariant == Invariant::ColdHostStands)
+fn a_cold_fleet_under_full_load_is_not_overloaded() {
+    let overloads = |outcome: &Outcome| {
+        outcome.violations.iter().any(|violation| violation.invariant == Invariant::ColdHostStands)
     };
     let limits = nettleworks_lab::run::RunOptions { stop_on_violation: false, ..Default::default() };
-    let plain = nettleworks_lab::baseline::Picks::LeastOfTwo;
+    let least_of_two = nettleworks_lab::baseline::BalancerKind::LeastOfTwo;
     for proxies in [4, 60] {
         let mut scenario = common::shipped("cold-fleet-busy");
         scenario.seconds = 14.0;
         scenario.load.proxies = proxies;
         let evenly =
-            nettleworks_lab::run::run_scenario_with(&scenario, 1, Depth::Fleet, &limits, plain, None);
-        assert!(broken(&evenly.expect("it is played")), "{proxies}");
+            nettleworks_lab::run::run_scenario_with(&scenario, 1, Depth::Fleet, &limits, least_of_two, None);
+        assert!(overloads(&evenly.expect("the scenario is valid")), "{proxies}");
         sound(&scenario, 1, Depth::Fleet);
     }
     sound(&common::shipped("cold-fleet-busy").scaled_down(14.0, 600.0), 1, Depth::Full);
@@ -197,7 +201,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_its_host_has_closed_breaks_before_anything_runs() {
+fn attempts_on_connections_closed_by_the_host_are_retried_as_stale() {
     let mut scenario = calm("[load]\nproxies = 2\nrate = 60.0\ntaps = 0.0");
     scenario.faults.push(stale(2.0));
     for depth in DEPTHS {
--- a/lab/tests/growth.rs
+++ b/lab/tests/growth.rs
@@ -1,17 +1,18 @@
-//! A hard case of a larger fleet, in full stack: more proxies than one host's room is worth sharing, so that each has one
-//! budget for all hosts.
+//! A larger fleet in full depth: there are too many proxies for each to have a share of one host's capacity, so that each
+//! has one budget for all hosts.
 
 use nettleworks_lab::run::{run_scenario, Depth, Outcome, RunOptions};
 use nettleworks_lab::scenario::Scenario;
 
-fn played(text: &str, seed: u64) -> Outcome {
+fn run(text: &str, seed: u64) -> Outcome {
     let scenario = Scenario::parse(text).unwrap_or_else(|error| panic!("{error}"));
-    let outcome = run_scenario(&scenario, seed, Depth::Full, &RunOptions::default()).expect("it is played");
+    let outcome =
+        run_scenario(&scenario, seed, Depth::Full, &RunOptions::default()).expect("the scenario is valid");
     assert_eq!(outcome.violations, []);
     outcome
 }
 
-/// Share of what began in these seconds that was served.
+/// Share of the value of calls that began in these seconds that was served.
 fn served_in(outcome: &Outcome, seconds: std::ops::Range<usize>) -> f64 {
     let parts = outcome.metrics.seconds[seconds].iter().filter_map(|second| second.requests.as_ref());
     let (got, offered) = parts
@@ -19,10 +20,10 @@
     got / offered
 }
 
-/// Thirty proxies before thirty hosts that hold few connections.
+/// Thirty proxies share thirty hosts that accept few connections each.
 #[test]
-fn hosts_at_their_connection_cap_are_not_asked_for_more_than_pays() {
-    let outcome = played(
+fn proxies_stay_below_the_connection_limit_of_the_hosts() {
+    let outcome = run(
         "name = \"x\"\nseconds = 12.0\nwarm_up = 4.0\n[fleet]\nhosts = 30\nconnections = 10\nhandshake_us = 12000.0\n\
          [load]\nproxies = 30\nrate = 1800.0",
         1,
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -30,7 +30,11 @@
         let scenario = scenario.scaled_down(SECONDS, RATE);
         scenario.check().unwrap_or_else(|error| panic!("{error}"));
         let swept = sweep(&scenario, 1..=seeds, depth, &RunOptions::default(), || ());
-        assert!(swept.broken.is_empty() && swept.failed.is_empty(), "{} {depth:?}: {swept:?}", scenario.name);
+        assert!(
+            swept.violations.is_empty() && swept.failed.is_empty(),
+            "{} {depth:?}: {swept:?}",
+            scenario.name
+        );
         assert_eq!(swept.seeds as u64, seeds);
     }
 }
