--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -284,7 +284,13 @@
                 }
                 violated.push(violation.invariant);
                 print_line!("  seed {seed}: {violation}");
-                violation.last.iter().rev().take(12).rev().for_each(|event| print_line!("    {event}"));
+                violation
+                    .recent_events
+                    .iter()
+                    .rev()
+                    .take(12)
+                    .rev()
+                    .for_each(|event| print_line!("    {event}"));
                 let Some(shrunk) = shrink(scenario, seed, depth, violation.invariant, &RunOptions::default())
                 else {
                     continue;
@@ -358,7 +364,7 @@
     );
     for violation in outcome.violations.iter().take(5) {
         print_line!("  BROKEN {violation}");
-        violation.last.iter().for_each(|event| print_line!("    {event}"));
+        violation.recent_events.iter().for_each(|event| print_line!("    {event}"));
     }
     outcome.missed_expectations.iter().for_each(|missed| print_line!("  MISSED {missed}"));
 }
