--- a/crew/src/crew.rs
+++ b/crew/src/cluster.rs
@@ -13,11 +13,11 @@
 use std::time::{Duration, Instant};
 
 /// How long something may take that has to come.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What a crew is started with.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClusterOptions {
     /// Where the program is.
     pub program: PathBuf,
     /// A name for its folder.
@@ -32,10 +32,10 @@
     pub period: Duration,
 }
 
-impl Plan {
+impl ClusterOptions {
     /// Of so many processes that know each other and ask four times a second.
-    pub fn new(program: &str, name: &str, count: usize) -> Plan {
-        Plan {
+    pub fn new(program: &str, name: &str, count: usize) -> ClusterOptions {
+        ClusterOptions {
             program: program.into(),
             name: name.to_owned(),
             count,
@@ -47,24 +47,24 @@
 }
 
 /// What processes take each other to be: by who sees, whom it sees, how.
-pub type Seen = BTreeMap<usize, BTreeMap<String, String>>;
+pub type MembershipViews = BTreeMap<usize, BTreeMap<String, String>>;
 
 /// Several processes, their relays, and all that was done to them.
 #[derive(Debug)]
-pub struct Crew {
+pub struct Cluster {
     /// By number; `None`: not running.
     pub processes: Vec<Option<Process>>,
     /// Between them.
     pub relays: Relays,
     /// What was done and seen.
     pub history: History,
-    plan: Plan,
+    options: ClusterOptions,
     folder: PathBuf,
 }
 
-impl Crew {
+impl Cluster {
     /// Starts all, in front of a site's hosts.
-    pub fn start(plan: Plan, site: &Site) -> Crew {
+    pub fn start(options: ClusterOptions, site: &Site) -> Cluster {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         // The path of a socket must be short.
         let unique = format!("nwc{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
@@ -72,56 +72,57 @@
         let _ = fs::remove_dir_all(&folder);
         // Addresses of their own tell them apart; ports are any that are free, so that two crews don't meet.
         let ip = |number: usize| IpAddr::V4(Ipv4Addr::new(127, 88, 1, number as u8 + 1));
-        assert!(plan.count < 250, "a crew has fewer than 250");
-        let ips: Vec<IpAddr> = (0..plan.count).map(ip).collect();
-        let relays = Relays::start(ips.clone(), plan.seed);
+        assert!(options.count < 250, "a crew has fewer than 250");
+        let ips: Vec<IpAddr> = (0..options.count).map(ip).collect();
+        let relays = Relays::start(ips.clone(), options.seed);
         for (number, ip) in ips.iter().enumerate() {
-            let own = folder.join(number.to_string());
-            fs::create_dir_all(&own).expect("a folder");
+            let process_folder = folder.join(number.to_string());
+            fs::create_dir_all(&process_folder).expect("a folder");
             let config = site.configuration(|config| {
                 config["listen"] = format!("{ip}:0").into();
-                config["name"] = Crew::name(number).into();
-                config["settings"]["balancers"] = plan.count.into();
+                config["name"] = Cluster::member_name(number).into();
+                config["settings"]["balancers"] = options.count.into();
                 config["settings"]["me"] = number.into();
             });
             let members = json!({
-                "name": Crew::name(number),
+                "name": Cluster::member_name(number),
                 "listen": format!("{ip}:0"),
                 "advertise": relays.addresses[number],
-                "seeds": &relays.addresses[..plan.count.min(3)],
+                "seeds": &relays.addresses[..options.count.min(3)],
                 "key_file": "../key",
                 "socket": "s",
                 "zone": format!("z{}", number % 3),
-                "period_ms": u64::try_from(plan.period.as_millis()).expect("a short period"),
+                "period_ms": u64::try_from(options.period.as_millis()).expect("a short period"),
             });
-            fs::write(own.join("config.json"), config).expect("written");
-            fs::write(own.join("members.json"), members.to_string()).expect("written");
+            fs::write(process_folder.join("config.json"), config).expect("written");
+            fs::write(process_folder.join("members.json"), members.to_string()).expect("written");
         }
         fs::write(folder.join("key"), "a key that this crew shares").expect("written");
         let history = History::default();
-        let mut crew = Crew { processes: Vec::new(), relays, history, plan, folder };
-        for number in 0..crew.plan.count {
-            crew.processes.push(None);
-            crew.begin(number);
+        let mut cluster = Cluster { processes: Vec::new(), relays, history, options, folder };
+        for number in 0..cluster.options.count {
+            cluster.processes.push(None);
+            cluster.start_process(number);
         }
-        crew
+        cluster
     }
 
     /// The name of a process among the others.
-    pub fn name(number: usize) -> String {
+    pub fn member_name(number: usize) -> String {
         format!("p-{number}")
     }
 
     /// Starts one that does not run.
-    pub fn begin(&mut self, number: usize) {
+    pub fn start_process(&mut self, number: usize) {
         assert!(self.processes[number].is_none(), "process {number} runs");
-        let folder = self.folder_of(number);
-        let process = Process::start(&self.plan.program, number, &folder, self.plan.members, &self.history);
+        let folder = self.process_folder(number);
+        let process =
+            Process::start(&self.options.program, number, &folder, self.options.members, &self.history);
         self.processes[number] = Some(process);
     }
 
     /// The folder of one.
-    pub fn folder_of(&self, number: usize) -> PathBuf {
+    pub fn process_folder(&self, number: usize) -> PathBuf {
         self.folder.join(number.to_string())
     }
 
@@ -131,8 +132,8 @@
     }
 
     /// Tells one to end, and waits until it has.
-    pub fn end(&mut self, number: usize) {
-        self.processes[number].take().expect("it runs").end();
+    pub fn terminate(&mut self, number: usize) {
+        self.processes[number].take().expect("it runs").terminate();
     }
 
     /// One that runs.
@@ -146,32 +147,35 @@
     }
 
     /// Cuts one part from another, either way.
-    pub fn split(&self, one: &[usize], other: &[usize]) {
-        self.history.note(Event::Links(format!("{one:?} and {other:?} are cut off from each other")));
-        self.relays.split(one, other);
+    pub fn partition(&self, left: &[usize], right: &[usize]) {
+        self.history
+            .record(Event::LinksChanged(format!("{left:?} and {right:?} are cut off from each other")));
+        self.relays.partition(left, right);
     }
 
     /// What passes between all that were not set apart.
-    pub fn links(&self, link: Link) {
-        self.history.note(Event::Links(format!("all: {link:?}")));
-        self.relays.set_all(link);
+    pub fn set_all_links(&self, link: Link) {
+        self.history.record(Event::LinksChanged(format!("all: {link:?}")));
+        self.relays.set_all_links(link);
     }
 
     /// All passes again.
     pub fn heal(&self) {
-        self.history.note(Event::Links("all passes".to_owned()));
+        self.history.record(Event::LinksChanged("all passes".to_owned()));
         self.relays.heal();
     }
 
     /// What those that run take each other to be; one that does not answer sees nobody.
-    pub fn seen(&self) -> Seen {
-        let of = |view: Value| {
+    pub fn membership_views(&self) -> MembershipViews {
+        let conditions_by_name = |view: Value| {
             let members = view["members"].as_array().cloned().unwrap_or_default();
             let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
-            members.iter().map(|of| (text(&of["name"]), text(&of["condition"]))).collect()
+            members.iter().map(|member| (text(&member["name"]), text(&member["condition"]))).collect()
         };
-        let seen = self.running().map(|process| (process.number, process.view().map(of).unwrap_or_default()));
-        seen.collect()
+        let views = self.running().map(|process| {
+            (process.number, process.membership_view().map(conditions_by_name).unwrap_or_default())
+        });
+        views.collect()
     }
 
     /// Waits until what they see passes.
@@ -179,42 +183,52 @@
     /// # Panics
     ///
     /// It does not within a minute; the history is shown.
-    pub fn until(&self, what: &str, passes: impl Fn(&Seen) -> bool) -> Duration {
-        let began = Instant::now();
+    pub fn wait_until(
+        &self,
+        description: &str,
+        condition_holds: impl Fn(&MembershipViews) -> bool,
+    ) -> Duration {
+        let started = Instant::now();
         loop {
-            let seen = self.seen();
-            if passes(&seen) {
-                return began.elapsed();
+            let views = self.membership_views();
+            if condition_holds(&views) {
+                return started.elapsed();
             }
-            assert!(began.elapsed() < PATIENCE, "never: {what}\n{}\n{seen:?}", self.history.text());
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting until {description}\n{}\n{views:?}",
+                self.history.text()
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
     /// Waits until all that run take all of them to be there.
-    pub fn whole(&self) -> Duration {
-        let running: Vec<String> = self.running().map(|process| Crew::name(process.number)).collect();
-        self.until("all know all", |seen| {
-            seen.len() == running.len()
-                && seen.values().all(|view| {
+    pub fn wait_until_converged(&self) -> Duration {
+        let running: Vec<String> =
+            self.running().map(|process| Cluster::member_name(process.number)).collect();
+        self.wait_until("all know all", |views| {
+            views.len() == running.len()
+                && views.values().all(|view| {
                     running.iter().all(|name| view.get(name).is_some_and(|condition| condition == "alive"))
                 })
         })
     }
 
     /// Waits until all that run, but those of `except`, take one to be so.
-    pub fn taken_for(&self, number: usize, condition: &str, except: &[usize]) -> Duration {
-        let name = Crew::name(number);
-        self.until(&format!("{name} is taken for {condition}"), |seen| {
-            let others = seen.iter().filter(|(by, _)| **by != number && !except.contains(by));
-            let mut others = others.map(|(_, view)| view.get(&name).map(String::as_str));
-            others.all(|seen| seen == Some(condition))
+    pub fn wait_until_reported_as(&self, number: usize, condition: &str, except: &[usize]) -> Duration {
+        let name = Cluster::member_name(number);
+        self.wait_until(&format!("{name} is taken for {condition}"), |views| {
+            let others =
+                views.iter().filter(|(observer, _)| **observer != number && !except.contains(observer));
+            let mut conditions = others.map(|(_, view)| view.get(&name).map(String::as_str));
+            conditions.all(|reported| reported == Some(condition))
         })
     }
 
     /// Whom processes took for failed from a moment on.
-    pub fn failed_since(&self, at: Duration) -> Vec<(usize, String)> {
-        self.history.said(at, "failed")
+    pub fn failed_since(&self, since: Duration) -> Vec<(usize, String)> {
+        self.history.membership_changes(since, "failed")
     }
 
     /// Where the crew keeps its files.
@@ -223,7 +237,7 @@
     }
 }
 
-impl Drop for Crew {
+impl Drop for Cluster {
     fn drop(&mut self) {
         // Before their folder goes.
         self.processes.clear();
--- a/crew/src/history.rs
+++ b/crew/src/history.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 /// Most events that are kept; later ones are counted only.
-const EVENTS_MOST: usize = 100_000;
+const MAX_EVENTS: usize = 100_000;
 
 /// One of them.
 #[derive(Clone, Debug, PartialEq)]
@@ -14,55 +14,55 @@
     /// It was killed.
     Killed(usize),
     /// It was told to end.
-    Ended(usize),
+    Terminated(usize),
     /// It was stopped (SIGSTOP).
-    Stopped(usize),
+    Suspended(usize),
     /// It goes on.
-    Continued(usize),
+    Resumed(usize),
     /// The relays were told something else.
-    Links(String),
+    LinksChanged(String),
     /// A process has said this in its log.
-    Said(usize, String),
+    Logged(usize, String),
     /// What a test notes.
     Note(String),
 }
 
 #[derive(Debug)]
-struct Inside {
-    began: Instant,
+struct Inner {
+    started_at: Instant,
     events: Vec<(Duration, Event)>,
     dropped: usize,
 }
 
 /// Clones are the same one.
 #[derive(Clone, Debug)]
-pub struct History(Arc<Mutex<Inside>>);
+pub struct History(Arc<Mutex<Inner>>);
 
 impl Default for History {
     fn default() -> Self {
-        let began = Instant::now();
-        History(Arc::new(Mutex::new(Inside { began, events: Vec::new(), dropped: 0 })))
+        let started_at = Instant::now();
+        History(Arc::new(Mutex::new(Inner { started_at, events: Vec::new(), dropped: 0 })))
     }
 }
 
 impl History {
-    fn lock(&self) -> MutexGuard<'_, Inside> {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes an event.
-    pub fn note(&self, event: Event) {
-        let mut inside = self.lock();
-        let at = inside.began.elapsed();
-        match inside.events.len() < EVENTS_MOST {
-            true => inside.events.push((at, event)),
-            false => inside.dropped += 1,
+    pub fn record(&self, event: Event) {
+        let mut inner = self.lock();
+        let at = inner.started_at.elapsed();
+        match inner.events.len() < MAX_EVENTS {
+            true => inner.events.push((at, event)),
+            false => inner.dropped += 1,
         }
     }
 
     /// How long it is.
-    pub fn now(&self) -> Duration {
-        self.lock().began.elapsed()
+    pub fn elapsed(&self) -> Duration {
+        self.lock().started_at.elapsed()
     }
 
     /// All that came from a moment on.
@@ -70,19 +70,19 @@
     /// # Panics
     ///
     /// More came than are kept: no verdict may rest on a part.
-    pub fn since(&self, at: Duration) -> Vec<(Duration, Event)> {
-        let inside = self.lock();
-        assert_eq!(inside.dropped, 0, "a history with gaps");
-        inside.events.iter().filter(|(when, _)| *when >= at).cloned().collect()
+    pub fn events_since(&self, since: Duration) -> Vec<(Duration, Event)> {
+        let inner = self.lock();
+        assert_eq!(inner.dropped, 0, "a history with gaps");
+        inner.events.iter().filter(|(at, _)| *at >= since).cloned().collect()
     }
 
     /// Who said of whom, from a moment on, that it has done so: a line `members: WHOM has WHAT` in the log of WHO.
-    pub fn said(&self, at: Duration, what: &str) -> Vec<(usize, String)> {
-        let lines = self.since(at).into_iter().filter_map(|(_, event)| match event {
-            Event::Said(who, line) => {
+    pub fn membership_changes(&self, since: Duration, change: &str) -> Vec<(usize, String)> {
+        let lines = self.events_since(since).into_iter().filter_map(|(_, event)| match event {
+            Event::Logged(observer, line) => {
                 let (_, rest) = line.split_once("members: ")?;
-                let (whom, said) = rest.split_once(" has ")?;
-                (said.split(',').next() == Some(what)).then(|| (who, whom.to_owned()))
+                let (member, logged) = rest.split_once(" has ")?;
+                (logged.split(',').next() == Some(change)).then(|| (observer, member.to_owned()))
             }
             _ => None,
         });
--- a/crew/src/lib.rs
+++ b/crew/src/lib.rs
@@ -8,12 +8,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod crew;
+mod cluster;
 mod history;
 mod process;
 mod relay;
 
-pub use crew::{Crew, Plan, Seen};
+pub use cluster::{Cluster, ClusterOptions, MembershipViews};
 pub use history::{Event, History};
 pub use process::Process;
 pub use relay::{Link, Relays};
--- a/crew/src/process.rs
+++ b/crew/src/process.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Far longer than a start, an end or an answer takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A running program. Killed when this is dropped.
 #[derive(Debug)]
@@ -25,11 +25,11 @@
     history: History,
 }
 
-fn serving(log: &Receiver<String>, number: usize) -> SocketAddr {
-    let until = Instant::now() + PATIENCE;
+fn wait_until_serving(log: &Receiver<String>, number: usize) -> SocketAddr {
+    let deadline = Instant::now() + PROCESS_TIMEOUT;
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        let line = log.recv_timeout(left).unwrap_or_else(|_| panic!("process {number} does not serve"));
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let line = log.recv_timeout(remaining).unwrap_or_else(|_| panic!("process {number} does not serve"));
         if let Some((_, address)) = line.split_once("serving at ") {
             return address.parse().expect("an address");
         }
@@ -48,18 +48,18 @@
     }
 
     /// Starts `program` with the file `config.json` of a folder and so many engines.
-    pub fn with_engines(
+    pub fn start_with_engines(
         program: &Path,
         number: usize,
         folder: &Path,
         engines: usize,
         history: &History,
     ) -> Process {
-        Process::in_environment(program, number, folder, engines, &[], history)
+        Process::start_with_environment(program, number, folder, engines, &[], history)
     }
 
     /// The same with these variables in its environment.
-    pub fn in_environment(
+    pub fn start_with_environment(
         program: &Path,
         number: usize,
         folder: &Path,
@@ -76,15 +76,15 @@
     fn spawn(mut command: Command, number: usize, folder: &Path, history: &History) -> Process {
         let mut child =
             command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("the program starts");
-        history.note(Event::Started(number));
+        history.record(Event::Started(number));
         let log = BufReader::new(child.stderr.take().expect("piped"));
-        let (lines, said) = mpsc::channel();
-        let noted = history.clone();
+        let (lines, received_lines) = mpsc::channel();
+        let log_history = history.clone();
         // Read to its end, else the program would wait to write.
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 if line.contains("members: ") || line.contains("panicked") || line.contains("serving at") {
-                    noted.note(Event::Said(number, line.clone()));
+                    log_history.record(Event::Logged(number, line.clone()));
                 }
                 // A test that fails shows what its processes have said.
                 eprintln!("process {number}: {line}");
@@ -92,31 +92,31 @@
                 let _ = lines.send(line);
             }
         });
-        let address = serving(&said, number);
+        let address = wait_until_serving(&received_lines, number);
         Process { number, address, folder: folder.to_owned(), child, history: history.clone() }
     }
 
     fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status();
-        assert!(sent.expect("kill runs").success(), "{name} to process {}", self.number);
+        let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
+        assert!(status.expect("kill runs").success(), "{name} to process {}", self.number);
     }
 
     /// SIGKILL.
     pub fn kill(&mut self) {
-        self.history.note(Event::Killed(self.number));
+        self.history.record(Event::Killed(self.number));
         self.child.kill().expect("it was there");
         self.child.wait().expect("it can be waited for");
     }
 
     /// SIGSTOP: it does not run until it is continued.
-    pub fn stop(&self) {
-        self.history.note(Event::Stopped(self.number));
+    pub fn suspend(&self) {
+        self.history.record(Event::Suspended(self.number));
         self.signal("-STOP");
     }
 
     /// SIGCONT.
-    pub fn go_on(&self) {
-        self.history.note(Event::Continued(self.number));
+    pub fn resume(&self) {
+        self.history.record(Event::Resumed(self.number));
         self.signal("-CONT");
     }
 
@@ -126,24 +126,24 @@
     }
 
     /// SIGTERM, and waits until it has ended well.
-    pub fn end(&mut self) {
-        self.history.note(Event::Ended(self.number));
+    pub fn terminate(&mut self) {
+        self.history.record(Event::Terminated(self.number));
         self.signal("-TERM");
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + PROCESS_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("it can be waited for") {
                 assert_eq!(status.code(), Some(0), "process {}", self.number);
                 return;
             }
-            assert!(Instant::now() < until, "process {} does not end", self.number);
+            assert!(Instant::now() < deadline, "process {} does not end", self.number);
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
     /// Whom it takes to be there; `None`: nobody answers at its socket in time.
-    pub fn view(&self) -> Option<Value> {
+    pub fn membership_view(&self) -> Option<Value> {
         let mut stream = UnixStream::connect(self.folder.join("s")).ok()?;
-        stream.set_read_timeout(Some(PATIENCE / 10)).ok()?;
+        stream.set_read_timeout(Some(PROCESS_TIMEOUT / 10)).ok()?;
         stream.write_all(format!("{}\n", json!({"op": "members"})).as_bytes()).ok()?;
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).ok()?;
--- a/crew/src/relay.rs
+++ b/crew/src/relay.rs
@@ -12,39 +12,39 @@
 use tokio::time::sleep;
 
 /// Most datagrams that are held back at a time; a further one is lost.
-const HELD_MOST: usize = 10_000;
+const MAX_DELAYED: usize = 10_000;
 
 /// What becomes of what passes one way between two.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Link {
     /// Nothing passes.
-    pub cut: bool,
+    pub blocked: bool,
     /// This share is lost.
     pub loss: f64,
     /// This share passes twice.
-    pub doubled: f64,
+    pub duplication: f64,
     /// All is late by something between these: with a wide span it is reordered too.
     pub delay: (Duration, Duration),
 }
 
 impl Default for Link {
     fn default() -> Self {
-        Link { cut: false, loss: 0.0, doubled: 0.0, delay: (Duration::ZERO, Duration::ZERO) }
+        Link { blocked: false, loss: 0.0, duplication: 0.0, delay: (Duration::ZERO, Duration::ZERO) }
     }
 }
 
 #[derive(Debug)]
 struct State {
-    /// From whom to whom; all others are [`Link::default`] or `all`.
+    /// From whom to whom; all others are [`Link::default`] or `default_link`.
     links: BTreeMap<(usize, usize), Link>,
-    all: Link,
+    default_link: Link,
     /// Where each process itself hears, as its last datagram came from there.
-    real: Vec<Option<SocketAddr>>,
+    process_addresses: Vec<Option<SocketAddr>>,
     ips: Vec<IpAddr>,
-    draws: Pcg64,
-    held: usize,
-    passed: u64,
-    lost: u64,
+    random: Pcg64,
+    delayed: usize,
+    forwarded: u64,
+    dropped: u64,
 }
 
 /// All relays of a crew, on a thread of their own.
@@ -67,17 +67,17 @@
         let count = ips.len();
         let state = State {
             links: BTreeMap::new(),
-            all: Link::default(),
-            real: vec![None; count],
+            default_link: Link::default(),
+            process_addresses: vec![None; count],
             ips,
-            draws: Pcg64::seed_from_u64(seed),
-            held: 0,
-            passed: 0,
-            lost: 0,
+            random: Pcg64::seed_from_u64(seed),
+            delayed: 0,
+            forwarded: 0,
+            dropped: 0,
         };
         let state = Arc::new(Mutex::new(state));
         let (stop, mut stopped) = mpsc::channel(1);
-        let (up, is_up) = std::sync::mpsc::channel();
+        let (addresses_sender, bound_addresses) = std::sync::mpsc::channel();
         let shared = state.clone();
         let thread = std::thread::spawn(move || {
             let runtime =
@@ -89,31 +89,31 @@
                     addresses.push(socket.local_addr().expect("an address"));
                     tokio::spawn(relay(to, socket, shared.clone()));
                 }
-                up.send(addresses).expect("whoever started them waits");
+                addresses_sender.send(addresses).expect("whoever started them waits");
                 // Told or dropped, it is over.
                 let _ = stopped.recv().await;
             });
         });
-        let addresses = is_up.recv().expect("the relays start");
+        let addresses = bound_addresses.recv().expect("the relays start");
         Relays { addresses, state, stop: Some(stop), thread: Some(thread) }
     }
 
     /// From now on, what passes from one to another.
-    pub fn set(&self, from: usize, to: usize, link: Link) {
+    pub fn set_link(&self, from: usize, to: usize, link: Link) {
         lock(&self.state).links.insert((from, to), link);
     }
 
     /// What passes between all that were not set apart.
-    pub fn set_all(&self, link: Link) {
-        lock(&self.state).all = link;
+    pub fn set_all_links(&self, link: Link) {
+        lock(&self.state).default_link = link;
     }
 
     /// Nothing passes between one part and another, either way.
-    pub fn split(&self, one: &[usize], other: &[usize]) {
-        for &a in one {
-            for &b in other {
-                self.set(a, b, Link { cut: true, ..Link::default() });
-                self.set(b, a, Link { cut: true, ..Link::default() });
+    pub fn partition(&self, left: &[usize], right: &[usize]) {
+        for &a in left {
+            for &b in right {
+                self.set_link(a, b, Link { blocked: true, ..Link::default() });
+                self.set_link(b, a, Link { blocked: true, ..Link::default() });
             }
         }
     }
@@ -122,13 +122,13 @@
     pub fn heal(&self) {
         let mut state = lock(&self.state);
         state.links.clear();
-        state.all = Link::default();
+        state.default_link = Link::default();
     }
 
     /// How many datagrams passed, and how many were lost here.
-    pub fn counts(&self) -> (u64, u64) {
+    pub fn datagram_counts(&self) -> (u64, u64) {
         let state = lock(&self.state);
-        (state.passed, state.lost)
+        (state.forwarded, state.dropped)
     }
 }
 
@@ -150,40 +150,40 @@
         let copies = {
             let mut state = lock(&state);
             let Some(from) = state.ips.iter().position(|ip| *ip == source.ip()) else { continue };
-            state.real[from] = Some(source);
-            let link = state.links.get(&(from, to)).unwrap_or(&state.all).clone();
-            let lost = link.cut || state.draws.random::<f64>() < link.loss;
-            let copies = 1 + usize::from(state.draws.random::<f64>() < link.doubled);
-            if lost || state.held + copies > HELD_MOST {
-                state.lost += 1;
+            state.process_addresses[from] = Some(source);
+            let link = state.links.get(&(from, to)).unwrap_or(&state.default_link).clone();
+            let dropped = link.blocked || state.random.random::<f64>() < link.loss;
+            let copies = 1 + usize::from(state.random.random::<f64>() < link.duplication);
+            if dropped || state.delayed + copies > MAX_DELAYED {
+                state.dropped += 1;
                 continue;
             }
-            state.passed += 1;
-            let (least, most) = link.delay;
-            let span = most.saturating_sub(least);
-            (0..copies).map(|_| least + span.mul_f64(state.draws.random())).collect::<Vec<_>>()
+            state.forwarded += 1;
+            let (min_delay, max_delay) = link.delay;
+            let span = max_delay.saturating_sub(min_delay);
+            (0..copies).map(|_| min_delay + span.mul_f64(state.random.random())).collect::<Vec<_>>()
         };
         for delay in copies {
             let datagram = buffer[..size].to_vec();
             if delay.is_zero() {
-                pass(to, &socket, &state, &datagram);
+                deliver(to, &socket, &state, &datagram);
                 continue;
             }
-            lock(&state).held += 1;
+            lock(&state).delayed += 1;
             let (socket, state) = (socket.clone(), state.clone());
             tokio::spawn(async move {
                 sleep(delay).await;
-                lock(&state).held -= 1;
-                pass(to, &socket, &state, &datagram);
+                lock(&state).delayed -= 1;
+                deliver(to, &socket, &state, &datagram);
             });
         }
     }
 }
 
-fn pass(to: usize, socket: &UdpSocket, state: &Mutex<State>, datagram: &[u8]) {
-    let real = lock(state).real[to];
-    if let Some(real) = real {
+fn deliver(to: usize, socket: &UdpSocket, state: &Mutex<State>, datagram: &[u8]) {
+    let address = lock(state).process_addresses[to];
+    if let Some(address) = address {
         // One that the system does not take is lost, as on a network.
-        let _ = socket.try_send_to(datagram, real);
+        let _ = socket.try_send_to(datagram, address);
     }
 }
--- a/proxy/tests/crew.rs
+++ b/proxy/tests/crew.rs
@@ -1,6 +1,6 @@
 //! A cluster of proxy processes, and faults of the processes and of the network between them.
 
-use nettleworks_crew::{Crew, Event, Link, Plan};
+use nettleworks_crew::{Cluster, ClusterOptions, Event, Link};
 use nettleworks_standins::{Load, Plan as Host, Site, Tally};
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::cell::RefCell;
@@ -13,56 +13,56 @@
     Site::start(vec![Host { service: Duration::from_millis(2), ..Host::default() }; count])
 }
 
-fn start_crew(name: &str, count: usize, site: &Site) -> Crew {
-    let crew = Crew::start(Plan::new(PROGRAM, name, count), site);
-    crew.whole();
-    crew
+fn start_cluster(name: &str, count: usize, site: &Site) -> Cluster {
+    let cluster = Cluster::start(ClusterOptions::new(PROGRAM, name, count), site);
+    cluster.wait_until_converged();
+    cluster
 }
 
 /// Members that were declared failed since `since`, other than those in `expected`.
-fn wrongly_failed(crew: &Crew, since: Duration, expected: &[usize]) -> Vec<(usize, String)> {
-    let expected: Vec<String> = expected.iter().map(|number| Crew::name(*number)).collect();
-    crew.failed_since(since).into_iter().filter(|(_, member)| !expected.contains(member)).collect()
+fn wrongly_failed(cluster: &Cluster, since: Duration, expected: &[usize]) -> Vec<(usize, String)> {
+    let expected: Vec<String> = expected.iter().map(|number| Cluster::member_name(*number)).collect();
+    cluster.failed_since(since).into_iter().filter(|(_, member)| !expected.contains(member)).collect()
 }
 
-fn has_panicked(crew: &Crew) -> bool {
-    let events = crew.history.since(Duration::ZERO);
-    events.iter().any(|(_, event)| matches!(event, Event::Said(_, line) if line.contains("panicked")))
+fn has_panicked(cluster: &Cluster) -> bool {
+    let events = cluster.history.events_since(Duration::ZERO);
+    events.iter().any(|(_, event)| matches!(event, Event::Logged(_, line) if line.contains("panicked")))
 }
 
 #[test]
 fn a_killed_third_rejoins_under_the_same_names() {
     let site = start_hosts(1);
-    let mut crew = start_crew("kill", 9, &site);
-    let at = crew.history.now();
+    let mut cluster = start_cluster("kill", 9, &site);
+    let at = cluster.history.elapsed();
     for number in [1, 4, 7] {
-        crew.kill(number);
+        cluster.kill(number);
     }
     for number in [1, 4, 7] {
-        crew.taken_for(number, "failed", &[]);
+        cluster.wait_until_reported_as(number, "failed", &[]);
     }
-    assert_eq!(wrongly_failed(&crew, at, &[1, 4, 7]), [], "{}", crew.history.text());
+    assert_eq!(wrongly_failed(&cluster, at, &[1, 4, 7]), [], "{}", cluster.history.text());
     for number in [1, 4, 7] {
-        crew.begin(number);
+        cluster.start_process(number);
     }
-    crew.whole();
-    let rejoined = crew.history.said(at, "come back");
+    cluster.wait_until_converged();
+    let rejoined = cluster.history.membership_changes(at, "come back");
     assert!(rejoined.iter().any(|(_, member)| member == "p-4"), "{rejoined:?}");
-    assert!(!has_panicked(&crew));
+    assert!(!has_panicked(&cluster));
 }
 
 #[test]
 fn a_rolling_restart_declares_no_member_failed() {
     let site = start_hosts(1);
-    let mut crew = start_crew("roll", 6, &site);
-    let at = crew.history.now();
+    let mut cluster = start_cluster("roll", 6, &site);
+    let at = cluster.history.elapsed();
     for number in 0..6 {
-        crew.end(number);
-        crew.begin(number);
+        cluster.terminate(number);
+        cluster.start_process(number);
     }
-    crew.whole();
-    assert_eq!(crew.failed_since(at), [], "{}", crew.history.text());
-    assert!(crew.history.said(at, "left").len() >= 6, "{}", crew.history.text());
+    cluster.wait_until_converged();
+    assert_eq!(cluster.failed_since(at), [], "{}", cluster.history.text());
+    assert!(cluster.history.membership_changes(at, "left").len() >= 6, "{}", cluster.history.text());
 }
 
 /// A process is suspended until the others have declared it failed. When it continues it must rejoin, and must not
@@ -70,61 +70,62 @@
 #[test]
 fn a_suspended_member_rejoins_and_suspects_nobody() {
     let site = start_hosts(1);
-    let crew = start_crew("stop", 6, &site);
-    let at = crew.history.now();
-    crew.process(2).stop();
-    crew.until("it is declared failed", |_| {
-        let failed = crew.failed_since(at);
+    let cluster = start_cluster("stop", 6, &site);
+    let at = cluster.history.elapsed();
+    cluster.process(2).suspend();
+    cluster.wait_until("it is declared failed", |_| {
+        let failed = cluster.failed_since(at);
         (0..6)
             .filter(|by| *by != 2)
             .all(|by| failed.iter().any(|(observer, member)| *observer == by && member == "p-2"))
     });
-    crew.process(2).go_on();
-    crew.whole();
-    assert_eq!(wrongly_failed(&crew, at, &[2]), [], "{}", crew.history.text());
-    let suspicions = crew.history.said(at, "not answered somebody");
+    cluster.process(2).resume();
+    cluster.wait_until_converged();
+    assert_eq!(wrongly_failed(&cluster, at, &[2]), [], "{}", cluster.history.text());
+    let suspicions = cluster.history.membership_changes(at, "not answered somebody");
     assert!(suspicions.iter().all(|(observer, member)| *observer != 2 || member == "p-2"), "{suspicions:?}");
 }
 
 #[test]
 fn a_partitioned_cluster_merges_again() {
     let site = start_hosts(1);
-    let crew = start_crew("split", 9, &site);
+    let cluster = start_cluster("split", 9, &site);
     let (majority, minority) = ([0, 1, 2, 3, 4, 5], [6, 7, 8]);
-    crew.split(&majority, &minority);
+    cluster.partition(&majority, &minority);
     for number in minority {
-        crew.taken_for(number, "failed", &minority);
+        cluster.wait_until_reported_as(number, "failed", &minority);
     }
     for number in majority {
-        crew.taken_for(number, "failed", &majority);
+        cluster.wait_until_reported_as(number, "failed", &majority);
     }
-    let standing =
-        |number: usize| crew.process(number).view().expect("the process responds")["standing"].clone();
+    let standing = |number: usize| {
+        cluster.process(number).membership_view().expect("the process responds")["standing"].clone()
+    };
     assert_eq!((standing(0), standing(7)), ("reduced".into(), "minority".into()));
-    crew.heal();
-    let healed = crew.history.now();
-    crew.whole();
+    cluster.heal();
+    let healed = cluster.history.elapsed();
+    cluster.wait_until_converged();
     assert_eq!(
-        crew.failed_since(healed),
+        cluster.failed_since(healed),
         [],
         "the merge itself declares no member failed: {}",
-        crew.history.text()
+        cluster.history.text()
     );
 }
 
 #[test]
 fn a_cut_link_declares_no_member_failed() {
     let site = start_hosts(1);
-    let crew = start_crew("oneway", 5, &site);
-    let at = crew.history.now();
-    let cut = Link { cut: true, ..Link::default() };
+    let cluster = start_cluster("oneway", 5, &site);
+    let at = cluster.history.elapsed();
+    let cut = Link { blocked: true, ..Link::default() };
     // One direction only between 0 and 1, both directions between 2 and 3.
-    crew.relays.set(0, 1, cut.clone());
-    crew.relays.set(2, 3, cut.clone());
-    crew.relays.set(3, 2, cut);
+    cluster.relays.set_link(0, 1, cut.clone());
+    cluster.relays.set_link(2, 3, cut.clone());
+    cluster.relays.set_link(3, 2, cut);
     // Long enough for several pings of each member, and for a suspicion to end in failure.
     std::thread::sleep(Duration::from_secs(6));
-    assert_eq!(crew.failed_since(at), [], "{}", crew.history.text());
+    assert_eq!(cluster.failed_since(at), [], "{}", cluster.history.text());
 }
 
 /// A seeded sequence of faults under load: the proxy's guarantees must hold by the hosts' ledger, and in the end all
@@ -132,9 +133,9 @@
 #[test]
 fn a_sequence_of_faults_under_load_breaks_no_guarantee() {
     let site = start_hosts(4);
-    let crew = start_crew("course", 12, &site);
+    let cluster = start_cluster("course", 12, &site);
     let ledger = site.ledger.clone();
-    let crew = RefCell::new(crew);
+    let cluster = RefCell::new(cluster);
     let tallies: Vec<Rc<RefCell<Tally>>> = (0..12).map(|_| Rc::default()).collect();
     let mut random = rand_pcg::Pcg64::seed_from_u64(17);
     let mut random_below = |bound: usize| (random.next_u64() % bound as u64) as usize;
@@ -143,7 +144,7 @@
         let stop = tokio::time::Instant::now() + Duration::from_secs(12);
         let mut loads = Vec::new();
         for (number, tally) in tallies.iter().enumerate() {
-            let mut load = Load::new(crew.borrow().process(number).address, number as u64);
+            let mut load = Load::new(cluster.borrow().process(number).address, number as u64);
             (load.clients, load.pause, load.until) = (2, Duration::from_millis(15), Some(stop));
             let tally = tally.clone();
             loads.push(tokio::task::spawn_local(async move { load.run(&tally).await }));
@@ -155,45 +156,45 @@
                 0 => {
                     let at = 1 + random_below(10);
                     let parts: (Vec<usize>, Vec<usize>) = ((0..at).collect(), (at..12).collect());
-                    crew.borrow().split(&parts.0, &parts.1);
+                    cluster.borrow().partition(&parts.0, &parts.1);
                 }
-                1 => crew.borrow().links(Link { loss: 0.3, doubled: 0.2, ..Link::default() }),
+                1 => cluster.borrow().set_all_links(Link { loss: 0.3, duplication: 0.2, ..Link::default() }),
                 2 => {
                     let delay_range = (Duration::ZERO, Duration::from_millis(90));
-                    crew.borrow().links(Link { delay: delay_range, ..Link::default() });
+                    cluster.borrow().set_all_links(Link { delay: delay_range, ..Link::default() });
                 }
                 3 => {
                     let number = random_below(12);
-                    crew.borrow().process(number).stop();
+                    cluster.borrow().process(number).suspend();
                     tokio::time::sleep(span).await;
-                    crew.borrow().process(number).go_on();
+                    cluster.borrow().process(number).resume();
                 }
                 4 => {
                     let number = random_below(12);
                     killed.insert(number);
-                    crew.borrow_mut().kill(number);
+                    cluster.borrow_mut().kill(number);
                 }
                 _ => {
                     for from in 0..12 {
                         let to = random_below(12);
-                        crew.borrow().relays.set(from, to, Link { cut: true, ..Link::default() });
+                        cluster.borrow().relays.set_link(from, to, Link { blocked: true, ..Link::default() });
                     }
                 }
             }
             tokio::time::sleep(span).await;
-            crew.borrow().heal();
+            cluster.borrow().heal();
             tokio::time::sleep(Duration::from_millis(400)).await;
         }
         for load in loads {
             load.await.expect("the client ends without a panic");
         }
     });
-    let mut crew = crew.into_inner();
+    let mut cluster = cluster.into_inner();
     for number in &killed {
-        crew.begin(*number);
+        cluster.start_process(*number);
     }
-    crew.whole();
-    assert!(!has_panicked(&crew));
+    cluster.wait_until_converged();
+    assert!(!has_panicked(&cluster));
     assert_eq!(ledger.twice(Duration::from_secs(9)), [], "a request ran twice");
     for (number, tally) in tallies.iter().enumerate().filter(|(number, _)| !killed.contains(number)) {
         let tally = tally.borrow();
--- a/proxy/tests/fleet/mod.rs
+++ b/proxy/tests/fleet/mod.rs
@@ -129,8 +129,14 @@
         for number in 0..count {
             let folder = self.folder.join(number.to_string());
             let (engines, environment) = (self.engines, &self.environment);
-            let process =
-                Process::in_environment(program, number, &folder, engines, environment, &History::default());
+            let process = Process::start_with_environment(
+                program,
+                number,
+                &folder,
+                engines,
+                environment,
+                &History::default(),
+            );
             self.processes.push(process);
         }
     }
--- a/proxy/tests/freshness.rs
+++ b/proxy/tests/freshness.rs
@@ -174,13 +174,13 @@
         // All processes get a list now, and a heartbeat two seconds later.
         fleet.registry.set(entry("s-0", fleet.servers[0].address, "Ready"));
         sleep(Duration::from_millis(100)).await;
-        fleet.processes.iter().for_each(Process::stop);
+        fleet.processes.iter().for_each(Process::suspend);
         sleep(Duration::from_millis(1_950)).await;
         fleet.relay.silence();
         let drained = fleet.drain();
         sleep(Duration::from_millis(700)).await;
         fleet.relay.arrivals(Arrival::Hangs);
-        fleet.processes.iter().for_each(Process::go_on);
+        fleet.processes.iter().for_each(Process::resume);
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(drained + NOTIFIED_AFTER + GRACE), 0);
         assert!(fleet.tally.borrow().refused > 0);
@@ -194,10 +194,10 @@
     run(async {
         let mut fleet = Fleet::start("goes-on", 24, Duration::from_secs(4), |_| ()).await;
         sleep(Duration::from_millis(500)).await;
-        fleet.processes.iter().for_each(Process::stop);
+        fleet.processes.iter().for_each(Process::suspend);
         let drained = fleet.drain();
         sleep(Duration::from_millis(2_000)).await;
-        fleet.processes.iter().for_each(Process::go_on);
+        fleet.processes.iter().for_each(Process::resume);
         fleet.wait_for_clients().await;
         assert_eq!(fleet.begun_after(drained + GRACE), 0);
         assert!(fleet.tally.borrow().served > 100);
