--- a/crew/src/cluster.rs
+++ b/crew/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The crew: its processes, their relays, their folders.
+//! The cluster: its processes, their relays and their folders.
 
 use crate::history::{Event, History};
 use crate::process::Process;
@@ -12,28 +12,28 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long something may take that has to come.
+/// Time within which a condition that a test waits for must hold.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a crew is started with.
+/// Options of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterOptions {
-    /// Where the program is.
+    /// Path of the `nettleworks` program.
     pub program: PathBuf,
-    /// A name for its folder.
+    /// Name of the test.
     pub name: String,
-    /// How many processes.
+    /// Number of processes, fewer than 250.
     pub count: usize,
-    /// Of all draws.
+    /// Seed of the random faults of the relays.
     pub seed: u64,
-    /// Whether they know each other.
+    /// Whether the processes run the membership protocol.
     pub members: bool,
-    /// How often each asks another whether it is there.
+    /// Probe period of the membership protocol.
     pub period: Duration,
 }
 
 impl ClusterOptions {
-    /// Of so many processes that know each other and ask four times a second.
+    /// Options of `count` processes that run the membership protocol with four probes a second.
     pub fn new(program: &str, name: &str, count: usize) -> ClusterOptions {
         ClusterOptions {
             program: program.into(),
@@ -46,38 +46,39 @@
     }
 }
 
-/// What processes take each other to be: by who sees, whom it sees, how.
+/// The condition of each member by its name, as each process reports it; the outer key is the number of the process.
 pub type MembershipViews = BTreeMap<usize, BTreeMap<String, String>>;
 
-/// Several processes, their relays, and all that was done to them.
+/// Several processes, the relays between them and the history of their faults. Dropping it kills all processes.
 #[derive(Debug)]
 pub struct Cluster {
-    /// By number; `None`: not running.
+    /// Processes by number; `None` is a process that does not run.
     pub processes: Vec<Option<Process>>,
-    /// Between them.
+    /// Relays between the processes.
     pub relays: Relays,
-    /// What was done and seen.
+    /// Faults and logged events.
     pub history: History,
     options: ClusterOptions,
     folder: PathBuf,
 }
 
 impl Cluster {
-    /// Starts all, in front of a site's hosts.
+    /// Starts all processes as proxies of the hosts of `site`, and returns when each of them serves.
     pub fn start(options: ClusterOptions, site: &Site) -> Cluster {
         static COUNT: AtomicU32 = AtomicU32::new(0);
-        // The path of a socket must be short.
+        // The path of a Unix socket is limited to about 100 bytes.
         let unique = format!("nwc{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
         let folder = std::env::temp_dir().join(unique);
         let _ = fs::remove_dir_all(&folder);
-        // Addresses of their own tell them apart; ports are any that are free, so that two crews don't meet.
+        // The relays identify the sender of a datagram by its IP address, so each process has one of its own. Ports are
+        // ephemeral, so that two clusters do not collide.
         let ip = |number: usize| IpAddr::V4(Ipv4Addr::new(127, 88, 1, number as u8 + 1));
-        assert!(options.count < 250, "a crew has fewer than 250");
+        assert!(options.count < 250, "a cluster has fewer than 250 processes");
         let ips: Vec<IpAddr> = (0..options.count).map(ip).collect();
         let relays = Relays::start(ips.clone(), options.seed);
         for (number, ip) in ips.iter().enumerate() {
             let process_folder = folder.join(number.to_string());
-            fs::create_dir_all(&process_folder).expect("a folder");
+            fs::create_dir_all(&process_folder).expect("the folder is created");
             let config = site.configuration(|config| {
                 config["listen"] = format!("{ip}:0").into();
                 config["name"] = Cluster::member_name(number).into();
@@ -97,7 +98,7 @@
             fs::write(process_folder.join("config.json"), config).expect("written");
             fs::write(process_folder.join("members.json"), members.to_string()).expect("written");
         }
-        fs::write(folder.join("key"), "a key that this crew shares").expect("written");
+        fs::write(folder.join("key"), "a key that this cluster shares").expect("written");
         let history = History::default();
         let mut cluster = Cluster { processes: Vec::new(), relays, history, options, folder };
         for number in 0..cluster.options.count {
@@ -107,65 +108,68 @@
         cluster
     }
 
-    /// The name of a process among the others.
+    /// The member name of a process.
     pub fn member_name(number: usize) -> String {
         format!("p-{number}")
     }
 
-    /// Starts one that does not run.
+    /// Starts a process that does not run.
     pub fn start_process(&mut self, number: usize) {
-        assert!(self.processes[number].is_none(), "process {number} runs");
+        assert!(self.processes[number].is_none(), "process {number} already runs");
         let folder = self.process_folder(number);
         let process =
             Process::start(&self.options.program, number, &folder, self.options.members, &self.history);
         self.processes[number] = Some(process);
     }
 
-    /// The folder of one.
+    /// The folder with the configuration and the operators' socket of a process.
     pub fn process_folder(&self, number: usize) -> PathBuf {
         self.folder.join(number.to_string())
     }
 
-    /// Kills one (SIGKILL).
+    /// Kills a process (SIGKILL).
     pub fn kill(&mut self, number: usize) {
-        self.processes[number].take().expect("it runs").kill();
+        self.processes[number].take().expect("the process runs").kill();
     }
 
-    /// Tells one to end, and waits until it has.
+    /// Terminates a process (SIGTERM), and waits until it has exited.
     pub fn terminate(&mut self, number: usize) {
-        self.processes[number].take().expect("it runs").terminate();
+        self.processes[number].take().expect("the process runs").terminate();
     }
 
-    /// One that runs.
+    /// Returns a running process.
+    ///
+    /// # Panics
+    ///
+    /// The process does not run.
     pub fn process(&self, number: usize) -> &Process {
-        self.processes[number].as_ref().expect("it runs")
+        self.processes[number].as_ref().expect("the process runs")
     }
 
-    /// Those that run.
+    /// The running processes.
     pub fn running(&self) -> impl Iterator<Item = &Process> {
         self.processes.iter().flatten()
     }
 
-    /// Cuts one part from another, either way.
+    /// Blocks all datagrams between two groups of processes, in both directions.
     pub fn partition(&self, left: &[usize], right: &[usize]) {
-        self.history
-            .record(Event::LinksChanged(format!("{left:?} and {right:?} are cut off from each other")));
+        self.history.record(Event::LinksChanged(format!("{left:?} and {right:?} are partitioned")));
         self.relays.partition(left, right);
     }
 
-    /// What passes between all that were not set apart.
+    /// Sets the faults of all links that were not set one by one.
     pub fn set_all_links(&self, link: Link) {
         self.history.record(Event::LinksChanged(format!("all: {link:?}")));
         self.relays.set_all_links(link);
     }
 
-    /// All passes again.
+    /// Removes the faults of all links.
     pub fn heal(&self) {
-        self.history.record(Event::LinksChanged("all passes".to_owned()));
+        self.history.record(Event::LinksChanged("healed".to_owned()));
         self.relays.heal();
     }
 
-    /// What those that run take each other to be; one that does not answer sees nobody.
+    /// The membership views of the running processes; the view of a process that does not respond is empty.
     pub fn membership_views(&self) -> MembershipViews {
         let conditions_by_name = |view: Value| {
             let members = view["members"].as_array().cloned().unwrap_or_default();
@@ -178,11 +182,11 @@
         views.collect()
     }
 
-    /// Waits until what they see passes.
+    /// Waits until a condition of the membership views holds, and returns the time that this took.
     ///
     /// # Panics
     ///
-    /// It does not within a minute; the history is shown.
+    /// The condition does not hold within a minute. The message has the history and the last views.
     pub fn wait_until(
         &self,
         description: &str,
@@ -203,11 +207,11 @@
         }
     }
 
-    /// Waits until all that run take all of them to be there.
+    /// Waits until every running process reports all running processes as alive.
     pub fn wait_until_converged(&self) -> Duration {
         let running: Vec<String> =
             self.running().map(|process| Cluster::member_name(process.number)).collect();
-        self.wait_until("all know all", |views| {
+        self.wait_until("all members are alive in all views", |views| {
             views.len() == running.len()
                 && views.values().all(|view| {
                     running.iter().all(|name| view.get(name).is_some_and(|condition| condition == "alive"))
@@ -215,10 +219,10 @@
         })
     }
 
-    /// Waits until all that run, but those of `except`, take one to be so.
+    /// Waits until every other running process, except those in `except`, reports process `number` in this condition.
     pub fn wait_until_reported_as(&self, number: usize, condition: &str, except: &[usize]) -> Duration {
         let name = Cluster::member_name(number);
-        self.wait_until(&format!("{name} is taken for {condition}"), |views| {
+        self.wait_until(&format!("{name} is reported as {condition}"), |views| {
             let others =
                 views.iter().filter(|(observer, _)| **observer != number && !except.contains(observer));
             let mut conditions = others.map(|(_, view)| view.get(&name).map(String::as_str));
@@ -226,12 +230,12 @@
         })
     }
 
-    /// Whom processes took for failed from a moment on.
+    /// Members that processes have declared failed since `since`, each with the number of the process that did.
     pub fn failed_since(&self, since: Duration) -> Vec<(usize, String)> {
         self.history.membership_changes(since, "failed")
     }
 
-    /// Where the crew keeps its files.
+    /// The folder with the files of all processes.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
@@ -239,7 +243,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        // Before their folder goes.
+        // The processes must not run when their folder is removed.
         self.processes.clear();
         let _ = fs::remove_dir_all(&self.folder);
     }
--- a/crew/src/history.rs
+++ b/crew/src/history.rs
@@ -1,29 +1,29 @@
-//! What was done to a crew and what was seen of it, in one order.
+//! The history of a cluster: injected faults and logged events in the order of their times.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Most events that are kept; later ones are counted only.
+/// Upper bound of the events kept; later ones are only counted.
 const MAX_EVENTS: usize = 100_000;
 
-/// One of them.
+/// An event of the history. Processes are identified by their numbers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A process was started, by its number.
+    /// A process was started.
     Started(usize),
-    /// It was killed.
+    /// A process was killed (SIGKILL).
     Killed(usize),
-    /// It was told to end.
+    /// A process was asked to exit (SIGTERM).
     Terminated(usize),
-    /// It was stopped (SIGSTOP).
+    /// A process was suspended (SIGSTOP).
     Suspended(usize),
-    /// It goes on.
+    /// A process was resumed (SIGCONT).
     Resumed(usize),
-    /// The relays were told something else.
+    /// Faults of the relays were set; the text describes them.
     LinksChanged(String),
-    /// A process has said this in its log.
+    /// A process has logged this line.
     Logged(usize, String),
-    /// What a test notes.
+    /// A note of the test.
     Note(String),
 }
 
@@ -34,7 +34,7 @@
     dropped: usize,
 }
 
-/// Clones are the same one.
+/// A history of events. Clones share its contents.
 #[derive(Clone, Debug)]
 pub struct History(Arc<Mutex<Inner>>);
 
@@ -50,7 +50,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes an event.
+    /// Records an event with the current time.
     pub fn record(&self, event: Event) {
         let mut inner = self.lock();
         let at = inner.started_at.elapsed();
@@ -60,23 +60,24 @@
         }
     }
 
-    /// How long it is.
+    /// Time since the history was created.
     pub fn elapsed(&self) -> Duration {
         self.lock().started_at.elapsed()
     }
 
-    /// All that came from a moment on.
+    /// All events since `since`, a time as [`History::elapsed`] returns it.
     ///
     /// # Panics
     ///
-    /// More came than are kept: no verdict may rest on a part.
+    /// Events were dropped: a test must not decide by an incomplete history.
     pub fn events_since(&self, since: Duration) -> Vec<(Duration, Event)> {
         let inner = self.lock();
-        assert_eq!(inner.dropped, 0, "a history with gaps");
+        assert_eq!(inner.dropped, 0, "events of the history were dropped");
         inner.events.iter().filter(|(at, _)| *at >= since).cloned().collect()
     }
 
-    /// Who said of whom, from a moment on, that it has done so: a line `members: WHOM has WHAT` in the log of WHO.
+    /// Membership changes that processes have logged since `since`: the number of the process and the name of the member of
+    /// each log line `members: MEMBER has CHANGE`, where `CHANGE` up to a comma is `change`.
     pub fn membership_changes(&self, since: Duration, change: &str) -> Vec<(usize, String)> {
         let lines = self.events_since(since).into_iter().filter_map(|(_, event)| match event {
             Event::Logged(observer, line) => {
@@ -89,7 +90,7 @@
         lines.collect()
     }
 
-    /// It, line by line, without what processes said of hosts.
+    /// The history as text, one event a line, with times in seconds.
     pub fn text(&self) -> String {
         let line = |(at, event): &(Duration, Event)| format!("{:8.3} {event:?}\n", at.as_secs_f64());
         self.lock().events.iter().map(line).collect()
--- a/crew/src/lib.rs
+++ b/crew/src/lib.rs
@@ -1,10 +1,11 @@
-//! A crew: several real `nettleworks` processes on loopback, hosts and discovery from the stand-ins, and between every two
-//! processes a relay that can cut, lose, delay, double and reorder what passes, each way by itself.
+//! A test cluster of real `nettleworks` processes on loopback. Hosts and discovery are stand-ins. A UDP relay in front of
+//! each process can block, drop, delay, duplicate and reorder the datagrams of each directed pair of processes.
 //!
-//! A process is killed, stopped, continued or restarted by its own id, and none outlives the crew. What was done and what was
-//! seen is one [`History`], which a test reads and which is shown where it fails.
+//! Processes are killed, suspended, resumed and restarted one at a time by their process ids. All of them are killed when
+//! the [`Cluster`] is dropped. Faults and logged events are recorded in one [`History`], which tests query and which is
+//! printed when a wait times out.
 //!
-//! What cannot be had (a port, a process) is a panic here, as in any test.
+//! As in any test, an error of the environment, such as a port or a process that is not available, is a panic.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crew/src/process.rs
+++ b/crew/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a crew.
+//! One process of a cluster.
 
 use crate::history::{Event, History};
 use serde_json::{json, Value};
@@ -10,34 +10,36 @@
 use std::sync::mpsc::{self, Receiver};
 use std::time::{Duration, Instant};
 
-/// Far longer than a start, an end or an answer takes.
+/// Time within which a process must start or exit; far more than either takes.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A running program. Killed when this is dropped.
+/// A running `nettleworks` process. Dropping it kills the process.
 #[derive(Debug)]
 pub struct Process {
-    /// Its number in the crew.
+    /// Number of the process in its cluster.
     pub number: usize,
-    /// Where clients connect.
+    /// Address that accepts clients.
     pub address: SocketAddr,
     folder: PathBuf,
     child: Child,
     history: History,
 }
 
+/// Reads the log until it has the address at which the process serves.
 fn wait_until_serving(log: &Receiver<String>, number: usize) -> SocketAddr {
     let deadline = Instant::now() + PROCESS_TIMEOUT;
     loop {
         let remaining = deadline.saturating_duration_since(Instant::now());
         let line = log.recv_timeout(remaining).unwrap_or_else(|_| panic!("process {number} does not serve"));
         if let Some((_, address)) = line.split_once("serving at ") {
-            return address.parse().expect("an address");
+            return address.parse().expect("the log line ends with an address");
         }
     }
 }
 
 impl Process {
-    /// Starts `program` with the files `config.json` and, with members, `members.json` of a folder.
+    /// Starts `program` with `config.json` of a folder and, if `members` is set, with its `members.json`. Returns when the
+    /// process serves.
     pub fn start(program: &Path, number: usize, folder: &Path, members: bool, history: &History) -> Process {
         let mut command = Command::new(program);
         command.arg(folder.join("config.json"));
@@ -47,7 +49,7 @@
         Process::spawn(command, number, folder, history)
     }
 
-    /// Starts `program` with the file `config.json` of a folder and so many engines.
+    /// Starts `program` with `config.json` of a folder and this number of engines, without membership.
     pub fn start_with_engines(
         program: &Path,
         number: usize,
@@ -58,7 +60,7 @@
         Process::start_with_environment(program, number, folder, engines, &[], history)
     }
 
-    /// The same with these variables in its environment.
+    /// The same with additional environment variables.
     pub fn start_with_environment(
         program: &Path,
         number: usize,
@@ -80,15 +82,15 @@
         let log = BufReader::new(child.stderr.take().expect("piped"));
         let (lines, received_lines) = mpsc::channel();
         let log_history = history.clone();
-        // Read to its end, else the program would wait to write.
+        // The log is read to its end, otherwise a full pipe would block the process.
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 if line.contains("members: ") || line.contains("panicked") || line.contains("serving at") {
                     log_history.record(Event::Logged(number, line.clone()));
                 }
-                // A test that fails shows what its processes have said.
+                // The test runner shows this output if the test fails.
                 eprintln!("process {number}: {line}");
-                // Only its start is waited for.
+                // The receiver is dropped once the process serves.
                 let _ = lines.send(line);
             }
         });
@@ -101,46 +103,50 @@
         assert!(status.expect("kill runs").success(), "{name} to process {}", self.number);
     }
 
-    /// SIGKILL.
+    /// Kills the process (SIGKILL), and waits until it has exited.
     pub fn kill(&mut self) {
         self.history.record(Event::Killed(self.number));
-        self.child.kill().expect("it was there");
-        self.child.wait().expect("it can be waited for");
+        self.child.kill().expect("the process can be killed");
+        self.child.wait().expect("the process can be waited for");
     }
 
-    /// SIGSTOP: it does not run until it is continued.
+    /// Suspends the process until it is resumed (SIGSTOP).
     pub fn suspend(&self) {
         self.history.record(Event::Suspended(self.number));
         self.signal("-STOP");
     }
 
-    /// SIGCONT.
+    /// Resumes a suspended process (SIGCONT).
     pub fn resume(&self) {
         self.history.record(Event::Resumed(self.number));
         self.signal("-CONT");
     }
 
-    /// SIGHUP.
+    /// Makes the process reload its configuration (SIGHUP).
     pub fn reload(&self) {
         self.signal("-HUP");
     }
 
-    /// SIGTERM, and waits until it has ended well.
+    /// Terminates the process (SIGTERM), and waits until it has exited with status 0.
+    ///
+    /// # Panics
+    ///
+    /// The process exits with another status, or not in time.
     pub fn terminate(&mut self) {
         self.history.record(Event::Terminated(self.number));
         self.signal("-TERM");
         let deadline = Instant::now() + PROCESS_TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait().expect("it can be waited for") {
-                assert_eq!(status.code(), Some(0), "process {}", self.number);
+            if let Some(status) = self.child.try_wait().expect("the process can be waited for") {
+                assert_eq!(status.code(), Some(0), "exit status of process {}", self.number);
                 return;
             }
-            assert!(Instant::now() < deadline, "process {} does not end", self.number);
+            assert!(Instant::now() < deadline, "process {} does not exit", self.number);
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Whom it takes to be there; `None`: nobody answers at its socket in time.
+    /// The member list as the operators' socket of the process reports it. `None`: no response in time.
     pub fn membership_view(&self) -> Option<Value> {
         let mut stream = UnixStream::connect(self.folder.join("s")).ok()?;
         stream.set_read_timeout(Some(PROCESS_TIMEOUT / 10)).ok()?;
@@ -154,7 +160,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crew/src/relay.rs
+++ b/crew/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relays: each process has one, which the others take for it.
+//! UDP relays: each process has one, and advertises its address as its own, so that all datagrams to it pass the relay.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -11,19 +11,19 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Most datagrams that are held back at a time; a further one is lost.
+/// Upper bound of the datagrams that are delayed at a time; further ones are dropped.
 const MAX_DELAYED: usize = 10_000;
 
-/// What becomes of what passes one way between two.
+/// The faults of the datagrams from one process to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Link {
-    /// Nothing passes.
+    /// Whether all datagrams are dropped.
     pub blocked: bool,
-    /// This share is lost.
+    /// Share of the datagrams that are dropped, from 0 to 1.
     pub loss: f64,
-    /// This share passes twice.
+    /// Share of the datagrams that are delivered twice, from 0 to 1.
     pub duplication: f64,
-    /// All is late by something between these: with a wide span it is reordered too.
+    /// Minimum and maximum delay of a datagram; a wide range also reorders datagrams.
     pub delay: (Duration, Duration),
 }
 
@@ -35,10 +35,10 @@
 
 #[derive(Debug)]
 struct State {
-    /// From whom to whom; all others are [`Link::default`] or `default_link`.
+    /// Faults by sender and receiver; all other links are `default_link`.
     links: BTreeMap<(usize, usize), Link>,
     default_link: Link,
-    /// Where each process itself hears, as its last datagram came from there.
+    /// The address of each process, learned from the source of its last datagram.
     process_addresses: Vec<Option<SocketAddr>>,
     ips: Vec<IpAddr>,
     random: Pcg64,
@@ -47,10 +47,10 @@
     dropped: u64,
 }
 
-/// All relays of a crew, on a thread of their own.
+/// All relays of a cluster, on one thread of their own. Dropping them stops the thread.
 #[derive(Debug)]
 pub struct Relays {
-    /// Where each is: what its process says of itself.
+    /// Address of the relay of each process, which the process advertises.
     pub addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
     stop: Option<mpsc::Sender<()>>,
@@ -62,7 +62,7 @@
 }
 
 impl Relays {
-    /// One for each process, which sends from its own one of these addresses.
+    /// Starts a relay for each process. `ips` has the IP address from which each process sends.
     pub fn start(ips: Vec<IpAddr>, seed: u64) -> Relays {
         let count = ips.len();
         let state = State {
@@ -80,17 +80,19 @@
         let (addresses_sender, bound_addresses) = std::sync::mpsc::channel();
         let shared = state.clone();
         let thread = std::thread::spawn(move || {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("the runtime starts");
             runtime.block_on(async {
                 let mut addresses = Vec::new();
                 for to in 0..count {
-                    let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a port"));
-                    addresses.push(socket.local_addr().expect("an address"));
+                    let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a free port"));
+                    addresses.push(socket.local_addr().expect("the socket is bound"));
                     tokio::spawn(relay(to, socket, shared.clone()));
                 }
-                addresses_sender.send(addresses).expect("whoever started them waits");
-                // Told or dropped, it is over.
+                addresses_sender.send(addresses).expect("Relays::start waits for the addresses");
+                // The relays stop when the sender is dropped.
                 let _ = stopped.recv().await;
             });
         });
@@ -98,17 +100,17 @@
         Relays { addresses, state, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// From now on, what passes from one to another.
+    /// Sets the faults of the datagrams from one process to another.
     pub fn set_link(&self, from: usize, to: usize, link: Link) {
         lock(&self.state).links.insert((from, to), link);
     }
 
-    /// What passes between all that were not set apart.
+    /// Sets the faults of all links that were not set one by one.
     pub fn set_all_links(&self, link: Link) {
         lock(&self.state).default_link = link;
     }
 
-    /// Nothing passes between one part and another, either way.
+    /// Blocks all links between two groups of processes, in both directions.
     pub fn partition(&self, left: &[usize], right: &[usize]) {
         for &a in left {
             for &b in right {
@@ -118,14 +120,14 @@
         }
     }
 
-    /// All passes again.
+    /// Removes the faults of all links.
     pub fn heal(&self) {
         let mut state = lock(&self.state);
         state.links.clear();
         state.default_link = Link::default();
     }
 
-    /// How many datagrams passed, and how many were lost here.
+    /// Numbers of datagrams that the relays have forwarded and dropped.
     pub fn datagram_counts(&self) -> (u64, u64) {
         let state = lock(&self.state);
         (state.forwarded, state.dropped)
@@ -136,16 +138,17 @@
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            // A panic there has failed its test already.
+            // A panic of the thread has already been reported.
             let _ = thread.join();
         }
     }
 }
 
+/// Forwards the datagrams to process `to` that arrive at its relay.
 async fn relay(to: usize, socket: Arc<UdpSocket>, state: Arc<Mutex<State>>) {
     let mut buffer = vec![0; 10_000];
     loop {
-        // An error is what came back of something passed on: nobody hears there now.
+        // The error is an ICMP port unreachable for a forwarded datagram: the process does not listen now.
         let Ok((size, source)) = socket.recv_from(&mut buffer).await else { continue };
         let copies = {
             let mut state = lock(&state);
@@ -180,10 +183,11 @@
     }
 }
 
+/// Sends a datagram to process `to`, if its address is known.
 fn deliver(to: usize, socket: &UdpSocket, state: &Mutex<State>, datagram: &[u8]) {
     let address = lock(state).process_addresses[to];
     if let Some(address) = address {
-        // One that the system does not take is lost, as on a network.
+        // A datagram that the system rejects is lost, as on a network.
         let _ = socket.try_send_to(datagram, address);
     }
 }
