--- a/measure/src/process.rs
+++ b/measure/src/child_process.rs
@@ -7,22 +7,27 @@
 
 /// A running role. It ends with this.
 #[derive(Debug)]
-pub struct Role {
+pub struct ChildProcess {
     child: Child,
     /// Where it serves.
     pub address: SocketAddr,
 }
 
-impl Role {
+impl ChildProcess {
     /// Starts this program again, in a role, an application with so many worker threads, and waits until it says where it serves.
-    pub fn start(name: &str, argument: &str, threads: usize) -> Role {
-        Role::start_under(&[], name, argument, threads).expect("this program can be started")
+    pub fn start(name: &str, argument: &str, threads: usize) -> ChildProcess {
+        ChildProcess::start_with_wrapper(&[], name, argument, threads).expect("this program can be started")
     }
 
     /// The same as the argument of another program; `None`: there is no such program here.
-    pub fn start_under(under: &[&str], name: &str, argument: &str, threads: usize) -> Option<Role> {
+    pub fn start_with_wrapper(
+        wrapper: &[&str],
+        name: &str,
+        argument: &str,
+        threads: usize,
+    ) -> Option<ChildProcess> {
         let program = std::env::current_exe().expect("this program's path");
-        let mut command = match under {
+        let mut command = match wrapper {
             [] => Command::new(program),
             [first, rest @ ..] => {
                 let mut command = Command::new(first);
@@ -44,7 +49,7 @@
         let mut line = String::new();
         BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line).expect("a line");
         let address = line.trim().parse().unwrap_or_else(|_| panic!("{name} said {line:?}"));
-        Some(Role { child, address })
+        Some(ChildProcess { child, address })
     }
 
     /// Lets it end by itself.
@@ -54,17 +59,17 @@
     }
 
     /// CPU time of all its threads so far, ended ones left out. The scheduler's own count, in nanoseconds.
-    pub fn cpu(&self) -> Duration {
+    pub fn cpu_time(&self) -> Duration {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs");
-        let spent = |task: std::io::Result<std::fs::DirEntry>| {
+        let task_time = |task: std::io::Result<std::fs::DirEntry>| {
             let text = std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok()?;
             text.split(' ').next()?.parse::<u64>().ok()
         };
-        Duration::from_nanos(tasks.filter_map(spent).sum())
+        Duration::from_nanos(tasks.filter_map(task_time).sum())
     }
 }
 
-impl Drop for Role {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         // One that has ended already needs neither.
         let _ = self.child.kill();
--- a/measure/src/roles.rs
+++ b/measure/src/child_roles.rs
@@ -23,10 +23,10 @@
 use tokio::task::LocalSet;
 
 /// Longest that a call may take.
-const DEADLINE: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Does something until standard input ends.
-pub fn until_left(role: impl FnOnce()) -> ExitCode {
+pub fn run_until_stdin_closes(role: impl FnOnce()) -> ExitCode {
     std::thread::spawn(|| {
         // Whatever the end was, whoever started this has gone.
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
@@ -38,22 +38,22 @@
 
 /// Runs a role until standard input ends.
 pub fn run(name: &str, argument: &str) -> ExitCode {
-    let mut known = true;
-    until_left(|| known = play(name, argument));
-    if known {
+    let mut role_exists = true;
+    run_until_stdin_closes(|| role_exists = run_role(name, argument));
+    if role_exists {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn play(name: &str, argument: &str) -> bool {
+fn run_role(name: &str, argument: &str) -> bool {
     let threads = std::env::var("THREADS").ok().and_then(|threads| threads.parse().ok()).unwrap_or(1);
     match name {
-        "daemon" => daemon(argument, false),
-        "daemon-with-keys" => daemon(argument, true),
-        "engines" => engines(argument, threads, false),
-        "engines-with-keys" => engines(argument, threads, true),
+        "daemon" => run_daemon(argument, false),
+        "daemon-with-keys" => run_daemon(argument, true),
+        "engines" => run_engines(argument, threads, false),
+        "engines-with-keys" => run_engines(argument, threads, true),
         // Takes its processor's time from whoever else is on it.
         "burn" => {
             println!("127.0.0.1:0");
@@ -61,17 +61,21 @@
                 std::hint::spin_loop();
             }
         }
-        "least" => crate::least::serve(&addresses(argument), threads),
+        "least" => crate::minimal_proxy::serve(&addresses(argument), threads),
         // To hosts, or to the daemon.
         "plain" => {
-            application(
+            run_application(
                 threads,
-                Way::Plain { client: plain(), to: addresses(argument), next: Arc::default() },
+                CallMethod::HttpClient {
+                    client: http_client(),
+                    targets: addresses(argument),
+                    next: Arc::default(),
+                },
             );
         }
         "library" => {
             let fleet = Fleet::builder().text(argument).start().expect("a good configuration");
-            application(threads, Way::Library(fleet));
+            run_application(threads, CallMethod::Library(fleet));
         }
         _ => return false,
     }
@@ -82,9 +86,9 @@
     argument.split(',').map(|address| address.parse().expect("an address")).collect()
 }
 
-type Plain = Client<hyper_util::client::legacy::connect::HttpConnector, Full<Bytes>>;
+type HttpClient = Client<hyper_util::client::legacy::connect::HttpConnector, Full<Bytes>>;
 
-fn plain() -> Plain {
+fn http_client() -> HttpClient {
     let mut connector = hyper_util::client::legacy::connect::HttpConnector::new();
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new()).build(connector)
@@ -92,40 +96,44 @@
 
 /// How the application makes its calls.
 #[derive(Clone)]
-enum Way {
+enum CallMethod {
     /// By a pooled HTTP client, to each of these in turn: hosts, or the daemon.
-    Plain { client: Plain, to: Arc<[SocketAddr]>, next: Arc<AtomicUsize> },
+    HttpClient { client: HttpClient, targets: Arc<[SocketAddr]>, next: Arc<AtomicUsize> },
     /// By the library.
     Library(Fleet),
 }
 
 /// What of a request its call says too.
-const SAID: [HeaderName; 4] = [
+const CALL_HEADERS: [HeaderName; 4] = [
     HeaderName::from_static("x-call-id"),
     HeaderName::from_static("x-call-class"),
     HeaderName::from_static("x-budget-ms"),
     HeaderName::from_static("idempotency-key"),
 ];
 
-async fn handle(State(way): State<Way>, context: CallContext, request: Request<Body>) -> Response {
+async fn handle(
+    State(call_method): State<CallMethod>,
+    context: CallContext,
+    request: Request<Body>,
+) -> Response {
     let (head, body) = request.into_parts();
     let Ok(body) = body.collect().await.map(|body| body.to_bytes()) else {
         return StatusCode::BAD_REQUEST.into_response();
     };
-    match way {
-        Way::Plain { client, to, next } => {
-            let to = to[next.fetch_add(1, Ordering::Relaxed) % to.len()];
-            let mut call = Request::builder().method(head.method).uri(format!("http://{to}/api"));
-            for name in &SAID {
+    match call_method {
+        CallMethod::HttpClient { client, targets, next } => {
+            let target = targets[next.fetch_add(1, Ordering::Relaxed) % targets.len()];
+            let mut call = Request::builder().method(head.method).uri(format!("http://{target}/api"));
+            for name in &CALL_HEADERS {
                 if let Some(value) = head.headers.get(name) {
                     call = call.header(name, value);
                 }
             }
             let call = call.body(Full::new(body)).expect("a request");
-            match tokio::time::timeout(DEADLINE, client.request(call)).await {
-                Ok(Ok(answer)) => {
-                    let status = answer.status();
-                    match answer.into_body().collect().await {
+            match tokio::time::timeout(CALL_TIMEOUT, client.request(call)).await {
+                Ok(Ok(response)) => {
+                    let status = response.status();
+                    match response.into_body().collect().await {
                         Ok(body) => (status, body.to_bytes()).into_response(),
                         Err(_) => StatusCode::BAD_GATEWAY.into_response(),
                     }
@@ -133,11 +141,11 @@
                 _ => StatusCode::BAD_GATEWAY.into_response(),
             }
         }
-        Way::Library(fleet) => {
+        CallMethod::Library(fleet) => {
             let mut call = Request::builder().method(head.method).uri("/api").body(body).expect("a request");
             context.apply(&mut call);
-            match fleet.call(call, DEADLINE).await {
-                Ok(answer) => answer.into_body().into_response(),
+            match fleet.call(call, CALL_TIMEOUT).await {
+                Ok(response) => response.into_body().into_response(),
                 Err(error) => error.into_answer().map(Body::new),
             }
         }
@@ -145,38 +153,47 @@
 }
 
 /// An application with so many worker threads.
-fn application(threads: usize, way: Way) {
+fn run_application(threads: usize, call_method: CallMethod) {
     let runtime = match threads {
         1 => tokio::runtime::Builder::new_current_thread().enable_all().build(),
         _ => tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build(),
     };
     runtime.expect("a runtime").block_on(async {
-        if let Way::Library(fleet) = &way {
+        if let CallMethod::Library(fleet) = &call_method {
             fleet.ready().await.expect("it runs");
         }
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         println!("{}", listener.local_addr().expect("an address"));
-        let app = Router::new().fallback(handle).with_state(way);
+        let app = Router::new().fallback(handle).with_state(call_method);
         axum::serve(listener, app).await.expect("it serves");
     });
 }
 
 /// The daemon with several engines.
-fn engines(config: &str, engines: usize, keys: bool) {
+fn run_engines(config: &str, engines: usize, keys: bool) {
     let mut config = Config::parse(config).expect("a good configuration");
     if keys {
         config = config.with_keys("{}").expect("a good configuration");
     }
     let listeners = nettleworks::server::bind_all(config.listen, engines).expect("it listens");
     println!("{}", listeners[0].local_addr().expect("an address"));
-    let spare = BackupListeners::duplicate(&listeners).expect("descriptors");
+    let backup_listeners = BackupListeners::duplicate(&listeners).expect("descriptors");
     let (_stop, stop) = tokio::sync::watch::channel(false);
     let (_reload, reload) = tokio::sync::watch::channel(None);
-    let start = |((seat, config), listener): ((nettleworks_cores::PreparedShard<_>, Config), _)| {
-        let (spare, told) = (spare.clone(), ShardSignals { stop: stop.clone(), reload: reload.clone() });
+    let start = |((shard, config), listener): ((nettleworks_cores::PreparedShard<_>, Config), _)| {
+        let (backup_listeners, signals) =
+            (backup_listeners.clone(), ShardSignals { stop: stop.clone(), reload: reload.clone() });
         std::thread::spawn(move || {
-            cores::run_thread(seat, async |seat| {
-                cores::serve_shard(seat, config, std::rc::Rc::new(|_: &str| ()), listener, spare, told).await
+            cores::run_thread(shard, async |shard| {
+                cores::serve_shard(
+                    shard,
+                    config,
+                    std::rc::Rc::new(|_: &str| ()),
+                    listener,
+                    backup_listeners,
+                    signals,
+                )
+                .await
             })
         })
     };
@@ -185,7 +202,7 @@
     threads.into_iter().for_each(|thread| drop(thread.join()));
 }
 
-fn daemon(config: &str, keys: bool) {
+fn run_daemon(config: &str, keys: bool) {
     let mut config = Config::parse(config).expect("a good configuration");
     if keys {
         config = config.with_keys("{}").expect("a good configuration");
--- a/measure/src/fleet.rs
+++ b/measure/src/fleet.rs
@@ -9,15 +9,15 @@
 use serde_json::json;
 use std::time::Instant;
 
-const MS: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 /// Calls of one round.
-const CALLS: u64 = 2_000;
+const CALLS_PER_ROUND: u64 = 2_000;
 
 /// Microseconds of processor time for each call, the middle of so many rounds.
-fn of_a_call(hosts: u32, rounds: usize) -> f64 {
+fn cpu_us_per_call(hosts: u32, rounds: usize) -> f64 {
     let class = Class {
-        latency_target: 861 * MS,
-        deadline: 2_066 * MS,
+        latency_target: 861 * MILLISECOND,
+        deadline: 2_066 * MILLISECOND,
         value: 1.0,
         late_value: 0.0,
         idempotency: Idempotency::SingleShot,
@@ -27,45 +27,47 @@
     let mut actions = Vec::new();
     let mut now = 1_000_000;
     balancer.handle(now, Event::Start, &mut actions);
-    let entry = |i: u32| Entry {
-        server: ServerId(i),
+    let entry = |id: u32| Entry {
+        server: ServerId(id),
         state: ServerState::Ready,
-        zone: ZoneId(i % 3),
+        zone: ZoneId(id % 3),
         ..Entry::default()
     };
     let entries = (1..=hosts).map(entry).collect();
     balancer.handle(now, Event::ServerList { kind: ListKind::Full, entries }, &mut actions);
-    let mut next = 0;
-    let mut round = || {
-        let began = Instant::now();
-        for _ in 0..CALLS {
-            (now, next) = (now + 20 * MS, next + 1);
-            let call = CallId(next);
+    let mut next_call = 0;
+    let mut measure_round = || {
+        let started = Instant::now();
+        for _ in 0..CALLS_PER_ROUND {
+            (now, next_call) = (now + 20 * MILLISECOND, next_call + 1);
+            let call = CallId(next_call);
             actions.clear();
-            let time_left = 2_066 * MS;
-            let asked = Event::Request { call, class: ClassId(0), tenant: None, time_left, resent: false };
-            balancer.handle(now, asked, &mut actions);
-            if actions.iter().any(|a| matches!(a, Action::Send { .. })) {
-                now += 10 * MS;
+            let time_left = 2_066 * MILLISECOND;
+            let request = Event::Request { call, class: ClassId(0), tenant: None, time_left, resent: false };
+            balancer.handle(now, request, &mut actions);
+            if actions.iter().any(|action| matches!(action, Action::Send { .. })) {
+                now += 10 * MILLISECOND;
                 let load = Load { active: Some(4.0), waiting: Some(1.0), cpu: None };
-                let (outcome, elapsed) = (Outcome::Served, 10 * MS);
-                let end = Event::Outcome { call, attempt: 0, outcome, elapsed, closed: true, load };
-                balancer.handle(now, end, &mut actions);
+                let (outcome, elapsed) = (Outcome::Served, 10 * MILLISECOND);
+                let outcome_event = Event::Outcome { call, attempt: 0, outcome, elapsed, closed: true, load };
+                balancer.handle(now, outcome_event, &mut actions);
             }
         }
-        began.elapsed().as_secs_f64() * 1e6 / CALLS as f64
+        started.elapsed().as_secs_f64() * 1e6 / CALLS_PER_ROUND as f64
     };
-    round();
-    median(&mut (0..rounds).map(|_| round()).collect::<Vec<f64>>())
+    measure_round();
+    median(&mut (0..rounds).map(|_| measure_round()).collect::<Vec<f64>>())
 }
 
 /// The figures at three sizes; the target is what a proxy may spend on a decision beside some 30 microseconds that the
 /// rest of a request costs it.
 pub fn measure(full: bool) -> Report {
     let rounds = if full { 201 } else { 21 };
-    let [few, some, many] = [10, 60, 1_000].map(|hosts| of_a_call(hosts, rounds));
-    let figures = json!({"us_a_call": {"10": few, "60": some, "1000": many}, "rounds": rounds});
-    let mut report = Report::new("fleet", figures);
-    report.target("us_a_call_at_60_hosts", some, Bound::AtMost(30.0));
+    let [at_10_hosts, at_60_hosts, at_1000_hosts] =
+        [10, 60, 1_000].map(|hosts| cpu_us_per_call(hosts, rounds));
+    let measurements =
+        json!({"us_a_call": {"10": at_10_hosts, "60": at_60_hosts, "1000": at_1000_hosts}, "rounds": rounds});
+    let mut report = Report::new("fleet", measurements);
+    report.add_target("us_a_call_at_60_hosts", at_60_hosts, Bound::AtMost(30.0));
     report
 }
--- a/measure/src/instructions.rs
+++ b/measure/src/instructions.rs
@@ -4,18 +4,18 @@
 //! The process is run twice with different numbers of requests, and what the second has more is divided by how many
 //! more there were: its start and end do not count.
 
-use crate::process::Role;
+use crate::child_process::ChildProcess;
 use nettleworks_standins::{run, Load};
 use std::cell::RefCell;
 use std::rc::Rc;
 
 /// Requests of the shorter run, and how many more the longer one has.
-const FEW: usize = 1_000;
-const MORE: usize = 3_000;
+const BASE_REQUESTS: usize = 1_000;
+const EXTRA_REQUESTS: usize = 3_000;
 
 /// What is asked of the process.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct RequestMix {
     /// Connections that ask side by side.
     pub clients: usize,
     /// Classes and their shares.
@@ -23,39 +23,56 @@
 }
 
 /// Instructions for each request to a role; `None`: there is no valgrind here.
-pub fn a_request(role: &str, config: &str, asked: &Asked) -> Option<f64> {
-    a_request_on(role, config, asked, 1)
+pub fn per_request(role: &str, config: &str, request_mix: &RequestMix) -> Option<f64> {
+    per_request_with_threads(role, config, request_mix, 1)
 }
 
 /// The same for a role with so many threads.
-pub fn a_request_on(role: &str, config: &str, asked: &Asked, threads: usize) -> Option<f64> {
-    let few = total(role, config, asked, threads, FEW)?;
-    let many = total(role, config, asked, threads, FEW + MORE)?;
-    Some((many - few) / MORE as f64)
+pub fn per_request_with_threads(
+    role: &str,
+    config: &str,
+    request_mix: &RequestMix,
+    threads: usize,
+) -> Option<f64> {
+    let base_total = total_instructions(role, config, request_mix, threads, BASE_REQUESTS)?;
+    let extended_total =
+        total_instructions(role, config, request_mix, threads, BASE_REQUESTS + EXTRA_REQUESTS)?;
+    Some((extended_total - base_total) / EXTRA_REQUESTS as f64)
 }
 
-fn total(name: &str, config: &str, asked: &Asked, threads: usize, requests: usize) -> Option<f64> {
-    let out = std::env::temp_dir().join(format!("callgrind-{}-{requests}", std::process::id()));
-    let role = Role::start_under(
-        &["valgrind", "--quiet", "--tool=callgrind", &format!("--callgrind-out-file={}", out.display())],
+fn total_instructions(
+    name: &str,
+    config: &str,
+    request_mix: &RequestMix,
+    threads: usize,
+    requests: usize,
+) -> Option<f64> {
+    let output_path = std::env::temp_dir().join(format!("callgrind-{}-{requests}", std::process::id()));
+    let process = ChildProcess::start_with_wrapper(
+        &[
+            "valgrind",
+            "--quiet",
+            "--tool=callgrind",
+            &format!("--callgrind-out-file={}", output_path.display()),
+        ],
         name,
         config,
         threads,
     )?;
-    crate::library::until_ready(role.address);
+    crate::library::wait_until_ready(process.address);
     let served = run(async {
         let tally = Rc::new(RefCell::default());
-        let mut load = Load::new(role.address, requests as u64);
-        (load.clients, load.calls) = (asked.clients, requests / asked.clients);
-        load.classes.clone_from(&asked.classes);
+        let mut load = Load::new(process.address, requests as u64);
+        (load.clients, load.calls) = (request_mix.clients, requests / request_mix.clients);
+        load.classes.clone_from(&request_mix.classes);
         load.run(&tally).await;
         let served = tally.borrow().served;
         served
     });
-    role.finish();
-    let text = std::fs::read_to_string(&out);
+    process.finish();
+    let text = std::fs::read_to_string(&output_path);
     // It is of no more use.
-    let _ = std::fs::remove_file(&out);
+    let _ = std::fs::remove_file(&output_path);
     let text = text.ok()?;
     let total =
         text.lines().find_map(|line| line.strip_prefix("totals: ").or(line.strip_prefix("summary: ")));
--- a/measure/src/lab.rs
+++ b/measure/src/lab.rs
@@ -11,11 +11,12 @@
 use std::time::Instant;
 
 /// Scenarios that are played on real sockets too.
-const TRUE: [&str; 6] = ["calm", "slow-node", "silent-node", "one-way", "rolling-release", "reset-storm"];
+const FIDELITY_SCENARIOS: [&str; 6] =
+    ["calm", "slow-node", "silent-node", "one-way", "rolling-release", "reset-storm"];
 /// An hour's six calls a proxy, as calls a second.
-const QUIET: f64 = 6.0 / 3_600.0;
+const QUIET_CALLS_PER_SECOND: f64 = 6.0 / 3_600.0;
 
-fn scenarios() -> PathBuf {
+fn scenario_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../lab/scenarios")
 }
 
@@ -27,11 +28,11 @@
     times_real: f64,
     peak_kb: f64,
     hash: String,
-    value: Value,
+    result: Value,
 }
 
 /// Plays one scenario in this process, and says what it took: the role of a process of its own.
-pub fn one(depth: &str, text: &str) -> Option<Value> {
+pub fn run_one(depth: &str, text: &str) -> Option<Value> {
     let depth = if depth == "full" { Depth::Full } else { Depth::Fleet };
     let scenario = Scenario::parse(text).map_err(|error| eprintln!("{error}")).ok()?;
     let start = Instant::now();
@@ -50,28 +51,28 @@
     }))
 }
 
-fn apart(depth: Depth, scenario: &Scenario) -> Option<Run> {
-    let word = if depth == Depth::Full { "full" } else { "fleet" };
+fn run_in_child(depth: Depth, scenario: &Scenario) -> Option<Run> {
+    let depth_name = if depth == Depth::Full { "full" } else { "fleet" };
     let program = std::env::current_exe().ok()?;
-    let output = Command::new(program).args(["lab-one", word, &scenario.text()]).output().ok()?;
-    let value: Value = serde_json::from_slice(&output.stdout).ok()?;
-    let figure = |name: &str| value[name].as_f64().unwrap_or(f64::NAN);
+    let output = Command::new(program).args(["lab-one", depth_name, &scenario.text()]).output().ok()?;
+    let result: Value = serde_json::from_slice(&output.stdout).ok()?;
+    let number = |name: &str| result[name].as_f64().unwrap_or(f64::NAN);
     let run = Run {
         depth,
         proxies: scenario.load.proxies,
-        times_real: figure("virtual") / figure("wall"),
-        peak_kb: figure("peak_kb"),
-        hash: value["hash"].as_str().unwrap_or_default().to_owned(),
-        value,
+        times_real: number("virtual") / number("wall"),
+        peak_kb: number("peak_kb"),
+        hash: result["hash"].as_str().unwrap_or_default().to_owned(),
+        result,
     };
     eprintln!(
-        "{word}, {} proxies, {} hosts: {:.1} times real time, {:.0} kB",
+        "{depth_name}, {} proxies, {} hosts: {:.1} times real time, {:.0} kB",
         run.proxies, scenario.fleet.hosts, run.times_real, run.peak_kb
     );
     Some(run)
 }
 
-fn fleet_of(proxies: usize, hosts: usize, rate: f64, seconds: f64) -> Option<Scenario> {
+fn speed_scenario(proxies: usize, hosts: usize, rate: f64, seconds: f64) -> Option<Scenario> {
     let text = format!(
         "name = \"speed\"\nseconds = {seconds:?}\n[fleet]\nhosts = {hosts}\npods = 10\n[load]\nproxies = {proxies}\n\
          rate = {rate:?}\n"
@@ -80,19 +81,20 @@
 }
 
 /// Kilobytes that a proxy adds, between two runs.
-fn kb_a_proxy(few: &Run, many: &Run) -> f64 {
+fn kb_per_proxy(few: &Run, many: &Run) -> f64 {
     (many.peak_kb - few.peak_kb) / (many.proxies - few.proxies) as f64
 }
 
 /// Measures the lab.
 pub fn measure(full: bool) -> Report {
-    let play_all = |depth, all: &[(usize, usize, f64, f64)]| -> Vec<Run> {
-        let scenarios =
-            all.iter().filter_map(|&(proxies, hosts, rate, seconds)| fleet_of(proxies, hosts, rate, seconds));
-        scenarios.filter_map(|scenario| apart(depth, &scenario)).collect()
+    let run_all = |depth, all: &[(usize, usize, f64, f64)]| -> Vec<Run> {
+        let scenarios = all
+            .iter()
+            .filter_map(|&(proxies, hosts, rate, seconds)| speed_scenario(proxies, hosts, rate, seconds));
+        scenarios.filter_map(|scenario| run_in_child(depth, &scenario)).collect()
     };
     let seconds = if full { 10.0 } else { 3.0 };
-    let stacks = play_all(
+    let full_runs = run_all(
         Depth::Full,
         &[
             (1, 50, 5_000.0, seconds),
@@ -101,63 +103,81 @@
             (10, 50, 5_000.0, seconds),
         ],
     );
-    let hour = if full { 3_600.0 } else { 600.0 };
-    let quiet = |proxies: usize| (proxies, 50, QUIET * proxies as f64, hour);
-    let fleets = play_all(Depth::Fleet, &[quiet(100), quiet(1_000), quiet(5_000), quiet(5_000)]);
-    let wide = play_all(Depth::Fleet, &[(5_000, 1_000, QUIET * 5_000.0, if full { hour } else { 120.0 })]);
-    let storm =
-        Scenario::load(&scenarios().join("key-storm.toml")).ok().and_then(|storm| apart(Depth::Full, &storm));
-    let truths: Vec<truth::Truth> = TRUE
+    let quiet_seconds = if full { 3_600.0 } else { 600.0 };
+    let quiet = |proxies: usize| (proxies, 50, QUIET_CALLS_PER_SECOND * proxies as f64, quiet_seconds);
+    let fleet_runs = run_all(Depth::Fleet, &[quiet(100), quiet(1_000), quiet(5_000), quiet(5_000)]);
+    let wide_runs = run_all(
+        Depth::Fleet,
+        &[(5_000, 1_000, QUIET_CALLS_PER_SECOND * 5_000.0, if full { quiet_seconds } else { 120.0 })],
+    );
+    let key_storm = Scenario::load(&scenario_folder().join("key-storm.toml"))
+        .ok()
+        .and_then(|scenario| run_in_child(Depth::Full, &scenario));
+    let fidelity_reports: Vec<truth::Truth> = FIDELITY_SCENARIOS
         .iter()
         .filter(|_| full)
         .filter_map(|name| {
-            let scenario = Scenario::load(&scenarios().join(format!("{name}.toml"))).ok()?;
+            let scenario = Scenario::load(&scenario_folder().join(format!("{name}.toml"))).ok()?;
             truth::compare(&scenario, 1).map_err(|error| eprintln!("{error}")).ok()
         })
         .collect();
     if full {
-        eprintln!("{}", truth::table(&truths));
+        eprintln!("{}", truth::table(&fidelity_reports));
     }
-    let at = |runs: &[Run], place: usize, of: fn(&Run) -> f64| runs.get(place).map_or(f64::NAN, of);
-    let same = |runs: &[Run], first: usize, other: usize| {
+    let run_value =
+        |runs: &[Run], index: usize, field: fn(&Run) -> f64| runs.get(index).map_or(f64::NAN, field);
+    let hashes_match = |runs: &[Run], first: usize, other: usize| {
         let pair = runs.get(first).zip(runs.get(other));
         pair.map_or(f64::NAN, |(first, other)| f64::from(u8::from(first.hash == other.hash)))
     };
-    let shown = |runs: &[Run]| -> Vec<Value> {
+    let rows = |runs: &[Run]| -> Vec<Value> {
         runs.iter()
             .map(|run| {
                 json!({"depth": run.depth, "proxies": run.proxies, "times_real": run.times_real, "peak_kb": run.peak_kb,
-                       "opened": run.value["opened"], "connections": run.value["connections"],
-                       "watches": run.value["watches"], "wanted": run.value["wanted"]})
+                       "opened": run.result["opened"], "connections": run.result["connections"],
+                       "watches": run.result["watches"], "wanted": run.result["wanted"]})
             })
             .collect()
     };
-    let growth = |runs: &[Run], few: usize, many: usize| {
-        runs.get(few).zip(runs.get(many)).map(|(f, m)| kb_a_proxy(f, m))
+    let memory_growth = |runs: &[Run], few: usize, many: usize| {
+        runs.get(few).zip(runs.get(many)).map(|(few, many)| kb_per_proxy(few, many))
     };
-    let figure = |name: &str| storm.as_ref().and_then(|run| run.value[name].as_f64()).unwrap_or(f64::NAN);
-    let figures = json!({
-        "full": shown(&stacks), "fleet": shown(&fleets), "wide": shown(&wide),
-        "kb_a_proxy_full": growth(&stacks, 0, 2), "kb_a_proxy_fleet": growth(&fleets, 0, 2),
-        "storm": storm.as_ref().map(|run| run.value.clone()), "truth": truths,
+    let number =
+        |name: &str| key_storm.as_ref().and_then(|run| run.result[name].as_f64()).unwrap_or(f64::NAN);
+    let measurements = json!({
+        "full": rows(&full_runs), "fleet": rows(&fleet_runs), "wide": rows(&wide_runs),
+        "kb_a_proxy_full": memory_growth(&full_runs, 0, 2), "kb_a_proxy_fleet": memory_growth(&fleet_runs, 0, 2),
+        "storm": key_storm.as_ref().map(|run| run.result.clone()), "truth": fidelity_reports,
     });
-    let mut report = Report::new("lab", figures);
-    report.target("full_10_proxies_times_real", at(&stacks, 1, |run| run.times_real), Bound::AtLeast(1.0));
-    report.target("fleet_5000_quiet_times_real", at(&fleets, 2, |run| run.times_real), Bound::AtLeast(200.0));
-    report.target("one_hash_full", same(&stacks, 1, 3), Bound::AtLeast(1.0));
-    report.target("one_hash_fleet", same(&fleets, 2, 3), Bound::AtLeast(1.0));
-    report.target("storm_keys", figure("keys"), Bound::AtLeast(20_000.0));
-    report.target("storm_seconds", figure("wall"), Bound::AtMost(20.0));
-    report.target("storm_broken", figure("broken") + figure("two_answers"), Bound::AtMost(0.0));
-    for truth in &truths {
-        for (depth, word) in [(Depth::Full, "full"), (Depth::Fleet, "fleet")] {
-            let [served, p50, p99] = truth.off(depth);
-            let mut target = |what: &str, value, most| {
-                report.target(&format!("{}_{word}_{what}_off", truth.scenario), value, Bound::AtMost(most));
+    let mut report = Report::new("lab", measurements);
+    report.add_target(
+        "full_10_proxies_times_real",
+        run_value(&full_runs, 1, |run| run.times_real),
+        Bound::AtLeast(1.0),
+    );
+    report.add_target(
+        "fleet_5000_quiet_times_real",
+        run_value(&fleet_runs, 2, |run| run.times_real),
+        Bound::AtLeast(200.0),
+    );
+    report.add_target("one_hash_full", hashes_match(&full_runs, 1, 3), Bound::AtLeast(1.0));
+    report.add_target("one_hash_fleet", hashes_match(&fleet_runs, 2, 3), Bound::AtLeast(1.0));
+    report.add_target("storm_keys", number("keys"), Bound::AtLeast(20_000.0));
+    report.add_target("storm_seconds", number("wall"), Bound::AtMost(20.0));
+    report.add_target("storm_broken", number("broken") + number("two_answers"), Bound::AtMost(0.0));
+    for fidelity_report in &fidelity_reports {
+        for (depth, depth_name) in [(Depth::Full, "full"), (Depth::Fleet, "fleet")] {
+            let [served, p50, p99] = fidelity_report.off(depth);
+            let mut add_target = |quantity: &str, error, maximum| {
+                report.add_target(
+                    &format!("{}_{depth_name}_{quantity}_off", fidelity_report.scenario),
+                    error,
+                    Bound::AtMost(maximum),
+                );
             };
-            target("served", served, 0.05);
-            target("p50", p50, 0.2);
-            target("p99", p99, 0.2);
+            add_target("served", served, 0.05);
+            add_target("p50", p50, 0.2);
+            add_target("p99", p99, 0.2);
         }
     }
     report
--- a/measure/src/main.rs
+++ b/measure/src/main.rs
@@ -2,6 +2,8 @@
 //! line of standard output is one JSON object with targets, and the exit status is 1 if one is missed.
 #![forbid(unsafe_code)]
 
+mod child_process;
+mod child_roles;
 mod cores;
 mod engine;
 mod fleet;
@@ -9,14 +11,12 @@
 mod keys;
 #[cfg(feature = "lab")]
 mod lab;
-mod least;
 mod library;
 #[cfg(feature = "lab")]
 mod members;
-mod process;
+mod minimal_proxy;
 mod report;
-mod roles;
-mod storm;
+mod stress;
 
 use std::process::ExitCode;
 
@@ -35,12 +35,12 @@
   library    the library beside the daemon and a plain client: CPU for each request, times";
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let full = words.contains(&"--full");
-    let report = match words[..] {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    let full = arguments.contains(&"--full");
+    let report = match arguments[..] {
         ["library"] | ["library", "--full"] => library::measure(full),
-        ["cores"] | ["cores", "--full"] => match cores::pinned(full) {
+        ["cores"] | ["cores", "--full"] => match cores::measure_pinned(full) {
             Some(report) => report,
             None => return ExitCode::FAILURE,
         },
@@ -53,13 +53,13 @@
         #[cfg(feature = "lab")]
         ["role", "member", argument] => {
             let argument = argument.to_owned();
-            return roles::until_left(|| members::role(&argument));
+            return child_roles::run_until_stdin_closes(|| members::run_member(&argument));
         }
         #[cfg(feature = "lab")]
         ["lab"] | ["lab", "--full"] => lab::measure(full),
         #[cfg(feature = "lab")]
         ["lab-one", depth, text] => {
-            return match lab::one(depth, text) {
+            return match lab::run_one(depth, text) {
                 Some(value) => {
                     println!("{value}");
                     ExitCode::SUCCESS
@@ -68,14 +68,14 @@
             };
         }
         // What a measurement starts of itself, as processes of their own.
-        ["role", name, argument] => return roles::run(name, argument),
+        ["role", name, argument] => return child_roles::run(name, argument),
         _ => {
             eprintln!("{USAGE}");
             return ExitCode::FAILURE;
         }
     };
-    println!("{}", report.line());
-    if report.is_met() {
+    println!("{}", report.to_json());
+    if report.all_targets_met() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/measure/src/members.rs
+++ b/measure/src/members.rs
@@ -1,7 +1,7 @@
 //! Members: how soon a dead one is noticed, who is wrongly taken for failed, what is sent, how soon all agree after a cut (the
 //! core on the lab's virtual time), and what it costs the daemon in processor time.
 
-use crate::process::Role;
+use crate::child_process::ChildProcess;
 use crate::report::{median, Bound, Report};
 use nettleworks_lab::crowd::Crowd;
 use nettleworks_members::{Condition, Config, MemberEventKind};
@@ -18,74 +18,77 @@
 const SECOND: u64 = 1_000_000;
 
 /// Settled: all agree, and no news is about any more.
-fn settled(count: usize) -> Crowd {
-    let mut crowd = Crowd::agreed(count, 1, &Config::default()).expect("they agree");
-    crowd.run(60 * SECOND);
-    crowd.news.clear();
-    crowd
+fn converged_cluster(count: usize) -> Crowd {
+    let mut cluster = Crowd::agreed(count, 1, &Config::default()).expect("they agree");
+    cluster.run(60 * SECOND);
+    cluster.news.clear();
+    cluster
 }
 
 fn quantile(values: &mut [f64], share: f64) -> f64 {
     values.sort_unstable_by(f64::total_cmp);
-    let place = ((values.len() as f64 * share).ceil() as usize).clamp(1, values.len().max(1)) - 1;
-    values.get(place).copied().unwrap_or(f64::NAN)
+    let index = ((values.len() as f64 * share).ceil() as usize).clamp(1, values.len().max(1)) - 1;
+    values.get(index).copied().unwrap_or(f64::NAN)
 }
 
 /// Seconds until all have noticed that one is dead, for each seed.
-fn notice(whole: &Crowd, seeds: u64) -> Vec<f64> {
-    let took = (0..seeds).into_par_iter().map(|seed| {
-        let mut crowd = whole.clone();
-        crowd.reseed(seed);
+fn failure_detection_times(initial: &Crowd, seeds: u64) -> Vec<f64> {
+    let elapsed = (0..seeds).into_par_iter().map(|seed| {
+        let mut cluster = initial.clone();
+        cluster.reseed(seed);
         // At any moment of a period.
-        crowd.run(seed * 37_000 % SECOND);
-        let dead = (seed as usize * 7 + 5) % crowd.count();
-        crowd.kill(dead);
-        let took = crowd.until(120 * SECOND, |crowd| crowd.all_take(dead, Condition::Failed));
-        took.map_or(f64::NAN, |took| took as f64 / 1e6)
+        cluster.run(seed * 37_000 % SECOND);
+        let killed = (seed as usize * 7 + 5) % cluster.count();
+        cluster.kill(killed);
+        let elapsed = cluster.until(120 * SECOND, |cluster| cluster.all_take(killed, Condition::Failed));
+        elapsed.map_or(f64::NAN, |elapsed| elapsed as f64 / 1e6)
     });
-    took.collect()
+    elapsed.collect()
 }
 
-/// Members wrongly taken for failed in an hour of the whole crowd, by how many take them so, and datagrams and bytes a
+/// Members wrongly taken for failed in an hour of the whole cluster, by how many take them so, and datagrams and bytes a
 /// second a member meanwhile.
-fn wrongly(whole: &Crowd, loss: f64, seeds: u64, minutes: u64) -> (f64, f64, f64) {
+fn measure_false_failures(initial: &Crowd, loss: f64, seeds: u64, minutes: u64) -> (f64, f64, f64) {
     let runs = (0..seeds).into_par_iter().map(|seed| {
-        let mut crowd = whole.clone();
-        crowd.reseed(seed);
-        crowd.network.loss = loss;
-        let (before, at) = (crowd.sent, crowd.now);
-        crowd.run(minutes * 60 * SECOND);
-        let news =
-            crowd.news.iter().filter(|(when, _, news)| *when >= at && news.kind == MemberEventKind::Failed);
-        let failed: BTreeSet<_> = news.map(|(_, _, news)| news.name.clone()).collect();
-        let spent = (minutes * 60 * crowd.count() as u64) as f64;
-        let sent = (crowd.sent.0 - before.0) as f64 / spent;
-        let bytes = (crowd.sent.1 - before.1) as f64 / spent;
+        let mut cluster = initial.clone();
+        cluster.reseed(seed);
+        cluster.network.loss = loss;
+        let (before, started_at) = (cluster.sent, cluster.now);
+        cluster.run(minutes * 60 * SECOND);
+        let events = cluster
+            .news
+            .iter()
+            .filter(|(time, _, event)| *time >= started_at && event.kind == MemberEventKind::Failed);
+        let failed: BTreeSet<_> = events.map(|(_, _, event)| event.name.clone()).collect();
+        let member_seconds = (minutes * 60 * cluster.count() as u64) as f64;
+        let sent = (cluster.sent.0 - before.0) as f64 / member_seconds;
+        let bytes = (cluster.sent.1 - before.1) as f64 / member_seconds;
         (failed.len() as f64, sent, bytes)
     });
     let all: Vec<(f64, f64, f64)> = runs.collect();
-    let mean = |of: fn(&(f64, f64, f64)) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
+    let mean = |field: fn(&(f64, f64, f64)) -> f64| all.iter().map(field).sum::<f64>() / all.len() as f64;
     (mean(|run| run.0) * 60.0 / minutes as f64, mean(|run| run.1), mean(|run| run.2))
 }
 
 /// Seconds until all agree again after a cut of 30 s between a third and the rest, for each seed.
-fn heal(whole: &Crowd, seeds: u64) -> Vec<f64> {
-    let took = (0..seeds).into_par_iter().map(|seed| {
-        let mut crowd = whole.clone();
-        crowd.reseed(seed);
-        crowd.parts(|node| u8::from(node % 3 == 0));
-        crowd.run(30 * SECOND);
-        crowd.parts(|_| 0);
-        let count = crowd.count();
-        let whole =
-            |crowd: &Crowd| crowd.agree() && (0..count).all(|node| crowd.all_take(node, Condition::Alive));
-        crowd.until(180 * SECOND, whole).map_or(f64::NAN, |took| took as f64 / 1e6)
+fn merge_times(initial: &Crowd, seeds: u64) -> Vec<f64> {
+    let elapsed = (0..seeds).into_par_iter().map(|seed| {
+        let mut cluster = initial.clone();
+        cluster.reseed(seed);
+        cluster.parts(|node| u8::from(node % 3 == 0));
+        cluster.run(30 * SECOND);
+        cluster.parts(|_| 0);
+        let count = cluster.count();
+        let has_merged = |cluster: &Crowd| {
+            cluster.agree() && (0..count).all(|node| cluster.all_take(node, Condition::Alive))
+        };
+        cluster.until(180 * SECOND, has_merged).map_or(f64::NAN, |elapsed| elapsed as f64 / 1e6)
     });
-    took.collect()
+    elapsed.collect()
 }
 
 /// One member at a real socket: the role of a process of its own.
-pub fn role(argument: &str) {
+pub fn run_member(argument: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let settings = Settings::parse(argument).expect("good settings");
@@ -95,110 +98,122 @@
     });
 }
 
-fn key() -> PathBuf {
+fn write_key_file() -> PathBuf {
     let path = std::env::temp_dir().join(format!("measure-members-{}.key", std::process::id()));
     std::fs::write(&path, "a key for a measurement").expect("written");
     path
 }
 
 /// Processor time a second, in microseconds, of one member among so many at real sockets.
-fn member_cpu(count: usize, span: Duration) -> f64 {
-    let key = key();
-    let file = |name: &str, seeds: &[String]| {
-        json!({"name": name, "listen": "127.0.0.1:0", "seeds": seeds, "key_file": key}).to_string()
+fn member_cpu_us_per_second(count: usize, span: Duration) -> f64 {
+    let key_file = write_key_file();
+    let settings_text = |name: &str, seeds: &[String]| {
+        json!({"name": name, "listen": "127.0.0.1:0", "seeds": seeds, "key_file": key_file}).to_string()
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let spent = runtime.block_on(async {
+    let cpu_time = runtime.block_on(async {
         let mut seeds = Vec::new();
         for number in 1..count {
-            let settings = Settings::parse(&file(&format!("m-{number}"), &seeds)).expect("good settings");
+            let settings =
+                Settings::parse(&settings_text(&format!("m-{number}"), &seeds)).expect("good settings");
             let (handle, running) = start(settings, "1", |_| ()).await.expect("it starts");
             if seeds.len() < 3 {
                 seeds.push(handle.address().to_string());
             }
             tokio::spawn(running.run());
         }
-        let argument = file("m-0", &seeds);
-        let role = tokio::task::spawn_blocking(move || Role::start("member", &argument, 1)).await;
-        let role = role.expect("it starts");
+        let argument = settings_text("m-0", &seeds);
+        let process = tokio::task::spawn_blocking(move || ChildProcess::start("member", &argument, 1)).await;
+        let process = process.expect("it starts");
         // Until all know it, and no news is about.
         tokio::time::sleep(Duration::from_secs(6)).await;
-        let before = role.cpu();
+        let before = process.cpu_time();
         tokio::time::sleep(span).await;
-        (role.cpu() - before).as_secs_f64()
+        (process.cpu_time() - before).as_secs_f64()
     });
     // It is of no more use.
-    let _ = std::fs::remove_file(&key);
-    spent * 1e6 / span.as_secs_f64()
+    let _ = std::fs::remove_file(&key_file);
+    cpu_time * 1e6 / span.as_secs_f64()
 }
 
 /// Processor time of a daemon's request, in microseconds, at some hundred requests a second, and how many a second there were.
-fn request_cpu(span: Duration) -> (f64, f64) {
+fn request_cpu_us(span: Duration) -> (f64, f64) {
     let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
-    let role = Role::start("daemon", &site.configuration(|_| ()), 1);
-    crate::library::until_ready(role.address);
-    let before = role.cpu();
+    let process = ChildProcess::start("daemon", &site.configuration(|_| ()), 1);
+    crate::library::wait_until_ready(process.address);
+    let before = process.cpu_time();
     let served = nettleworks_standins::run(async {
         let tally = Rc::new(RefCell::default());
-        let mut load = Load::new(role.address, 1);
+        let mut load = Load::new(process.address, 1);
         load.pause = Duration::from_millis(10);
         load.until = Some(tokio::time::Instant::now() + span);
         load.run(&tally).await;
         let served = tally.borrow().served;
         served
     });
-    let spent = (role.cpu() - before).as_secs_f64();
-    role.finish();
-    (spent * 1e6 / served as f64, served as f64 / span.as_secs_f64())
+    let cpu_time = (process.cpu_time() - before).as_secs_f64();
+    process.finish();
+    (cpu_time * 1e6 / served as f64, served as f64 / span.as_secs_f64())
 }
 
 /// Measures members.
 pub fn measure(full: bool) -> Report {
     let (sizes, seeds, minutes): (&[usize], u64, u64) =
         if full { (&[10, 100, 1_000], 500, 4) } else { (&[10, 60], 16, 2) };
-    let few = if full { 6 } else { 4 };
-    let mut shown = Vec::new();
-    let (mut flat, mut took, mut wrong, mut agreed) = (Vec::new(), Vec::new(), [0.0; 3], Vec::new());
+    let few_seeds = if full { 6 } else { 4 };
+    let mut rows = Vec::new();
+    let (mut bytes_per_second, mut detection_seconds, mut false_failures, mut merge_seconds) =
+        (Vec::new(), Vec::new(), [0.0; 3], Vec::new());
     for &count in sizes {
-        let whole = settled(count);
-        let last = Some(&count) == sizes.last();
-        took = notice(&whole, seeds);
-        eprintln!("{count}: noticed after {:.1} s, p99 {:.1}", median(&mut took), quantile(&mut took, 0.99));
-        let quiet = wrongly(&whole, 0.0, few, minutes);
-        let five = wrongly(&whole, 0.05, few, minutes);
+        let initial = converged_cluster(count);
+        let is_largest = Some(&count) == sizes.last();
+        detection_seconds = failure_detection_times(&initial, seeds);
+        eprintln!(
+            "{count}: noticed after {:.1} s, p99 {:.1}",
+            median(&mut detection_seconds),
+            quantile(&mut detection_seconds, 0.99)
+        );
+        let at_no_loss = measure_false_failures(&initial, 0.0, few_seeds, minutes);
+        let at_5_percent = measure_false_failures(&initial, 0.05, few_seeds, minutes);
         // News without end, at a thousand times a thousand.
-        let thirty = wrongly(&whole, 0.3, if last { 2 } else { few }, if last { 1 } else { minutes });
-        flat.push(quiet.2);
-        agreed = heal(&whole, if last { 2 * few } else { seeds.min(50) });
-        wrong = [quiet.0, five.0, thirty.0];
-        let (p50, p99) = (median(&mut took), quantile(&mut took, 0.99));
-        let healed = (median(&mut agreed), quantile(&mut agreed, 0.99));
+        let at_30_percent = measure_false_failures(
+            &initial,
+            0.3,
+            if is_largest { 2 } else { few_seeds },
+            if is_largest { 1 } else { minutes },
+        );
+        bytes_per_second.push(at_no_loss.2);
+        merge_seconds = merge_times(&initial, if is_largest { 2 * few_seeds } else { seeds.min(50) });
+        false_failures = [at_no_loss.0, at_5_percent.0, at_30_percent.0];
+        let (p50, p99) = (median(&mut detection_seconds), quantile(&mut detection_seconds, 0.99));
+        let merge = (median(&mut merge_seconds), quantile(&mut merge_seconds, 0.99));
         eprintln!(
-            "{count}: wrongly failed an hour {wrong:?}; {:.2} datagrams and {:.0} \
+            "{count}: wrongly failed an hour {false_failures:?}; {:.2} datagrams and {:.0} \
              bytes a second, {:.0} at 5% loss, {:.0} at 30%; agreed {:.1} s after a cut, p99 {:.1}",
-            quiet.1, quiet.2, five.2, thirty.2, healed.0, healed.1
+            at_no_loss.1, at_no_loss.2, at_5_percent.2, at_30_percent.2, merge.0, merge.1
         );
-        shown.push(
-            json!({"members": count, "notice_s": p50, "notice_p99_s": p99, "wrongly_failed_an_hour": wrong,
-                          "datagrams_a_second": quiet.1, "bytes_a_second": [quiet.2, five.2, thirty.2],
-                          "agree_s": healed.0, "agree_p99_s": healed.1}),
+        rows.push(
+            json!({"members": count, "notice_s": p50, "notice_p99_s": p99, "wrongly_failed_an_hour": false_failures,
+                          "datagrams_a_second": at_no_loss.1, "bytes_a_second": [at_no_loss.2, at_5_percent.2, at_30_percent.2],
+                          "agree_s": merge.0, "agree_p99_s": merge.1}),
         );
     }
     let span = Duration::from_secs(if full { 30 } else { 4 });
-    let member = member_cpu(60, span);
-    let (request, rate) = request_cpu(span);
+    let member = member_cpu_us_per_second(60, span);
+    let (request, rate) = request_cpu_us(span);
     eprintln!("a member of 60: {member:.0} us a second; a request at {rate:.0} a second: {request:.1} us");
-    let on_by_off = 1.0 + member / (request * rate);
-    let figures = json!({"sizes": shown, "seeds": seeds, "member_us_a_second": member, "request_us": request,
+    let cpu_ratio = 1.0 + member / (request * rate);
+    let measurements = json!({"sizes": rows, "seeds": seeds, "member_us_a_second": member, "request_us": request,
                          "requests_a_second": rate});
-    let mut report = Report::new("members", figures);
-    let ratio = flat.last().copied().unwrap_or(f64::NAN) / flat.first().copied().unwrap_or(f64::NAN);
-    report.target("notice_median_s", median(&mut took), Bound::AtMost(25.0));
-    report.target("notice_p99_s", quantile(&mut took, 0.99), Bound::AtMost(40.0));
-    report.target("wrongly_failed_an_hour_at_0", wrong[0], Bound::AtMost(0.0));
-    report.target("wrongly_failed_an_hour_at_5", wrong[1], Bound::AtMost(0.0));
-    report.target("bytes_a_member_by_least_size", ratio, Bound::AtMost(1.3));
-    report.target("agree_after_a_cut_p99_s", quantile(&mut agreed, 0.99), Bound::AtMost(60.0));
-    report.target("cpu_a_request_on_by_off", on_by_off, Bound::AtMost(1.02));
+    let mut report = Report::new("members", measurements);
+    let bytes_ratio = bytes_per_second.last().copied().unwrap_or(f64::NAN)
+        / bytes_per_second.first().copied().unwrap_or(f64::NAN);
+    report.add_target("notice_median_s", median(&mut detection_seconds), Bound::AtMost(25.0));
+    report.add_target("notice_p99_s", quantile(&mut detection_seconds, 0.99), Bound::AtMost(40.0));
+    report.add_target("wrongly_failed_an_hour_at_0", false_failures[0], Bound::AtMost(0.0));
+    report.add_target("wrongly_failed_an_hour_at_5", false_failures[1], Bound::AtMost(0.0));
+    report.add_target("bytes_a_member_by_least_size", bytes_ratio, Bound::AtMost(1.3));
+    report.add_target("agree_after_a_cut_p99_s", quantile(&mut merge_seconds, 0.99), Bound::AtMost(60.0));
+    report.add_target("cpu_a_request_on_by_off", cpu_ratio, Bound::AtMost(1.02));
     report
 }
--- a/measure/src/least.rs
+++ b/measure/src/minimal_proxy.rs
@@ -15,43 +15,45 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, LocalSet};
 
-type Idle = Vec<SendRequest<Full<Bytes>>>;
+type IdleConnections = Vec<SendRequest<Full<Bytes>>>;
 
-struct Pool {
+struct HostConnections {
     hosts: Vec<SocketAddr>,
-    idle: RefCell<Vec<Idle>>,
+    idle: RefCell<Vec<IdleConnections>>,
     next: Cell<usize>,
 }
 
 /// Serves on so many threads for as long as the process lives, and says where.
 pub fn serve(hosts: &[SocketAddr], threads: usize) {
-    let any = "127.0.0.1:0".parse().expect("an address");
-    let listeners = nettleworks::server::bind_all(any, threads).expect("it listens");
+    let any_port = "127.0.0.1:0".parse().expect("an address");
+    let listeners = nettleworks::server::bind_all(any_port, threads).expect("it listens");
     println!("{}", listeners[0].local_addr().expect("an address"));
     let threads: Vec<_> = listeners
         .into_iter()
         .map(|listener| {
             let hosts = hosts.to_vec();
-            std::thread::spawn(move || one(listener, hosts))
+            std::thread::spawn(move || serve_listener(listener, hosts))
         })
         .collect();
     threads.into_iter().for_each(|thread| drop(thread.join()));
 }
 
-fn one(listener: std::net::TcpListener, hosts: Vec<SocketAddr>) {
+fn serve_listener(listener: std::net::TcpListener, hosts: Vec<SocketAddr>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
         let idle = RefCell::new(hosts.iter().map(|_| Vec::new()).collect());
-        let pool = Rc::new(Pool { hosts, idle, next: Cell::new(0) });
+        let connections = Rc::new(HostConnections { hosts, idle, next: Cell::new(0) });
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             // It only costs time.
             let _ = stream.set_nodelay(true);
-            let pool = pool.clone();
+            let connections = connections.clone();
             let service = service_fn(move |request| {
-                let pool = pool.clone();
-                async move { Ok::<_, Infallible>(pass(&pool, request).await.unwrap_or_else(bad)) }
+                let connections = connections.clone();
+                async move {
+                    Ok::<_, Infallible>(forward(&connections, request).await.unwrap_or_else(bad_gateway))
+                }
             });
             let connection =
                 hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
@@ -60,14 +62,14 @@
     });
 }
 
-fn bad(_: Box<dyn std::error::Error>) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = StatusCode::BAD_GATEWAY;
-    answer
+fn bad_gateway(_: Box<dyn std::error::Error>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = StatusCode::BAD_GATEWAY;
+    response
 }
 
-async fn pass(
-    pool: &Pool,
+async fn forward(
+    connections: &HostConnections,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Box<dyn std::error::Error>> {
     if request.uri().path() == "/_health" {
@@ -75,13 +77,13 @@
     }
     let (head, body) = request.into_parts();
     let body = Full::new(body.collect().await?.to_bytes());
-    let at = pool.next.get();
-    pool.next.set((at + 1) % pool.hosts.len());
-    let kept = pool.idle.borrow_mut()[at].pop();
-    let mut sender = match kept {
+    let host = connections.next.get();
+    connections.next.set((host + 1) % connections.hosts.len());
+    let idle_sender = connections.idle.borrow_mut()[host].pop();
+    let mut sender = match idle_sender {
         Some(sender) => sender,
         None => {
-            let stream = TcpStream::connect(pool.hosts[at]).await?;
+            let stream = TcpStream::connect(connections.hosts[host]).await?;
             stream.set_nodelay(true)?;
             let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
             spawn_local(connection);
@@ -90,6 +92,6 @@
     };
     let (head, body) = sender.send_request(Request::from_parts(head, body)).await?.into_parts();
     let body = body.collect().await?.to_bytes();
-    pool.idle.borrow_mut()[at].push(sender);
+    connections.idle.borrow_mut()[host].push(sender);
     Ok(Response::from_parts(head, Full::new(body)))
 }
--- a/measure/src/report.rs
+++ b/measure/src/report.rs
@@ -16,40 +16,40 @@
 pub struct Report {
     name: &'static str,
     targets: Vec<(String, f64, Bound)>,
-    figures: Value,
+    measurements: Value,
 }
 
 impl Report {
-    /// An outcome without a target yet; `figures` is what else was measured.
-    pub fn new(name: &'static str, figures: Value) -> Report {
-        Report { name, targets: Vec::new(), figures }
+    /// An outcome without a target yet; `measurements` is what else was measured.
+    pub fn new(name: &'static str, measurements: Value) -> Report {
+        Report { name, targets: Vec::new(), measurements }
     }
 
     /// Adds a target.
-    pub fn target(&mut self, name: &str, value: f64, bound: Bound) {
+    pub fn add_target(&mut self, name: &str, value: f64, bound: Bound) {
         self.targets.push((name.to_owned(), value, bound));
     }
 
     /// Whether no target is missed; one without a figure is.
-    pub fn is_met(&self) -> bool {
+    pub fn all_targets_met(&self) -> bool {
         self.targets.iter().all(|(_, value, bound)| match bound {
-            Bound::AtMost(most) => value <= most,
-            Bound::AtLeast(least) => value >= least,
+            Bound::AtMost(maximum) => value <= maximum,
+            Bound::AtLeast(minimum) => value >= minimum,
         })
     }
 
     /// The last line.
-    pub fn line(&self) -> String {
+    pub fn to_json(&self) -> String {
         let round = |value: f64| (value * 1e4).round() / 1e4;
         let targets: Vec<Value> = self
             .targets
             .iter()
             .map(|(name, value, bound)| match bound {
-                Bound::AtMost(most) => json!({"name": name, "value": round(*value), "at_most": most}),
-                Bound::AtLeast(least) => json!({"name": name, "value": round(*value), "at_least": least}),
+                Bound::AtMost(maximum) => json!({"name": name, "value": round(*value), "at_most": maximum}),
+                Bound::AtLeast(minimum) => json!({"name": name, "value": round(*value), "at_least": minimum}),
             })
             .collect();
-        json!({"measure": self.name, "targets": targets, "figures": self.figures}).to_string()
+        json!({"measure": self.name, "targets": targets, "figures": self.measurements}).to_string()
     }
 }
 
@@ -67,14 +67,14 @@
     fn a_missed_target_and_one_without_a_figure_fail() {
         let report = |value| {
             let mut report = Report::new("x", json!({}));
-            report.target("a", 1.0, Bound::AtLeast(1.0));
-            report.target("b", value, Bound::AtMost(2.0));
+            report.add_target("a", 1.0, Bound::AtLeast(1.0));
+            report.add_target("b", value, Bound::AtMost(2.0));
             report
         };
-        assert!(report(2.0).is_met());
-        assert!(!report(2.1).is_met());
-        assert!(!report(median(&mut [])).is_met());
-        let line: Value = serde_json::from_str(&report(2.0).line()).expect("an object");
+        assert!(report(2.0).all_targets_met());
+        assert!(!report(2.1).all_targets_met());
+        assert!(!report(median(&mut [])).all_targets_met());
+        let line: Value = serde_json::from_str(&report(2.0).to_json()).expect("an object");
         assert_eq!((&line["measure"], &line["targets"][1]["at_most"]), (&json!("x"), &json!(2.0)));
     }
 }
