--- a/crew/src/cluster.rs
+++ b/crew/src/cluster.rs
@@ -95,10 +95,10 @@
                 "zone": format!("z{}", number % 3),
                 "period_ms": u64::try_from(options.period.as_millis()).expect("a short period"),
             });
-            fs::write(process_folder.join("config.json"), config).expect("written");
-            fs::write(process_folder.join("members.json"), members.to_string()).expect("written");
+            fs::write(process_folder.join("config.json"), config).expect("the file is written");
+            fs::write(process_folder.join("members.json"), members.to_string()).expect("the file is written");
         }
-        fs::write(folder.join("key"), "a key that this cluster shares").expect("written");
+        fs::write(folder.join("key"), "a key that this cluster shares").expect("the file is written");
         let history = History::default();
         let mut cluster = Cluster { processes: Vec::new(), relays, history, options, folder };
         for number in 0..cluster.options.count {
--- a/measure/src/child_process.rs
+++ b/measure/src/child_process.rs
@@ -1,25 +1,26 @@
-//! A role as a process of its own, so that its CPU time can be told from the load's.
+//! Child processes of a measurement. What is measured runs in a process of its own, so that its CPU time is separate from
+//! that of the load.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// A running role. It ends with this.
+/// A child process that runs this program in one of the roles of [`crate::child_roles`]. Dropping it kills the process.
 #[derive(Debug)]
 pub struct ChildProcess {
     child: Child,
-    /// Where it serves.
+    /// Address at which it serves.
     pub address: SocketAddr,
 }
 
 impl ChildProcess {
-    /// Starts this program again, in a role, an application with so many worker threads, and waits until it says where it serves.
+    /// Starts this program in the role `name` with this number of threads, and waits until it has printed its address.
     pub fn start(name: &str, argument: &str, threads: usize) -> ChildProcess {
         ChildProcess::start_with_wrapper(&[], name, argument, threads).expect("this program can be started")
     }
 
-    /// The same as the argument of another program; `None`: there is no such program here.
+    /// The same, started by a wrapper command such as `taskset` or `valgrind`. `None`: the wrapper is not installed.
     pub fn start_with_wrapper(
         wrapper: &[&str],
         name: &str,
@@ -47,20 +48,23 @@
             Err(error) => panic!("{name}: {error}"),
         };
         let mut line = String::new();
-        BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line).expect("a line");
-        let address = line.trim().parse().unwrap_or_else(|_| panic!("{name} said {line:?}"));
+        BufReader::new(child.stdout.take().expect("piped"))
+            .read_line(&mut line)
+            .expect("the address is printed");
+        let address =
+            line.trim().parse().unwrap_or_else(|_| panic!("{name} printed {line:?} instead of an address"));
         Some(ChildProcess { child, address })
     }
 
-    /// Lets it end by itself.
+    /// Closes its standard input, which makes it exit, and waits until it has exited.
     pub fn finish(mut self) {
         drop(self.child.stdin.take());
-        self.child.wait().expect("it ends");
+        self.child.wait().expect("the process can be waited for");
     }
 
-    /// CPU time of all its threads so far, ended ones left out. The scheduler's own count, in nanoseconds.
+    /// CPU time of all its running threads, as the scheduler accounts it in nanoseconds.
     pub fn cpu_time(&self) -> Duration {
-        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs");
+        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("the process runs");
         let task_time = |task: std::io::Result<std::fs::DirEntry>| {
             let text = std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok()?;
             text.split(' ').next()?.parse::<u64>().ok()
@@ -71,7 +75,7 @@
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // One that has ended already needs neither.
+        // Both fail if the process has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/measure/src/child_roles.rs
+++ b/measure/src/child_roles.rs
@@ -1,5 +1,5 @@
-//! The processes that a measurement compares: an application that makes one call for each request, by one way or
-//! another, and the daemon.
+//! The roles of child processes: an application that makes one call for each request, with the library or an HTTP client;
+//! the daemon; and auxiliary processes.
 
 use axum::body::{Body, Bytes};
 use axum::extract::State;
@@ -22,13 +22,13 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Longest that a call may take.
+/// Time limit of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Does something until standard input ends.
+/// Runs a role, and exits when standard input is closed, so that no child process outlives its parent.
 pub fn run_until_stdin_closes(role: impl FnOnce()) -> ExitCode {
     std::thread::spawn(|| {
-        // Whatever the end was, whoever started this has gone.
+        // An error has the same meaning as the end of the input: the parent has exited.
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
         std::process::exit(0);
     });
@@ -36,7 +36,7 @@
     ExitCode::SUCCESS
 }
 
-/// Runs a role until standard input ends.
+/// Runs the role `name` until standard input is closed. Fails if there is no such role.
 pub fn run(name: &str, argument: &str) -> ExitCode {
     let mut role_exists = true;
     run_until_stdin_closes(|| role_exists = run_role(name, argument));
@@ -47,6 +47,7 @@
     }
 }
 
+/// Runs a role. Returns false if there is no such role.
 fn run_role(name: &str, argument: &str) -> bool {
     let threads = std::env::var("THREADS").ok().and_then(|threads| threads.parse().ok()).unwrap_or(1);
     match name {
@@ -54,7 +55,7 @@
         "daemon-with-keys" => run_daemon(argument, true),
         "engines" => run_engines(argument, threads, false),
         "engines-with-keys" => run_engines(argument, threads, true),
-        // Takes its processor's time from whoever else is on it.
+        // Competes with the other processes of its processor for CPU time.
         "burn" => {
             println!("127.0.0.1:0");
             loop {
@@ -62,7 +63,7 @@
             }
         }
         "least" => crate::minimal_proxy::serve(&addresses(argument), threads),
-        // To hosts, or to the daemon.
+        // Calls hosts or the daemon by a plain HTTP client.
         "plain" => {
             run_application(
                 threads,
@@ -74,7 +75,7 @@
             );
         }
         "library" => {
-            let fleet = Fleet::builder().text(argument).start().expect("a good configuration");
+            let fleet = Fleet::builder().text(argument).start().expect("the configuration is valid");
             run_application(threads, CallMethod::Library(fleet));
         }
         _ => return false,
@@ -83,7 +84,7 @@
 }
 
 fn addresses(argument: &str) -> Arc<[SocketAddr]> {
-    argument.split(',').map(|address| address.parse().expect("an address")).collect()
+    argument.split(',').map(|address| address.parse().expect("a valid address")).collect()
 }
 
 type HttpClient = Client<hyper_util::client::legacy::connect::HttpConnector, Full<Bytes>>;
@@ -97,13 +98,13 @@
 /// How the application makes its calls.
 #[derive(Clone)]
 enum CallMethod {
-    /// By a pooled HTTP client, to each of these in turn: hosts, or the daemon.
+    /// By an HTTP client with a connection pool, to the targets (hosts or the daemon) in round-robin order.
     HttpClient { client: HttpClient, targets: Arc<[SocketAddr]>, next: Arc<AtomicUsize> },
     /// By the library.
     Library(Fleet),
 }
 
-/// What of a request its call says too.
+/// Headers that are copied from a request to its call.
 const CALL_HEADERS: [HeaderName; 4] = [
     HeaderName::from_static("x-call-id"),
     HeaderName::from_static("x-call-class"),
@@ -111,6 +112,7 @@
     HeaderName::from_static("idempotency-key"),
 ];
 
+/// Makes one call, and responds with its result.
 async fn handle(
     State(call_method): State<CallMethod>,
     context: CallContext,
@@ -129,7 +131,7 @@
                     call = call.header(name, value);
                 }
             }
-            let call = call.body(Full::new(body)).expect("a request");
+            let call = call.body(Full::new(body)).expect("a valid request");
             match tokio::time::timeout(CALL_TIMEOUT, client.request(call)).await {
                 Ok(Ok(response)) => {
                     let status = response.status();
@@ -142,7 +144,8 @@
             }
         }
         CallMethod::Library(fleet) => {
-            let mut call = Request::builder().method(head.method).uri("/api").body(body).expect("a request");
+            let mut call =
+                Request::builder().method(head.method).uri("/api").body(body).expect("a valid request");
             context.apply(&mut call);
             match fleet.call(call, CALL_TIMEOUT).await {
                 Ok(response) => response.into_body().into_response(),
@@ -152,32 +155,32 @@
     }
 }
 
-/// An application with so many worker threads.
+/// Runs the application with this number of worker threads.
 fn run_application(threads: usize, call_method: CallMethod) {
     let runtime = match threads {
         1 => tokio::runtime::Builder::new_current_thread().enable_all().build(),
         _ => tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build(),
     };
-    runtime.expect("a runtime").block_on(async {
+    runtime.expect("the runtime starts").block_on(async {
         if let CallMethod::Library(fleet) = &call_method {
-            fleet.ready().await.expect("it runs");
+            fleet.ready().await.expect("the fleet becomes ready");
         }
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        println!("{}", listener.local_addr().expect("an address"));
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        println!("{}", listener.local_addr().expect("the listener is bound"));
         let app = Router::new().fallback(handle).with_state(call_method);
-        axum::serve(listener, app).await.expect("it serves");
+        axum::serve(listener, app).await.expect("the application serves");
     });
 }
 
-/// The daemon with several engines.
+/// Runs the daemon with several engines, with or without a key store.
 fn run_engines(config: &str, engines: usize, keys: bool) {
-    let mut config = Config::parse(config).expect("a good configuration");
+    let mut config = Config::parse(config).expect("the configuration is valid");
     if keys {
-        config = config.with_keys("{}").expect("a good configuration");
+        config = config.with_keys("{}").expect("the configuration is valid");
     }
-    let listeners = nettleworks::server::bind_all(config.listen, engines).expect("it listens");
-    println!("{}", listeners[0].local_addr().expect("an address"));
-    let backup_listeners = BackupListeners::duplicate(&listeners).expect("descriptors");
+    let listeners = nettleworks::server::bind_all(config.listen, engines).expect("the address is free");
+    println!("{}", listeners[0].local_addr().expect("the listener is bound"));
+    let backup_listeners = BackupListeners::duplicate(&listeners).expect("listeners can be duplicated");
     let (_stop, stop) = tokio::sync::watch::channel(false);
     let (_reload, reload) = tokio::sync::watch::channel(None);
     let start = |((shard, config), listener): ((nettleworks_cores::PreparedShard<_>, Config), _)| {
@@ -202,15 +205,17 @@
     threads.into_iter().for_each(|thread| drop(thread.join()));
 }
 
+/// Runs the daemon with one engine, with or without a key store.
 fn run_daemon(config: &str, keys: bool) {
-    let mut config = Config::parse(config).expect("a good configuration");
+    let mut config = Config::parse(config).expect("the configuration is valid");
     if keys {
-        config = config.with_keys("{}").expect("a good configuration");
+        config = config.with_keys("{}").expect("the configuration is valid");
     }
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
-        let listener = nettleworks::server::listen(config.listen).expect("it listens");
-        println!("{}", listener.local_addr().expect("an address"));
+        let listener = nettleworks::server::listen(config.listen).expect("the address is free");
+        println!("{}", listener.local_addr().expect("the listener is bound"));
         let log = std::rc::Rc::new(|_: &str| ());
         nettleworks::run(config, log, listener, async || None, std::future::pending()).await;
     });
--- a/measure/src/cores.rs
+++ b/measure/src/cores.rs
@@ -1,7 +1,7 @@
-//! Several engines beside one, beside as many daemons, and beside the least proxy on as many threads.
+//! Several engines compared with one, with as many daemons, and with the minimal proxy on as many threads.
 //!
-//! Proxies have processors 0 and 1 to themselves where there are four; clients and hosts have the others. With fewer
-//! there is no figure for throughput.
+//! On a machine with at least four processors the proxies have processors 0 and 1 for themselves, and clients and hosts
+//! have 2 and 3. With fewer processors the throughput is not measured.
 
 use crate::child_process::ChildProcess;
 use crate::instructions::{self, RequestMix};
@@ -24,20 +24,21 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
-/// Processors of the proxies, and of all else.
+/// Processors of the proxies.
 const PROXY_PROCESSORS: &str = "0,1";
+/// Processors of clients and hosts.
 const OTHER_PROCESSORS: &str = "2,3";
-/// Connections of clients in a turn: enough to keep a proxy busy for as long as it has its processor at a time.
+/// Number of client connections: enough to keep a proxy busy during the whole time slice of its processor.
 const CLIENTS: usize = 256;
-/// Descriptors of each proxy: none closes connections for want of some.
+/// Sockets of each proxy: enough that no connection is closed for lack of sockets.
 const SOCKET_LIMIT: usize = 4_096;
-/// Engines of the parts that are not about throughput.
+/// Number of engines where the throughput is not measured.
 const ENGINES: usize = 4;
-/// The window in which a pod drops repeats.
+/// Time within which a pod drops repeats of an entry.
 const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(9);
 
-/// Starts this program again where all but the proxies runs, and passes its outcome on; where there are too few
-/// processors it measures here.
+/// Starts this program again on the processors of clients and hosts, and exits with its status. With too few processors,
+/// or without `taskset`, measures in this process.
 pub fn measure_pinned(full: bool) -> Option<Report> {
     let processors = std::thread::available_parallelism().map_or(1, usize::from);
     if processors < 4 {
@@ -52,11 +53,11 @@
     }
 }
 
-/// Measures all parts.
+/// Measures everything.
 pub fn measure(full: bool) -> Report {
     let (rounds, run_duration) =
         if full { (15, Duration::from_secs(1)) } else { (5, Duration::from_millis(350)) };
-    // This runs on what the proxies do not have.
+    // Pinned to two processors by `measure_pinned`, the proxies have the others for themselves.
     let has_own_processors =
         std::thread::available_parallelism().is_ok_and(|available| usize::from(available) == 2);
     let mut variants = if has_own_processors { throughput(rounds, run_duration) } else { Vec::new() };
@@ -79,26 +80,26 @@
     let cpu_four_engines_by_one =
         median_ratio(&mut variants, FOUR_ENGINES, ONE_ENGINE, |variant| &variant.cpu_us);
     let open = [1, ENGINES].map(count_connections);
-    eprintln!("connections at hosts and watches with 1 and {ENGINES} engines: {open:?}");
+    eprintln!("connections to hosts and watches with 1 and {ENGINES} engines: {open:?}");
     let mut start_times = burst_start_times(if full { 200 } else { 60 });
     start_times.sort_unstable_by(f64::total_cmp);
     let start_time_quantile = |share: f64| start_times[((start_times.len() - 1) as f64 * share) as usize];
     eprintln!(
-        "room follows the load in {:.3} ms, 99 of 100 in {:.3}",
+        "capacity follows the load in {:.3} ms, p99 {:.3}",
         start_time_quantile(0.5),
         start_time_quantile(0.99)
     );
     let (own_shard_us, other_shard_us) = replay_times(if full { 20_000 } else { 2_000 });
     eprintln!(
-        "a repeat's answer takes {own_shard_us:.1} us at its key's engine, {other_shard_us:.1} over another"
+        "replaying a response takes {own_shard_us:.1} us at the shard of its key, {other_shard_us:.1} by another"
     );
     let without_keys = instructions_without_keys();
-    eprintln!("instructions a request by the daemon and by two engines: {without_keys:?}");
+    eprintln!("instructions per request of the daemon and of two engines: {without_keys:?}");
     let with_keys = instructions_with_keys();
-    eprintln!("instructions a keyed request with 1 engine and with 2: {with_keys:?}");
+    eprintln!("instructions per keyed request with 1 engine and with 2: {with_keys:?}");
     let keys = if full { 20_000 } else { 1_000 };
     let (stress, forwarded, seconds) = run_stress(keys);
-    eprintln!("storm: {stress:?}, {forwarded} handed over, {seconds:.1} s");
+    eprintln!("stress run: {stress:?}, {forwarded} requests forwarded, {seconds:.1} s");
     let rows: Vec<Value> = variants.iter_mut().map(Variant::to_json).collect();
     let measurements = json!({
         "rounds": rounds, "turn_ms": run_duration.as_millis() as u64, "clients": CLIENTS, "forms": rows,
@@ -106,7 +107,8 @@
         "cpu_four_engines_on_two_processors_by_one": round(cpu_four_engines_by_one),
         "open": open.iter().map(|open| json!({"light": open.light, "heavy": open.heavy, "watches": open.watches}))
             .collect::<Vec<_>>(),
-        "room_follows_ms": {"median": round(start_time_quantile(0.5)), "p99": round(start_time_quantile(0.99)), "most": round(start_time_quantile(1.0)), "times": start_times.len()},
+        "room_follows_ms": {"median": round(start_time_quantile(0.5)), "p99": round(start_time_quantile(0.99)),
+                            "most": round(start_time_quantile(1.0)), "times": start_times.len()},
         "repeat_us": {"at_its_engine": round(own_shard_us), "over_another": round(other_shard_us)},
         "instructions": without_keys.map(|(one, two)| json!({"one": one, "two": two})),
         "instructions_keyed": with_keys.map(|(one, two)| json!({"one": one, "two": two, "handed_over": (two - one) / 0.5})),
@@ -152,6 +154,7 @@
     (value * 1e3).round() / 1e3
 }
 
+/// Indices of the variants of [`throughput`].
 const ONE_ENGINE: usize = 0;
 const TWO_ENGINES: usize = 1;
 const TWO_DAEMONS: usize = 2;
@@ -159,12 +162,15 @@
 const MINIMAL_TWO_THREADS: usize = 4;
 const FOUR_ENGINES: usize = 5;
 
-/// One form: its processes, where clients connect, and what came of each turn.
+/// A variant whose throughput is measured: its processes, to which clients connect, and the values of each round.
 struct Variant {
     name: &'static str,
     processes: Vec<ChildProcess>,
+    /// Served requests per second.
     rates: Vec<f64>,
+    /// CPU time per call.
     cpu_us: Vec<f64>,
+    /// CPU time per wall-clock time.
     busy: Vec<f64>,
     calls: u64,
     unserved: u64,
@@ -184,12 +190,13 @@
     }
 }
 
+/// Starts a child process on these processors.
 fn start_pinned(processors: &str, name: &str, argument: &str, threads: usize) -> ChildProcess {
     ChildProcess::start_with_wrapper(&["taskset", "-c", processors], name, argument, threads)
-        .expect("taskset is there")
+        .expect("taskset is installed")
 }
 
-/// Requests a second and what they cost, turn by turn.
+/// Measures the requests per second and the CPU time per request of all variants, in alternation.
 fn throughput(rounds: usize, run_duration: Duration) -> Vec<Variant> {
     let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 4]);
     let config = site.configuration(|config| config["limits"]["sockets"] = SOCKET_LIMIT.into());
@@ -218,10 +225,10 @@
             vec![start_pinned(PROXY_PROCESSORS, "engines", &config, 4)],
         ),
     ];
-    // Clients and hosts on two processors keep about one and a half proxies busy. So each processor of the proxies is
-    // shared with something that only burns time: what limits the rate then is the proxy.
+    // Clients and hosts on two processors can load only about one and a half proxies. So each processor of the proxies is
+    // shared with a process that only consumes CPU time, which makes the proxy the bottleneck.
     let _cpu_burners = ["0", "1"].map(|processor| start_pinned(processor, "burn", "", 1));
-    // The first round fills pools and caches, and does not count.
+    // The first round fills connection pools and caches, and is not counted.
     for number in 0..=rounds {
         for variant in &mut variants {
             let addresses: Vec<SocketAddr> = variant.processes.iter().map(|proxy| proxy.address).collect();
@@ -249,7 +256,7 @@
     variants
 }
 
-/// Clients on two threads, spread evenly over addresses. How many asked, and were served.
+/// Runs clients on two threads, spread evenly over the addresses. Returns the numbers of calls and of served calls.
 fn run_load(addresses: &[SocketAddr], seed: u64, run_duration: Duration) -> (u64, u64) {
     let threads: Vec<_> = (0..2)
         .map(|thread| {
@@ -267,21 +274,24 @@
             })
         })
         .collect();
-    let thread_results = threads.into_iter().map(|thread| thread.join().expect("no panic"));
+    let thread_results = threads.into_iter().map(|thread| thread.join().expect("the thread does not panic"));
     thread_results.fold((0, 0), |(calls, served), (thread_calls, thread_served)| {
         (calls + thread_calls, served + thread_served)
     })
 }
 
-/// What is open with so many engines.
+/// Open connections to hosts and watches.
 #[derive(Debug)]
 struct OpenConnections {
+    /// Connections under light load.
     light: usize,
+    /// Connections under heavy load.
     heavy: usize,
+    /// Watches at discovery.
     watches: usize,
 }
 
-/// Connections at eight hosts, with a few clients that pause and with many that do not.
+/// Counts the connections to eight hosts under load by a few clients that pause, and by many that do not.
 fn count_connections(engines: usize) -> OpenConnections {
     let site = Site::start(vec![Plan { service: Duration::from_millis(4), ..Plan::default() }; 8]);
     let proxy = ChildProcess::start("engines", &site.configuration(|_| ()), engines);
@@ -303,7 +313,7 @@
     OpenConnections { light, heavy, watches: site.with(|inside| inside.registry.watches.get()) }
 }
 
-/// A process of several engines within this one.
+/// A proxy of several engines on threads of this process.
 struct ShardedProxy {
     address: SocketAddr,
     shards: Shards,
@@ -314,9 +324,9 @@
 
 impl ShardedProxy {
     fn start(config: &Config) -> ShardedProxy {
-        let listeners = nettleworks::server::bind_all(config.listen, ENGINES).expect("it listens");
-        let address = listeners[0].local_addr().expect("an address");
-        let backup_listeners = BackupListeners::duplicate(&listeners).expect("descriptors");
+        let listeners = nettleworks::server::bind_all(config.listen, ENGINES).expect("the address is free");
+        let address = listeners[0].local_addr().expect("the listener is bound");
+        let backup_listeners = BackupListeners::duplicate(&listeners).expect("listeners can be duplicated");
         let (stop, stopped) = tokio::sync::watch::channel(false);
         let (reload, reloads) = tokio::sync::watch::channel(None);
         let prepared_shards = cores::prepare_shards(config, ENGINES);
@@ -341,6 +351,7 @@
         ShardedProxy { address, shards, stop, _reload: reload, backup_listeners }
     }
 
+    /// Waits until all engines have a list of hosts.
     async fn ready(&self) {
         for shard in 0..ENGINES {
             while self.shards.run_on(shard, |driver| driver.is_ready()).await != Some(true) {
@@ -357,12 +368,13 @@
     }
 }
 
-/// How long after a burst has come to one shard it has all the room of the process on its calls, in milliseconds; the
-/// load moves on to the next shard each time, and the last has kept some room.
+/// Times in milliseconds from the arrival of a burst at one shard until all its calls have started, for which the shard
+/// needs the whole capacity of the process. Each burst goes to the next shard, while the previous one still holds a lease
+/// of some of the capacity.
 fn burst_start_times(bursts: usize) -> Vec<f64> {
     let site = Site::start(vec![Plan { service: Duration::from_millis(30), ..Plan::default() }]);
     let proxy =
-        ShardedProxy::start(&Config::parse(&site.configuration(|_| ())).expect("a good configuration"));
+        ShardedProxy::start(&Config::parse(&site.configuration(|_| ())).expect("the configuration is valid"));
     let mut start_times_ms = Vec::new();
     run(async {
         proxy.ready().await;
@@ -372,7 +384,7 @@
             let answered_count = answered.clone();
             proxy.shards.submit(burst % ENGINES, move |driver| {
                 let (before, started) = (driver.state().attempts, Instant::now());
-                // One balancer that is alone begins with 7 at a host: so many go at once, and more once it has learned.
+                // A single balancer starts with a limit of 7 at a host, so 7 calls start at once; the limit rises later.
                 for call in 0..7 {
                     let pending_reply = driver.request(request_info(burst, call), forwarded_request());
                     let answered_count = answered_count.clone();
@@ -386,11 +398,11 @@
                     while driver.state().attempts < before + 7 {
                         tokio::task::yield_now().await;
                     }
-                    // Whoever measures is there.
+                    // The receiver waits for the value.
                     let _ = sender.send(started.elapsed());
                 });
             });
-            start_times_ms.push(all_started.await.expect("all go").as_secs_f64() * 1e3);
+            start_times_ms.push(all_started.await.expect("all calls start").as_secs_f64() * 1e3);
             while answered.load(Ordering::Relaxed) < 7 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
@@ -400,7 +412,7 @@
 }
 
 fn request_info(number: usize, call: usize) -> RequestInfo<http::HeaderValue> {
-    let id = http::HeaderValue::try_from(format!("{number}-{call}")).expect("a value");
+    let id = http::HeaderValue::try_from(format!("{number}-{call}")).expect("a valid header value");
     let deadline = tokio::time::Instant::now() + Duration::from_secs(8);
     RequestInfo { id, class: ClassId(0), tenant: None, deadline, resent: false, key: None }
 }
@@ -410,16 +422,16 @@
     ForwardedRequest { method, target, headers: http::HeaderMap::new(), body: bytes::Bytes::new() }
 }
 
-/// The median time of a repeat's kept answer, in microseconds, at the engine that its key belongs to and at another.
+/// The median times in microseconds of a replayed response: at the shard that owns the key, and at another shard.
 fn replay_times(repeats: usize) -> (f64, f64) {
     let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }]);
     let config = Config::parse(&site.configuration(|_| ())).and_then(|config| config.with_keys("{}"));
-    let proxy = ShardedProxy::start(&config.expect("a good configuration"));
+    let proxy = ShardedProxy::start(&config.expect("the configuration is valid"));
     run(async {
         proxy.ready().await;
         let mut medians = [0, 1].into_iter().map(|owner| {
             let is_owned = |key: &String| proxy.shards.key_owner(&keyed_request_info(0, key)) == Some(owner);
-            let key = (0..).map(|n| format!("key-{n}")).find(is_owned).expect("each has keys");
+            let key = (0..).map(|n| format!("key-{n}")).find(is_owned).expect("each shard owns keys");
             let (sender, replay_median) = tokio::sync::oneshot::channel();
             proxy.shards.submit(0, move |driver| {
                 let driver = driver.clone();
@@ -430,15 +442,16 @@
                         driver.request(keyed_request_info(repeat, &key), forwarded_request()).reply().await;
                         replay_us.push(started.elapsed().as_secs_f64() * 1e6);
                     }
-                    // The first was a host's.
+                    // The first response was a host's.
                     replay_us.remove(0);
-                    // Whoever measures is there.
+                    // The receiver waits for the value.
                     let _ = sender.send(median(&mut replay_us));
                 });
             });
             replay_median
         });
-        let (own_shard, other_shard) = (medians.next().expect("two"), medians.next().expect("two"));
+        let (own_shard, other_shard) =
+            (medians.next().expect("one median per owner"), medians.next().expect("one median per owner"));
         (own_shard.await.expect("a median"), other_shard.await.expect("a median"))
     })
 }
@@ -447,7 +460,7 @@
     RequestInfo { key: Some(key.to_owned().into()), class: ClassId(2), ..request_info(number, key.len()) }
 }
 
-/// Instructions a request without a store of keys, by the daemon and by two engines. `None`: there is no valgrind here.
+/// Instructions per request without a key store, of the daemon and of two engines. `None`: valgrind is not installed.
 fn instructions_without_keys() -> Option<(f64, f64)> {
     let count = |role, engines| {
         let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
@@ -457,8 +470,8 @@
     Some((count("daemon", 1)?, count("engines", 2)?))
 }
 
-/// Instructions a request with a key, with one engine and with two: with two, half of them cross. `None`: there is no
-/// valgrind here.
+/// Instructions per keyed request, with one engine and with two. With two engines, half of the requests are forwarded to
+/// the other shard. `None`: valgrind is not installed.
 fn instructions_with_keys() -> Option<(f64, f64)> {
     let count = |engines| {
         let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
@@ -473,9 +486,9 @@
     Some((count(1)?, count(2)?))
 }
 
-/// Charges and entries, half and half, each sent up to four times over connections of all engines, with faults of every
-/// kind; a host is killed, and an engine blocked for a while, in the middle. How many requests crossed, and how long it
-/// took, come too.
+/// Stress run of several shards: charges (unsafe) and entries (keyed), half each, are sent up to four times over
+/// connections of all engines, with faults of every kind. A host is killed after a third of the keys, and an engine is
+/// blocked for 1.5 s after half of them. Also returns the number of forwarded requests and the duration in seconds.
 fn run_stress(keys: usize) -> (Aftermath, u64, f64) {
     let stress = Storm { keys, ..Storm::default() };
     let site = stress.site(4);
@@ -483,10 +496,10 @@
         r#"{"entries": 100000, "entries_a_tenant": 100000, "classes": {"unsafe": {"forward": true}}}"#;
     let config =
         Config::parse(&stress.configuration(&site)).and_then(|config| config.with_keys(key_settings));
-    let proxy = ShardedProxy::start(&config.expect("a good configuration"));
+    let proxy = ShardedProxy::start(&config.expect("the configuration is valid"));
     let started = Instant::now();
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    runtime.expect("a runtime").block_on(async {
+    runtime.expect("the runtime starts").block_on(async {
         proxy.ready().await;
         let on_send = |number| {
             if number == keys / 3 {
--- a/measure/src/fleet.rs
+++ b/measure/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What a decision costs by the size of the fleet: the time of the module alone for one call (its request, its outcome)
-//! where a hundred proxies share the hosts' budgets, at 10, 60 and 1,000 hosts.
+//! CPU time of decisions by the size of the fleet: the time that the decision module alone takes for one call (its request
+//! and its outcome) at 10, 60 and 1,000 hosts whose limits are shared by a hundred proxies.
 
 use crate::report::{median, Bound, Report};
 use nettleworks_policy::{
@@ -10,10 +10,10 @@
 use std::time::Instant;
 
 const MILLISECOND: Micros = 1_000;
-/// Calls of one round.
+/// Number of calls of one round.
 const CALLS_PER_ROUND: u64 = 2_000;
 
-/// Microseconds of processor time for each call, the middle of so many rounds.
+/// Time per call in microseconds, the median of `rounds` rounds.
 fn cpu_us_per_call(hosts: u32, rounds: usize) -> f64 {
     let class = Class {
         latency_target: 861 * MILLISECOND,
@@ -59,8 +59,8 @@
     median(&mut (0..rounds).map(|_| measure_round()).collect::<Vec<f64>>())
 }
 
-/// The figures at three sizes; the target is what a proxy may spend on a decision beside some 30 microseconds that the
-/// rest of a request costs it.
+/// Measures three sizes of the fleet. The target limits the time of a decision to the 30 microseconds that the rest of a
+/// request costs a proxy.
 pub fn measure(full: bool) -> Report {
     let rounds = if full { 201 } else { 21 };
     let [at_10_hosts, at_60_hosts, at_1000_hosts] =
--- a/measure/src/instructions.rs
+++ b/measure/src/instructions.rs
@@ -1,33 +1,34 @@
-//! Instructions that a request costs a process, by callgrind: CPU time is noisy where machines are shared, and a count
-//! of instructions is nearly the same each time.
+//! Instructions per request of a process, counted by callgrind. CPU time is noisy on shared machines; the number of
+//! instructions is nearly the same in each run.
 //!
-//! The process is run twice with different numbers of requests, and what the second has more is divided by how many
-//! more there were: its start and end do not count.
+//! The process is run twice with different numbers of requests. The difference of the instructions is divided by the
+//! difference of the requests, so that startup and shutdown are not counted.
 
 use crate::child_process::ChildProcess;
 use nettleworks_standins::{run, Load};
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Requests of the shorter run, and how many more the longer one has.
+/// Requests of the shorter run.
 const BASE_REQUESTS: usize = 1_000;
+/// Additional requests of the longer run.
 const EXTRA_REQUESTS: usize = 3_000;
 
-/// What is asked of the process.
+/// The load of a counted process.
 #[derive(Clone, Debug)]
 pub struct RequestMix {
-    /// Connections that ask side by side.
+    /// Number of concurrent clients, each with one connection.
     pub clients: usize,
-    /// Classes and their shares.
+    /// Classes and their shares of the requests.
     pub classes: Vec<(&'static str, f64)>,
 }
 
-/// Instructions for each request to a role; `None`: there is no valgrind here.
+/// Instructions per request of a child process in this role. `None`: valgrind is not installed, or its output has no total.
 pub fn per_request(role: &str, config: &str, request_mix: &RequestMix) -> Option<f64> {
     per_request_with_threads(role, config, request_mix, 1)
 }
 
-/// The same for a role with so many threads.
+/// The same for a child process with this number of threads.
 pub fn per_request_with_threads(
     role: &str,
     config: &str,
@@ -40,6 +41,7 @@
     Some((extended_total - base_total) / EXTRA_REQUESTS as f64)
 }
 
+/// Instructions of a child process that serves this number of requests and exits.
 fn total_instructions(
     name: &str,
     config: &str,
@@ -71,7 +73,7 @@
     });
     process.finish();
     let text = std::fs::read_to_string(&output_path);
-    // It is of no more use.
+    // A file that can't be removed is left in the temporary folder.
     let _ = std::fs::remove_file(&output_path);
     let text = text.ok()?;
     let total =
--- a/measure/src/lab.rs
+++ b/measure/src/lab.rs
@@ -1,5 +1,5 @@
-//! The lab: how fast it plays, what a proxy takes in it, whether a seed has one course, the storm of 20,000 keys, and, at
-//! length, how true to life it is. Each run that is timed has a process and one thread of its own.
+//! The lab: speed relative to real time, memory per simulated proxy, determinism, the scenario with 20,000 keys and, with
+//! `--full`, the deviation from real sockets. Each measured run has a single-threaded process of its own.
 
 use crate::report::{Bound, Report};
 use nettleworks_lab::run::{play, Depth, Limits};
@@ -10,28 +10,31 @@
 use std::process::Command;
 use std::time::Instant;
 
-/// Scenarios that are played on real sockets too.
+/// Scenarios that are also run on real sockets, to compare the results.
 const FIDELITY_SCENARIOS: [&str; 6] =
     ["calm", "slow-node", "silent-node", "one-way", "rolling-release", "reset-storm"];
-/// An hour's six calls a proxy, as calls a second.
+/// Calls per second of a proxy with little load: six an hour.
 const QUIET_CALLS_PER_SECOND: f64 = 6.0 / 3_600.0;
 
 fn scenario_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../lab/scenarios")
 }
 
-/// What one run took.
+/// The cost and the result of one run.
 #[derive(Clone, Debug)]
 struct Run {
     depth: Depth,
     proxies: usize,
+    /// Virtual time divided by wall-clock time.
     times_real: f64,
+    /// Peak resident memory of the process.
     peak_kb: f64,
+    /// Hash of the event log.
     hash: String,
     result: Value,
 }
 
-/// Plays one scenario in this process, and says what it took: the role of a process of its own.
+/// Runs one scenario in this process, and returns its cost and result. Called in a child process.
 pub fn run_one(depth: &str, text: &str) -> Option<Value> {
     let depth = if depth == "full" { Depth::Full } else { Depth::Fleet };
     let scenario = Scenario::parse(text).map_err(|error| eprintln!("{error}")).ok()?;
@@ -51,6 +54,7 @@
     }))
 }
 
+/// Runs one scenario in a child process.
 fn run_in_child(depth: Depth, scenario: &Scenario) -> Option<Run> {
     let depth_name = if depth == Depth::Full { "full" } else { "fleet" };
     let program = std::env::current_exe().ok()?;
@@ -66,7 +70,7 @@
         result,
     };
     eprintln!(
-        "{depth_name}, {} proxies, {} hosts: {:.1} times real time, {:.0} kB",
+        "{depth_name}, {} proxies, {} hosts: {:.1} times real time, {:.0} kB peak memory",
         run.proxies, scenario.fleet.hosts, run.times_real, run.peak_kb
     );
     Some(run)
@@ -80,7 +84,7 @@
     Scenario::parse(&text).map_err(|error| eprintln!("{error}")).ok()
 }
 
-/// Kilobytes that a proxy adds, between two runs.
+/// Memory per additional proxy in kilobytes, from two runs with different numbers of proxies.
 fn kb_per_proxy(few: &Run, many: &Run) -> f64 {
     (many.peak_kb - few.peak_kb) / (many.proxies - few.proxies) as f64
 }
--- a/measure/src/library.rs
+++ b/measure/src/library.rs
@@ -1,4 +1,4 @@
-//! The library beside the daemon: the same application, the same load, turn by turn.
+//! The library compared with the daemon: the same application under the same load, in alternation.
 
 use crate::child_process::ChildProcess;
 use crate::report::{median, Bound, Report};
@@ -10,7 +10,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// One form: the application's process and, for one of them, the daemon's.
+/// A variant that is measured: the process of the application and, in one variant, that of the daemon. The values have one
+/// element per round.
 struct Variant {
     name: &'static str,
     processes: Vec<ChildProcess>,
@@ -21,7 +22,7 @@
     unserved: u64,
 }
 
-/// The sizes: clients, each with one call out at a time, and the application's worker threads.
+/// Measures several sizes: the number of clients, each with one call in flight, and the worker threads of the application.
 pub fn measure(full: bool) -> Report {
     let (sizes, rounds, run_duration): (&[(usize, usize)], usize, Duration) = match full {
         true => (&[(1, 1), (8, 1), (32, 1), (128, 1), (32, 2)], 9, Duration::from_secs(2)),
@@ -57,7 +58,7 @@
         let name = format!("cpu_of_library_by_application_and_daemon_threads_{threads}");
         report.add_target(&name, ratio, Bound::AtMost(0.7));
     }
-    // A form that turned its calls away would look cheap.
+    // A variant that refused calls would seem to cost less.
     report.add_target("share_served", served as f64 / calls as f64, Bound::AtLeast(0.999));
     report
 }
@@ -74,6 +75,8 @@
     values.iter().copied().fold(0.0, f64::max)
 }
 
+/// Measures all variants in alternation. Returns them, and for each round the CPU time of the library divided by that of
+/// the daemon variant.
 fn compare(
     clients: usize,
     threads: usize,
@@ -103,7 +106,7 @@
     };
     let mut variants: Vec<Variant> = processes.into_iter().map(variant).collect();
     let mut ratios = Vec::new();
-    // The first round fills pools and caches, and does not count.
+    // The first round fills connection pools and caches, and is not counted.
     for number in 0..=rounds {
         for variant in &mut variants {
             let measured =
@@ -133,13 +136,13 @@
     (variants, ratios)
 }
 
-/// CPU time of one role for each request of one turn, in microseconds.
+/// CPU time per request of one process under load for `run_duration`, in microseconds.
 pub fn cpu_us_per_request(process: &ChildProcess, clients: usize, seed: u64, run_duration: Duration) -> f64 {
     let (tally, cpu) = run_load(process.address, clients, seed, run_duration, || process.cpu_time());
     cpu.as_secs_f64() * 1e6 / tally.all().max(1) as f64
 }
 
-/// One turn: what came of it, and the CPU time that it cost.
+/// Runs a load for `run_duration`. Returns its counts and latencies, and how much `cpu` increased.
 fn run_load(
     address: SocketAddr,
     clients: usize,
@@ -159,11 +162,12 @@
     })
 }
 
-/// Waits until a daemon has a list of hosts.
+/// Waits until a daemon reports by its health check that it has a list of hosts.
 pub fn wait_until_ready(daemon: SocketAddr) {
     run(async {
         loop {
-            let stream = tokio::net::TcpStream::connect(daemon).await.expect("it accepts");
+            let stream =
+                tokio::net::TcpStream::connect(daemon).await.expect("the daemon accepts connections");
             if nettleworks_standins::Reader::new(stream).ask(HEALTH).await.status() == 200 {
                 return;
             }
--- a/measure/src/main.rs
+++ b/measure/src/main.rs
@@ -1,5 +1,6 @@
-//! `measure NAME [--full]`: measures a subsystem within 30 s, or at length. Progress goes to standard error; the last
-//! line of standard output is one JSON object with targets, and the exit status is 1 if one is missed.
+//! `measure NAME [--full]` measures a subsystem within 30 s, or for longer with `--full`. Progress goes to standard error.
+//! The last line of standard output is one JSON object with the measured values and the targets. The exit status is 1 if a
+//! target is missed.
 #![forbid(unsafe_code)]
 
 mod child_process;
@@ -22,17 +23,18 @@
 
 const USAGE: &str = "\
 usage: measure NAME [--full]
-  cores      several engines beside one, as many daemons, and the least proxy: requests a second, connections, room that
-             follows the load, keys that cross, a storm of repeats
-  engine     instructions a request without a station on its way, by those before there were stations
-  fleet      what a decision costs at 10, 60 and 1,000 hosts where a hundred proxies share them
-  keys       the store of idempotency keys: look-up time, bytes a key, CPU a request with it and without; a storm of
-             repeats with lingering and without, and how long those that join wait
-  lab        (built with --features lab) how fast the lab plays, memory a proxy, one course a seed, the storm of 20,000
-             keys; with --full also how true to life it is
-  members    (built with --features lab) how soon members notice one that is dead, who is wrongly taken for failed, what they
-             send by their number, how soon all agree after a cut; their processor time beside a request's
-  library    the library beside the daemon and a plain client: CPU for each request, times";
+  cores      several engines compared with one, with as many daemons and with a minimal proxy: requests per second,
+             connections, time until the capacity of the hosts moves to the shard with load, keyed requests forwarded
+             between shards, a stress run of repeated keyed requests
+  engine     instructions per request without interceptors, relative to the engine before it had interceptors
+  fleet      CPU time of a decision at 10, 60 and 1,000 hosts that are shared by a hundred proxies
+  keys       the store of idempotency keys: look-up time, bytes per key, CPU per request with and without the store; a
+             stress run of repeated keyed requests with and without detached calls; delay of joined requests
+  lab        (built with --features lab) the lab: speed, memory per proxy, determinism, the run with 20,000 keys; with
+             --full also its deviation from real sockets
+  members    (built with --features lab) membership: failure detection time, false failures, traffic per member, merge
+             time after a partition; its CPU time relative to that of requests
+  library    the library compared with the daemon and with a plain client: CPU time per request, latencies";
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -67,7 +69,7 @@
                 None => ExitCode::FAILURE,
             };
         }
-        // What a measurement starts of itself, as processes of their own.
+        // Child processes of measurements.
         ["role", name, argument] => return child_roles::run(name, argument),
         _ => {
             eprintln!("{USAGE}");
--- a/measure/src/members.rs
+++ b/measure/src/members.rs
@@ -1,5 +1,5 @@
-//! Members: how soon a dead one is noticed, who is wrongly taken for failed, what is sent, how soon all agree after a cut (the
-//! core on the lab's virtual time), and what it costs the daemon in processor time.
+//! Membership: failure detection time, false failures, traffic, and merge time after a partition, of the protocol core on
+//! the lab's virtual time; and its CPU time relative to that of the daemon's requests.
 
 use crate::child_process::ChildProcess;
 use crate::report::{median, Bound, Report};
@@ -17,26 +17,27 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// Settled: all agree, and no news is about any more.
+/// A cluster whose members agree, after the broadcasts of the joins have ended.
 fn converged_cluster(count: usize) -> Crowd {
-    let mut cluster = Crowd::agreed(count, 1, &Config::default()).expect("they agree");
+    let mut cluster = Crowd::agreed(count, 1, &Config::default()).expect("the members agree");
     cluster.run(60 * SECOND);
     cluster.news.clear();
     cluster
 }
 
+/// The quantile `share` of the values by the nearest-rank method, or NaN if there are none. Sorts the values.
 fn quantile(values: &mut [f64], share: f64) -> f64 {
     values.sort_unstable_by(f64::total_cmp);
     let index = ((values.len() as f64 * share).ceil() as usize).clamp(1, values.len().max(1)) - 1;
     values.get(index).copied().unwrap_or(f64::NAN)
 }
 
-/// Seconds until all have noticed that one is dead, for each seed.
+/// Seconds until all members have declared a killed member failed, for each seed.
 fn failure_detection_times(initial: &Crowd, seeds: u64) -> Vec<f64> {
     let elapsed = (0..seeds).into_par_iter().map(|seed| {
         let mut cluster = initial.clone();
         cluster.reseed(seed);
-        // At any moment of a period.
+        // The member is killed at different moments of the probe period.
         cluster.run(seed * 37_000 % SECOND);
         let killed = (seed as usize * 7 + 5) % cluster.count();
         cluster.kill(killed);
@@ -46,8 +47,8 @@
     elapsed.collect()
 }
 
-/// Members wrongly taken for failed in an hour of the whole cluster, by how many take them so, and datagrams and bytes a
-/// second a member meanwhile.
+/// Running members that were declared failed, per hour of the whole cluster; and datagrams and bytes sent per second and
+/// member. All are means over the seeds. `loss` is the share of datagrams lost.
 fn measure_false_failures(initial: &Crowd, loss: f64, seeds: u64, minutes: u64) -> (f64, f64, f64) {
     let runs = (0..seeds).into_par_iter().map(|seed| {
         let mut cluster = initial.clone();
@@ -70,7 +71,7 @@
     (mean(|run| run.0) * 60.0 / minutes as f64, mean(|run| run.1), mean(|run| run.2))
 }
 
-/// Seconds until all agree again after a cut of 30 s between a third and the rest, for each seed.
+/// Seconds until all members agree again after a partition of 30 s between a third of them and the rest, for each seed.
 fn merge_times(initial: &Crowd, seeds: u64) -> Vec<f64> {
     let elapsed = (0..seeds).into_par_iter().map(|seed| {
         let mut cluster = initial.clone();
@@ -87,12 +88,13 @@
     elapsed.collect()
 }
 
-/// One member at a real socket: the role of a process of its own.
+/// Runs one member on a real socket, and prints its address. Called in a child process.
 pub fn run_member(argument: &str) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     runtime.block_on(async {
-        let settings = Settings::parse(argument).expect("good settings");
-        let (handle, running) = start(settings, "1", |_| ()).await.expect("it starts");
+        let settings = Settings::parse(argument).expect("the settings are valid");
+        let (handle, running) = start(settings, "1", |_| ()).await.expect("the member starts");
         println!("{}", handle.address());
         running.run().await;
     });
@@ -100,23 +102,24 @@
 
 fn write_key_file() -> PathBuf {
     let path = std::env::temp_dir().join(format!("measure-members-{}.key", std::process::id()));
-    std::fs::write(&path, "a key for a measurement").expect("written");
+    std::fs::write(&path, "a key for a measurement").expect("the file is written");
     path
 }
 
-/// Processor time a second, in microseconds, of one member among so many at real sockets.
+/// CPU time of one member of a cluster of `count` on real sockets, in microseconds per second.
 fn member_cpu_us_per_second(count: usize, span: Duration) -> f64 {
     let key_file = write_key_file();
     let settings_text = |name: &str, seeds: &[String]| {
         json!({"name": name, "listen": "127.0.0.1:0", "seeds": seeds, "key_file": key_file}).to_string()
     };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     let cpu_time = runtime.block_on(async {
         let mut seeds = Vec::new();
         for number in 1..count {
-            let settings =
-                Settings::parse(&settings_text(&format!("m-{number}"), &seeds)).expect("good settings");
-            let (handle, running) = start(settings, "1", |_| ()).await.expect("it starts");
+            let settings = Settings::parse(&settings_text(&format!("m-{number}"), &seeds))
+                .expect("the settings are valid");
+            let (handle, running) = start(settings, "1", |_| ()).await.expect("the member starts");
             if seeds.len() < 3 {
                 seeds.push(handle.address().to_string());
             }
@@ -124,19 +127,19 @@
         }
         let argument = settings_text("m-0", &seeds);
         let process = tokio::task::spawn_blocking(move || ChildProcess::start("member", &argument, 1)).await;
-        let process = process.expect("it starts");
-        // Until all know it, and no news is about.
+        let process = process.expect("the member starts");
+        // Time for the join to be broadcast to all members.
         tokio::time::sleep(Duration::from_secs(6)).await;
         let before = process.cpu_time();
         tokio::time::sleep(span).await;
         (process.cpu_time() - before).as_secs_f64()
     });
-    // It is of no more use.
+    // A file that can't be removed is left in the temporary folder.
     let _ = std::fs::remove_file(&key_file);
     cpu_time * 1e6 / span.as_secs_f64()
 }
 
-/// Processor time of a daemon's request, in microseconds, at some hundred requests a second, and how many a second there were.
+/// CPU time per request of a daemon in microseconds, at some hundred requests per second, and the requests per second.
 fn request_cpu_us(span: Duration) -> (f64, f64) {
     let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
     let process = ChildProcess::start("daemon", &site.configuration(|_| ()), 1);
@@ -156,7 +159,7 @@
     (cpu_time * 1e6 / served as f64, served as f64 / span.as_secs_f64())
 }
 
-/// Measures members.
+/// Measures clusters of several sizes, and the CPU time of one member.
 pub fn measure(full: bool) -> Report {
     let (sizes, seeds, minutes): (&[usize], u64, u64) =
         if full { (&[10, 100, 1_000], 500, 4) } else { (&[10, 60], 16, 2) };
@@ -169,13 +172,14 @@
         let is_largest = Some(&count) == sizes.last();
         detection_seconds = failure_detection_times(&initial, seeds);
         eprintln!(
-            "{count}: noticed after {:.1} s, p99 {:.1}",
+            "{count} members: failure detected after {:.1} s, p99 {:.1}",
             median(&mut detection_seconds),
             quantile(&mut detection_seconds, 0.99)
         );
         let at_no_loss = measure_false_failures(&initial, 0.0, few_seeds, minutes);
         let at_5_percent = measure_false_failures(&initial, 0.05, few_seeds, minutes);
-        // News without end, at a thousand times a thousand.
+        // At this loss each of 1,000 members sends broadcasts about 1,000 others all the time, so the largest cluster is
+        // simulated for a shorter time.
         let at_30_percent = measure_false_failures(
             &initial,
             0.3,
@@ -188,8 +192,8 @@
         let (p50, p99) = (median(&mut detection_seconds), quantile(&mut detection_seconds, 0.99));
         let merge = (median(&mut merge_seconds), quantile(&mut merge_seconds, 0.99));
         eprintln!(
-            "{count}: wrongly failed an hour {false_failures:?}; {:.2} datagrams and {:.0} \
-             bytes a second, {:.0} at 5% loss, {:.0} at 30%; agreed {:.1} s after a cut, p99 {:.1}",
+            "{count} members: false failures per hour {false_failures:?}; {:.2} datagrams and {:.0} \
+             bytes per second, {:.0} at 5% loss, {:.0} at 30%; merged {:.1} s after a partition, p99 {:.1}",
             at_no_loss.1, at_no_loss.2, at_5_percent.2, at_30_percent.2, merge.0, merge.1
         );
         rows.push(
@@ -201,7 +205,9 @@
     let span = Duration::from_secs(if full { 30 } else { 4 });
     let member = member_cpu_us_per_second(60, span);
     let (request, rate) = request_cpu_us(span);
-    eprintln!("a member of 60: {member:.0} us a second; a request at {rate:.0} a second: {request:.1} us");
+    eprintln!(
+        "one of 60 members: {member:.0} us per second; one request at {rate:.0} per second: {request:.1} us"
+    );
     let cpu_ratio = 1.0 + member / (request * rate);
     let measurements = json!({"sizes": rows, "seeds": seeds, "member_us_a_second": member, "request_us": request,
                          "requests_a_second": rate});
--- a/measure/src/minimal_proxy.rs
+++ b/measure/src/minimal_proxy.rs
@@ -1,5 +1,6 @@
-//! The least proxy that hyper allows: no decision, no bound, no repeat. Each thread has connections of its own to each
-//! host and takes them in turn; bodies are read whole.
+//! A minimal proxy on hyper, as a lower bound of the cost: it makes no decisions, has no limits and retries nothing. Each
+//! thread has connections of its own and forwards to the hosts in round-robin order. Bodies are read completely before
+//! they are forwarded.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -17,17 +18,20 @@
 
 type IdleConnections = Vec<SendRequest<Full<Bytes>>>;
 
+/// The connections of one thread to the hosts.
 struct HostConnections {
     hosts: Vec<SocketAddr>,
+    /// Idle connections by host.
     idle: RefCell<Vec<IdleConnections>>,
+    /// Index of the host of the next request.
     next: Cell<usize>,
 }
 
-/// Serves on so many threads for as long as the process lives, and says where.
+/// Serves on this number of threads until the process exits, and prints the address.
 pub fn serve(hosts: &[SocketAddr], threads: usize) {
-    let any_port = "127.0.0.1:0".parse().expect("an address");
-    let listeners = nettleworks::server::bind_all(any_port, threads).expect("it listens");
-    println!("{}", listeners[0].local_addr().expect("an address"));
+    let any_port = "127.0.0.1:0".parse().expect("a valid address");
+    let listeners = nettleworks::server::bind_all(any_port, threads).expect("the address is free");
+    println!("{}", listeners[0].local_addr().expect("the listener is bound"));
     let threads: Vec<_> = listeners
         .into_iter()
         .map(|listener| {
@@ -39,14 +43,15 @@
 }
 
 fn serve_listener(listener: std::net::TcpListener, hosts: Vec<SocketAddr>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
-        let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
+        let listener = tokio::net::TcpListener::from_std(listener).expect("the listener can be registered");
         let idle = RefCell::new(hosts.iter().map(|_| Vec::new()).collect());
         let connections = Rc::new(HostConnections { hosts, idle, next: Cell::new(0) });
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
-            // It only costs time.
+            // Without TCP_NODELAY the connection only has a higher latency.
             let _ = stream.set_nodelay(true);
             let connections = connections.clone();
             let service = service_fn(move |request| {
@@ -68,6 +73,7 @@
     response
 }
 
+/// Forwards a request to the next host, and returns its response. Answers health checks itself.
 async fn forward(
     connections: &HostConnections,
     request: Request<Incoming>,
--- a/measure/src/stress.rs
+++ b/measure/src/stress.rs
@@ -1,5 +1,6 @@
-//! Keys in a storm: charges and entries that are sent up to four times, by clients of which some leave early, over hosts
-//! with faults of every kind of which one is killed. Once with lingering and once without.
+//! Stress run of the key store: charges (unsafe) and entries (keyed) are each sent up to four times by clients of which
+//! some disconnect early. The hosts have faults of every kind, and one is killed. Run once with detached calls (the setting
+//! `lingering`) and once without.
 
 use nettleworks_client::{Error, Fleet, KeyState};
 use nettleworks_standins::{Aftermath, Got, Plan, Site, Storm};
@@ -7,26 +8,28 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// The window in which a pod drops repeats.
+/// Time within which a pod drops repeats of an entry.
 const DEDUPLICATION_WINDOW: Duration = Duration::from_secs(9);
+/// Time limit of the shutdown of a fleet.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Hosts get the keys of charges, so that their ledger counts runs by key; the store has room for all keys.
+/// Settings of the key store. The keys of charges are forwarded to the hosts, so that their ledger counts effects by key.
+/// The store is large enough for all keys.
 const DETACHED_CALLS_ON: &str =
     r#"{"entries": 100000, "entries_a_tenant": 100000, "classes": {"unsafe": {"forward": true}}}"#;
 const DETACHED_CALLS_OFF: &str = r#"{"entries": 100000, "entries_a_tenant": 100000, "lingering": 0,
                       "classes": {"unsafe": {"forward": true}}}"#;
 
-/// What came of a storm, and how long it took.
+/// Results of a stress run with and without detached calls.
 pub struct DetachComparison {
-    /// With lingering.
+    /// Result with detached calls.
     pub with_detached_calls: Aftermath,
-    /// Without.
+    /// Result without detached calls.
     pub without_detached_calls: Aftermath,
-    /// Seconds of the two.
+    /// Duration of the two runs in seconds.
     pub seconds: [f64; 2],
 }
 
-/// Half as many charges and half as many entries as there are keys.
+/// Runs the stress run with and without detached calls. Half of the keys are charges, half are entries.
 pub fn compare_detaching(keys: usize) -> DetachComparison {
     let stress_run = Storm { keys, ..Storm::default() };
     let [(with_detached_calls, with_seconds), (without_detached_calls, without_seconds)] =
@@ -38,15 +41,19 @@
 }
 
 fn runtime() -> tokio::runtime::Runtime {
-    tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("a runtime")
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .expect("the runtime starts")
 }
 
 fn run_stress(stress_run: &Storm, keys: &str) -> Aftermath {
     let site = stress_run.site(4);
     let fleet =
-        Fleet::builder().text(&stress_run.configuration(&site)).keys(keys).start().expect("it starts");
+        Fleet::builder().text(&stress_run.configuration(&site)).keys(keys).start().expect("the fleet starts");
     runtime().block_on(async {
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet becomes ready");
         let kill_host_at_half = |number| {
             if number == stress_run.keys / 2 {
                 site.with(|inside| inside.hosts[1].kill());
@@ -58,14 +65,14 @@
             async move { send_outcome(call.await) }
         };
         let report = stress_run.run(&site.ledger, DEDUPLICATION_WINDOW, call, kill_host_at_half).await;
-        fleet.shutdown(SHUTDOWN_TIMEOUT).await.expect("nothing is open");
+        fleet.shutdown(SHUTDOWN_TIMEOUT).await.expect("no call is open");
         report
     })
 }
 
 fn post(class: &str, key: &str) -> http::Request<bytes::Bytes> {
     let head = http::Request::post("/api").header("x-call-class", class).header("idempotency-key", key);
-    head.body(format!("pays {key}").into()).expect("a request")
+    head.body(format!("pays {key}").into()).expect("a valid request")
 }
 
 fn send_outcome(response: Result<http::Response<bytes::Bytes>, Error>) -> Got {
@@ -81,7 +88,7 @@
 }
 
 impl DetachComparison {
-    /// Both as a table.
+    /// Both results as one JSON object.
     pub fn to_json(&self) -> Value {
         let row = |report: &Aftermath, seconds: f64| {
             let share = |part: usize, whole: usize| (part as f64 / whole.max(1) as f64 * 1e4).round() / 1e4;
@@ -95,7 +102,8 @@
     }
 }
 
-/// How long after the first's answer those that wait with it have theirs: the 99th of 100, in milliseconds.
+/// Delay between the response of the request that ran and those of the requests that joined it, as the 99th percentile in
+/// milliseconds.
 pub fn joined_response_delay_p99(groups: usize) -> f64 {
     const GROUP_SIZE: usize = 8;
     let site = Site::start(vec![Plan { service: Duration::from_millis(10), ..Plan::default() }; 2]);
@@ -103,9 +111,9 @@
         .text(&site.configuration(|_| ()))
         .keys(DETACHED_CALLS_ON)
         .start()
-        .expect("it starts");
+        .expect("the fleet starts");
     let mut delays = runtime().block_on(async {
-        fleet.ready().await.expect("it runs");
+        fleet.ready().await.expect("the fleet becomes ready");
         let mut delays = Vec::new();
         for group in 0..groups {
             let mut calls = JoinSet::new();
@@ -117,10 +125,10 @@
                 });
             }
             let responses = calls.join_all().await;
-            let first = responses.iter().find(|(joined, _)| !joined).expect("one is the first").1;
+            let first = responses.iter().find(|(joined, _)| !joined).expect("one request ran").1;
             delays.extend(responses.iter().map(|&(_, at)| at.saturating_duration_since(first)));
         }
-        fleet.shutdown(SHUTDOWN_TIMEOUT).await.expect("nothing is open");
+        fleet.shutdown(SHUTDOWN_TIMEOUT).await.expect("no call is open");
         delays
     });
     delays.sort_unstable();
