--- a/measure/src/cores.rs
+++ b/measure/src/cores.rs
@@ -100,7 +100,7 @@
     let keys = if full { 20_000 } else { 1_000 };
     let (stress, forwarded, seconds) = run_stress(keys);
     eprintln!("stress run: {stress:?}, {forwarded} requests forwarded, {seconds:.1} s");
-    let rows: Vec<Value> = variants.iter_mut().map(Variant::to_json).collect();
+    let rows: Vec<Value> = variants.iter_mut().map(Variant::summarize).collect();
     let measurements = json!({
         "rounds": rounds, "turn_ms": run_duration.as_millis() as u64, "clients": CLIENTS, "forms": rows,
         "least_two_by_one": round(rate_minimal_proxy_two_by_one), "cpu_two_by_one": round(cpu_two_engines_by_one),
@@ -183,7 +183,8 @@
         Variant { name, processes, rates, cpu_us, busy, calls: 0, unserved: 0 }
     }
 
-    fn to_json(&mut self) -> Value {
+    /// The medians of the rounds as JSON. Sorts the values.
+    fn summarize(&mut self) -> Value {
         json!({"form": self.name, "requests_a_second": median(&mut self.rates).round(),
                "cpu_us": round(median(&mut self.cpu_us)), "busy_processors": round(median(&mut self.busy)),
                "calls": self.calls, "unserved": self.unserved})
@@ -201,7 +202,7 @@
     let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 4]);
     let config = site.configuration(|config| config["limits"]["sockets"] = SOCKET_LIMIT.into());
     let hosts: Vec<String> =
-        site.with(|inside| inside.hosts.iter().map(|host| host.address.to_string()).collect());
+        site.with(|stand_ins| stand_ins.hosts.iter().map(|host| host.address.to_string()).collect());
     let hosts = hosts.join(",");
     let start_daemon = |index: u32, processor: &str| {
         let config = site.configuration(|config| {
@@ -296,8 +297,8 @@
     let site = Site::start(vec![Plan { service: Duration::from_millis(4), ..Plan::default() }; 8]);
     let proxy = ChildProcess::start("engines", &site.configuration(|_| ()), engines);
     wait_until_ready(proxy.address);
-    let open_connections = || site.with(|inside| inside.hosts.iter().map(|host| host.open.get()).sum());
-    let run_load = |clients: usize, pause: Duration| {
+    let open_connections = || site.with(|stand_ins| stand_ins.hosts.iter().map(|host| host.open.get()).sum());
+    let apply_load = |clients: usize, pause: Duration| {
         run(async {
             let tally = Rc::new(RefCell::default());
             let mut load = Load::new(proxy.address, clients as u64);
@@ -306,11 +307,11 @@
             load.run(&tally).await;
         });
     };
-    run_load(8, Duration::from_millis(20));
+    apply_load(8, Duration::from_millis(20));
     let light = open_connections();
-    run_load(48, Duration::ZERO);
+    apply_load(48, Duration::ZERO);
     let heavy = open_connections();
-    OpenConnections { light, heavy, watches: site.with(|inside| inside.registry.watches.get()) }
+    OpenConnections { light, heavy, watches: site.with(|stand_ins| stand_ins.registry.watches.get()) }
 }
 
 /// A proxy of several engines on threads of this process.
@@ -503,7 +504,7 @@
         proxy.ready().await;
         let on_send = |number| {
             if number == keys / 3 {
-                site.with(|inside| inside.hosts[1].kill());
+                site.with(|stand_ins| stand_ins.hosts[1].kill());
             } else if number == keys / 2 {
                 proxy.shards.submit(2, |_| std::thread::sleep(Duration::from_millis(1_500)));
             }
--- a/measure/src/keys.rs
+++ b/measure/src/keys.rs
@@ -60,7 +60,7 @@
     }
     let (on, off) = (&detach_comparison.with_detached_calls, &detach_comparison.without_detached_calls);
     let duplicate_effects =
-        [on, off].map(|report| report.charges_twice + report.entries_twice).iter().sum::<usize>();
+        [on, off].map(|result| result.charges_twice + result.entries_twice).iter().sum::<usize>();
     report.add_target("effects_twice", duplicate_effects as f64, Bound::AtMost(0.0));
     report.add_target("keys_with_two_answers", (on.two_answers + off.two_answers) as f64, Bound::AtMost(0.0));
     // Share of the sends that no host had to run.
--- a/measure/src/library.rs
+++ b/measure/src/library.rs
@@ -86,7 +86,7 @@
     let site = Site::start(vec![Plan { service: Duration::ZERO, ..Plan::default() }; 2]);
     let config = site.configuration(|_| ());
     let hosts: Vec<String> =
-        site.with(|inside| inside.hosts.iter().map(|host| host.address.to_string()).collect());
+        site.with(|stand_ins| stand_ins.hosts.iter().map(|host| host.address.to_string()).collect());
     let daemon = ChildProcess::start("daemon", &config, 1);
     wait_until_ready(daemon.address);
     let application = ChildProcess::start("plain", &daemon.address.to_string(), threads);
--- a/measure/src/members.rs
+++ b/measure/src/members.rs
@@ -34,7 +34,7 @@
 
 /// Seconds until all members have declared a killed member failed, for each seed.
 fn failure_detection_times(initial: &Crowd, seeds: u64) -> Vec<f64> {
-    let elapsed = (0..seeds).into_par_iter().map(|seed| {
+    let times = (0..seeds).into_par_iter().map(|seed| {
         let mut cluster = initial.clone();
         cluster.reseed(seed);
         // The member is killed at different moments of the probe period.
@@ -44,7 +44,7 @@
         let elapsed = cluster.until(120 * SECOND, |cluster| cluster.all_take(killed, Condition::Failed));
         elapsed.map_or(f64::NAN, |elapsed| elapsed as f64 / 1e6)
     });
-    elapsed.collect()
+    times.collect()
 }
 
 /// Running members that were declared failed, per hour of the whole cluster; and datagrams and bytes sent per second and
@@ -73,7 +73,7 @@
 
 /// Seconds until all members agree again after a partition of 30 s between a third of them and the rest, for each seed.
 fn merge_times(initial: &Crowd, seeds: u64) -> Vec<f64> {
-    let elapsed = (0..seeds).into_par_iter().map(|seed| {
+    let times = (0..seeds).into_par_iter().map(|seed| {
         let mut cluster = initial.clone();
         cluster.reseed(seed);
         cluster.parts(|node| u8::from(node % 3 == 0));
@@ -85,7 +85,7 @@
         };
         cluster.until(180 * SECOND, has_merged).map_or(f64::NAN, |elapsed| elapsed as f64 / 1e6)
     });
-    elapsed.collect()
+    times.collect()
 }
 
 /// Runs one member on a real socket, and prints its address. Called in a child process.
--- a/measure/src/stress.rs
+++ b/measure/src/stress.rs
@@ -56,7 +56,7 @@
         fleet.ready().await.expect("the fleet becomes ready");
         let kill_host_at_half = |number| {
             if number == stress_run.keys / 2 {
-                site.with(|inside| inside.hosts[1].kill());
+                site.with(|stand_ins| stand_ins.hosts[1].kill());
             }
         };
         let caller = fleet.clone();
