--- a/measure/src/cores.rs
+++ b/measure/src/cores.rs
@@ -264,13 +264,13 @@
             let address = addresses[thread % addresses.len()];
             std::thread::spawn(move || {
                 run(async {
-                    let tally = Rc::new(RefCell::default());
+                    let metrics = Rc::new(RefCell::default());
                     let mut load = Load::new(address, seed * 2 + thread as u64);
                     load.clients = CLIENTS / 2;
                     load.until = Some(tokio::time::Instant::now() + run_duration);
-                    load.run(&tally).await;
-                    let tally = tally.borrow();
-                    (tally.all(), tally.served)
+                    load.run(&metrics).await;
+                    let metrics = metrics.borrow();
+                    (metrics.all(), metrics.served)
                 })
             })
         })
@@ -300,11 +300,11 @@
     let open_connections = || site.with(|stand_ins| stand_ins.hosts.iter().map(|host| host.open.get()).sum());
     let apply_load = |clients: usize, pause: Duration| {
         run(async {
-            let tally = Rc::new(RefCell::default());
+            let metrics = Rc::new(RefCell::default());
             let mut load = Load::new(proxy.address, clients as u64);
             (load.clients, load.pause) = (clients, pause);
             load.until = Some(tokio::time::Instant::now() + Duration::from_millis(1_200));
-            load.run(&tally).await;
+            load.run(&metrics).await;
         });
     };
     apply_load(8, Duration::from_millis(20));
--- a/measure/src/instructions.rs
+++ b/measure/src/instructions.rs
@@ -63,12 +63,12 @@
     )?;
     crate::library::wait_until_ready(process.address);
     let served = run(async {
-        let tally = Rc::new(RefCell::default());
+        let metrics = Rc::new(RefCell::default());
         let mut load = Load::new(process.address, requests as u64);
         (load.clients, load.calls) = (request_mix.clients, requests / request_mix.clients);
         load.classes.clone_from(&request_mix.classes);
-        load.run(&tally).await;
-        let served = tally.borrow().served;
+        load.run(&metrics).await;
+        let served = metrics.borrow().served;
         served
     });
     process.finish();
--- a/measure/src/library.rs
+++ b/measure/src/library.rs
@@ -113,15 +113,15 @@
                 run_load(variant.processes[0].address, clients, number as u64, run_duration, || {
                     variant.processes.iter().map(ChildProcess::cpu_time).sum::<Duration>()
                 });
-            let (tally, cpu) = measured;
+            let (metrics, cpu) = measured;
             if number == 0 {
                 continue;
             }
-            variant.calls += tally.all();
-            variant.unserved += tally.all() - tally.served;
-            variant.cpu_us.push(cpu.as_secs_f64() * 1e6 / tally.all().max(1) as f64);
-            variant.p50_us.push(tally.time(0.5).as_secs_f64() * 1e6);
-            variant.p99_us.push(tally.time(0.99).as_secs_f64() * 1e6);
+            variant.calls += metrics.all();
+            variant.unserved += metrics.all() - metrics.served;
+            variant.cpu_us.push(cpu.as_secs_f64() * 1e6 / metrics.all().max(1) as f64);
+            variant.p50_us.push(metrics.time(0.5).as_secs_f64() * 1e6);
+            variant.p99_us.push(metrics.time(0.99).as_secs_f64() * 1e6);
         }
         if number > 0 {
             let last_cpu_us = |variant: &Variant| variant.cpu_us.last().copied().unwrap_or(f64::NAN);
@@ -138,8 +138,8 @@
 
 /// CPU time per request of one process under load for `run_duration`, in microseconds.
 pub fn cpu_us_per_request(process: &ChildProcess, clients: usize, seed: u64, run_duration: Duration) -> f64 {
-    let (tally, cpu) = run_load(process.address, clients, seed, run_duration, || process.cpu_time());
-    cpu.as_secs_f64() * 1e6 / tally.all().max(1) as f64
+    let (metrics, cpu) = run_load(process.address, clients, seed, run_duration, || process.cpu_time());
+    cpu.as_secs_f64() * 1e6 / metrics.all().max(1) as f64
 }
 
 /// Runs a load for `run_duration`. Returns its counts and latencies, and how much `cpu` increased.
@@ -151,14 +151,14 @@
     cpu: impl Fn() -> Duration,
 ) -> (Tally, Duration) {
     run(async {
-        let tally = Rc::new(RefCell::new(Tally::default()));
+        let metrics = Rc::new(RefCell::new(Tally::default()));
         let mut load = Load::new(address, seed);
         (load.clients, load.until) = (clients, Some(Instant::now() + run_duration));
         let before = cpu();
-        load.run(&tally).await;
+        load.run(&metrics).await;
         let cpu_time = cpu() - before;
-        let tally = tally.borrow().clone();
-        (tally, cpu_time)
+        let metrics = metrics.borrow().clone();
+        (metrics, cpu_time)
     })
 }
 
--- a/measure/src/members.rs
+++ b/measure/src/members.rs
@@ -146,12 +146,12 @@
     crate::library::wait_until_ready(process.address);
     let before = process.cpu_time();
     let served = nettleworks_standins::run(async {
-        let tally = Rc::new(RefCell::default());
+        let metrics = Rc::new(RefCell::default());
         let mut load = Load::new(process.address, 1);
         load.pause = Duration::from_millis(10);
         load.until = Some(tokio::time::Instant::now() + span);
-        load.run(&tally).await;
-        let served = tally.borrow().served;
+        load.run(&metrics).await;
+        let served = metrics.borrow().served;
         served
     });
     let cpu_time = (process.cpu_time() - before).as_secs_f64();
