--- a/crew/src/history.rs
+++ b/crew/src/history.rs
@@ -1,95 +1,96 @@
-//! What was done to a crew and what was seen of it, in one order.
+//! The history of a cluster: injected faults and logged events in the order of their times.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Most events that are kept; later ones are counted only.
-const EVENTS_MOST: usize = 100_000;
+/// Upper bound of the events kept; later ones are only counted.
+const MAX_EVENTS: usize = 100_000;
 
-/// One of them.
+/// An event of the history. Processes are identified by their numbers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A process was started, by its number.
+    /// A process was started.
     Started(usize),
-    /// It was killed.
+    /// A process was killed (SIGKILL).
     Killed(usize),
-    /// It was told to end.
-    Ended(usize),
-    /// It was stopped (SIGSTOP).
-    Stopped(usize),
-    /// It goes on.
-    Continued(usize),
-    /// The relays were told something else.
-    Links(String),
-    /// A process has said this in its log.
-    Said(usize, String),
-    /// What a test notes.
+    /// A process was asked to exit (SIGTERM).
+    Terminated(usize),
+    /// A process was suspended (SIGSTOP).
+    Suspended(usize),
+    /// A process was resumed (SIGCONT).
+    Resumed(usize),
+    /// Faults of the relays were set; the text describes them.
+    LinksChanged(String),
+    /// A process has logged this line.
+    Logged(usize, String),
+    /// A note of the test.
     Note(String),
 }
 
 #[derive(Debug)]
-struct Inside {
-    began: Instant,
+struct Inner {
+    started_at: Instant,
     events: Vec<(Duration, Event)>,
     dropped: usize,
 }
 
-/// Clones are the same one.
+/// A history of events. Clones share its contents.
 #[derive(Clone, Debug)]
-pub struct History(Arc<Mutex<Inside>>);
+pub struct History(Arc<Mutex<Inner>>);
 
 impl Default for History {
     fn default() -> Self {
-        let began = Instant::now();
-        History(Arc::new(Mutex::new(Inside { began, events: Vec::new(), dropped: 0 })))
+        let started_at = Instant::now();
+        History(Arc::new(Mutex::new(Inner { started_at, events: Vec::new(), dropped: 0 })))
     }
 }
 
 impl History {
-    fn lock(&self) -> MutexGuard<'_, Inside> {
+    fn lock(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes an event.
-    pub fn note(&self, event: Event) {
-        let mut inside = self.lock();
-        let at = inside.began.elapsed();
-        match inside.events.len() < EVENTS_MOST {
-            true => inside.events.push((at, event)),
-            false => inside.dropped += 1,
+    /// Records an event with the current time.
+    pub fn record(&self, event: Event) {
+        let mut inner = self.lock();
+        let at = inner.started_at.elapsed();
+        match inner.events.len() < MAX_EVENTS {
+            true => inner.events.push((at, event)),
+            false => inner.dropped += 1,
         }
     }
 
-    /// How long it is.
-    pub fn now(&self) -> Duration {
-        self.lock().began.elapsed()
+    /// Time since the history was created.
+    pub fn elapsed(&self) -> Duration {
+        self.lock().started_at.elapsed()
     }
 
-    /// All that came from a moment on.
+    /// All events since `since`, a time as [`History::elapsed`] returns it.
     ///
     /// # Panics
     ///
-    /// More came than are kept: no verdict may rest on a part.
-    pub fn since(&self, at: Duration) -> Vec<(Duration, Event)> {
-        let inside = self.lock();
-        assert_eq!(inside.dropped, 0, "a history with gaps");
-        inside.events.iter().filter(|(when, _)| *when >= at).cloned().collect()
+    /// Events were dropped: a test must not decide by an incomplete history.
+    pub fn events_since(&self, since: Duration) -> Vec<(Duration, Event)> {
+        let inner = self.lock();
+        assert_eq!(inner.dropped, 0, "events of the history were dropped");
+        inner.events.iter().filter(|(at, _)| *at >= since).cloned().collect()
     }
 
-    /// Who said of whom, from a moment on, that it has done so: a line `members: WHOM has WHAT` in the log of WHO.
-    pub fn said(&self, at: Duration, what: &str) -> Vec<(usize, String)> {
-        let lines = self.since(at).into_iter().filter_map(|(_, event)| match event {
-            Event::Said(who, line) => {
+    /// Membership changes that processes have logged since `since`: the number of the process and the name of the member of
+    /// each log line `members: MEMBER has CHANGE`, where `CHANGE` up to a comma is `change`.
+    pub fn membership_changes(&self, since: Duration, change: &str) -> Vec<(usize, String)> {
+        let lines = self.events_since(since).into_iter().filter_map(|(_, event)| match event {
+            Event::Logged(observer, line) => {
                 let (_, rest) = line.split_once("members: ")?;
-                let (whom, said) = rest.split_once(" has ")?;
-                (said.split(',').next() == Some(what)).then(|| (who, whom.to_owned()))
+                let (member, logged) = rest.split_once(" has ")?;
+                (logged.split(',').next() == Some(change)).then(|| (observer, member.to_owned()))
             }
             _ => None,
         });
         lines.collect()
     }
 
-    /// It, line by line, without what processes said of hosts.
+    /// The history as text, one event a line, with times in seconds.
     pub fn text(&self) -> String {
         let line = |(at, event): &(Duration, Event)| format!("{:8.3} {event:?}\n", at.as_secs_f64());
         self.lock().events.iter().map(line).collect()
--- a/crew/src/process.rs
+++ b/crew/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a crew.
+//! One process of a cluster.
 
 use crate::history::{Event, History};
 use serde_json::{json, Value};
@@ -10,34 +10,36 @@
 use std::sync::mpsc::{self, Receiver};
 use std::time::{Duration, Instant};
 
-/// Far longer than a start, an end or an answer takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time within which a process must start or exit; far more than either takes.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A running program. Killed when this is dropped.
+/// A running `nettleworks` process. Dropping it kills the process.
 #[derive(Debug)]
 pub struct Process {
-    /// Its number in the crew.
+    /// Number of the process in its cluster.
     pub number: usize,
-    /// Where clients connect.
+    /// Address that accepts clients.
     pub address: SocketAddr,
     folder: PathBuf,
     child: Child,
     history: History,
 }
 
-fn serving(log: &Receiver<String>, number: usize) -> SocketAddr {
-    let until = Instant::now() + PATIENCE;
+/// Reads the log until it has the address at which the process serves.
+fn wait_until_serving(log: &Receiver<String>, number: usize) -> SocketAddr {
+    let deadline = Instant::now() + PROCESS_TIMEOUT;
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        let line = log.recv_timeout(left).unwrap_or_else(|_| panic!("process {number} does not serve"));
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let line = log.recv_timeout(remaining).unwrap_or_else(|_| panic!("process {number} does not serve"));
         if let Some((_, address)) = line.split_once("serving at ") {
-            return address.parse().expect("an address");
+            return address.parse().expect("the log line ends with an address");
         }
     }
 }
 
 impl Process {
-    /// Starts `program` with the files `config.json` and, with members, `members.json` of a folder.
+    /// Starts `program` with `config.json` of a folder and, if `members` is set, with its `members.json`. Returns when the
+    /// process serves.
     pub fn start(program: &Path, number: usize, folder: &Path, members: bool, history: &History) -> Process {
         let mut command = Command::new(program);
         command.arg(folder.join("config.json"));
@@ -47,19 +49,19 @@
         Process::spawn(command, number, folder, history)
     }
 
-    /// Starts `program` with the file `config.json` of a folder and so many engines.
-    pub fn with_engines(
+    /// Starts `program` with `config.json` of a folder and this number of engines, without membership.
+    pub fn start_with_engines(
         program: &Path,
         number: usize,
         folder: &Path,
         engines: usize,
         history: &History,
     ) -> Process {
-        Process::in_environment(program, number, folder, engines, &[], history)
+        Process::start_with_environment(program, number, folder, engines, &[], history)
     }
 
-    /// The same with these variables in its environment.
-    pub fn in_environment(
+    /// The same with additional environment variables.
+    pub fn start_with_environment(
         program: &Path,
         number: usize,
         folder: &Path,
@@ -76,74 +78,78 @@
     fn spawn(mut command: Command, number: usize, folder: &Path, history: &History) -> Process {
         let mut child =
             command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("the program starts");
-        history.note(Event::Started(number));
+        history.record(Event::Started(number));
         let log = BufReader::new(child.stderr.take().expect("piped"));
-        let (lines, said) = mpsc::channel();
-        let noted = history.clone();
-        // Read to its end, else the program would wait to write.
+        let (lines, received_lines) = mpsc::channel();
+        let log_history = history.clone();
+        // The log is read to its end, otherwise a full pipe would block the process.
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 if line.contains("members: ") || line.contains("panicked") || line.contains("serving at") {
-                    noted.note(Event::Said(number, line.clone()));
+                    log_history.record(Event::Logged(number, line.clone()));
                 }
-                // A test that fails shows what its processes have said.
+                // The test runner shows this output if the test fails.
                 eprintln!("process {number}: {line}");
-                // Only its start is waited for.
+                // The receiver is dropped once the process serves.
                 let _ = lines.send(line);
             }
         });
-        let address = serving(&said, number);
+        let address = wait_until_serving(&received_lines, number);
         Process { number, address, folder: folder.to_owned(), child, history: history.clone() }
     }
 
     fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status();
-        assert!(sent.expect("kill runs").success(), "{name} to process {}", self.number);
+        let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
+        assert!(status.expect("kill runs").success(), "{name} to process {}", self.number);
     }
 
-    /// SIGKILL.
+    /// Kills the process (SIGKILL), and waits until it has exited.
     pub fn kill(&mut self) {
-        self.history.note(Event::Killed(self.number));
-        self.child.kill().expect("it was there");
-        self.child.wait().expect("it can be waited for");
+        self.history.record(Event::Killed(self.number));
+        self.child.kill().expect("the process can be killed");
+        self.child.wait().expect("the process can be waited for");
     }
 
-    /// SIGSTOP: it does not run until it is continued.
-    pub fn stop(&self) {
-        self.history.note(Event::Stopped(self.number));
+    /// Suspends the process until it is resumed (SIGSTOP).
+    pub fn suspend(&self) {
+        self.history.record(Event::Suspended(self.number));
         self.signal("-STOP");
     }
 
-    /// SIGCONT.
-    pub fn go_on(&self) {
-        self.history.note(Event::Continued(self.number));
+    /// Resumes a suspended process (SIGCONT).
+    pub fn resume(&self) {
+        self.history.record(Event::Resumed(self.number));
         self.signal("-CONT");
     }
 
-    /// SIGHUP.
+    /// Makes the process reload its configuration (SIGHUP).
     pub fn reload(&self) {
         self.signal("-HUP");
     }
 
-    /// SIGTERM, and waits until it has ended well.
-    pub fn end(&mut self) {
-        self.history.note(Event::Ended(self.number));
+    /// Terminates the process (SIGTERM), and waits until it has exited with status 0.
+    ///
+    /// # Panics
+    ///
+    /// The process exits with another status, or not in time.
+    pub fn terminate(&mut self) {
+        self.history.record(Event::Terminated(self.number));
         self.signal("-TERM");
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + PROCESS_TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait().expect("it can be waited for") {
-                assert_eq!(status.code(), Some(0), "process {}", self.number);
+            if let Some(status) = self.child.try_wait().expect("the process can be waited for") {
+                assert_eq!(status.code(), Some(0), "exit status of process {}", self.number);
                 return;
             }
-            assert!(Instant::now() < until, "process {} does not end", self.number);
+            assert!(Instant::now() < deadline, "process {} does not exit", self.number);
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Whom it takes to be there; `None`: nobody answers at its socket in time.
-    pub fn view(&self) -> Option<Value> {
+    /// The member list as the operators' socket of the process reports it. `None`: no response in time.
+    pub fn membership_view(&self) -> Option<Value> {
         let mut stream = UnixStream::connect(self.folder.join("s")).ok()?;
-        stream.set_read_timeout(Some(PATIENCE / 10)).ok()?;
+        stream.set_read_timeout(Some(PROCESS_TIMEOUT / 10)).ok()?;
         stream.write_all(format!("{}\n", json!({"op": "members"})).as_bytes()).ok()?;
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).ok()?;
@@ -154,7 +160,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crew/src/relay.rs
+++ b/crew/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relays: each process has one, which the others take for it.
+//! UDP relays: each process has one, and advertises its address as its own, so that all datagrams to it pass the relay.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -11,46 +11,46 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// Most datagrams that are held back at a time; a further one is lost.
-const HELD_MOST: usize = 10_000;
+/// Upper bound of the datagrams that are delayed at a time; further ones are dropped.
+const MAX_DELAYED: usize = 10_000;
 
-/// What becomes of what passes one way between two.
+/// The faults of the datagrams from one process to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Link {
-    /// Nothing passes.
-    pub cut: bool,
-    /// This share is lost.
+    /// Whether all datagrams are dropped.
+    pub blocked: bool,
+    /// Share of the datagrams that are dropped, from 0 to 1.
     pub loss: f64,
-    /// This share passes twice.
-    pub doubled: f64,
-    /// All is late by something between these: with a wide span it is reordered too.
+    /// Share of the datagrams that are delivered twice, from 0 to 1.
+    pub duplication: f64,
+    /// Minimum and maximum delay of a datagram; a wide range also reorders datagrams.
     pub delay: (Duration, Duration),
 }
 
 impl Default for Link {
     fn default() -> Self {
-        Link { cut: false, loss: 0.0, doubled: 0.0, delay: (Duration::ZERO, Duration::ZERO) }
+        Link { blocked: false, loss: 0.0, duplication: 0.0, delay: (Duration::ZERO, Duration::ZERO) }
     }
 }
 
 #[derive(Debug)]
 struct State {
-    /// From whom to whom; all others are [`Link::default`] or `all`.
+    /// Faults by sender and receiver; all other links are `default_link`.
     links: BTreeMap<(usize, usize), Link>,
-    all: Link,
-    /// Where each process itself hears, as its last datagram came from there.
-    real: Vec<Option<SocketAddr>>,
+    default_link: Link,
+    /// The address of each process, learned from the source of its last datagram.
+    process_addresses: Vec<Option<SocketAddr>>,
     ips: Vec<IpAddr>,
-    draws: Pcg64,
-    held: usize,
-    passed: u64,
-    lost: u64,
+    random: Pcg64,
+    delayed: usize,
+    forwarded: u64,
+    dropped: u64,
 }
 
-/// All relays of a crew, on a thread of their own.
+/// All relays of a cluster, on one thread of their own. Dropping them stops the thread.
 #[derive(Debug)]
 pub struct Relays {
-    /// Where each is: what its process says of itself.
+    /// Address of the relay of each process, which the process advertises.
     pub addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
     stop: Option<mpsc::Sender<()>>,
@@ -62,73 +62,75 @@
 }
 
 impl Relays {
-    /// One for each process, which sends from its own one of these addresses.
+    /// Starts a relay for each process. `ips` has the IP address from which each process sends.
     pub fn start(ips: Vec<IpAddr>, seed: u64) -> Relays {
         let count = ips.len();
         let state = State {
             links: BTreeMap::new(),
-            all: Link::default(),
-            real: vec![None; count],
+            default_link: Link::default(),
+            process_addresses: vec![None; count],
             ips,
-            draws: Pcg64::seed_from_u64(seed),
-            held: 0,
-            passed: 0,
-            lost: 0,
+            random: Pcg64::seed_from_u64(seed),
+            delayed: 0,
+            forwarded: 0,
+            dropped: 0,
         };
         let state = Arc::new(Mutex::new(state));
         let (stop, mut stopped) = mpsc::channel(1);
-        let (up, is_up) = std::sync::mpsc::channel();
+        let (addresses_sender, bound_addresses) = std::sync::mpsc::channel();
         let shared = state.clone();
         let thread = std::thread::spawn(move || {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("the runtime starts");
             runtime.block_on(async {
                 let mut addresses = Vec::new();
                 for to in 0..count {
-                    let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a port"));
-                    addresses.push(socket.local_addr().expect("an address"));
+                    let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a free port"));
+                    addresses.push(socket.local_addr().expect("the socket is bound"));
                     tokio::spawn(relay(to, socket, shared.clone()));
                 }
-                up.send(addresses).expect("whoever started them waits");
-                // Told or dropped, it is over.
+                addresses_sender.send(addresses).expect("Relays::start waits for the addresses");
+                // The relays stop when the sender is dropped.
                 let _ = stopped.recv().await;
             });
         });
-        let addresses = is_up.recv().expect("the relays start");
+        let addresses = bound_addresses.recv().expect("the relays start");
         Relays { addresses, state, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// From now on, what passes from one to another.
-    pub fn set(&self, from: usize, to: usize, link: Link) {
+    /// Sets the faults of the datagrams from one process to another.
+    pub fn set_link(&self, from: usize, to: usize, link: Link) {
         lock(&self.state).links.insert((from, to), link);
     }
 
-    /// What passes between all that were not set apart.
-    pub fn set_all(&self, link: Link) {
-        lock(&self.state).all = link;
+    /// Sets the faults of all links that were not set one by one.
+    pub fn set_all_links(&self, link: Link) {
+        lock(&self.state).default_link = link;
     }
 
-    /// Nothing passes between one part and another, either way.
-    pub fn split(&self, one: &[usize], other: &[usize]) {
-        for &a in one {
-            for &b in other {
-                self.set(a, b, Link { cut: true, ..Link::default() });
-                self.set(b, a, Link { cut: true, ..Link::default() });
+    /// Blocks all links between two groups of processes, in both directions.
+    pub fn partition(&self, left: &[usize], right: &[usize]) {
+        for &a in left {
+            for &b in right {
+                self.set_link(a, b, Link { blocked: true, ..Link::default() });
+                self.set_link(b, a, Link { blocked: true, ..Link::default() });
             }
         }
     }
 
-    /// All passes again.
+    /// Removes the faults of all links.
     pub fn heal(&self) {
         let mut state = lock(&self.state);
         state.links.clear();
-        state.all = Link::default();
+        state.default_link = Link::default();
     }
 
-    /// How many datagrams passed, and how many were lost here.
-    pub fn counts(&self) -> (u64, u64) {
+    /// Numbers of datagrams that the relays have forwarded and dropped.
+    pub fn datagram_counts(&self) -> (u64, u64) {
         let state = lock(&self.state);
-        (state.passed, state.lost)
+        (state.forwarded, state.dropped)
     }
 }
 
@@ -136,54 +138,56 @@
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            // A panic there has failed its test already.
+            // A panic of the thread has already been reported.
             let _ = thread.join();
         }
     }
 }
 
+/// Forwards the datagrams to process `to` that arrive at its relay.
 async fn relay(to: usize, socket: Arc<UdpSocket>, state: Arc<Mutex<State>>) {
     let mut buffer = vec![0; 10_000];
     loop {
-        // An error is what came back of something passed on: nobody hears there now.
+        // The error is an ICMP port unreachable for a forwarded datagram: the process does not listen now.
         let Ok((size, source)) = socket.recv_from(&mut buffer).await else { continue };
         let copies = {
             let mut state = lock(&state);
             let Some(from) = state.ips.iter().position(|ip| *ip == source.ip()) else { continue };
-            state.real[from] = Some(source);
-            let link = state.links.get(&(from, to)).unwrap_or(&state.all).clone();
-            let lost = link.cut || state.draws.random::<f64>() < link.loss;
-            let copies = 1 + usize::from(state.draws.random::<f64>() < link.doubled);
-            if lost || state.held + copies > HELD_MOST {
-                state.lost += 1;
+            state.process_addresses[from] = Some(source);
+            let link = state.links.get(&(from, to)).unwrap_or(&state.default_link).clone();
+            let dropped = link.blocked || state.random.random::<f64>() < link.loss;
+            let copies = 1 + usize::from(state.random.random::<f64>() < link.duplication);
+            if dropped || state.delayed + copies > MAX_DELAYED {
+                state.dropped += 1;
                 continue;
             }
-            state.passed += 1;
-            let (least, most) = link.delay;
-            let span = most.saturating_sub(least);
-            (0..copies).map(|_| least + span.mul_f64(state.draws.random())).collect::<Vec<_>>()
+            state.forwarded += 1;
+            let (min_delay, max_delay) = link.delay;
+            let span = max_delay.saturating_sub(min_delay);
+            (0..copies).map(|_| min_delay + span.mul_f64(state.random.random())).collect::<Vec<_>>()
         };
         for delay in copies {
             let datagram = buffer[..size].to_vec();
             if delay.is_zero() {
-                pass(to, &socket, &state, &datagram);
+                deliver(to, &socket, &state, &datagram);
                 continue;
             }
-            lock(&state).held += 1;
+            lock(&state).delayed += 1;
             let (socket, state) = (socket.clone(), state.clone());
             tokio::spawn(async move {
                 sleep(delay).await;
-                lock(&state).held -= 1;
-                pass(to, &socket, &state, &datagram);
+                lock(&state).delayed -= 1;
+                deliver(to, &socket, &state, &datagram);
             });
         }
     }
 }
 
-fn pass(to: usize, socket: &UdpSocket, state: &Mutex<State>, datagram: &[u8]) {
-    let real = lock(state).real[to];
-    if let Some(real) = real {
-        // One that the system does not take is lost, as on a network.
-        let _ = socket.try_send_to(datagram, real);
+/// Sends a datagram to process `to`, if its address is known.
+fn deliver(to: usize, socket: &UdpSocket, state: &Mutex<State>, datagram: &[u8]) {
+    let address = lock(state).process_addresses[to];
+    if let Some(address) = address {
+        // A datagram that the system rejects is lost, as on a network.
+        let _ = socket.try_send_to(datagram, address);
     }
 }
