--- a/policy/src/balance/outcomes.rs
+++ b/policy/src/balance/outcomes.rs
@@ -237,7 +237,7 @@
             // reinstated.
             server.overload = 1.0;
             let id = server.id;
-            actions.push(Action::Log { text: format!("server {} ejected", id.0) });
+            actions.push(Action::Log { text: format!("server {} set aside", id.0) });
             actions.extend(
                 server
                     .allocation
@@ -297,7 +297,7 @@
             actions
                 .extend(self.allocation.map(|_| Action::ShareObservation { server: self.id, observation }));
             if !was_up {
-                actions.push(Action::Log { text: format!("server {} reinstated", self.id.0) });
+                actions.push(Action::Log { text: format!("server {} taken back", self.id.0) });
             }
         }
     }
--- a/policy/tests/rules.rs
+++ b/policy/tests/rules.rs
@@ -421,7 +421,7 @@
             let actions = proxy.end(call, 0, Outcome::Unusable, 2 * MS);
             assert!(failed(&actions, call) && sent(&actions).is_empty(), "{actions:?}");
         }
-        let ejected = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("ejected"));
+        let ejected = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("set aside"));
         assert!(!proxy.actions.iter().any(ejected));
     }
 }
@@ -442,7 +442,7 @@
             let actions = proxy.end(call, 0, end, 2 * MS);
             assert_eq!(failed(&actions, call), end == outcome, "it may have run and is not retried");
         }
-        let ejected = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("ejected"));
+        let ejected = |action: &Action| matches!(action, Action::Log { text } if text.ends_with("set aside"));
         assert!(!proxy.actions.iter().any(ejected), "{outcome:?}");
     }
 }
@@ -729,7 +729,7 @@
     let failures = log.iter().filter(|a| matches!(a, Action::Fail { .. })).count();
     assert!(failures > 20, "too few time-outs to be conclusive: {failures}");
     let ejected =
-        log.iter().filter(|a| matches!(a, Action::Log { text } if text.contains("ejected"))).count();
+        log.iter().filter(|a| matches!(a, Action::Log { text } if text.contains("set aside"))).count();
     assert_eq!(ejected, 0, "the server is slow, not down");
 }
 
@@ -840,7 +840,7 @@
     for call in calls {
         proxy.end(call, 0, Outcome::Reset, 5 * MS);
     }
-    let ejected = |a: &Action| matches!(a, Action::Log { text } if text.contains("ejected"));
+    let ejected = |a: &Action| matches!(a, Action::Log { text } if text.contains("set aside"));
     assert!(!proxy.actions.iter().any(ejected), "the new process has not failed");
 }
 
